--- a/crates/fawnrouter-engine/src/engine.rs
+++ b/crates/fawnrouter-engine/src/engine.rs
@@ -82,7 +82,7 @@
         let mut controller = Controller::new(settings.decisions.clone(), seed)?;
         let zones = settings.zones.clone().map(Zones::new).transpose()?.map(Shared::new);
         if let Some(zones) = &zones {
-            controller = controller.with_voice(Box::new(zones.clone()));
+            controller = controller.with_routing_policy(Box::new(zones.clone()));
         }
         let mut engine = Self::with(settings, Box::new(controller));
         engine.zones = zones;
--- a/crates/fawnrouter-zones/src/health.rs
+++ b/crates/fawnrouter-zones/src/health.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use fawnrouter::{Seen, ServerId};
+use fawnrouter::{ServerId, ServerView};
 
 /// Margins and times.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -89,15 +89,15 @@
     }
 
     /// Takes what is seen now of the zone's switches.
-    pub fn observe<'a>(&mut self, now: Duration, servers: impl Iterator<Item = Seen<'a>>) {
+    pub fn observe<'a>(&mut self, now: Duration, servers: impl Iterator<Item = ServerView<'a>>) {
         let now = now.max(self.at);
         let passed = now.saturating_sub(self.at);
         let (mut well, mut f) = (0usize, 0.0);
         for server in servers {
             if server.ready {
                 self.listed.insert(server.entry.id, now);
-                well += usize::from(server.well);
-                f += if server.well { server.fraction } else { 0.0 };
+                well += usize::from(server.healthy);
+                f += if server.healthy { server.allowed_fraction } else { 0.0 };
             }
         }
         let memory = self.settings.memory;
@@ -188,11 +188,11 @@
     fn see(health: &mut Health, now: u64, listed: u32, well: u32, fraction: f64) -> State {
         let entries: Vec<ServerEntry> =
             (0..10).map(|n| ServerEntry { id: ServerId(n), ..ServerEntry::default() }).collect();
-        let seen = entries.iter().zip(0..).map(|(entry, n)| Seen {
+        let seen = entries.iter().zip(0..).map(|(entry, n)| ServerView {
             entry,
             ready: n < listed,
-            well: n < well,
-            fraction,
+            healthy: n < well,
+            allowed_fraction: fraction,
         });
         health.observe(ms(now), seen);
         health.state()
--- a/crates/fawnrouter-zones/src/lib.rs
+++ b/crates/fawnrouter-zones/src/lib.rs
@@ -1,7 +1,7 @@
 #![forbid(unsafe_code)]
-//! Traffic across zones: a voice in the choice of server ([`fawnrouter::Voice`]) that lets calls spill into other zones
-//! when their own is pressed or down and a budget allows it. No I/O, no clock, no randomness but a seed: the same calls
-//! give the same answers.
+//! Traffic across zones: a voice in the choice of server ([`fawnrouter::RoutingPolicy`]) that lets calls spill into
+//! other zones when their own is pressed or down and a budget allows it. No I/O, no clock, no randomness but a seed: the
+//! same calls give the same answers.
 //!
 //! | module | what it decides or keeps |
 //! | --- | --- |
--- a/crates/fawnrouter-zones/src/zones.rs
+++ b/crates/fawnrouter-zones/src/zones.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, PoisonError};
 
-use fawnrouter::{CallId, Seen, ServerEntry, Time, Voice, Wanted};
+use fawnrouter::{CallId, RoutingPolicy, RoutingRequest, ServerEntry, ServerView, Time};
 
 use crate::account::{Account, Charge, Saved};
 use crate::budget::{Budget, BudgetError, Money};
@@ -143,7 +143,7 @@
     }
 
     /// Worth that holding on would lose, in points.
-    fn at_stake(&self, wanted: &Wanted) -> f64 {
+    fn at_stake(&self, wanted: &RoutingRequest) -> f64 {
         let state = self.health.state();
         if state == State::Down || !self.health.has_switches() {
             return wanted.worth;
@@ -155,20 +155,20 @@
     }
 }
 
-fn kind(wanted: &Wanted, server: &ServerEntry, cause: Cause) -> Kind {
+fn kind(wanted: &RoutingRequest, server: &ServerEntry, cause: Cause) -> Kind {
     let class = wanted.class.and_then(|c| u32::try_from(c.0).ok()).unwrap_or(u32::MAX);
     Kind { class, to: server.zone.clone(), trunk_group: server.cell.0, cause }
 }
 
-impl Voice for Zones {
-    fn observe(&mut self, now: Time, servers: &mut dyn Iterator<Item = Seen<'_>>) {
+impl RoutingPolicy for Zones {
+    fn observe(&mut self, now: Time, servers: &mut dyn Iterator<Item = ServerView<'_>>) {
         self.now = self.now.max(now);
         let own = self.settings.own.clone();
-        let ours = |s: &Seen<'_>| own.is_empty() || s.entry.zone.is_empty() || s.entry.zone == own;
+        let ours = |s: &ServerView<'_>| own.is_empty() || s.entry.zone.is_empty() || s.entry.zone == own;
         self.health.observe(now.0, servers.filter(ours));
     }
 
-    fn weigh(&mut self, now: Time, wanted: &Wanted, server: &ServerEntry) -> f64 {
+    fn server_weight(&mut self, now: Time, wanted: &RoutingRequest, server: &ServerEntry) -> f64 {
         if self.is_own(&server.zone) {
             return 1.0;
         }
@@ -204,7 +204,7 @@
         left / (1.0 + cost.in_units() * price)
     }
 
-    fn sent(&mut self, now: Time, wanted: &Wanted, server: &ServerEntry) {
+    fn attempt_sent(&mut self, now: Time, wanted: &RoutingRequest, server: &ServerEntry) {
         self.now = self.now.max(now);
         if self.is_own(&server.zone) {
             return;
@@ -225,7 +225,7 @@
         }
     }
 
-    fn ended(&mut self, call: CallId, stood: bool) {
+    fn attempt_resolved(&mut self, call: CallId, stood: bool) {
         self.passed_over.remove(&call);
         self.wanting.remove(&call);
         let now = self.now;
@@ -252,20 +252,20 @@
     }
 }
 
-impl Voice for Shared {
-    fn observe(&mut self, now: Time, servers: &mut dyn Iterator<Item = Seen<'_>>) {
+impl RoutingPolicy for Shared {
+    fn observe(&mut self, now: Time, servers: &mut dyn Iterator<Item = ServerView<'_>>) {
         self.with(|z| z.observe(now, servers));
     }
 
-    fn weigh(&mut self, now: Time, wanted: &Wanted, server: &ServerEntry) -> f64 {
-        self.with(|z| z.weigh(now, wanted, server))
+    fn server_weight(&mut self, now: Time, wanted: &RoutingRequest, server: &ServerEntry) -> f64 {
+        self.with(|z| z.server_weight(now, wanted, server))
     }
 
-    fn sent(&mut self, now: Time, wanted: &Wanted, server: &ServerEntry) {
-        self.with(|z| z.sent(now, wanted, server));
+    fn attempt_sent(&mut self, now: Time, wanted: &RoutingRequest, server: &ServerEntry) {
+        self.with(|z| z.attempt_sent(now, wanted, server));
     }
 
-    fn ended(&mut self, call: CallId, stood: bool) {
-        self.with(|z| z.ended(call, stood));
+    fn attempt_resolved(&mut self, call: CallId, stood: bool) {
+        self.with(|z| z.attempt_resolved(call, stood));
     }
 }
--- a/crates/fawnrouter-zones/tests/common/mod.rs
+++ b/crates/fawnrouter-zones/tests/common/mod.rs
@@ -85,13 +85,13 @@
 #[derive(Debug)]
 struct Preference(Arc<str>);
 
-impl Voice for Preference {
-    fn observe(&mut self, _: Time, _: &mut dyn Iterator<Item = Seen<'_>>) {}
-    fn weigh(&mut self, _: Time, _: &Wanted, server: &ServerEntry) -> f64 {
+impl RoutingPolicy for Preference {
+    fn observe(&mut self, _: Time, _: &mut dyn Iterator<Item = ServerView<'_>>) {}
+    fn server_weight(&mut self, _: Time, _: &RoutingRequest, server: &ServerEntry) -> f64 {
         if server.zone == self.0 { 1.0 } else { 0.1 }
     }
-    fn sent(&mut self, _: Time, _: &Wanted, _: &ServerEntry) {}
-    fn ended(&mut self, _: CallId, _: bool) {}
+    fn attempt_sent(&mut self, _: Time, _: &RoutingRequest, _: &ServerEntry) {}
+    fn attempt_resolved(&mut self, _: CallId, _: bool) {}
 }
 
 struct Switch {
@@ -213,7 +213,7 @@
     }
 }
 
-fn voice(plan: &Plan, me: u32, shared: &mut Vec<Shared>) -> Option<Box<dyn Voice>> {
+fn voice(plan: &Plan, me: u32, shared: &mut Vec<Shared>) -> Option<Box<dyn RoutingPolicy>> {
     match plan.policy {
         Policy::Unvoiced => None,
         Policy::Preference => Some(Box::new(Preference(ZONES[zone_of(me)].into()))),
@@ -237,7 +237,7 @@
             let controller = Controller::new(settings(plan.gateways, me), u64::from(me) + plan.seed * 1000);
             let controller = controller.expect("sound settings");
             match voice(plan, me, &mut shared) {
-                Some(voice) => controller.with_voice(voice),
+                Some(voice) => controller.with_routing_policy(voice),
                 None => controller,
             }
         })
--- a/crates/fawnrouter-zones/tests/voice.rs
+++ b/crates/fawnrouter-zones/tests/voice.rs
@@ -36,9 +36,16 @@
     ServerEntry { id: ServerId(id), zone: zone.into(), ..ServerEntry::default() }
 }
 
-fn wanted(call: u64, worth: f64, aim_left_ms: u64) -> Wanted {
+fn wanted(call: u64, worth: f64, aim_left_ms: u64) -> RoutingRequest {
     let (aim, aim_left) = (Duration::from_secs(2), Duration::from_millis(aim_left_ms));
-    Wanted { call: CallId(call), class: Some(ClassId(0)), worth, aim, aim_left, left: Duration::from_secs(3) }
+    RoutingRequest {
+        call: CallId(call),
+        class: Some(ClassId(0)),
+        worth,
+        aim,
+        aim_left,
+        left: Duration::from_secs(3),
+    }
 }
 
 /// A voice whose four own switches have been like this for five seconds.
@@ -49,15 +56,15 @@
         let look = |n: u32| (step < 5 || n < well, if step < 5 { 1.0 } else { fraction });
         let mut seen = own.iter().zip(0..).map(|(entry, n)| {
             let (well, fraction) = look(n);
-            Seen { entry, ready: true, well, fraction }
+            ServerView { entry, ready: true, healthy: well, allowed_fraction: fraction }
         });
         zones.observe(t(step * 100), &mut seen);
     }
     zones
 }
 
-fn says(zones: &mut Zones, now: u64, wanted: Wanted, zone: &str) -> bool {
-    zones.weigh(t(now), &wanted, &server(9, zone)) > 0.0
+fn says(zones: &mut Zones, now: u64, wanted: RoutingRequest, zone: &str) -> bool {
+    zones.server_weight(t(now), &wanted, &server(9, zone)) > 0.0
 }
 
 #[test]
@@ -66,7 +73,7 @@
     assert_eq!(z.state(), State::Calm);
     for call in 0..50 {
         assert!(!says(&mut z, 5000, wanted(call, 100.0, 0), "north"));
-        assert_eq!(z.weigh(t(5000), &wanted(call, 1.0, 2000), &server(1, "kochi")), 1.0);
+        assert_eq!(z.server_weight(t(5000), &wanted(call, 1.0, 2000), &server(1, "kochi")), 1.0);
     }
 }
 
@@ -109,7 +116,7 @@
     assert!(!says(&mut alone, 4000, wanted(1, 1.0, 2000), "north"), "nothing has been looked at yet");
     alone.observe(t(4500), &mut std::iter::empty());
     assert!(says(&mut alone, 5000, wanted(1, 1.0, 2000), "north"));
-    alone.sent(t(5000), &wanted(1, 1.0, 2000), &server(9, "north"));
+    alone.attempt_sent(t(5000), &wanted(1, 1.0, 2000), &server(9, "north"));
     assert_eq!(alone.record().total().keys().next().map(|k| k.cause), Some(Cause::NoSwitch));
 }
 
@@ -126,10 +133,10 @@
         for (class, worth) in [(0, 1.0), (1, 3.0)] {
             let call = wanted(n * 2 + class as u64, worth, 1000);
             if says(&mut z, 5000 + n * 100, call, "north") {
-                z.sent(t(5000 + n * 100), &call, &server(9, "north"));
+                z.attempt_sent(t(5000 + n * 100), &call, &server(9, "north"));
                 went[class] += 1;
             }
-            z.ended(call.call, true);
+            z.attempt_resolved(call.call, true);
         }
     }
     assert!(went[0] + went[1] <= 20 && went[1] >= 8 && went[1] > went[0], "{went:?}");
@@ -146,9 +153,9 @@
     for (n, stood) in [(1, false), (2, true), (3, false)] {
         let call = wanted(n, 5.0, 0);
         assert!(says(&mut z, 5000, call, "north"));
-        z.sent(t(5000), &call, &server(9, "north"));
-        z.ended(call.call, stood);
-        z.ended(call.call, false);
+        z.attempt_sent(t(5000), &call, &server(9, "north"));
+        z.attempt_resolved(call.call, stood);
+        z.attempt_resolved(call.call, false);
     }
     assert_eq!(spent(&z), 1);
     let total: u64 = z.record().total().values().map(|c| c.calls).sum();
@@ -160,12 +167,13 @@
     let mut z = voice(settings("kochi", 10), 0, 0.0);
     let call = wanted(1, 5.0, 0);
     assert!(says(&mut z, 5000, call, "north"));
-    z.sent(t(5000), &call, &server(9, "north"));
+    z.attempt_sent(t(5000), &call, &server(9, "north"));
     // The list now says that switch 9 is in the own zone.
     let moved = server(9, "kochi");
-    let mut seen = std::iter::once(Seen { entry: &moved, ready: true, well: true, fraction: 1.0 });
+    let mut seen =
+        std::iter::once(ServerView { entry: &moved, ready: true, healthy: true, allowed_fraction: 1.0 });
     z.observe(t(5100), &mut seen);
-    z.ended(call.call, false);
+    z.attempt_resolved(call.call, false);
     assert_eq!(z.account().lines()[0].1.spent.0, 0);
-    assert_eq!(z.weigh(t(5200), &wanted(2, 1.0, 2000), &moved), 1.0);
+    assert_eq!(z.server_weight(t(5200), &wanted(2, 1.0, 2000), &moved), 1.0);
 }
--- a/crates/fawnrouter/src/brain.rs
+++ b/crates/fawnrouter/src/brain.rs
@@ -386,10 +386,10 @@
 }
 
 impl Call {
-    fn wanted(&self, now: Time) -> Wanted {
+    fn wanted(&self, now: Time) -> RoutingRequest {
         let (aim_left, left) = (self.aim_at.since(now), self.answer_by.since(now));
         let (call, class, worth, aim) = (self.new.id, self.new.class, self.worth, self.aim);
-        Wanted { call, class, worth, aim, aim_left, left }
+        RoutingRequest { call, class, worth, aim, aim_left, left }
     }
 
     /// Whether the call can go nowhere any more: it has had its attempts, or may have run and must not run
@@ -422,7 +422,7 @@
 #[derive(Debug)]
 pub struct Controller {
     settings: Settings,
-    voice: Option<Box<dyn Voice>>,
+    voice: Option<Box<dyn RoutingPolicy>>,
     rng: ChaCha8Rng,
     servers: BTreeMap<ServerId, Server>,
     calls: BTreeMap<CallId, Call>,
@@ -471,7 +471,7 @@
 
     /// The same with a further voice in the choice of server.
     #[must_use]
-    pub fn with_voice(mut self, voice: Box<dyn Voice>) -> Self {
+    pub fn with_routing_policy(mut self, voice: Box<dyn RoutingPolicy>) -> Self {
         self.voice = Some(voice);
         self
     }
@@ -491,7 +491,7 @@
                     self.calls.get_mut(&call).filter(|c| c.out == Some((attempt, server)) && !c.standing);
                 if let Some(c) = known {
                     c.standing = true;
-                    self.voice.iter_mut().for_each(|voice| voice.ended(call, true));
+                    self.voice.iter_mut().for_each(|voice| voice.attempt_resolved(call, true));
                     self.answered(now, server, call, Some(took));
                 }
             }
@@ -585,7 +585,7 @@
     }
 
     fn forget(&mut self, call: CallId) {
-        self.voice.iter_mut().for_each(|voice| voice.ended(call, false));
+        self.voice.iter_mut().for_each(|voice| voice.attempt_resolved(call, false));
         let gone = self.calls.remove(&call);
         if let Some(c) = &gone {
             self.held.remove(&Self::place_in_line(c));
@@ -649,7 +649,7 @@
         }
         let Some(c) = self.calls.get_mut(&call).filter(|c| c.out == Some(attempt)) else { return };
         let stood = c.standing;
-        self.voice.iter_mut().for_each(|voice| voice.ended(call, stood));
+        self.voice.iter_mut().for_each(|voice| voice.attempt_resolved(call, stood));
         c.out = None;
         c.failed = Some(attempt.1);
         if !outcome.never_ran() && c.maybe_ran.is_none() {
@@ -767,7 +767,8 @@
         let (Some(voice), Some(c)) = (&mut self.voice, self.calls.get(&id)) else { return say };
         let wanted = c.wanted(now);
         open.retain(|server| {
-            let weight = self.servers.get(server).map_or(0.0, |s| voice.weigh(now, &wanted, &s.entry));
+            let weight =
+                self.servers.get(server).map_or(0.0, |s| voice.server_weight(now, &wanted, &s.entry));
             say.insert(*server, weight);
             weight > 0.0
         });
@@ -840,7 +841,7 @@
         {
             within = within.min(c.aim.mul_f64(TRIAL_CUT));
         }
-        self.voice.iter_mut().for_each(|voice| voice.sent(now, &c.wanted(now), &s.entry));
+        self.voice.iter_mut().for_each(|voice| voice.attempt_sent(now, &c.wanted(now), &s.entry));
         c.out = Some((AttemptNo(c.attempts), server));
         c.called_off = false;
         c.attempts += 1;
@@ -932,7 +933,7 @@
         if let Some(voice) = &mut self.voice {
             let mut servers = self.servers.values().map(|s| {
                 let (ready, well) = (s.entry.state == ServerState::Ready, s.cold.is_none() && !s.suspect);
-                Seen { entry: &s.entry, ready, well, fraction: s.throttle.f }
+                ServerView { entry: &s.entry, ready, healthy: well, allowed_fraction: s.throttle.f }
             });
             voice.observe(now, &mut servers);
         }
--- a/crates/fawnrouter/src/interface.rs
+++ b/crates/fawnrouter/src/interface.rs
@@ -319,22 +319,22 @@
     pub up_since: Option<Time>,
 }
 
-/// A server as it is seen now, for a [`Voice`].
+/// A server as it is seen now, for a [`RoutingPolicy`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Seen<'a> {
+pub struct ServerView<'a> {
     /// The server.
     pub entry: &'a ServerEntry,
     /// The list says that it takes calls.
     pub ready: bool,
     /// It is neither cold nor left to trials.
-    pub well: bool,
+    pub healthy: bool,
     /// The fraction of set-ups that its throttle lets pass, 0 to 1.
-    pub fraction: f64,
+    pub allowed_fraction: f64,
 }
 
-/// A call that wants a server, for a [`Voice`].
+/// A call that wants a server, for a [`RoutingPolicy`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Wanted {
+pub struct RoutingRequest {
     /// The call.
     pub call: CallId,
     /// Its class.
@@ -352,18 +352,18 @@
 /// A further voice in the choice of server, for what is not the throttle's to decide, as what it costs to cross into
 /// another zone. It is heard inside the first choice and the redraw, and can only narrow them: no server is open to a
 /// call because of it that was not before. Like the controller it has no clock and no unseeded randomness.
-pub trait Voice: std::fmt::Debug + Send {
+pub trait RoutingPolicy: std::fmt::Debug + Send {
     /// What all servers look like, once a tick.
-    fn observe(&mut self, now: Time, servers: &mut dyn Iterator<Item = Seen<'_>>);
+    fn observe(&mut self, now: Time, servers: &mut dyn Iterator<Item = ServerView<'_>>);
 
     /// How much this server is wanted for this call: 1 as without a voice, less to be drawn less often, 0 for not now.
-    fn weigh(&mut self, now: Time, wanted: &Wanted, server: &ServerEntry) -> f64;
+    fn server_weight(&mut self, now: Time, wanted: &RoutingRequest, server: &ServerEntry) -> f64;
 
     /// A set-up goes out there.
-    fn sent(&mut self, now: Time, wanted: &Wanted, server: &ServerEntry);
+    fn attempt_sent(&mut self, now: Time, wanted: &RoutingRequest, server: &ServerEntry);
 
     /// A call's last set-up has ended, or the call is over; heard more than once.
-    fn ended(&mut self, call: CallId, stood: bool);
+    fn attempt_resolved(&mut self, call: CallId, stood: bool);
 }
 
 /// How an update relates to the list so far.
--- a/crates/fawnrouter/tests/voice.rs
+++ b/crates/fawnrouter/tests/voice.rs
@@ -7,13 +7,13 @@
 use rand_core::{RngCore, SeedableRng};
 
 /// All actions of the day, folded (FNV-1a), and their number.
-fn day(voice: Option<Box<dyn Voice>>) -> (u64, usize) {
+fn day(voice: Option<Box<dyn RoutingPolicy>>) -> (u64, usize) {
     let mut s = settings();
     s.gateways = 3;
     let mut g = Gateway::with_servers(s.clone(), 4);
     let fresh = Controller::new(s, 11).expect("sound settings");
     g.controller = match voice {
-        Some(voice) => fresh.with_voice(voice),
+        Some(voice) => fresh.with_routing_policy(voice),
         None => fresh,
     };
     g.tell(Event::List {
@@ -71,13 +71,13 @@
 #[derive(Debug)]
 struct Indifferent;
 
-impl Voice for Indifferent {
-    fn observe(&mut self, _: Time, _: &mut dyn Iterator<Item = Seen<'_>>) {}
-    fn weigh(&mut self, _: Time, _: &Wanted, _: &ServerEntry) -> f64 {
+impl RoutingPolicy for Indifferent {
+    fn observe(&mut self, _: Time, _: &mut dyn Iterator<Item = ServerView<'_>>) {}
+    fn server_weight(&mut self, _: Time, _: &RoutingRequest, _: &ServerEntry) -> f64 {
         1.0
     }
-    fn sent(&mut self, _: Time, _: &Wanted, _: &ServerEntry) {}
-    fn ended(&mut self, _: CallId, _: bool) {}
+    fn attempt_sent(&mut self, _: Time, _: &RoutingRequest, _: &ServerEntry) {}
+    fn attempt_resolved(&mut self, _: CallId, _: bool) {}
 }
 
 #[test]
@@ -99,20 +99,20 @@
     told: std::sync::Arc<std::sync::Mutex<Told>>,
 }
 
-impl Voice for Only {
-    fn observe(&mut self, _: Time, servers: &mut dyn Iterator<Item = Seen<'_>>) {
+impl RoutingPolicy for Only {
+    fn observe(&mut self, _: Time, servers: &mut dyn Iterator<Item = ServerView<'_>>) {
         self.told.lock().expect("one thread").2 =
-            servers.filter(|s| s.ready && s.well && s.fraction > 0.9).count();
+            servers.filter(|s| s.ready && s.healthy && s.allowed_fraction > 0.9).count();
     }
-    fn weigh(&mut self, _: Time, wanted: &Wanted, server: &ServerEntry) -> f64 {
+    fn server_weight(&mut self, _: Time, wanted: &RoutingRequest, server: &ServerEntry) -> f64 {
         assert!(wanted.aim_left <= wanted.aim && wanted.worth > 0.0);
         if server.id.0 == self.server { 1.0 } else { 0.0 }
     }
-    fn sent(&mut self, _: Time, wanted: &Wanted, server: &ServerEntry) {
+    fn attempt_sent(&mut self, _: Time, wanted: &RoutingRequest, server: &ServerEntry) {
         assert_eq!(server.id.0, self.server);
         self.told.lock().expect("one thread").0.push(wanted.call.0);
     }
-    fn ended(&mut self, call: CallId, stood: bool) {
+    fn attempt_resolved(&mut self, call: CallId, stood: bool) {
         self.told.lock().expect("one thread").1.push((call.0, stood));
     }
 }
@@ -122,7 +122,8 @@
     let mut g = Gateway::with_servers(settings(), 3);
     let voice = Only { server: 72, ..Only::default() };
     let told = voice.told.clone();
-    g.controller = Controller::new(settings(), 3).expect("sound settings").with_voice(Box::new(voice));
+    g.controller =
+        Controller::new(settings(), 3).expect("sound settings").with_routing_policy(Box::new(voice));
     let entries = (0..3).map(|n| entry(70 + n, ServerState::Ready)).collect();
     g.tell(Event::List { kind: ListKind::Cached, entries });
     let mut sent = Vec::new();
