--- a/crates/fawnrouter-benchlink/src/translate.rs
+++ b/crates/fawnrouter-benchlink/src/translate.rs
@@ -79,7 +79,7 @@
         "update" => {
             let kind = match f.text(0, "how")? {
                 "diff" => ListKind::Changes,
-                "snapshot" => ListKind::Whole,
+                "snapshot" => ListKind::Snapshot,
                 "disk" => ListKind::Cached,
                 "error" => ListKind::Failed,
                 other => return Err(format!("how is unknown: {other}")),
@@ -88,7 +88,7 @@
             return Ok(Incoming::Update { kind, list });
         }
         "req" => Event::Call(new_call(&f, started()?)?),
-        "headers" => Event::Standing {
+        "headers" => Event::Established {
             call: f.call(0)?,
             attempt: f.small(1, "shot", AttemptNo)?,
             server: f.small(2, "switch", ServerId)?,
@@ -104,7 +104,7 @@
             attempt: f.small(6, "shot", AttemptNo)?,
             report: started()?.report(f.get(7)),
         },
-        "lapsed" => Event::Lapsed(f.call(0)?),
+        "lapsed" => Event::Abandoned(f.call(0)?),
         "timeoutFired" => {
             let mark = f.text(0, "mark")?;
             let timer = mark.parse().map_err(|_| format!("mark is none of ours: {mark}"))?;
@@ -116,7 +116,9 @@
             took: Duration::from_nanos(whole(f.get(2)).unwrap_or(0)),
             report: started()?.report(f.get(3)),
         },
-        "mail" => Event::Mail { from: f.small(0, "neighbour", PeerId)?, text: f.text(1, "raw")?.to_owned() },
+        "mail" => {
+            Event::PeerMessage { from: f.small(0, "neighbour", PeerId)?, text: f.text(1, "raw")?.to_owned() }
+        }
         other => return Err(format!("unknown event {other}")),
     };
     Ok(Incoming::Event(event))
@@ -197,7 +199,7 @@
         Action::Fail(call) => json!(["lose", ticket(call)]),
         Action::SetTimer { after, timer } => json!(["after", nanos(after), timer.0.to_string()]),
         Action::Probe(server) => json!(["poll", server.0]),
-        Action::Tell { to, text } => json!(["writePeer", to.map(|p| p.0), text]),
+        Action::SendToPeer { to, text } => json!(["writePeer", to.map(|p| p.0), text]),
         Action::Subscribe => json!(["follow", true]),
         Action::FetchList => json!(["listAll"]),
         Action::Log(line) => json!(["log", line]),
--- a/crates/fawnrouter-bootinfo/src/lib.rs
+++ b/crates/fawnrouter-bootinfo/src/lib.rs
@@ -143,7 +143,7 @@
     };
     let discovery = match boot.key("registryMode").text()? {
         None | Some("push") => Discovery::Push,
-        Some("ask") => Discovery::Ask,
+        Some("ask") => Discovery::Subscribe,
         Some(_) => return Err(boot.key("registryMode").out_of_range("\"push\" or \"ask\"")),
     };
     let settings = Settings {
@@ -179,7 +179,7 @@
         fall_multiple: multiple.amount()?.unwrap_or(1.0),
         fall_time: span("fallNs")?,
         release_guard: family.key("guardNs").span()?.unwrap_or_default(),
-        ask_within: span("askWithinNs")?,
+        subscribe_within: span("askWithinNs")?,
     };
     // Where nothing is ever cold, the multiple says nothing.
     if rules.fall_multiple == 0.0 && !rules.cold_time.is_zero() {
--- a/crates/fawnrouter-bootinfo/tests/settings.rs
+++ b/crates/fawnrouter-bootinfo/tests/settings.rs
@@ -82,7 +82,7 @@
         fall_multiple: 2.0,
         fall_time: ms(2500),
         release_guard: ms(600),
-        ask_within: ms(8000),
+        subscribe_within: ms(8000),
     };
     assert_eq!(s.rules, rules);
     let limits = Limits {
@@ -165,7 +165,7 @@
     let family = json!({"topology": "mesh", "homeNo": 3, "resendNs": 400_000_000});
     let boot = with(with(least(), "/familyInfo", family), "/registryMode", json!("ask"));
     let (s, _) = settings(&boot).unwrap();
-    assert_eq!((s.topology, s.discovery), (Topology::Mesh { home: Cell(3) }, Discovery::Ask));
+    assert_eq!((s.topology, s.discovery), (Topology::Mesh { home: Cell(3) }, Discovery::Subscribe));
     assert_eq!(s.resend, Some(Duration::from_millis(400)));
 }
 
--- a/crates/fawnrouter-config/src/settings/mod.rs
+++ b/crates/fawnrouter-config/src/settings/mod.rs
@@ -617,7 +617,7 @@
                 fall_multiple: rules.fall_multiple,
                 fall_time: ms(rules.fall_ms),
                 release_guard: ms(rules.release_guard_ms),
-                ask_within: ms(10_000),
+                subscribe_within: ms(10_000),
             },
             limits: module::Limits {
                 max_attempts: rules.max_attempts,
--- a/crates/fawnrouter-engine/src/engine.rs
+++ b/crates/fawnrouter-engine/src/engine.rs
@@ -237,7 +237,7 @@
             Action::Log(line) => self.out.push(Output::Log(line)),
             // Probes and messages between gateways are off in the settings that the engine is given, and the list
             // is pushed: the controller has no use for these here.
-            Action::Probe(_) | Action::Tell { .. } | Action::Subscribe | Action::FetchList => {}
+            Action::Probe(_) | Action::SendToPeer { .. } | Action::Subscribe | Action::FetchList => {}
         }
     }
 
@@ -338,7 +338,7 @@
         if waits {
             return;
         }
-        self.events.push_back(Event::Lapsed(id));
+        self.events.push_back(Event::Abandoned(id));
         if let Some(leg) = out {
             self.close_leg(leg, Outcome::Cancelled, true);
         }
@@ -415,7 +415,7 @@
     }
 
     fn on_list(&mut self, kind: ListKind, switches: Vec<Switch>) {
-        if matches!(kind, ListKind::Whole | ListKind::Cached) {
+        if matches!(kind, ListKind::Snapshot | ListKind::Cached) {
             let named = |id: &ServerId| switches.iter().any(|s| s.entry.id == *id);
             for trunk in self.table.trunks.iter_mut().filter(|(id, _)| !named(id)).map(|(_, t)| t) {
                 trunk.listed = false;
--- a/crates/fawnrouter-engine/src/trunk.rs
+++ b/crates/fawnrouter-engine/src/trunk.rs
@@ -274,7 +274,7 @@
         };
         leg.state = LegState::Standing { dialog: Box::new(dialog), orphan: false, revived: false };
         self.table.due.clear(Key::Leg(id));
-        self.events.push_back(Event::Standing { call, attempt, server, took });
+        self.events.push_back(Event::Established { call, attempt, server, took });
         if !self.stand(call, id, response, attempt.0) {
             self.ack_leg(id, None);
             self.release_leg(id);
--- a/crates/fawnrouter-engine/tests/calls.rs
+++ b/crates/fawnrouter-engine/tests/calls.rs
@@ -204,7 +204,7 @@
     rig.pass(ms(3000));
     let mut restarted = switch(server.0);
     restarted.entry.up_since = Some(rig.now);
-    rig.list(ListKind::Whole, vec![restarted]);
+    rig.list(ListKind::Snapshot, vec![restarted]);
     assert_eq!((rig.to_client(Method::Bye).len(), rig.engine.live_calls()), (1, 0));
 }
 
@@ -278,7 +278,7 @@
     let mut rig = Rig::with_switches(2);
     let mut draining = switch(70);
     draining.entry.state = ServerState::Draining;
-    rig.list(ListKind::Whole, vec![draining, switch(71)]);
+    rig.list(ListKind::Snapshot, vec![draining, switch(71)]);
     for _ in 0..20 {
         rig.call(9);
         rig.pass(ms(50));
@@ -291,14 +291,14 @@
 fn with_no_switch_at_all_calls_are_held_and_answered_in_time_and_a_standing_call_stands() {
     let mut rig = Rig::with_switches(1);
     let (_, _, _, _) = rig.standing();
-    rig.list(ListKind::Whole, vec![]);
+    rig.list(ListKind::Snapshot, vec![]);
     let invite = rig.call(2);
     assert!(rig.finals(&invite).is_empty());
     rig.pass(ms(2000));
     assert_eq!(rig.finals(&invite), [503]);
     assert_eq!((rig.engine.live_calls(), rig.to_client(Method::Bye).len()), (1, 0));
     // The list is back: calls go there again.
-    rig.list(ListKind::Whole, vec![switch(70)]);
+    rig.list(ListKind::Snapshot, vec![switch(70)]);
     rig.take();
     rig.call(9);
     rig.pass(ms(1000));
@@ -311,7 +311,7 @@
     let invites: Vec<Message> = (0..6).map(|_| rig.call(3)).collect();
     rig.refuses.extend(70..73);
     (70..73).for_each(|s| rig.trunk_down(s));
-    rig.list(ListKind::Whole, vec![]);
+    rig.list(ListKind::Snapshot, vec![]);
     rig.pass(ms(3000));
     invites.iter().for_each(|i| assert_eq!(rig.finals(i).len(), 1));
     assert_eq!((rig.engine.live_calls(), rig.engine.legs()), (0, 0));
@@ -321,7 +321,7 @@
 fn a_switch_without_a_connection_costs_the_call_nothing_but_another_choice() {
     let mut rig = Rig::new(settings());
     rig.refuses.insert(70);
-    rig.list(ListKind::Whole, vec![switch(70), switch(71)]);
+    rig.list(ListKind::Snapshot, vec![switch(70), switch(71)]);
     let invite = rig.call(9);
     rig.pass(ms(500));
     let (server, out) = rig.last_to_switch(Method::Invite);
@@ -506,7 +506,7 @@
 fn a_stop_gives_every_call_its_answer_or_its_release() {
     let mut rig = Rig::with_switches(1);
     rig.standing();
-    rig.list(ListKind::Whole, vec![]);
+    rig.list(ListKind::Snapshot, vec![]);
     let held = rig.call(9);
     rig.input(Input::Stop);
     assert_eq!(rig.finals(&held), [503]);
--- a/crates/fawnrouter-engine/tests/common/mod.rs
+++ b/crates/fawnrouter-engine/tests/common/mod.rs
@@ -36,7 +36,7 @@
                 fall_multiple: 3.0,
                 fall_time: ms(1000),
                 release_guard: ms(300),
-                ask_within: ms(10_000),
+                subscribe_within: ms(10_000),
             },
             limits: fawnrouter_engine::fawnrouter::Limits {
                 max_attempts: 5,
@@ -123,7 +123,7 @@
     /// With switches 70, 71, ... of pools 0, 1, ..., all connected.
     pub fn with_switches(count: u32) -> Self {
         let mut rig = Self::new(settings());
-        rig.list(ListKind::Whole, (70..70 + count).map(switch).collect());
+        rig.list(ListKind::Snapshot, (70..70 + count).map(switch).collect());
         rig
     }
 
--- a/crates/fawnrouter-engine/tests/gate.rs
+++ b/crates/fawnrouter-engine/tests/gate.rs
@@ -48,7 +48,7 @@
 
 fn rig(settings: EngineSettings) -> Rig {
     let mut rig = Rig::new(settings);
-    rig.list(ListKind::Whole, vec![switch(70)]);
+    rig.list(ListKind::Snapshot, vec![switch(70)]);
     rig.input(Input::Clients(vec![known("branch", "tellers", 100), known("app", "beans", 2)]));
     rig.take();
     rig
@@ -218,7 +218,7 @@
                 self.held.push_back(call.id);
                 self.heard.insert(call.id);
             }
-            Event::Lapsed(call) => {
+            Event::Abandoned(call) => {
                 assert!(self.heard.contains(&call), "the controller was never told of it");
                 self.held.retain(|c| *c != call);
             }
@@ -242,7 +242,7 @@
 
 /// The first call that is held goes out.
 fn let_go(rig: &mut Rig) {
-    rig.list(ListKind::Whole, vec![switch(70)]);
+    rig.list(ListKind::Snapshot, vec![switch(70)]);
 }
 
 #[test]
@@ -324,7 +324,7 @@
 fn a_gate_that_is_off_and_one_with_room_for_all_give_the_same_outputs_to_the_byte() {
     let outputs = |settings: EngineSettings| {
         let mut rig = Rig::new(settings);
-        rig.list(ListKind::Whole, (70..73).map(switch).collect());
+        rig.list(ListKind::Snapshot, (70..73).map(switch).collect());
         for n in 0..200 {
             rig.call(3);
             if let Some((server, out)) = rig.to_switches(Method::Invite).pop() {
--- a/crates/fawnrouter-engine/tests/property.rs
+++ b/crates/fawnrouter-engine/tests/property.rs
@@ -116,7 +116,7 @@
 
 fn run(ops: Vec<Op>, settings: EngineSettings) {
     let mut rig = Rig::new(settings);
-    rig.list(ListKind::Whole, (70..73).map(switch).collect());
+    rig.list(ListKind::Snapshot, (70..73).map(switch).collect());
     let mut judge = Judge::default();
     let (mut invites, mut outs): (Vec<Message>, Vec<(ServerId, Message)>) = (Vec::new(), Vec::new());
     let mut connected = true;
@@ -174,7 +174,7 @@
                 for s in listed.iter().filter(|s| s.entry.state == ServerState::Ready) {
                     judge.drained.remove(&s.entry.id);
                 }
-                rig.list(ListKind::Whole, listed);
+                rig.list(ListKind::Snapshot, listed);
             }
             Op::Disconnect if connected => {
                 connected = false;
--- a/crates/fawnrouter-engine/tests/zones.rs
+++ b/crates/fawnrouter-engine/tests/zones.rs
@@ -50,13 +50,13 @@
 #[test]
 fn calls_stay_at_home_spill_when_home_is_gone_and_stop_when_the_budget_is() {
     let mut rig = Rig::new(in_kochi(15));
-    rig.list(ListKind::Whole, two());
+    rig.list(ListKind::Snapshot, two());
     let calm = sent(&mut rig, 20);
     assert!(calm.len() >= 20 && calm.iter().all(|s| *s == 71), "though 70 is the first choice: {calm:?}");
     // The switch at home is gone.
     rig.trunk_down(71);
     rig.refuses.insert(71);
-    rig.list(ListKind::Whole, vec![two()[0].clone()]);
+    rig.list(ListKind::Snapshot, vec![two()[0].clone()]);
     rig.pass(ms(3000));
     let zones = rig.engine.zones().expect("on").clone();
     assert_eq!(zones.with(|z| z.state()), State::Down);
--- a/crates/fawnrouter-lab/src/baseline.rs
+++ b/crates/fawnrouter-lab/src/baseline.rs
@@ -59,7 +59,9 @@
                 self.calls.insert(id, Held { until, attempts: 0 });
                 self.send(now, id, actions);
             }
-            Event::Standing { call, .. } | Event::Lapsed(call) | Event::Closed { call, done: true, .. } => {
+            Event::Established { call, .. }
+            | Event::Abandoned(call)
+            | Event::Closed { call, done: true, .. } => {
                 self.calls.remove(&call);
             }
             Event::Closed { call, outcome, .. } if outcome != Outcome::Ended => self.send(now, call, actions),
--- a/crates/fawnrouter-node/src/node.rs
+++ b/crates/fawnrouter-node/src/node.rs
@@ -301,7 +301,7 @@
                 }
             }
             // The platform's gateways have no way to write to each other, and its list is polled anyway.
-            Action::Tell { .. } | Action::Subscribe | Action::FetchList => {}
+            Action::SendToPeer { .. } | Action::Subscribe | Action::FetchList => {}
             Action::Log(line) => self.log(line),
         }
     }
@@ -321,7 +321,7 @@
                 if self.now < open.deadline {
                     // The decisions end each call before this; only a process that stood still comes here.
                     self.counters.failed += 1;
-                    self.events.push_back(Event::Lapsed(CallId(tag.0)));
+                    self.events.push_back(Event::Abandoned(CallId(tag.0)));
                     self.answer(tag, Message::new(Verb::Finish, tag).cause(cause::TEMPORARY_FAILURE));
                 } else {
                     self.lapse(tag);
--- a/crates/fawnrouter-node/src/node/callers.rs
+++ b/crates/fawnrouter-node/src/node/callers.rs
@@ -140,7 +140,7 @@
         self.counters.lapsed += 1;
         let sent = self.calls.open.get(&tag).is_some_and(|c| c.attempts > 0);
         self.withdraw(tag);
-        self.events.push_back(Event::Lapsed(CallId(tag.0)));
+        self.events.push_back(Event::Abandoned(CallId(tag.0)));
         self.attempt_ended(tag, Outcome::Cancelled, Note::None);
         self.drop_open(tag);
         let barred = sent.then(|| self.now.plus(self.decisions.rules.release_guard));
--- a/crates/fawnrouter-node/src/node/list.rs
+++ b/crates/fawnrouter-node/src/node/list.rs
@@ -40,7 +40,7 @@
         if self.serial.is_some_and(|seen| pool.serial.wrapping_sub(seen) as i32 <= 0) {
             return;
         }
-        let kind = if self.serial.is_none() { ListKind::Cached } else { ListKind::Whole };
+        let kind = if self.serial.is_none() { ListKind::Cached } else { ListKind::Snapshot };
         self.serial = Some(pool.serial);
         let mut entries = Vec::new();
         let mut seen = BTreeSet::new();
--- a/crates/fawnrouter-node/src/node/standing.rs
+++ b/crates/fawnrouter-node/src/node/standing.rs
@@ -68,7 +68,7 @@
             if let Some(link) = self.links.links.get_mut(&link) {
                 link.spend(now, tag, true, false);
             }
-            self.events.push_back(Event::Standing {
+            self.events.push_back(Event::Established {
                 call: CallId(tag.0),
                 attempt: attempt.no,
                 server: attempt.server,
--- a/crates/fawnrouter-zones/tests/common/mod.rs
+++ b/crates/fawnrouter-zones/tests/common/mod.rs
@@ -166,7 +166,7 @@
             fall_multiple: 3.0,
             fall_time: Duration::from_secs(1),
             release_guard: Duration::from_millis(300),
-            ask_within: Duration::from_secs(10),
+            subscribe_within: Duration::from_secs(10),
         },
         limits: Limits {
             max_attempts: 5,
@@ -384,7 +384,7 @@
                 let Some((g, call, attempt, sent)) = s.queue.pop_front() else { break };
                 s.credit -= 1.0;
                 let (server, took) = (s.entry.id, now.since(sent));
-                tell(&mut fleet, g, Event::Standing { call, attempt, server, took }, &mut todo);
+                tell(&mut fleet, g, Event::Established { call, attempt, server, took }, &mut todo);
                 let (done, outcome, note, report) = (true, Outcome::Ended, Note::None, Report::default());
                 tell(
                     &mut fleet,
--- a/crates/fawnrouter/src/brain.rs
+++ b/crates/fawnrouter/src/brain.rs
@@ -486,7 +486,7 @@
         match event {
             Event::List { kind, entries } => self.on_list(now, kind, entries),
             Event::Call(new) => self.on_call(now, new),
-            Event::Standing { call, attempt, server, took } => {
+            Event::Established { call, attempt, server, took } => {
                 let known =
                     self.calls.get_mut(&call).filter(|c| c.out == Some((attempt, server)) && !c.standing);
                 if let Some(c) = known {
@@ -498,14 +498,14 @@
             Event::Closed { call, attempt, server, done, outcome, note, report, .. } => {
                 self.on_closed(now, call, (attempt, server), (done, outcome, note), report);
             }
-            Event::Lapsed(call) => self.forget(call),
+            Event::Abandoned(call) => self.forget(call),
             Event::Timer(_) => {}
             Event::Probed { server, report, .. } => {
                 if let Some(s) = self.servers.get_mut(&server) {
                     s.free = report.free.map(|x| (x, now)).or(s.free);
                 }
             }
-            Event::Mail { from, text } => self.on_news(from, &text),
+            Event::PeerMessage { from, text } => self.on_news(from, &text),
         }
         if now >= self.next_sweep {
             self.sweep(now);
@@ -878,8 +878,8 @@
         for id in due.map(|(id, _)| *id).collect::<Vec<_>>() {
             self.give_up(id);
         }
-        if self.settings.discovery == Discovery::Ask {
-            let pause = self.settings.rules.ask_within / ASK_SHARE;
+        if self.settings.discovery == Discovery::Subscribe {
+            let pause = self.settings.rules.subscribe_within / ASK_SHARE;
             if !self.subscribed && self.asked.is_none_or(|t| now.since(t) >= pause) {
                 self.asked = Some(now);
                 self.actions.push(Action::Subscribe);
@@ -974,7 +974,7 @@
             let step = 1 + self.rng.next_u32() % (gateways - 1);
             let to = Some(PeerId((me + step) % gateways));
             if text.len() > 1 {
-                self.actions.push(Action::Tell { to, text: text.clone() });
+                self.actions.push(Action::SendToPeer { to, text: text.clone() });
             }
         }
     }
--- a/crates/fawnrouter/src/brain_tests.rs
+++ b/crates/fawnrouter/src/brain_tests.rs
@@ -183,7 +183,7 @@
         fall_multiple: 2.0,
         fall_time: ms(1000),
         release_guard: ms(300),
-        ask_within: ms(10_000),
+        subscribe_within: ms(10_000),
     };
     let limits = Limits {
         max_attempts: 3,
@@ -213,7 +213,7 @@
         let state = ServerState::Ready;
         let entry = |id| ServerEntry { id: ServerId(id), state, ..ServerEntry::default() };
         let entries = vec![entry(0), entry(1 + n)];
-        controller.handle(now, Event::List { kind: ListKind::Whole, entries }, &mut out);
+        controller.handle(now, Event::List { kind: ListKind::Snapshot, entries }, &mut out);
         for _ in 0..20 {
             now = now.plus(TICK);
             controller.handle(now, Event::Timer(TICK_TIMER), &mut out);
--- a/crates/fawnrouter/src/interface.rs
+++ b/crates/fawnrouter/src/interface.rs
@@ -140,7 +140,7 @@
     /// No further issue of a call within this time of a time-out, reset or cancel.
     pub release_guard: Duration,
     /// Where the list must be asked for: the longest time between two calls.
-    pub ask_within: Duration,
+    pub subscribe_within: Duration,
 }
 
 /// What the embedder permits.
@@ -178,7 +178,7 @@
     /// By itself.
     Push,
     /// Only when asked for.
-    Ask,
+    Subscribe,
 }
 
 /// All that a controller is told at its start.
@@ -372,7 +372,7 @@
     /// Changed entries only.
     Changes,
     /// The whole list.
-    Whole,
+    Snapshot,
     /// The whole list as it was last known, maybe old.
     Cached,
     /// A question failed or the subscription broke; no entries.
@@ -483,7 +483,7 @@
     /// A call came in.
     Call(NewCall),
     /// A call stands.
-    Standing {
+    Established {
         /// The call.
         call: CallId,
         /// The attempt that stands.
@@ -513,7 +513,7 @@
         report: Report,
     },
     /// The caller left, or the answer is overdue.
-    Lapsed(CallId),
+    Abandoned(CallId),
     /// A timer is due.
     Timer(TimerId),
     /// A probe's answer, or a change of the free circuits.
@@ -528,7 +528,7 @@
         report: Report,
     },
     /// A message of another gateway.
-    Mail {
+    PeerMessage {
         /// The sender.
         from: PeerId,
         /// The text.
@@ -574,7 +574,7 @@
     /// Probe a server.
     Probe(ServerId),
     /// Write to one gateway, or to all.
-    Tell {
+    SendToPeer {
         /// To whom; `None`: all.
         to: Option<PeerId>,
         /// The text.
--- a/crates/fawnrouter/src/lib.rs
+++ b/crates/fawnrouter/src/lib.rs
@@ -30,7 +30,7 @@
 //!         fall_multiple: 3.0,
 //!         fall_time: Duration::from_secs(1),
 //!         release_guard: Duration::from_millis(300),
-//!         ask_within: Duration::from_secs(10),
+//!         subscribe_within: Duration::from_secs(10),
 //!     },
 //!     limits: Limits {
 //!         max_attempts: 5,
--- a/crates/fawnrouter/tests/common/mod.rs
+++ b/crates/fawnrouter/tests/common/mod.rs
@@ -34,7 +34,7 @@
             fall_multiple: 2.0,
             fall_time: ms(1000),
             release_guard: ms(300),
-            ask_within: ms(10_000),
+            subscribe_within: ms(10_000),
         },
         limits: Limits {
             max_attempts: 3,
@@ -121,7 +121,7 @@
 
     pub fn stands(&mut self, call: u64, attempt: u32, server: u32, took: Duration) -> Vec<Action> {
         let (call, attempt, server) = (CallId(call), AttemptNo(attempt), ServerId(server));
-        self.tell(Event::Standing { call, attempt, server, took })
+        self.tell(Event::Established { call, attempt, server, took })
     }
 
     pub fn closes(&mut self, call: u64, attempt: u32, server: u32, outcome: Outcome) -> Vec<Action> {
--- a/crates/fawnrouter/tests/fleet.rs
+++ b/crates/fawnrouter/tests/fleet.rs
@@ -97,7 +97,7 @@
 
 fn told(actions: &[(Time, Action)]) -> Vec<String> {
     let texts = actions.iter().filter_map(|(_, a)| match a {
-        Action::Tell { to: Some(to), text } => {
+        Action::SendToPeer { to: Some(to), text } => {
             assert!(to.0 != 0 && to.0 < GATEWAYS && text.len() <= 256);
             Some(text.clone())
         }
@@ -124,7 +124,7 @@
     assert!(g.runs(1, 70, ms(40)));
     for _ in 0..40 {
         for text in texts {
-            assert_eq!(g.tell(Event::Mail { from: PeerId(from), text: (*text).into() }), []);
+            assert_eq!(g.tell(Event::PeerMessage { from: PeerId(from), text: (*text).into() }), []);
         }
         g.pass(ms(200));
     }
--- a/crates/fawnrouter/tests/property.rs
+++ b/crates/fawnrouter/tests/property.rs
@@ -95,7 +95,7 @@
                 let (attempt, server) = c.out.unwrap();
                 if !c.stands && !c.ended && self.rng.next_u64() & 1 == 0 {
                     c.stands = true;
-                    self.tell(Event::Standing { call: id, attempt, server, took: ms(60) });
+                    self.tell(Event::Established { call: id, attempt, server, took: ms(60) });
                     return;
                 }
                 c.out = None;
@@ -129,7 +129,7 @@
                     c.ended = true;
                 }
                 if self.calls.get(&lapsing).is_none_or(|c| c.ended) {
-                    self.tell(Event::Lapsed(lapsing));
+                    self.tell(Event::Abandoned(lapsing));
                 }
             }
         }
--- a/crates/fawnrouter/tests/rules.rs
+++ b/crates/fawnrouter/tests/rules.rs
@@ -63,7 +63,7 @@
 #[test]
 fn a_server_missing_from_a_whole_list_is_gone() {
     let mut g = Gateway::with_servers(settings(), 2);
-    g.tell(Event::List { kind: ListKind::Whole, entries: vec![entry(71, ServerState::Ready)] });
+    g.tell(Event::List { kind: ListKind::Snapshot, entries: vec![entry(71, ServerState::Ready)] });
     assert_eq!(issued(&g.tell(Event::Call(call(1, 0, 0)))), [(1, 71)]);
 }
 
@@ -134,7 +134,7 @@
     let start_time = |g: &mut Gateway| {
         let up_since = Some(g.now.minus(ms(200)));
         let entry = ServerEntry { up_since, ..entry(75, ServerState::Ready) };
-        g.tell(Event::List { kind: ListKind::Whole, entries: vec![entry] });
+        g.tell(Event::List { kind: ListKind::Snapshot, entries: vec![entry] });
     };
     for most in [flood_a_cold_server(new_id), flood_a_cold_server(start_time)] {
         assert!((1..=6).contains(&most), "{most} in a second");
@@ -186,7 +186,7 @@
 #[test]
 fn where_the_list_must_be_asked_for_failures_are_asked_again_in_time() {
     let mut s = settings();
-    s.discovery = Discovery::Ask;
+    s.discovery = Discovery::Subscribe;
     let mut g = Gateway::new(s);
     let asks = |done: &[(Time, Action)]| done.iter().filter(|(_, a)| *a == Action::Subscribe).count();
     let first = g.tell(Event::List { kind: ListKind::Cached, entries: vec![entry(70, ServerState::Ready)] });
@@ -204,11 +204,11 @@
     let mut g = Gateway::with_servers(settings(), 1);
     assert_eq!(g.stands(9, 0, 70, ms(40)), []);
     assert_eq!(g.closes(9, 0, 70, Outcome::Reset), []);
-    assert_eq!(g.tell(Event::Lapsed(CallId(9))), []);
+    assert_eq!(g.tell(Event::Abandoned(CallId(9))), []);
     g.tell(Event::Call(call(1, 0, 0)));
     assert_eq!(g.closes(1, 7, 70, Outcome::Reset), [], "an attempt that was never made");
     assert_eq!(g.closes(1, 0, 99, Outcome::Reset), [], "a server that it did not go to");
-    g.tell(Event::Lapsed(CallId(1)));
+    g.tell(Event::Abandoned(CallId(1)));
     assert_eq!(g.stands(1, 0, 70, ms(40)), []);
     let no_class = NewCall { class: None, ..call(2, 0, 0) };
     assert_eq!(finals(&g.tell(Event::Call(no_class))), [2]);
--- a/crates/fawnrouter/tests/symptoms.rs
+++ b/crates/fawnrouter/tests/symptoms.rs
@@ -101,7 +101,7 @@
 fn first_of(g: &mut Gateway, one: NewCall, two: NewCall) -> u64 {
     for id in 100..110 {
         if issued(&g.tell(Event::Call(call(id, 0, 0)))).is_empty() {
-            g.tell(Event::Lapsed(CallId(id)));
+            g.tell(Event::Abandoned(CallId(id)));
         }
     }
     g.pass(ms(500));
--- a/crates/fawnrouter/tests/voice.rs
+++ b/crates/fawnrouter/tests/voice.rs
@@ -59,7 +59,8 @@
         }
         for action in &done {
             count += 1;
-            for byte in format!("{action:?}").bytes() {
+            // The expected hash covers `SendToPeer` under its former name `Tell`.
+            for byte in format!("{action:?}").replace("SendToPeer {", "Tell {").bytes() {
                 hash = (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3);
             }
         }
--- a/crates/fawnrouterd/src/list.rs
+++ b/crates/fawnrouterd/src/list.rs
@@ -67,7 +67,7 @@
 
 /// The list of switches.
 pub async fn switches(core: Rc<Core>, path: PathBuf) {
-    let take = |core: &Rc<Core>, switches| core.input(Input::List { kind: ListKind::Whole, switches });
+    let take = |core: &Rc<Core>, switches| core.input(Input::List { kind: ListKind::Snapshot, switches });
     watch(core, "list of switches", path, read_switches, take).await;
 }
 
