--- a/crates/fawnrouter-benchlink/src/translate.rs
+++ b/crates/fawnrouter-benchlink/src/translate.rs
@@ -100,7 +100,7 @@
             done: f.want(2, "doneFlag", Value::as_bool)?,
             took: f.span(3, "tookNs")?,
             outcome: outcome(f.number(4, "stateCode")?)?,
-            note: note(whole(f.get(5)).unwrap_or(0)),
+            detail: outcome_detail(whole(f.get(5)).unwrap_or(0)),
             attempt: f.small(6, "shot", AttemptNo)?,
             report: started()?.report(f.get(7)),
         },
@@ -172,14 +172,14 @@
     })
 }
 
-fn note(reason: u64) -> Note {
+fn outcome_detail(reason: u64) -> OutcomeDetail {
     match (reason % 16, reason / 16) {
-        (1, _) => Note::NoCircuit,
-        (2, beyond) => Note::TurnedBack(beyond > 0),
-        (3, 0) => Note::ProcessorFull(None),
-        (3, wait) => Note::ProcessorFull(Some(Duration::from_millis(wait))),
-        (4, _) => Note::NumberBusy,
-        _ => Note::None,
+        (1, _) => OutcomeDetail::NoCircuit,
+        (2, beyond) => OutcomeDetail::Crankback(beyond > 0),
+        (3, 0) => OutcomeDetail::ProcessorFull(None),
+        (3, wait) => OutcomeDetail::ProcessorFull(Some(Duration::from_millis(wait))),
+        (4, _) => OutcomeDetail::NumberBusy,
+        _ => OutcomeDetail::None,
     }
 }
 
--- a/crates/fawnrouter-bootinfo/src/lib.rs
+++ b/crates/fawnrouter-bootinfo/src/lib.rs
@@ -41,8 +41,8 @@
 
     /// A load report: pairs of name and value, or the values in the order of the settings' names.
     #[must_use]
-    pub fn report(&self, load: &Value) -> Report {
-        let mut report = Report::default();
+    pub fn report(&self, load: &Value) -> LoadReport {
+        let mut report = LoadReport::default();
         match load {
             Value::Object(pairs) => {
                 pairs.iter().for_each(|(name, value)| note(&mut report, name, value.as_f64()))
@@ -60,8 +60,8 @@
 
 /// A load report as the platform's lines have it: `free:87;size:87`. What is no figure is left out.
 #[must_use]
-pub fn told_report(text: &str) -> Report {
-    let mut report = Report::default();
+pub fn told_report(text: &str) -> LoadReport {
+    let mut report = LoadReport::default();
     for (name, value) in text.split(';').filter_map(|pair| pair.split_once(':')) {
         note(&mut report, name, value.parse().ok());
     }
@@ -69,15 +69,15 @@
 }
 
 /// Takes down one figure of a report; negative ones are figures that were not told.
-fn note(report: &mut Report, name: &str, value: Option<f64>) {
+fn note(report: &mut LoadReport, name: &str, value: Option<f64>) {
     let Some(x) = value.filter(|x| x.is_finite() && *x >= 0.0) else { return };
     match name {
-        "free" => report.free = Some(x),
-        "size" => report.size = Some(x),
+        "free" => report.free_circuits = Some(x),
+        "size" => report.total_circuits = Some(x),
         "cpu_share" => report.utilisation = Some(x),
-        "svc_ms" => report.wait = Duration::try_from_secs_f64(x / 1e3).ok(),
-        "can_take" => report.can_take = Some(x),
-        "hold_back" => report.hold_back = Some(x),
+        "svc_ms" => report.queue_wait = Duration::try_from_secs_f64(x / 1e3).ok(),
+        "can_take" => report.acceptable_rate = Some(x),
+        "hold_back" => report.hold_back_share = Some(x),
         _ => {}
     }
 }
@@ -148,7 +148,7 @@
     };
     let settings = Settings {
         gateways: count,
-        me: PeerId(number),
+        own_id: PeerId(number),
         classes,
         tenants,
         over_share_worth: boot.key("overShareWorth").amount()?.unwrap_or(1.0),
--- a/crates/fawnrouter-bootinfo/tests/settings.rs
+++ b/crates/fawnrouter-bootinfo/tests/settings.rs
@@ -60,7 +60,7 @@
 fn every_setting_arrives_where_it_belongs() {
     let (s, names) = settings(&full()).unwrap();
     let ms = Duration::from_millis;
-    assert_eq!((s.gateways, s.me, s.tick, s.over_share_worth), (9, PeerId(8), ms(4), 0.3));
+    assert_eq!((s.gateways, s.own_id, s.tick, s.over_share_worth), (9, PeerId(8), ms(4), 0.3));
     let effects: Vec<_> = s.classes.iter().map(|c| c.effect).collect();
     let keyed = Effect::Keyed { group: RepeatGroup::Zone, window: ms(6000) };
     assert_eq!(effects, [Effect::Safe, keyed, Effect::Unsafe]);
--- a/crates/fawnrouter-capacity/tests/hollow.rs
+++ b/crates/fawnrouter-capacity/tests/hollow.rs
@@ -149,7 +149,7 @@
     let boot = Boot::read(text.as_bytes()).unwrap();
     assert_eq!((boot.name, boot.listen, boot.nameserver), (place.name, place.listen, place.nameserver));
     assert_eq!((boot.seed, boot.descriptors), (place.seed, 512));
-    assert_eq!((boot.settings.gateways, boot.settings.me.0), (26, 25));
+    assert_eq!((boot.settings.gateways, boot.settings.own_id.0), (26, 25));
     let (name, question) = question(1);
     let answer = read_answer(&list_answer(&question, 9, &rows), 1, &name, Type::Srv).unwrap();
     assert_eq!(boot.known, Pool::answer(&answer).unwrap(), "the file and the name server tell the same");
--- a/crates/fawnrouter-config/src/settings/mod.rs
+++ b/crates/fawnrouter-config/src/settings/mod.rs
@@ -606,7 +606,7 @@
         let rules = &self.rules;
         module::Settings {
             gateways: self.gateway.count,
-            me: PeerId(self.gateway.number),
+            own_id: PeerId(self.gateway.number),
             classes: classes.collect(),
             tenants: tenants.collect(),
             over_share_worth: self.over_share_worth,
--- a/crates/fawnrouter-engine/src/engine.rs
+++ b/crates/fawnrouter-engine/src/engine.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use fawnrouter::{
-    Action, AttemptNo, CallId, Controller, Event, ListKind, Note, Outcome, Report, ServerId, ServerState,
-    SettingsError, Time,
+    Action, AttemptNo, CallId, Controller, Event, ListKind, LoadReport, Outcome, OutcomeDetail, ServerId,
+    ServerState, SettingsError, Time,
 };
 use fawnrouter_admission::Stay;
 use fawnrouter_sip::transaction::{ACK_WAIT, CancelStep};
@@ -269,8 +269,8 @@
     pub(crate) fn close_leg(&mut self, id: LegId, outcome: Outcome, done: bool) {
         let Some(leg) = self.table.legs.get(&id).filter(|l| matches!(l.state, LegState::Out)) else { return };
         let (call, attempt, server, took) = (leg.call, leg.attempt, leg.server, self.now.since(leg.sent));
-        let (note, report) = (Note::None, Report::default());
-        self.events.push_back(Event::Closed { call, attempt, server, done, outcome, note, took, report });
+        let (detail, report) = (OutcomeDetail::None, LoadReport::default());
+        self.events.push_back(Event::Closed { call, attempt, server, done, outcome, detail, took, report });
         self.word(call, || CallWord::Closed { attempt, outcome });
         self.abandon_leg(id);
     }
@@ -516,9 +516,18 @@
         if let (Some(leg), Stage::Standing { since, .. }) = (self.table.legs.get(&leg), &ended.stage) {
             let (attempt, server) = (leg.attempt, leg.server);
             let took = self.now.since(leg.sent);
-            let (note, report) = (Note::None, Report::default());
+            let (detail, report) = (OutcomeDetail::None, LoadReport::default());
             let done = true;
-            self.events.push_back(Event::Closed { call, attempt, server, done, outcome, note, took, report });
+            self.events.push_back(Event::Closed {
+                call,
+                attempt,
+                server,
+                done,
+                outcome,
+                detail,
+                took,
+                report,
+            });
             let stood = self.now.since(*since);
             self.word(call, || CallWord::Released { outcome, stood });
         }
--- a/crates/fawnrouter-engine/src/status.rs
+++ b/crates/fawnrouter-engine/src/status.rs
@@ -26,7 +26,7 @@
 
 use std::time::Duration;
 
-use fawnrouter::{Note, Outcome, Report};
+use fawnrouter::{LoadReport, Outcome, OutcomeDetail};
 use fawnrouter_sip::{Message, Name, Reason, Via};
 
 /// Whether other switches may still take the call.
@@ -44,7 +44,7 @@
     /// The outcome.
     pub outcome: Outcome,
     /// What is said beside it.
-    pub note: Note,
+    pub note: OutcomeDetail,
     /// What becomes of the call.
     pub finality: Finality,
 }
@@ -77,15 +77,15 @@
 #[must_use]
 pub fn meaning(status: u16, told: Told) -> Meaning {
     let (outcome, note) = match (status, told.q850) {
-        (_, Some(17)) | (486 | 600, _) => (Outcome::Error, Note::NumberBusy),
-        (503, Some(34 | 44)) => (Outcome::Full, Note::NoCircuit),
-        (503, _) | (500, Some(42)) => (Outcome::Full, Note::ProcessorFull(told.retry_after)),
-        (408 | 504, _) => (Outcome::TimedOut, Note::None),
-        (487, _) => (Outcome::Cancelled, Note::None),
-        _ => (Outcome::Error, Note::None),
+        (_, Some(17)) | (486 | 600, _) => (Outcome::Error, OutcomeDetail::NumberBusy),
+        (503, Some(34 | 44)) => (Outcome::Full, OutcomeDetail::NoCircuit),
+        (503, _) | (500, Some(42)) => (Outcome::Full, OutcomeDetail::ProcessorFull(told.retry_after)),
+        (408 | 504, _) => (Outcome::TimedOut, OutcomeDetail::None),
+        (487, _) => (Outcome::Cancelled, OutcomeDetail::None),
+        _ => (Outcome::Error, OutcomeDetail::None),
     };
     let ends = matches!(status, 404 | 410 | 413 | 415 | 416 | 484 | 485 | 488 | 603 | 604 | 606);
-    let finality = if ends && note == Note::None { Finality::Ends } else { Finality::MayGoOn };
+    let finality = if ends && note == OutcomeDetail::None { Finality::Ends } else { Finality::MayGoOn };
     Meaning { outcome, note, finality }
 }
 
@@ -103,9 +103,9 @@
 /// The table towards the caller. `refused` is the controller's refusal with its advice, `None` its failure;
 /// `last` is the last final response of a switch to this call.
 #[must_use]
-pub fn answer_to_caller(refused: Option<Duration>, last: Option<(u16, Note)>) -> Answer {
+pub fn answer_to_caller(refused: Option<Duration>, last: Option<(u16, OutcomeDetail)>) -> Answer {
     match (refused, last) {
-        (Some(wait), Some((status, Note::NumberBusy))) => {
+        (Some(wait), Some((status, OutcomeDetail::NumberBusy))) => {
             Answer { status, retry_after_s: seconds(wait), text: "all lines of the number are busy" }
         }
         (Some(wait), _) => {
@@ -133,16 +133,18 @@
 /// A switch's own overload control in the Via it sends back (RFC 7339 §4, RFC 7415 §3): a share of set-ups to hold
 /// back, or a rate. The rate is this gateway's part; the report wants what all senders may send.
 #[must_use]
-pub fn overload_words(via: &Via<'_>, gateways: u32) -> Option<Report> {
+pub fn overload_words(via: &Via<'_>, gateways: u32) -> Option<LoadReport> {
     let oc = via.params.get("oc").filter(|v| !v.is_empty())?.parse::<f64>().ok();
     let oc = oc.filter(|x| x.is_finite() && *x >= 0.0)?;
     // A validity of 0 ends overload control (RFC 7339 §4.3).
     if via.params.get("oc-validity").is_some_and(|v| v.trim() == "0") {
-        return Some(Report { hold_back: Some(0.0), ..Report::default() });
+        return Some(LoadReport { hold_back_share: Some(0.0), ..LoadReport::default() });
     }
     match via.params.get("oc-algo").unwrap_or("loss") {
-        "rate" => Some(Report { can_take: Some(oc * f64::from(gateways)), ..Report::default() }),
-        _ => Some(Report { hold_back: Some((oc / 100.0).min(1.0)), ..Report::default() }),
+        "rate" => {
+            Some(LoadReport { acceptable_rate: Some(oc * f64::from(gateways)), ..LoadReport::default() })
+        }
+        _ => Some(LoadReport { hold_back_share: Some((oc / 100.0).min(1.0)), ..LoadReport::default() }),
     }
 }
 
@@ -154,18 +156,18 @@
     fn every_row_of_the_table_from_a_switch_holds() {
         let wait = Some(Duration::from_secs(2));
         let rows = [
-            (503, None, None, Outcome::Full, Note::ProcessorFull(None), Finality::MayGoOn),
-            (503, wait, None, Outcome::Full, Note::ProcessorFull(wait), Finality::MayGoOn),
-            (503, wait, Some(34), Outcome::Full, Note::NoCircuit, Finality::MayGoOn),
-            (500, None, Some(42), Outcome::Full, Note::ProcessorFull(None), Finality::MayGoOn),
-            (500, None, None, Outcome::Error, Note::None, Finality::MayGoOn),
-            (486, None, None, Outcome::Error, Note::NumberBusy, Finality::MayGoOn),
-            (480, None, Some(17), Outcome::Error, Note::NumberBusy, Finality::MayGoOn),
-            (408, None, None, Outcome::TimedOut, Note::None, Finality::MayGoOn),
-            (487, None, None, Outcome::Cancelled, Note::None, Finality::MayGoOn),
-            (404, None, None, Outcome::Error, Note::None, Finality::Ends),
-            (604, None, None, Outcome::Error, Note::None, Finality::Ends),
-            (302, None, None, Outcome::Error, Note::None, Finality::MayGoOn),
+            (503, None, None, Outcome::Full, OutcomeDetail::ProcessorFull(None), Finality::MayGoOn),
+            (503, wait, None, Outcome::Full, OutcomeDetail::ProcessorFull(wait), Finality::MayGoOn),
+            (503, wait, Some(34), Outcome::Full, OutcomeDetail::NoCircuit, Finality::MayGoOn),
+            (500, None, Some(42), Outcome::Full, OutcomeDetail::ProcessorFull(None), Finality::MayGoOn),
+            (500, None, None, Outcome::Error, OutcomeDetail::None, Finality::MayGoOn),
+            (486, None, None, Outcome::Error, OutcomeDetail::NumberBusy, Finality::MayGoOn),
+            (480, None, Some(17), Outcome::Error, OutcomeDetail::NumberBusy, Finality::MayGoOn),
+            (408, None, None, Outcome::TimedOut, OutcomeDetail::None, Finality::MayGoOn),
+            (487, None, None, Outcome::Cancelled, OutcomeDetail::None, Finality::MayGoOn),
+            (404, None, None, Outcome::Error, OutcomeDetail::None, Finality::Ends),
+            (604, None, None, Outcome::Error, OutcomeDetail::None, Finality::Ends),
+            (302, None, None, Outcome::Error, OutcomeDetail::None, Finality::MayGoOn),
         ];
         for (status, retry_after, q850, outcome, note, finality) in rows {
             let expected = Meaning { outcome, note, finality };
@@ -181,21 +183,21 @@
             (a.status, a.retry_after_s)
         };
         assert_eq!(answer(Some(ms(0)), None), (503, None));
-        assert_eq!(answer(Some(ms(1001)), Some((503, Note::ProcessorFull(None)))), (503, Some(2)));
-        assert_eq!(answer(Some(ms(2000)), Some((486, Note::NumberBusy))), (486, Some(2)));
+        assert_eq!(answer(Some(ms(1001)), Some((503, OutcomeDetail::ProcessorFull(None)))), (503, Some(2)));
+        assert_eq!(answer(Some(ms(2000)), Some((486, OutcomeDetail::NumberBusy))), (486, Some(2)));
         assert_eq!(answer(None, None), (504, None));
-        assert_eq!(answer(None, Some((500, Note::None))), (500, None));
-        assert_eq!(answer(None, Some((503, Note::None))), (504, None));
+        assert_eq!(answer(None, Some((500, OutcomeDetail::None))), (500, None));
+        assert_eq!(answer(None, Some((503, OutcomeDetail::None))), (504, None));
     }
 
     #[test]
     fn overload_words_become_a_share_or_a_rate() {
         let words = |text: &str| overload_words(&Via::parse(text).expect("a Via"), 4);
         let loss = words("SIP/2.0/TCP h;branch=z;oc=20;oc-algo=\"loss\";oc-validity=500;oc-seq=1.1");
-        assert_eq!(loss.and_then(|r| r.hold_back), Some(0.2));
+        assert_eq!(loss.and_then(|r| r.hold_back_share), Some(0.2));
         let rate = words("SIP/2.0/TCP h;branch=z;oc=150;oc-algo=\"rate\";oc-validity=1000");
-        assert_eq!(rate.and_then(|r| r.can_take), Some(600.0));
-        assert_eq!(words("SIP/2.0/TCP h;oc=70;oc-validity=0").and_then(|r| r.hold_back), Some(0.0));
+        assert_eq!(rate.and_then(|r| r.acceptable_rate), Some(600.0));
+        assert_eq!(words("SIP/2.0/TCP h;oc=70;oc-validity=0").and_then(|r| r.hold_back_share), Some(0.0));
         assert_eq!(words("SIP/2.0/TCP h;branch=z;oc"), None);
         assert_eq!(words("SIP/2.0/TCP h;oc=-5"), None);
     }
--- a/crates/fawnrouter-engine/src/table.rs
+++ b/crates/fawnrouter-engine/src/table.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use fawnrouter::{AttemptNo, CallId, NewCall, Note, ServerId, Time};
+use fawnrouter::{AttemptNo, CallId, NewCall, OutcomeDetail, ServerId, Time};
 use fawnrouter_sip::transaction::{InviteClient, InviteServer};
 use fawnrouter_sip::{Dialog, Message};
 
@@ -54,7 +54,7 @@
     pub out: Option<LegId>,
     pub attempts: u32,
     /// The last final response of a switch.
-    pub last: Option<(u16, Note)>,
+    pub last: Option<(u16, OutcomeDetail)>,
 }
 
 /// Where an attempt's leg stands.
--- a/crates/fawnrouter-engine/src/trunk.rs
+++ b/crates/fawnrouter-engine/src/trunk.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fawnrouter::{AttemptNo, CallId, Event, Note, Outcome, Report, ServerId};
+use fawnrouter::{AttemptNo, CallId, Event, LoadReport, Outcome, OutcomeDetail, ServerId};
 use fawnrouter_admission::Stay;
 use fawnrouter_sip::transaction::{ACK_WAIT, ClientStep, InviteClient};
 use fawnrouter_sip::{Address, Dialog, Draft, Message, Method, Name, Uri};
@@ -57,15 +57,15 @@
             .filter(|_| up)
         else {
             // No connection: the set-up certainly never ran.
-            let (outcome, note, took) = (Outcome::ConnectFailed, Note::None, Duration::ZERO);
-            let (done, report) = (false, Report::default());
+            let (outcome, detail, took) = (Outcome::ConnectFailed, OutcomeDetail::None, Duration::ZERO);
+            let (done, report) = (false, LoadReport::default());
             self.events.push_back(Event::Closed {
                 call: id,
                 attempt,
                 server,
                 done,
                 outcome,
-                note,
+                detail,
                 took,
                 report,
             });
@@ -306,7 +306,7 @@
         }
     }
 
-    fn on_failed(&mut self, id: LegId, status: u16, response: &Message, report: Option<Report>) {
+    fn on_failed(&mut self, id: LegId, status: u16, response: &Message, report: Option<LoadReport>) {
         let Some(leg) = self.table.legs.get(&id) else { return };
         let ack = Self::same_transaction(leg, Method::Ack, response.get(Name::To).unwrap_or(&leg.to));
         let (call, attempt, server) = (leg.call, leg.attempt, leg.server);
@@ -314,13 +314,23 @@
         self.send_to_trunk(server, ack);
         self.table.drop_leg(id);
         if out {
-            let status::Meaning { outcome, note, finality } = status::meaning(status, Told::of(response));
+            let status::Meaning { outcome, note: detail, finality } =
+                status::meaning(status, Told::of(response));
             let done = finality == Finality::Ends;
             if let Some(call) = self.table.calls.get_mut(&call) {
-                call.last = Some((status, note));
+                call.last = Some((status, detail));
             }
             let report = report.unwrap_or_default();
-            self.events.push_back(Event::Closed { call, attempt, server, done, outcome, note, took, report });
+            self.events.push_back(Event::Closed {
+                call,
+                attempt,
+                server,
+                done,
+                outcome,
+                detail,
+                took,
+                report,
+            });
             self.word(call, || CallWord::Closed { attempt, outcome });
             if done {
                 self.pass_final(call, status);
--- a/crates/fawnrouter-engine/tests/common/mod.rs
+++ b/crates/fawnrouter-engine/tests/common/mod.rs
@@ -25,7 +25,7 @@
     EngineSettings {
         decisions: Settings {
             gateways: 1,
-            me: PeerId(0),
+            own_id: PeerId(0),
             classes: vec![class("check", 1.0), class("transfer", 3.0)],
             tenants: vec![],
             over_share_worth: 1.0,
--- a/crates/fawnrouter-node/src/node.rs
+++ b/crates/fawnrouter-node/src/node.rs
@@ -13,8 +13,8 @@
 use std::time::Duration;
 
 use fawnrouter::{
-    Action, CallId, Controller, Event, Note, Outcome, Report, ServerId, Settings, SettingsError, Time,
-    TimerId,
+    Action, CallId, Controller, Event, LoadReport, Outcome, OutcomeDetail, ServerId, Settings, SettingsError,
+    Time, TimerId,
 };
 use fawnrouter_bootinfo::{Names, Sockets};
 use fawnrouter_jsonl::{Message, Tag, Verb};
@@ -275,7 +275,7 @@
                 let tag = request::tag(call);
                 if self.calls.open.get(&tag).and_then(|c| c.out).is_some_and(|a| a.no == attempt) {
                     self.withdraw(tag);
-                    self.attempt_ended(tag, Outcome::Cancelled, Note::None);
+                    self.attempt_ended(tag, Outcome::Cancelled, OutcomeDetail::None);
                 }
             }
             Action::Refuse { call, retry_after } => {
@@ -296,7 +296,7 @@
                         server,
                         ok: false,
                         took: Duration::ZERO,
-                        report: Report::default(),
+                        report: LoadReport::default(),
                     });
                 }
             }
@@ -314,7 +314,7 @@
                 let Some(attempt) = self.calls.open.get(&tag).and_then(|c| c.out) else { return };
                 self.withdraw(tag);
                 let outcome = if attempt.sent.is_some() { Outcome::TimedOut } else { Outcome::ConnectFailed };
-                self.attempt_ended(tag, outcome, Note::None);
+                self.attempt_ended(tag, outcome, OutcomeDetail::None);
             }
             Key::Call(tag) => {
                 let Some(open) = self.calls.open.get(&tag) else { return };
--- a/crates/fawnrouter-node/src/node/attempts.rs
+++ b/crates/fawnrouter-node/src/node/attempts.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fawnrouter::{AttemptNo, CallId, Event, Note, Outcome, Report, ServerId};
+use fawnrouter::{AttemptNo, CallId, Event, LoadReport, Outcome, OutcomeDetail, ServerId};
 use fawnrouter_jsonl::{Message, Tag, Verb};
 
 use super::{Key, Node, Output};
@@ -19,7 +19,9 @@
         let until = if within.is_zero() { open.deadline } else { open.deadline.min(now.plus(within)) };
         open.out = Some(Attempt { no, server, issued: now, sent: None, until });
         let address = self.servers.get(&server).and_then(|s| s.listed.as_ref()).map(|l| l.address);
-        let Some(address) = address else { return self.attempt_ended(tag, Outcome::Moot, Note::None) };
+        let Some(address) = address else {
+            return self.attempt_ended(tag, Outcome::Moot, OutcomeDetail::None);
+        };
         self.links.site(server, address);
         match self.links.pick(server, tag) {
             Pick::On(link) => self.send(tag, link),
@@ -73,8 +75,8 @@
     }
 
     /// The attempt that was out ended without the core switch's word.
-    pub(super) fn attempt_ended(&mut self, tag: Tag, outcome: Outcome, note: Note) {
-        self.attempt_over(tag, outcome, note, Report::default(), false);
+    pub(super) fn attempt_ended(&mut self, tag: Tag, outcome: Outcome, detail: OutcomeDetail) {
+        self.attempt_over(tag, outcome, detail, LoadReport::default(), false);
     }
 
     /// Tells the controller how the attempt that was out ended; `told`: by the core switch's word, so that nothing more
@@ -83,8 +85,8 @@
         &mut self,
         tag: Tag,
         outcome: Outcome,
-        note: Note,
-        report: Report,
+        detail: OutcomeDetail,
+        report: LoadReport,
         told: bool,
     ) {
         let now = self.now;
@@ -106,7 +108,7 @@
             server: attempt.server,
             done: false,
             outcome,
-            note,
+            detail,
             took: now.since(since),
             report,
         });
@@ -116,7 +118,7 @@
     pub(super) fn recalled(&mut self, link: LinkId, tag: Tag) {
         let out = self.calls.open.get(&tag).and_then(|c| c.out);
         if out.and_then(|a| a.sent).is_some_and(|(at, _)| at == link) {
-            self.attempt_over(tag, Outcome::Moot, Note::None, Report::default(), true);
+            self.attempt_over(tag, Outcome::Moot, OutcomeDetail::None, LoadReport::default(), true);
         }
     }
 
--- a/crates/fawnrouter-node/src/node/callers.rs
+++ b/crates/fawnrouter-node/src/node/callers.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use fawnrouter::{CallId, Event, Note, Outcome};
+use fawnrouter::{CallId, Event, Outcome, OutcomeDetail};
 use fawnrouter_jsonl::{Fault, Message, Tag, Verb};
 
 use super::attempts::written;
@@ -141,7 +141,7 @@
         let sent = self.calls.open.get(&tag).is_some_and(|c| c.attempts > 0);
         self.withdraw(tag);
         self.events.push_back(Event::Abandoned(CallId(tag.0)));
-        self.attempt_ended(tag, Outcome::Cancelled, Note::None);
+        self.attempt_ended(tag, Outcome::Cancelled, OutcomeDetail::None);
         self.drop_open(tag);
         let barred = sent.then(|| self.now.plus(self.decisions.rules.release_guard));
         self.calls.ended.put(tag, Ended { barred, rc: None });
--- a/crates/fawnrouter-node/src/node/list.rs
+++ b/crates/fawnrouter-node/src/node/list.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use fawnrouter::{Event, ListKind, Note, Outcome, ServerId};
+use fawnrouter::{Event, ListKind, Outcome, OutcomeDetail, ServerId};
 
 use super::{Key, Node, Output, Server};
 use crate::links::{LinkId, Need};
@@ -24,7 +24,7 @@
             self.ids.forget(&s.id);
         }
         for tag in self.links.take_waiting(server) {
-            self.attempt_ended(tag, Outcome::Moot, Note::None);
+            self.attempt_ended(tag, Outcome::Moot, OutcomeDetail::None);
         }
         let links = self.links.sites.remove(&server).map(|s| s.links).unwrap_or_default();
         for link in links {
@@ -85,7 +85,7 @@
             // What has not been written yet must not go there any more.
             if self.need(server) != Need::SetUps {
                 for tag in self.links.take_waiting(server) {
-                    self.attempt_ended(tag, Outcome::Moot, Note::None);
+                    self.attempt_ended(tag, Outcome::Moot, OutcomeDetail::None);
                 }
                 // A peer that does not read leaves set-ups in the outbox, and might take them after the grace.
                 let laden = self.links.links.iter().filter(|(_, l)| l.server == server && !l.open.is_empty());
--- a/crates/fawnrouter-node/src/node/standing.rs
+++ b/crates/fawnrouter-node/src/node/standing.rs
@@ -1,6 +1,6 @@
 //! Calls that stand: what ends them, and who is told.
 
-use fawnrouter::{CallId, Event, Note, Outcome, Report, ServerId, Time};
+use fawnrouter::{CallId, Event, LoadReport, Outcome, OutcomeDetail, ServerId, Time};
 use fawnrouter_jsonl::{Message, Tag, Verb};
 
 use super::attempts::written;
@@ -112,9 +112,9 @@
                 server: standing.server,
                 done: true,
                 outcome,
-                note: Note::None,
+                detail: OutcomeDetail::None,
                 took: self.now.since(standing.since),
-                report: Report::default(),
+                report: LoadReport::default(),
             });
         }
     }
--- a/crates/fawnrouter-node/src/node/trunk.rs
+++ b/crates/fawnrouter-node/src/node/trunk.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fawnrouter::{Event, Note, Outcome, ServerId, ServerState};
+use fawnrouter::{Event, Outcome, OutcomeDetail, ServerId, ServerState};
 use fawnrouter_jsonl::{Message, Tag, Verb};
 use rand_core::RngCore;
 
@@ -91,7 +91,7 @@
         // Nobody there to wait for: those that wait for a connection have failed to get one.
         if end != LinkEnd::Broken && !self.links.is_up(server) {
             for tag in self.links.take_waiting(server) {
-                self.attempt_ended(tag, Outcome::ConnectFailed, Note::None);
+                self.attempt_ended(tag, Outcome::ConnectFailed, OutcomeDetail::None);
             }
         }
     }
@@ -109,7 +109,7 @@
             s.life.lost();
         }
         for tag in gone.open {
-            self.attempt_ended(tag, Outcome::Reset, Note::None);
+            self.attempt_ended(tag, Outcome::Reset, OutcomeDetail::None);
             self.release(gone.server, tag, cause::CLEARING);
         }
         self.tend(gone.server);
@@ -147,10 +147,10 @@
                 let Some(rc) = message.rc else { return self.link_fault(link, "a release without a cause") };
                 if here.is_some() {
                     let note = match message.opts.get("note").and_then(|n| n.text()) {
-                        Some("group_full") => Note::NoCircuit,
-                        Some("processor_full") => Note::ProcessorFull(None),
-                        Some("user_busy") => Note::NumberBusy,
-                        _ => Note::None,
+                        Some("group_full") => OutcomeDetail::NoCircuit,
+                        Some("processor_full") => OutcomeDetail::ProcessorFull(None),
+                        Some("user_busy") => OutcomeDetail::NumberBusy,
+                        _ => OutcomeDetail::None,
                     };
                     let outcome = match rc {
                         34 => Outcome::Full,
--- a/crates/fawnrouter-node/tests/settings.rs
+++ b/crates/fawnrouter-node/tests/settings.rs
@@ -108,14 +108,14 @@
         Node::new(NodeSettings::new(&boot)).err().map(|error| (error.clone(), error.to_string()))
     };
     assert_eq!(refused(|_| ()), None);
-    let (error, told) = refused(|s| s.me = PeerId(2)).unwrap();
-    assert_eq!(error, SettingsError::NotAGateway { me: 2, gateways: 2 });
+    let (error, told) = refused(|s| s.own_id = PeerId(2)).unwrap();
+    assert_eq!(error, SettingsError::GatewayOutOfRange { own_id: 2, gateways: 2 });
     assert!(told.contains("gateway 2 of 2") && told.contains("from 0"), "{told}");
     let (error, told) = refused(|s| s.classes[0].aim = s.classes[0].deadline * 2).unwrap();
-    assert_eq!(error, SettingsError::NoTime("voice".into()));
+    assert_eq!(error, SettingsError::BadDeadline("voice".into()));
     assert!(told.contains("\"voice\"") && told.contains("set the deadline"), "{told}");
     let (error, told) = refused(|s| s.rules.fall_multiple = 0.0).unwrap();
-    assert_eq!(error, SettingsError::BadFigure("fall_multiple"));
+    assert_eq!(error, SettingsError::FigureOutOfRange("fall_multiple"));
     assert!(told.contains("fall_multiple; it must be above 0"), "{told}");
     let warm = |s: &mut Settings| (s.rules.fall_multiple, s.rules.cold_time) = (0.0, Duration::ZERO);
     assert_eq!(refused(warm), None, "where nothing is cold the multiple says nothing");
--- a/crates/fawnrouter-zones/tests/common/mod.rs
+++ b/crates/fawnrouter-zones/tests/common/mod.rs
@@ -155,7 +155,7 @@
     };
     Settings {
         gateways,
-        me: PeerId(me),
+        own_id: PeerId(me),
         classes: vec![class("check", 1.0), class("transfer", 3.0)],
         tenants: vec![],
         over_share_worth: 1.0,
@@ -301,9 +301,18 @@
                     s.entry.up_since = s.cold_since;
                     for (g, call, attempt, _) in s.queue.drain(..) {
                         let (server, took) = (s.entry.id, Duration::ZERO);
-                        let (outcome, note, report) = (Outcome::Reset, Note::None, Report::default());
-                        let event =
-                            Event::Closed { call, attempt, server, done: false, outcome, note, took, report };
+                        let (outcome, detail, report) =
+                            (Outcome::Reset, OutcomeDetail::None, LoadReport::default());
+                        let event = Event::Closed {
+                            call,
+                            attempt,
+                            server,
+                            done: false,
+                            outcome,
+                            detail,
+                            took,
+                            report,
+                        };
                         tell(&mut fleet, g, event, &mut todo);
                     }
                     changed.push(s.entry.clone());
@@ -385,11 +394,12 @@
                 s.credit -= 1.0;
                 let (server, took) = (s.entry.id, now.since(sent));
                 tell(&mut fleet, g, Event::Established { call, attempt, server, took }, &mut todo);
-                let (done, outcome, note, report) = (true, Outcome::Ended, Note::None, Report::default());
+                let (done, outcome, detail, report) =
+                    (true, Outcome::Ended, OutcomeDetail::None, LoadReport::default());
                 tell(
                     &mut fleet,
                     g,
-                    Event::Closed { call, attempt, server, done, outcome, note, took, report },
+                    Event::Closed { call, attempt, server, done, outcome, detail, took, report },
                     &mut todo,
                 );
                 attempts.remove(&call);
@@ -417,9 +427,9 @@
                 s.queue.retain(|(_, c, a, _)| (c, a) != (call, attempt));
                 if s.queue.len() < before {
                     let (call, attempt, server, took) = (*call, *attempt, *server, Duration::ZERO);
-                    let (done, outcome, note, report) =
-                        (false, Outcome::TimedOut, Note::None, Report::default());
-                    let event = Event::Closed { call, attempt, server, done, outcome, note, took, report };
+                    let (done, outcome, detail, report) =
+                        (false, Outcome::TimedOut, OutcomeDetail::None, LoadReport::default());
+                    let event = Event::Closed { call, attempt, server, done, outcome, detail, took, report };
                     let mut actions = Vec::new();
                     fleet[*g].handle(now, event, &mut actions);
                     todo.extend(actions.into_iter().map(|a| (*g, a)));
@@ -437,14 +447,19 @@
                     if *s.entry.zone != *ZONES[zone_of(g as u32)] {
                         *out.sent_s.entry(second).or_default() += 1;
                     }
-                    let closed = |outcome, note| {
-                        let (done, took, report) = (false, Duration::ZERO, Report::default());
-                        Event::Closed { call, attempt: no, server, done, outcome, note, took, report }
+                    let closed = |outcome, detail| {
+                        let (done, took, report) = (false, Duration::ZERO, LoadReport::default());
+                        Event::Closed { call, attempt: no, server, done, outcome, detail, took, report }
                     };
                     if s.away {
-                        tell(&mut fleet, g, closed(Outcome::ConnectFailed, Note::None), &mut todo);
+                        tell(&mut fleet, g, closed(Outcome::ConnectFailed, OutcomeDetail::None), &mut todo);
                     } else if s.queue.len() as f64 > FULL_AFTER * plan.capacity {
-                        tell(&mut fleet, g, closed(Outcome::Full, Note::ProcessorFull(None)), &mut todo);
+                        tell(
+                            &mut fleet,
+                            g,
+                            closed(Outcome::Full, OutcomeDetail::ProcessorFull(None)),
+                            &mut todo,
+                        );
                     } else {
                         s.queue.push_back((g, call, no, now));
                         timeouts.push_back((now.plus(within), g, call, no, server));
--- a/crates/fawnrouter/src/brain.rs
+++ b/crates/fawnrouter/src/brain.rs
@@ -495,14 +495,14 @@
                     self.answered(now, server, call, Some(took));
                 }
             }
-            Event::Closed { call, attempt, server, done, outcome, note, report, .. } => {
-                self.on_closed(now, call, (attempt, server), (done, outcome, note), report);
+            Event::Closed { call, attempt, server, done, outcome, detail, report, .. } => {
+                self.on_closed(now, call, (attempt, server), (done, outcome, detail), report);
             }
             Event::Abandoned(call) => self.forget(call),
             Event::Timer(_) => {}
             Event::Probed { server, report, .. } => {
                 if let Some(s) = self.servers.get_mut(&server) {
-                    s.free = report.free.map(|x| (x, now)).or(s.free);
+                    s.free = report.free_circuits.map(|x| (x, now)).or(s.free);
                 }
             }
             Event::PeerMessage { from, text } => self.on_news(from, &text),
@@ -636,14 +636,14 @@
         now: Time,
         call: CallId,
         attempt: (AttemptNo, ServerId),
-        (done, outcome, note): (bool, Outcome, Note),
-        report: Report,
+        (done, outcome, detail): (bool, Outcome, OutcomeDetail),
+        report: LoadReport,
     ) {
         if let Some(s) = self.servers.get_mut(&attempt.1) {
-            s.free = report.free.map(|x| (x, now)).or(s.free);
+            s.free = report.free_circuits.map(|x| (x, now)).or(s.free);
             s.utilisation = report.utilisation.or(s.utilisation);
             // A told wait is one more sample of the set-up delay.
-            if let (Some(wait), Some(floor)) = (report.wait, s.floor) {
+            if let (Some(wait), Some(floor)) = (report.queue_wait, s.floor) {
                 s.tick_delays.add(floor + wait.as_secs_f64());
             }
         }
@@ -665,26 +665,26 @@
             _ if stood => {}
             Outcome::Full | Outcome::Error | Outcome::Ended => {
                 self.answered(now, attempt.1, call, None);
-                match (self.servers.get_mut(&attempt.1), note) {
-                    (Some(s), Note::ProcessorFull(wait)) => {
+                match (self.servers.get_mut(&attempt.1), detail) {
+                    (Some(s), OutcomeDetail::ProcessorFull(wait)) => {
                         s.tick_full = true;
                         s.miss(now, 1, &mut self.actions);
                         s.not_before = now.plus(wait.unwrap_or_default().clamp(TRIAL.0, TRIAL.1));
                     }
-                    (Some(s), Note::NoCircuit) => s.free = Some((0.0, now)),
+                    (Some(s), OutcomeDetail::NoCircuit) => s.free = Some((0.0, now)),
                     _ => {}
                 }
             }
             _ => self.unanswered(now, attempt.1, call, outcome),
         }
-        if note == Note::NumberBusy
+        if detail == OutcomeDetail::NumberBusy
             && let Some(log) = self.calls.get(&call).and_then(|c| self.numbers.get_mut(&c.new.number))
         {
             log.busy_until = now.plus(BUSY_PAUSE);
         }
         if done || stood {
             self.forget(call);
-        } else if note == Note::NumberBusy
+        } else if detail == OutcomeDetail::NumberBusy
             || self.calls.get(&call).is_some_and(|c| c.is_hopeless(now, self.settings.limits.max_attempts))
         {
             self.give_up(call);
@@ -959,7 +959,7 @@
     /// each has too few samples of its own; messages may all be lost, then it goes by those alone.
     fn tell_news(&mut self) {
         self.ticks = (self.ticks + 1) % NEWS.0;
-        let (me, gateways) = (self.settings.me.0, self.settings.gateways);
+        let (me, gateways) = (self.settings.own_id.0, self.settings.gateways);
         if self.ticks != 0 || !self.settings.limits.peers || gateways < 2 {
             return;
         }
@@ -981,7 +981,8 @@
 
     /// Delays told by another gateway are samples like the own ones. What cannot be read is left out.
     fn on_news(&mut self, from: PeerId, text: &str) {
-        let known = self.settings.limits.peers && from != self.settings.me && from.0 < self.settings.gateways;
+        let known =
+            self.settings.limits.peers && from != self.settings.own_id && from.0 < self.settings.gateways;
         let Some(lines) = text.strip_prefix("1 ").filter(|_| known) else { return };
         for (id, ms) in lines.split(' ').filter_map(|line| line.split_once(':')) {
             let (Ok(id), Ok(ms)) = (id.parse().map(ServerId), ms.parse::<u32>()) else { continue };
--- a/crates/fawnrouter/src/brain_tests.rs
+++ b/crates/fawnrouter/src/brain_tests.rs
@@ -195,7 +195,7 @@
     };
     let settings = Settings {
         gateways: 1,
-        me: PeerId(0),
+        own_id: PeerId(0),
         classes: vec![class],
         tenants: vec![],
         over_share_worth: 0.2,
--- a/crates/fawnrouter/src/interface.rs
+++ b/crates/fawnrouter/src/interface.rs
@@ -187,7 +187,7 @@
     /// Number of gateways.
     pub gateways: u32,
     /// This gateway's number.
-    pub me: PeerId,
+    pub own_id: PeerId,
     /// Classes of call.
     pub classes: Vec<ClassSettings>,
     /// Tenants, if any.
@@ -215,34 +215,34 @@
     /// There are no gateways.
     NoGateways,
     /// The own number is none of theirs.
-    NotAGateway {
+    GatewayOutOfRange {
         /// The own number.
-        me: u32,
+        own_id: u32,
         /// How many there are.
         gateways: u32,
     },
     /// There are no classes of call.
     NoClasses,
     /// The aim of this class lies after its deadline, or there is no time at all.
-    NoTime(String),
+    BadDeadline(String),
     /// A figure is not a number, negative, or beyond sense; the text names it.
-    BadFigure(&'static str),
+    FigureOutOfRange(&'static str),
 }
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NoGateways => write!(f, "settings name no gateways; there must be one at least"),
-            Self::NotAGateway { me, gateways } => {
-                write!(f, "settings say that this is gateway {me} of {gateways}; number them from 0")
+            Self::GatewayOutOfRange { own_id, gateways } => {
+                write!(f, "settings say that this is gateway {own_id} of {gateways}; number them from 0")
             }
             Self::NoClasses => write!(f, "settings name no classes of call; there must be one at least"),
-            Self::NoTime(class) => write!(
+            Self::BadDeadline(class) => write!(
                 f,
                 "settings give class {class:?} an aim after its deadline, or a deadline of 0; set the deadline to the \
                  aim at the least"
             ),
-            Self::BadFigure(what) => {
+            Self::FigureOutOfRange(what) => {
                 let wanted = match *what {
                     "cold_from" => "from 0 to 1",
                     "fall_multiple" => "above 0 where servers start cold, and never negative",
@@ -265,14 +265,14 @@
         if self.gateways == 0 {
             return Err(SettingsError::NoGateways);
         }
-        if self.me.0 >= self.gateways {
-            return Err(SettingsError::NotAGateway { me: self.me.0, gateways: self.gateways });
+        if self.own_id.0 >= self.gateways {
+            return Err(SettingsError::GatewayOutOfRange { own_id: self.own_id.0, gateways: self.gateways });
         }
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
         }
         if let Some(class) = self.classes.iter().find(|c| c.aim > c.deadline || c.deadline.is_zero()) {
-            return Err(SettingsError::NoTime(class.name.clone()));
+            return Err(SettingsError::BadDeadline(class.name.clone()));
         }
         let share = |x: f64| x.is_finite() && (0.0..=1.0).contains(&x);
         let amount = |x: f64| x.is_finite() && x >= 0.0;
@@ -286,7 +286,7 @@
             (self.tenants.iter().all(|t| t.quota_per_s.is_none_or(amount)), "quota of a tenant"),
         ];
         match checks.iter().find(|(ok, _)| !ok) {
-            Some((_, what)) => Err(SettingsError::BadFigure(what)),
+            Some((_, what)) => Err(SettingsError::FigureOutOfRange(what)),
             None => Ok(()),
         }
     }
@@ -439,14 +439,14 @@
 
 /// What an outcome says beside its code.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Note {
+pub enum OutcomeDetail {
     /// Nothing.
     #[default]
     None,
     /// No circuit or agent was free.
     NoCircuit,
     /// The tandem turned it back; `true`: the processor beyond was full.
-    TurnedBack(bool),
+    Crankback(bool),
     /// The processor was full, with the wait it told.
     ProcessorFull(Option<Duration>),
     /// Every line of the number is busy.
@@ -455,19 +455,19 @@
 
 /// Figures that came along from a server, as far as there are any.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// Free circuits towards it.
-    pub free: Option<f64>,
+    pub free_circuits: Option<f64>,
     /// Circuits towards it.
-    pub size: Option<f64>,
+    pub total_circuits: Option<f64>,
     /// Share of its processor that is busy.
     pub utilisation: Option<f64>,
     /// Wait at its processor.
-    pub wait: Option<Duration>,
+    pub queue_wait: Option<Duration>,
     /// New set-ups a second it can take from all senders.
-    pub can_take: Option<f64>,
+    pub acceptable_rate: Option<f64>,
     /// Share of new set-ups that senders should hold back.
-    pub hold_back: Option<f64>,
+    pub hold_back_share: Option<f64>,
 }
 
 /// What happened.
@@ -506,11 +506,11 @@
         /// How it ended.
         outcome: Outcome,
         /// What was said beside it.
-        note: Note,
+        detail: OutcomeDetail,
         /// Time since it was issued.
         took: Duration,
         /// Figures that came along.
-        report: Report,
+        report: LoadReport,
     },
     /// The caller left, or the answer is overdue.
     Abandoned(CallId),
@@ -525,7 +525,7 @@
         /// Time since the probe went out; zero: unasked.
         took: Duration,
         /// Figures that came along.
-        report: Report,
+        report: LoadReport,
     },
     /// A message of another gateway.
     PeerMessage {
--- a/crates/fawnrouter/src/lib.rs
+++ b/crates/fawnrouter/src/lib.rs
@@ -11,7 +11,7 @@
 //!
 //! let settings = Settings {
 //!     gateways: 1,
-//!     me: PeerId(0),
+//!     own_id: PeerId(0),
 //!     classes: vec![ClassSettings {
 //!         name: "lookup".into(),
 //!         aim: Duration::from_secs(2),
--- a/crates/fawnrouter/tests/cold.rs
+++ b/crates/fawnrouter/tests/cold.rs
@@ -118,7 +118,7 @@
 impl Scenario {
     fn settings(&self, me: u32) -> Settings {
         let mut s = settings();
-        (s.gateways, s.me, s.limits.peers) = (self.gateways, PeerId(me), false);
+        (s.gateways, s.own_id, s.limits.peers) = (self.gateways, PeerId(me), false);
         s.classes.truncate(1);
         s.rules.fall_multiple = self.fall_multiple;
         s.rules.fall_time = ms(self.fall_time);
--- a/crates/fawnrouter/tests/common/mod.rs
+++ b/crates/fawnrouter/tests/common/mod.rs
@@ -23,7 +23,7 @@
 pub fn settings() -> Settings {
     Settings {
         gateways: 4,
-        me: PeerId(0),
+        own_id: PeerId(0),
         classes: vec![class(1.0, Effect::Safe), class(3.0, Effect::Safe)],
         tenants: vec![],
         over_share_worth: 0.2,
@@ -125,7 +125,7 @@
     }
 
     pub fn closes(&mut self, call: u64, attempt: u32, server: u32, outcome: Outcome) -> Vec<Action> {
-        self.closes_with(call, attempt, server, outcome, Note::None)
+        self.closes_with(call, attempt, server, outcome, OutcomeDetail::None)
     }
 
     pub fn closes_with(
@@ -134,7 +134,7 @@
         attempt: u32,
         server: u32,
         outcome: Outcome,
-        note: Note,
+        detail: OutcomeDetail,
     ) -> Vec<Action> {
         self.tell(Event::Closed {
             call: CallId(call),
@@ -142,9 +142,9 @@
             server: ServerId(server),
             done: outcome == Outcome::Ended,
             outcome,
-            note,
+            detail,
             took: ms(50),
-            report: Report::default(),
+            report: LoadReport::default(),
         })
     }
 
--- a/crates/fawnrouter/tests/fleet.rs
+++ b/crates/fawnrouter/tests/fleet.rs
@@ -19,7 +19,7 @@
     let mut sends = Vec::new();
     for me in 0..GATEWAYS {
         let mut s = settings();
-        (s.gateways, s.me, s.limits.peers) = (GATEWAYS, PeerId(me), false);
+        (s.gateways, s.own_id, s.limits.peers) = (GATEWAYS, PeerId(me), false);
         let mut g = Gateway::with_servers(s.clone(), 0);
         g.controller = Controller::new(s.clone(), u64::from(me) + 1).unwrap();
         let entries = (0..SERVERS).map(|n| entry(70 + n, ServerState::Ready)).collect();
--- a/crates/fawnrouter/tests/property.rs
+++ b/crates/fawnrouter/tests/property.rs
@@ -62,14 +62,17 @@
         self.check(&done);
     }
 
-    fn outcome(&mut self) -> (Outcome, Note) {
+    fn outcome(&mut self) -> (Outcome, OutcomeDetail) {
         match self.below(6) {
-            0 => (Outcome::Full, Note::ProcessorFull(Some(ms(self.below(3000))))),
-            1 => (Outcome::Full, Note::NoCircuit),
-            2 => (Outcome::TimedOut, Note::None),
-            3 => (Outcome::Reset, Note::None),
-            4 => (Outcome::ConnectFailed, Note::None),
-            _ => (Outcome::Error, if self.rng.next_u64() & 1 == 0 { Note::NumberBusy } else { Note::None }),
+            0 => (Outcome::Full, OutcomeDetail::ProcessorFull(Some(ms(self.below(3000))))),
+            1 => (Outcome::Full, OutcomeDetail::NoCircuit),
+            2 => (Outcome::TimedOut, OutcomeDetail::None),
+            3 => (Outcome::Reset, OutcomeDetail::None),
+            4 => (Outcome::ConnectFailed, OutcomeDetail::None),
+            _ => (
+                Outcome::Error,
+                if self.rng.next_u64() & 1 == 0 { OutcomeDetail::NumberBusy } else { OutcomeDetail::None },
+            ),
         }
     }
 
@@ -100,16 +103,17 @@
                 }
                 c.out = None;
                 let over = c.stands || c.ended;
-                let (outcome, note) = if over { (Outcome::Ended, Note::None) } else { self.outcome() };
+                let (outcome, detail) =
+                    if over { (Outcome::Ended, OutcomeDetail::None) } else { self.outcome() };
                 let now = self.gateway.now;
                 let c = self.calls.get_mut(&id).unwrap();
                 c.ended |= over;
                 if outcome.needs_release() {
                     c.released = now.plus(ms(300));
                 }
-                let (report, took) = (Report::default(), ms(60));
+                let (report, took) = (LoadReport::default(), ms(60));
                 let event =
-                    Event::Closed { call: id, attempt, server, done: over, outcome, note, took, report };
+                    Event::Closed { call: id, attempt, server, done: over, outcome, detail, took, report };
                 self.tell(event.clone());
                 self.tell(event); // the same once more: it changes nothing
             }
--- a/crates/fawnrouter/tests/rules.rs
+++ b/crates/fawnrouter/tests/rules.rs
@@ -172,7 +172,7 @@
     let mut g = Gateway::with_servers(s, 3);
     let direct = call(1, 0, 1);
     assert_eq!(issued(&g.tell(Event::Call(direct))), [(1, 71)]);
-    let full = Report { free: Some(0.0), size: Some(9.0), ..Report::default() };
+    let full = LoadReport { free_circuits: Some(0.0), total_circuits: Some(9.0), ..LoadReport::default() };
     g.tell(Event::Probed { server: ServerId(71), ok: true, took: ms(0), report: full });
     let tandem = call(2, 0, 1);
     assert_eq!(issued(&g.tell(Event::Call(tandem))), [(2, 70)], "no circuit free: over the other exchange");
@@ -223,8 +223,11 @@
     };
     assert_eq!(with(|s| s.gateways = 0), Some(SettingsError::NoGateways));
     assert_eq!(with(|s| s.classes.clear()), Some(SettingsError::NoClasses));
-    assert_eq!(with(|s| s.rules.cold_from = -1.0), Some(SettingsError::BadFigure("cold_from")));
-    assert_eq!(with(|s| s.rules.fall_multiple = f64::NAN), Some(SettingsError::BadFigure("fall_multiple")));
+    assert_eq!(with(|s| s.rules.cold_from = -1.0), Some(SettingsError::FigureOutOfRange("cold_from")));
+    assert_eq!(
+        with(|s| s.rules.fall_multiple = f64::NAN),
+        Some(SettingsError::FigureOutOfRange("fall_multiple"))
+    );
     assert_eq!(with(|_| ()), None);
 }
 
--- a/crates/fawnrouter/tests/symptoms.rs
+++ b/crates/fawnrouter/tests/symptoms.rs
@@ -45,7 +45,7 @@
 fn a_full_processor_is_not_tried_again_at_once() {
     let mut g = Gateway::with_servers(settings(), 1);
     assert_eq!(issued(&g.tell(Event::Call(call(1, 0, 0)))), [(1, 70)]);
-    let full = Note::ProcessorFull(None);
+    let full = OutcomeDetail::ProcessorFull(None);
     assert!(issued(&g.closes_with(1, 0, 70, Outcome::Full, full)).is_empty());
     assert!(issued(&g.tell(Event::Call(call(2, 0, 0)))).is_empty());
     assert!(issued(g.pass(ms(250)).iter().map(|(_, a)| a)).is_empty());
@@ -57,7 +57,7 @@
 fn a_told_wait_is_kept_to() {
     let mut g = Gateway::with_servers(settings(), 1);
     g.tell(Event::Call(call(1, 0, 0)));
-    g.closes_with(1, 0, 70, Outcome::Full, Note::ProcessorFull(Some(ms(1500))));
+    g.closes_with(1, 0, 70, Outcome::Full, OutcomeDetail::ProcessorFull(Some(ms(1500))));
     assert!(issued(g.pass(ms(1480)).iter().map(|(_, a)| a)).is_empty());
     assert!(!issued(g.pass(ms(700)).iter().map(|(_, a)| a)).is_empty());
 }
@@ -67,9 +67,9 @@
     let mut g = Gateway::with_servers(settings(), 1);
     g.runs(1, 70, ms(50));
     g.tell(Event::Call(call(2, 0, 0)));
-    assert!(issued(&g.closes_with(2, 0, 70, Outcome::Full, Note::NoCircuit)).is_empty());
+    assert!(issued(&g.closes_with(2, 0, 70, Outcome::Full, OutcomeDetail::NoCircuit)).is_empty());
     assert!(issued(g.pass(ms(500)).iter().map(|(_, a)| a)).is_empty());
-    let free = Report { free: Some(3.0), size: Some(9.0), ..Report::default() };
+    let free = LoadReport { free_circuits: Some(3.0), total_circuits: Some(9.0), ..LoadReport::default() };
     g.tell(Event::Probed { server: ServerId(70), ok: true, took: ms(0), report: free });
     assert_eq!(issued(g.pass(ms(400)).iter().map(|(_, a)| a)), [(2, 70)]);
 }
@@ -88,7 +88,7 @@
     let mut g = Gateway::with_servers(settings(), 1);
     let to = |id| NewCall { number: "line-hot".into(), ..call(id, 0, 0) };
     g.tell(Event::Call(to(1)));
-    let done = g.closes_with(1, 0, 70, Outcome::Error, Note::NumberBusy);
+    let done = g.closes_with(1, 0, 70, Outcome::Error, OutcomeDetail::NumberBusy);
     assert_eq!(finals(&done), [1]);
     assert_eq!(finals(&g.tell(Event::Call(to(2)))), [2]);
     assert_eq!(issued(&g.tell(Event::Call(call(3, 0, 0)))), [(3, 70)], "other numbers go on");
@@ -169,9 +169,9 @@
     let mut g = Gateway::with_servers(s, 1);
     // Two answers in a row that it is full, of one call, make it a suspect.
     g.tell(Event::Call(call(0, 0, 0)));
-    g.closes_with(0, 0, 70, Outcome::Full, Note::ProcessorFull(None));
+    g.closes_with(0, 0, 70, Outcome::Full, OutcomeDetail::ProcessorFull(None));
     assert!(!issued(g.pass(ms(2000)).iter().map(|(_, a)| a)).is_empty());
-    let told = g.closes_with(0, 1, 70, Outcome::Full, Note::ProcessorFull(None));
+    let told = g.closes_with(0, 1, 70, Outcome::Full, OutcomeDetail::ProcessorFull(None));
     assert!(told.iter().any(|a| matches!(a, Action::Log(line) if line.contains("trials only"))));
     let mut trials = Vec::new();
     for id in 1..300 {
@@ -183,7 +183,7 @@
                 trials.push(at);
                 // Which attempt of the call it is, only the right number tells.
                 for attempt in 0..9 {
-                    g.closes_with(call.0, attempt, 70, Outcome::Full, Note::ProcessorFull(None));
+                    g.closes_with(call.0, attempt, 70, Outcome::Full, OutcomeDetail::ProcessorFull(None));
                 }
             }
         }
