--- a/crates/fawnrouter-benchlink/src/translate.rs
+++ b/crates/fawnrouter-benchlink/src/translate.rs
@@ -130,7 +130,7 @@
     Ok(NewCall {
         id: f.call(0)?,
         class,
-        left: f.span(2, "leftNs")?,
+        time_left: f.span(2, "leftNs")?,
         number: f.get(3).as_str().unwrap_or("").into(),
         width: f.get(4).as_f64().unwrap_or(1.0),
         tenant: f.get(6).as_str().and_then(|t| names.tenant(t)),
--- a/crates/fawnrouter-engine/src/caller.rs
+++ b/crates/fawnrouter-engine/src/caller.rs
@@ -165,7 +165,7 @@
         let new = NewCall {
             id,
             class: seen.class,
-            left,
+            time_left: left,
             number: seen.number.into(),
             width: 1.0,
             tenant: seen.tenant,
--- a/crates/fawnrouter-engine/src/set_up_admission.rs
+++ b/crates/fawnrouter-engine/src/set_up_admission.rs
@@ -48,7 +48,7 @@
     pub(crate) fn hand_over(&mut self, mut call: NewCall) {
         let Some(known) = self.table.calls.get(&call.id) else { return };
         let due = known.due;
-        call.left = due.since(self.now);
+        call.time_left = due.since(self.now);
         self.table.due.set(Key::Call(call.id), due);
         self.events.push_back(Event::Call(call));
     }
--- a/crates/fawnrouter-lab/src/baseline.rs
+++ b/crates/fawnrouter-lab/src/baseline.rs
@@ -54,7 +54,7 @@
                 self.ready = entries.iter().filter(|e| e.state == ServerState::Ready).map(|e| e.id).collect();
                 actions.push(Action::SetTimer { after: Duration::from_secs(3600), timer: TimerId(0) });
             }
-            Event::Call(NewCall { id, left, .. }) => {
+            Event::Call(NewCall { id, time_left: left, .. }) => {
                 let until = now.plus(left.saturating_sub(MARGIN));
                 self.calls.insert(id, Held { until, attempts: 0 });
                 self.send(now, id, actions);
--- a/crates/fawnrouter-node/src/node/callers.rs
+++ b/crates/fawnrouter-node/src/node/callers.rs
@@ -257,8 +257,8 @@
             return self.tell_client(client, &refusal);
         }
         self.counters.taken += 1;
-        let deadline = self.now.plus(new.left);
-        self.due.set(Key::Call(tag), deadline.minus(LAST_CALL.min(new.left / 4)));
+        let deadline = self.now.plus(new.time_left);
+        self.due.set(Key::Call(tag), deadline.minus(LAST_CALL.min(new.time_left / 4)));
         let text = |name: &str| message.opts.get(name).and_then(|v| v.text()).unwrap_or_default().to_owned();
         let (class, key) = (text("class"), text("key"));
         let blob = message.blob.unwrap_or_default();
--- a/crates/fawnrouter-node/src/request.rs
+++ b/crates/fawnrouter-node/src/request.rs
@@ -75,7 +75,7 @@
     Ok(Request::New(NewCall {
         id: CallId(message.tag.0),
         class: Some(class),
-        left,
+        time_left: left,
         number: key.into(),
         width,
         tenant,
--- a/crates/fawnrouter-zones/tests/common/mod.rs
+++ b/crates/fawnrouter-zones/tests/common/mod.rs
@@ -347,7 +347,7 @@
                 let new = NewCall {
                     id,
                     class: Some(ClassId(class)),
-                    left: Duration::from_secs(3),
+                    time_left: Duration::from_secs(3),
                     number: format!("n{next_call}").into(),
                     width: 1.0,
                     tenant: None,
--- a/crates/fawnrouter-zones/tests/voice.rs
+++ b/crates/fawnrouter-zones/tests/voice.rs
@@ -44,7 +44,7 @@
         worth,
         aim,
         aim_left,
-        left: Duration::from_secs(3),
+        time_left: Duration::from_secs(3),
     }
 }
 
--- a/crates/fawnrouter/src/brain.rs
+++ b/crates/fawnrouter/src/brain.rs
@@ -389,7 +389,7 @@
     fn wanted(&self, now: Time) -> RoutingRequest {
         let (aim_left, left) = (self.aim_at.since(now), self.answer_by.since(now));
         let (call, class, worth, aim) = (self.new.id, self.new.class, self.worth, self.aim);
-        RoutingRequest { call, class, worth, aim, aim_left, left }
+        RoutingRequest { call, class, worth, aim, aim_left, time_left: left }
     }
 
     /// Whether the call can go nowhere any more: it has had its attempts, or may have run and must not run
@@ -539,10 +539,10 @@
         if new.tenant.is_some_and(|t| !self.within_quota(now, t)) {
             worth *= self.settings.over_share_worth;
         }
-        let (id, left) = (new.id, new.left);
-        let margin = ANSWER_MARGIN.min(new.left / 4).max(SWEEP * 2);
+        let (id, left) = (new.id, new.time_left);
+        let margin = ANSWER_MARGIN.min(new.time_left / 4).max(SWEEP * 2);
         let mut call = Call {
-            answer_by: now.plus(new.left.saturating_sub(margin)),
+            answer_by: now.plus(new.time_left.saturating_sub(margin)),
             margin,
             aim: class.aim,
             aim_at: first.plus(class.aim),
--- a/crates/fawnrouter/src/interface.rs
+++ b/crates/fawnrouter/src/interface.rs
@@ -346,7 +346,7 @@
     /// What is left of it.
     pub aim_left: Duration,
     /// Time until its final answer is due.
-    pub left: Duration,
+    pub time_left: Duration,
 }
 
 /// A further voice in the choice of server, for what is not the throttle's to decide, as what it costs to cross into
@@ -387,7 +387,7 @@
     /// Its class; `None`: one that the settings do not name.
     pub class: Option<ClassId>,
     /// How long this try lasts.
-    pub left: Duration,
+    pub time_left: Duration,
     /// The number called.
     pub number: Arc<str>,
     /// Circuits it takes on each group.
--- a/crates/fawnrouter/src/lib.rs
+++ b/crates/fawnrouter/src/lib.rs
@@ -59,7 +59,7 @@
 //! let call = NewCall {
 //!     id: CallId(1),
 //!     class: Some(ClassId(0)),
-//!     left: Duration::from_secs(3),
+//!     time_left: Duration::from_secs(3),
 //!     number: "line-1".into(),
 //!     width: 1.0,
 //!     tenant: None,
--- a/crates/fawnrouter/tests/common/mod.rs
+++ b/crates/fawnrouter/tests/common/mod.rs
@@ -59,7 +59,7 @@
     NewCall {
         id: CallId(id),
         class: Some(ClassId(class)),
-        left: ms(3000),
+        time_left: ms(3000),
         number: format!("line-{id}").into(),
         width: 1.0,
         tenant: None,
--- a/crates/fawnrouter/tests/property.rs
+++ b/crates/fawnrouter/tests/property.rs
@@ -82,7 +82,7 @@
                 let left = ms(self.below(3500));
                 let cell = u32::try_from(self.below(4)).unwrap();
                 let class = usize::try_from(self.below(2)).unwrap();
-                let new = NewCall { left, ..call(next, class, cell) };
+                let new = NewCall { time_left: left, ..call(next, class, cell) };
                 let seen = Seen { deadline: self.gateway.now.plus(left), ..Seen::default() };
                 self.calls.insert(new.id, seen);
                 self.tell(Event::Call(new));
--- a/crates/fawnrouter/tests/rules.rs
+++ b/crates/fawnrouter/tests/rules.rs
@@ -18,7 +18,7 @@
 #[test]
 fn a_call_with_no_time_left_is_answered_at_once() {
     let mut g = Gateway::with_servers(settings(), 1);
-    let late = NewCall { left: ms(0), ..call(1, 0, 0) };
+    let late = NewCall { time_left: ms(0), ..call(1, 0, 0) };
     let done = g.tell(Event::Call(late));
     assert_eq!((finals(&done), issued(&done)), (vec![1], vec![]));
 }
