--- a/crates/fawnrouter-config/src/settings/mod.rs
+++ b/crates/fawnrouter-config/src/settings/mod.rs
@@ -576,8 +576,8 @@
                 retry_after: ms(self.limits.retry_after_ms),
             },
             backoff: BackoffSettings {
-                first: ms(self.trunk.backoff_first_ms),
-                most: ms(self.trunk.backoff_most_ms),
+                initial: ms(self.trunk.backoff_first_ms),
+                max: ms(self.trunk.backoff_most_ms),
             },
             cut_after: ms(self.trunk.cut_after_ms),
             longest_try: ms(self.limits.longest_try_ms),
--- a/crates/fawnrouter-engine/src/engine.rs
+++ b/crates/fawnrouter-engine/src/engine.rs
@@ -20,7 +20,7 @@
 use crate::interface::*;
 use crate::status;
 use crate::table::*;
-use fawnrouter_machine::{Backoff, Decide, Machine};
+use fawnrouter_machine::{Backoff, Decide, StateMachine};
 
 /// Settings that no engine can work with.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
@@ -55,7 +55,7 @@
     drained_told: bool,
 }
 
-impl Machine for Engine {
+impl StateMachine for Engine {
     type Input = Input;
     type Output = Output;
 
@@ -153,7 +153,7 @@
     /// When the next [`Input::Wake`] is wanted at the latest.
     #[must_use]
     pub fn next_wake(&self) -> Option<Time> {
-        self.table.due.first()
+        self.table.due.next_at()
     }
 
     /// Traffic across zones, if it is decided on.
@@ -295,7 +295,7 @@
     // ---- What comes due ---------------------------------------------------------------------------------------
 
     fn fire(&mut self) {
-        while let Some(key) = self.table.due.pop(self.now) {
+        while let Some(key) = self.table.due.pop_due(self.now) {
             match key {
                 Key::Module(timer) => self.events.push_back(Event::Timer(timer)),
                 Key::Call(call) => self.call_due(call),
--- a/crates/fawnrouter-engine/src/table.rs
+++ b/crates/fawnrouter-engine/src/table.rs
@@ -11,7 +11,7 @@
 use crate::due::{Key, LegId};
 use crate::identity::Identity;
 use crate::interface::{ClientId, Switch};
-use fawnrouter_machine::{Backoff, Due};
+use fawnrouter_machine::{Backoff, TimerQueue};
 
 /// Where a call stands.
 #[derive(Debug)]
@@ -132,7 +132,7 @@
     pub ended: VecDeque<CallId>,
     /// Calls that are ended, of those in `calls`.
     pub ended_count: usize,
-    pub due: Due<Key>,
+    pub due: TimerQueue<Key>,
 }
 
 impl Table {
--- a/crates/fawnrouter-engine/tests/common/mod.rs
+++ b/crates/fawnrouter-engine/tests/common/mod.rs
@@ -65,7 +65,7 @@
             destination: vec![Rule { when: Match::default(), gets: Destination::Pool(Cell(0)) }],
         },
         intake: IntakeLimits { calls: 50_000, pending: 20_000, per_client: 20_000, retry_after: ms(2000) },
-        backoff: BackoffSettings { first: ms(100), most: ms(2000) },
+        backoff: BackoffSettings { initial: ms(100), max: ms(2000) },
         cut_after: ms(5000),
         longest_try: ms(60_000),
         auth: None,
--- a/crates/fawnrouter-machine/src/backoff.rs
+++ b/crates/fawnrouter-machine/src/backoff.rs
@@ -7,9 +7,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackoffSettings {
     /// The first pause.
-    pub first: Duration,
+    pub initial: Duration,
     /// The longest.
-    pub most: Duration,
+    pub max: Duration,
 }
 
 /// The pauses of one connection.
@@ -26,9 +26,9 @@
 
     /// The pause after one more failure; `unit` is a random number from 0 to 1 and places it in the upper half.
     pub fn next_pause(&mut self, settings: &BackoffSettings, unit: f64) -> Duration {
-        let doubled = settings.first.saturating_mul(1 << self.failures.min(20));
+        let doubled = settings.initial.saturating_mul(1 << self.failures.min(20));
         self.failures = self.failures.saturating_add(1);
-        let most = doubled.min(settings.most);
+        let most = doubled.min(settings.max);
         most.mul_f64(0.5 + 0.5 * unit.clamp(0.0, 1.0))
     }
 }
@@ -39,7 +39,7 @@
 
     #[test]
     fn pauses_double_up_to_their_bound_and_begin_anew_after_success() {
-        let settings = BackoffSettings { first: Duration::from_millis(100), most: Duration::from_secs(1) };
+        let settings = BackoffSettings { initial: Duration::from_millis(100), max: Duration::from_secs(1) };
         let mut backoff = Backoff::default();
         let pauses: Vec<u128> = (0..6).map(|_| backoff.next_pause(&settings, 1.0).as_millis()).collect();
         assert_eq!(pauses, [100, 200, 400, 800, 1000, 1000]);
@@ -49,7 +49,7 @@
 
     #[test]
     fn thousands_of_failures_do_not_overflow() {
-        let settings = BackoffSettings { first: Duration::from_secs(1), most: Duration::from_secs(5) };
+        let settings = BackoffSettings { initial: Duration::from_secs(1), max: Duration::from_secs(5) };
         let mut backoff = Backoff { failures: u32::MAX };
         assert_eq!(backoff.next_pause(&settings, 1.0), Duration::from_secs(5));
     }
--- a/crates/fawnrouter-machine/src/due.rs
+++ b/crates/fawnrouter-machine/src/due.rs
@@ -6,12 +6,12 @@
 
 /// One time for each key.
 #[derive(Debug)]
-pub struct Due<K> {
+pub struct TimerQueue<K> {
     order: BTreeSet<(Time, K)>,
     times: BTreeMap<K, Time>,
 }
 
-impl<K: Copy + Ord> Due<K> {
+impl<K: Copy + Ord> TimerQueue<K> {
     /// The key comes due then, and no more when it did before.
     pub fn set(&mut self, key: K, at: Time) {
         self.clear(key);
@@ -28,7 +28,7 @@
 
     /// When the first comes due.
     #[must_use]
-    pub fn first(&self) -> Option<Time> {
+    pub fn next_at(&self) -> Option<Time> {
         self.order.first().map(|(at, _)| *at)
     }
 
@@ -39,7 +39,7 @@
     }
 
     /// Takes the first key that is due.
-    pub fn pop(&mut self, now: Time) -> Option<K> {
+    pub fn pop_due(&mut self, now: Time) -> Option<K> {
         let (at, key) = self.order.first().copied().filter(|(at, _)| *at <= now)?;
         self.order.remove(&(at, key));
         self.times.remove(&key);
@@ -59,7 +59,7 @@
     }
 }
 
-impl<K> Default for Due<K> {
+impl<K> Default for TimerQueue<K> {
     fn default() -> Self {
         Self { order: BTreeSet::new(), times: BTreeMap::new() }
     }
--- a/crates/fawnrouter-machine/src/lib.rs
+++ b/crates/fawnrouter-machine/src/lib.rs
@@ -7,10 +7,10 @@
 mod due;
 
 pub use backoff::{Backoff, BackoffSettings};
-pub use due::Due;
+pub use due::TimerQueue;
 
 /// A state machine that a driver feeds.
-pub trait Machine {
+pub trait StateMachine {
     /// What happens to it.
     type Input;
     /// What it wants done.
--- a/crates/fawnrouter-node/src/links.rs
+++ b/crates/fawnrouter-node/src/links.rs
@@ -27,7 +27,7 @@
 const DIALS: usize = 2;
 /// Pauses between lost connections and the next ones.
 const BACKOFF: BackoffSettings =
-    BackoffSettings { first: Duration::from_millis(40), most: Duration::from_millis(500) };
+    BackoffSettings { initial: Duration::from_millis(40), max: Duration::from_millis(500) };
 /// Share of the platform's idle time after which an idle connection is replaced, so that no set-up crosses its close.
 const IDLE_SHARE: f64 = 0.7;
 /// Attempts that were given up are remembered so long on their connection, and so many.
--- a/crates/fawnrouter-node/src/node.rs
+++ b/crates/fawnrouter-node/src/node.rs
@@ -18,7 +18,7 @@
 };
 use fawnrouter_bootinfo::{Names, Sockets};
 use fawnrouter_jsonl::{Message, Tag, Verb};
-use fawnrouter_machine::{Decide, Due, Machine};
+use fawnrouter_machine::{Decide, StateMachine, TimerQueue};
 use rand_chacha::ChaCha8Rng;
 use rand_core::{RngCore, SeedableRng};
 
@@ -89,7 +89,7 @@
     ids: Ids,
     serial: Option<u32>,
     probes: BTreeMap<Tag, (ServerId, Time, bool)>,
-    due: Due<Key>,
+    due: TimerQueue<Key>,
     /// Between two looks for idle connections.
     house: Duration,
     events: VecDeque<Event>,
@@ -101,7 +101,7 @@
     out: Vec<Output>,
 }
 
-impl Machine for Node {
+impl StateMachine for Node {
     type Input = Input;
     type Output = Output;
 
@@ -148,7 +148,7 @@
             ids: Ids::default(),
             serial: None,
             probes: BTreeMap::new(),
-            due: Due::default(),
+            due: TimerQueue::default(),
             house: HOUSE.min(settings.sockets.idle.mul_f64(HOUSE_SHARE)).max(LOOK_AGAIN),
             events: VecDeque::new(),
             stopping: None,
@@ -180,7 +180,7 @@
     /// When [`Input::Wake`] is wanted.
     #[must_use]
     pub fn next_wake(&self) -> Option<Time> {
-        self.due.first()
+        self.due.next_at()
     }
 
     /// Takes an input at the clock's reading `now` (time since the Unix epoch) and appends what is to be done.
@@ -240,7 +240,7 @@
             Input::Wake => {}
         }
         self.decide();
-        while let Some(key) = self.due.pop(self.now) {
+        while let Some(key) = self.due.pop_due(self.now) {
             self.came_due(key);
             self.decide();
         }
--- a/crates/fawnrouterd/src/pump.rs
+++ b/crates/fawnrouterd/src/pump.rs
@@ -7,7 +7,7 @@
 
 use async_io::Timer;
 use fawnrouter_engine::fawnrouter::Time;
-use fawnrouter_machine::Machine;
+use fawnrouter_machine::StateMachine;
 
 use crate::clock::Clock;
 
@@ -15,7 +15,7 @@
 const LATE: Duration = Duration::from_millis(3);
 
 /// A state machine with the clock and what wakes it.
-pub struct Pump<M: Machine> {
+pub struct Pump<M: StateMachine> {
     machine: RefCell<M>,
     outputs: RefCell<Vec<M::Output>>,
     pub clock: Clock,
@@ -24,7 +24,7 @@
     rearm: Cell<Option<Waker>>,
 }
 
-impl<M: Machine> Pump<M> {
+impl<M: StateMachine> Pump<M> {
     pub fn new(machine: M) -> Self {
         Self {
             machine: RefCell::new(machine),
