--- a/crates/fawnrouter-machine/src/lib.rs
+++ b/crates/fawnrouter-machine/src/lib.rs
@@ -4,10 +4,10 @@
 use fawnrouter::{Action, Controller, Event, Time};
 
 mod backoff;
-mod due;
+mod timer_queue;
 
 pub use backoff::{Backoff, BackoffSettings};
-pub use due::TimerQueue;
+pub use timer_queue::TimerQueue;
 
 /// A state machine that a driver feeds.
 pub trait StateMachine {
