--- a/crates/fawnrouter-benchlink/src/main.rs
+++ b/crates/fawnrouter-benchlink/src/main.rs
@@ -9,14 +9,14 @@
 use std::sync::Arc;
 
 use fawnrouter::{Controller, ListKind, ServerEntry, Time};
-use fawnrouter_bootinfo::Names;
+use fawnrouter_bootinfo::NameIndex;
 use serde_json::{Value, json};
 use translate::Incoming;
 
 /// One gateway hosted here.
 struct Instance {
     controller: Controller,
-    names: Names,
+    names: NameIndex,
 }
 
 /// Everything between two lines.
--- a/crates/fawnrouter-benchlink/src/translate.rs
+++ b/crates/fawnrouter-benchlink/src/translate.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 use fawnrouter::*;
-use fawnrouter_bootinfo::Names;
+use fawnrouter_bootinfo::NameIndex;
 use serde_json::{Value, json};
 
 /// A wire event, as far as the adapter tells them apart.
 pub enum Incoming {
-    Open { seed: u64, settings: Box<Settings>, names: Names },
+    Open { seed: u64, settings: Box<Settings>, names: NameIndex },
     Shutdown,
     List { number: u64, entries: Vec<ServerEntry> },
     Update { kind: ListKind, list: u64 },
@@ -58,7 +58,7 @@
     value.as_u64().or_else(|| value.as_i64().map(|n| n.max(0).unsigned_abs()))
 }
 
-pub fn incoming(item: &Value, names: Option<&Names>) -> Result<Incoming> {
+pub fn incoming(item: &Value, names: Option<&NameIndex>) -> Result<Incoming> {
     let all = item.as_array().ok_or("an event is not an array")?;
     let name = all.first().and_then(Value::as_str).ok_or("an event has no name")?;
     let f = Fields(&all[1..]);
@@ -102,7 +102,7 @@
             outcome: outcome(f.number(4, "stateCode")?)?,
             note: note(whole(f.get(5)).unwrap_or(0)),
             attempt: f.small(6, "shot", AttemptNo)?,
-            report: started()?.report(f.get(7)),
+            report: started()?.report_from_json(f.get(7)),
         },
         "lapsed" => Event::Lapsed(f.call(0)?),
         "timeoutFired" => {
@@ -114,7 +114,7 @@
             ok: f.number(0, "stateCode")? == 0,
             server: f.small(1, "switch", ServerId)?,
             took: Duration::from_nanos(whole(f.get(2)).unwrap_or(0)),
-            report: started()?.report(f.get(3)),
+            report: started()?.report_from_json(f.get(3)),
         },
         "mail" => Event::Mail { from: f.small(0, "neighbour", PeerId)?, text: f.text(1, "raw")?.to_owned() },
         other => return Err(format!("unknown event {other}")),
@@ -122,8 +122,8 @@
     Ok(Incoming::Event(event))
 }
 
-fn new_call(f: &Fields<'_>, names: &Names) -> Result<NewCall> {
-    let class = names.class(f.text(1, "tierClass")?);
+fn new_call(f: &Fields<'_>, names: &NameIndex) -> Result<NewCall> {
+    let class = names.class_id(f.text(1, "tierClass")?);
     let opts = whole(f.get(7)).unwrap_or(0);
     Ok(NewCall {
         id: f.call(0)?,
@@ -131,7 +131,7 @@
         left: f.span(2, "leftNs")?,
         number: f.get(3).as_str().unwrap_or("").into(),
         width: f.get(4).as_f64().unwrap_or(1.0),
-        tenant: f.get(6).as_str().and_then(|t| names.tenant(t)),
+        tenant: f.get(6).as_str().and_then(|t| names.tenant_id(t)),
         redialled: opts & 2 != 0,
         transit: opts & 8 != 0,
         destination: f.small(8, "terminatesAt", Cell)?,
--- a/crates/fawnrouter-bootinfo/src/error.rs
+++ b/crates/fawnrouter-bootinfo/src/error.rs
@@ -14,7 +14,7 @@
     },
     /// A field is of another kind, as text where a number is wanted.
     #[error("{field}: is {found}; it must be {wanted}")]
-    WrongKind {
+    WrongType {
         /// Which.
         field: String,
         /// What is there.
@@ -34,7 +34,7 @@
     },
     /// A field contradicts another one.
     #[error("{field}: is {found}, {with}; {remedy}")]
-    AtOdds {
+    Conflict {
         /// Which.
         field: String,
         /// What is there.
@@ -55,7 +55,7 @@
 
 /// A value as a message shows it: on one line, and not all of a long one.
 #[must_use]
-pub fn shown(value: &Value) -> String {
+pub fn abbreviated(value: &Value) -> String {
     const MOST: usize = 60;
     let text = value.to_string();
     match text.char_indices().nth(MOST) {
--- a/crates/fawnrouter-bootinfo/src/lib.rs
+++ b/crates/fawnrouter-bootinfo/src/lib.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-pub use error::{BootInfoError, shown};
+pub use error::{BootInfoError, abbreviated};
 use fawnrouter::*;
 use read::At;
 use serde_json::Value;
@@ -20,28 +20,28 @@
 
 /// The names that calls of an instance may carry.
 #[derive(Clone, Debug, Default)]
-pub struct Names {
+pub struct NameIndex {
     classes: BTreeMap<String, ClassId>,
     tenants: BTreeMap<String, TenantId>,
     report: Vec<String>,
 }
 
-impl Names {
+impl NameIndex {
     /// The class of this name.
     #[must_use]
-    pub fn class(&self, name: &str) -> Option<ClassId> {
+    pub fn class_id(&self, name: &str) -> Option<ClassId> {
         self.classes.get(name).copied()
     }
 
     /// The tenant of this name.
     #[must_use]
-    pub fn tenant(&self, name: &str) -> Option<TenantId> {
+    pub fn tenant_id(&self, name: &str) -> Option<TenantId> {
         self.tenants.get(name).copied()
     }
 
     /// A load report: pairs of name and value, or the values in the order of the settings' names.
     #[must_use]
-    pub fn report(&self, load: &Value) -> Report {
+    pub fn report_from_json(&self, load: &Value) -> Report {
         let mut report = Report::default();
         match load {
             Value::Object(pairs) => {
@@ -60,7 +60,7 @@
 
 /// A load report as the platform's lines have it: `free:87;size:87`. What is no figure is left out.
 #[must_use]
-pub fn told_report(text: &str) -> Report {
+pub fn parse_report(text: &str) -> Report {
     let mut report = Report::default();
     for (name, value) in text.split(';').filter_map(|pair| pair.split_once(':')) {
         note(&mut report, name, value.parse().ok());
@@ -84,30 +84,30 @@
 
 /// What the settings say of connections and of what a real gateway may hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sockets {
+pub struct ConnectionSettings {
     /// A connection to a core switch that is not up by then has failed.
     pub dial_timeout: Duration,
     /// Connections idle for this long are closed.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Set-ups that one connection to a core switch may carry at once.
-    pub multiplex: usize,
+    pub max_set_ups_per_connection: usize,
     /// Calls without their answer that the gateway may hold.
-    pub max_open: usize,
+    pub max_open_calls: usize,
 }
 
 /// The part of the settings object that concerns sockets.
 ///
 /// # Errors
 /// Names the first setting that is of the wrong kind or out of range.
-pub fn sockets(boot: &Value) -> Result<Sockets> {
+pub fn connection_settings(boot: &Value) -> Result<ConnectionSettings> {
     let limits = At::root(boot).part("policyLimits")?;
     let time = |key| Ok(limits.key(key).span()?.filter(|t| !t.is_zero()).unwrap_or(Duration::MAX));
     let count = |key| Ok(usize::try_from(no_limit(&limits.key(key))?).unwrap_or(usize::MAX));
-    Ok(Sockets {
+    Ok(ConnectionSettings {
         dial_timeout: time("dialTimeoutNs")?,
-        idle: time("connIdleNs")?,
-        multiplex: count("multiplex")?,
-        max_open: count("maxOpen")?,
+        idle_timeout: time("connIdleNs")?,
+        max_set_ups_per_connection: count("multiplex")?,
+        max_open_calls: count("maxOpen")?,
     })
 }
 
@@ -120,7 +120,7 @@
 ///
 /// # Errors
 /// Names the first setting that is missing, of the wrong kind, out of range or at odds with another.
-pub fn settings(boot: &Value) -> Result<(Settings, Names)> {
+pub fn settings(boot: &Value) -> Result<(Settings, NameIndex)> {
     let boot = At::root(boot);
     let (contract, family, limits) =
         (boot.part("contract")?, boot.part("familyInfo")?, boot.part("policyLimits")?);
@@ -136,7 +136,7 @@
     }
     let classes = classes(&boot, &family)?;
     let tenants = tenants(&boot)?;
-    let names = Names {
+    let names = NameIndex {
         classes: classes.iter().enumerate().map(|(place, c)| (c.name.clone(), ClassId(place))).collect(),
         tenants: tenants.iter().enumerate().map(|(place, t)| (t.name.clone(), TenantId(place))).collect(),
         report: report_names(&boot.part("stats")?)?,
--- a/crates/fawnrouter-bootinfo/src/read.rs
+++ b/crates/fawnrouter-bootinfo/src/read.rs
@@ -4,7 +4,7 @@
 
 use serde_json::{Number, Value};
 
-use crate::{BootInfoError, Result, shown};
+use crate::{BootInfoError, Result, abbreviated};
 
 /// A place in the settings object; what is null counts as absent.
 pub struct At<'a> {
@@ -96,12 +96,12 @@
     }
 
     fn read<T>(&self, wanted: &'static str, read: impl Fn(&'a Value) -> Option<T>) -> Result<Option<T>> {
-        let wrong = || BootInfoError::WrongKind { field: self.path.clone(), found: self.found(), wanted };
+        let wrong = || BootInfoError::WrongType { field: self.path.clone(), found: self.found(), wanted };
         self.value.map(|v| read(v).ok_or_else(wrong)).transpose()
     }
 
     fn found(&self) -> String {
-        self.value.map_or_else(|| "missing".to_owned(), shown)
+        self.value.map_or_else(|| "missing".to_owned(), abbreviated)
     }
 
     pub fn missing(&self, wanted: &'static str) -> BootInfoError {
@@ -113,6 +113,6 @@
     }
 
     pub fn at_odds(&self, with: String, remedy: &'static str) -> BootInfoError {
-        BootInfoError::AtOdds { field: self.path.clone(), found: self.found(), with, remedy }
+        BootInfoError::Conflict { field: self.path.clone(), found: self.found(), with, remedy }
     }
 }
--- a/crates/fawnrouter-bootinfo/tests/settings.rs
+++ b/crates/fawnrouter-bootinfo/tests/settings.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use fawnrouter::*;
-use fawnrouter_bootinfo::{BootInfoError, settings, sockets};
+use fawnrouter_bootinfo::{BootInfoError, connection_settings, settings};
 use serde_json::{Value, json};
 
 /// Everything that the users' pages name, with other figures than theirs.
@@ -51,7 +51,7 @@
 fn said(boot: &Value) -> String {
     let error: BootInfoError = match settings(boot) {
         Err(error) => error,
-        Ok(_) => sockets(boot).expect_err("something is wrong"),
+        Ok(_) => connection_settings(boot).expect_err("something is wrong"),
     };
     error.to_string()
 }
@@ -72,9 +72,9 @@
     assert_eq!(pools, [vec![Cell(0), Cell(1)], vec![], vec![Cell(1)]]);
     let quotas: Vec<_> = s.tenants.iter().map(|t| t.quota_per_s).collect();
     assert_eq!(quotas, [Some(12.5), None]);
-    assert_eq!((names.class("payment"), names.tenant("red")), (Some(ClassId(2)), Some(TenantId(1))));
-    assert_eq!((names.class("red"), names.tenant("payment")), (None, None));
-    assert_eq!(names.report(&json!([1, 2, 0.5])).utilisation, Some(0.5));
+    assert_eq!((names.class_id("payment"), names.tenant_id("red")), (Some(ClassId(2)), Some(TenantId(1))));
+    assert_eq!((names.class_id("red"), names.tenant_id("payment")), (None, None));
+    assert_eq!(names.report_from_json(&json!([1, 2, 0.5])).utilisation, Some(0.5));
     let rules = Rules {
         drain_grace: ms(250),
         cold_from: 0.2,
@@ -95,9 +95,9 @@
     };
     assert_eq!(s.limits, limits);
     assert_eq!((s.topology, s.discovery, s.resend), (Topology::Pools, Discovery::Push, None));
-    let sockets = sockets(&full()).unwrap();
-    assert_eq!((sockets.dial_timeout, sockets.idle), (ms(400), ms(30_000)));
-    assert_eq!((sockets.multiplex, sockets.max_open), (50, 5000));
+    let sockets = connection_settings(&full()).unwrap();
+    assert_eq!((sockets.dial_timeout, sockets.idle_timeout), (ms(400), ms(30_000)));
+    assert_eq!((sockets.max_set_ups_per_connection, sockets.max_open_calls), (50, 5000));
     assert_eq!(s.validate(), Ok(()));
 }
 
@@ -119,9 +119,9 @@
         assert_eq!((s.limits.max_attempts, s.limits.cancel, s.limits.retry_after), (u32::MAX, false, false));
         assert_eq!((s.classes[0].effect, s.classes[0].points), (Effect::Safe, 1.0));
         assert_eq!((s.classes[0].pools.as_deref(), s.tenants.len()), (None, 0));
-        let sockets = sockets(&boot).unwrap();
-        assert_eq!((sockets.dial_timeout, sockets.idle), (Duration::MAX, Duration::MAX));
-        assert_eq!((sockets.multiplex, sockets.max_open), (usize::MAX, usize::MAX));
+        let sockets = connection_settings(&boot).unwrap();
+        assert_eq!((sockets.dial_timeout, sockets.idle_timeout), (Duration::MAX, Duration::MAX));
+        assert_eq!((sockets.max_set_ups_per_connection, sockets.max_open_calls), (usize::MAX, usize::MAX));
     }
 }
 
@@ -132,10 +132,10 @@
             json!({"maxAttempts": n, "maxOpen": n, "multiplex": n, "dialTimeoutNs": n, "connIdleNs": n});
         let boot = with(least(), "/policyLimits", limits);
         assert_eq!(settings(&boot).unwrap().0.limits.max_attempts, attempts);
-        let sockets = sockets(&boot).unwrap();
+        let sockets = connection_settings(&boot).unwrap();
         let wanted = if n == 1 { 1 } else { usize::MAX };
-        assert_eq!((sockets.max_open, sockets.multiplex), (wanted, wanted));
-        assert!(sockets.idle == sockets.dial_timeout && !sockets.idle.is_zero());
+        assert_eq!((sockets.max_open_calls, sockets.max_set_ups_per_connection), (wanted, wanted));
+        assert!(sockets.idle_timeout == sockets.dial_timeout && !sockets.idle_timeout.is_zero());
     }
     let long = json!({"drainGraceNs": u64::MAX, "coldNs": u64::MAX, "fallNs": u64::MAX});
     assert!(settings(&with(least(), "/contract", long)).is_ok());
@@ -151,7 +151,7 @@
         boot = with(boot, &format!("{place}/newField"), odd.clone());
     }
     assert_eq!(settings(&boot).unwrap().0, settings(&full()).unwrap().0);
-    assert_eq!(sockets(&boot), sockets(&full()));
+    assert_eq!(connection_settings(&boot), connection_settings(&full()));
 }
 
 #[test]
@@ -263,8 +263,8 @@
     ] {
         let boot = with(full(), place, value);
         assert_eq!(said(&boot), told);
-        let error = settings(&boot).err().or_else(|| sockets(&boot).err());
-        assert!(matches!(error, Some(BootInfoError::WrongKind { .. })), "{error:?}");
+        let error = settings(&boot).err().or_else(|| connection_settings(&boot).err());
+        assert!(matches!(error, Some(BootInfoError::WrongType { .. })), "{error:?}");
     }
 }
 
@@ -351,7 +351,7 @@
     ] {
         let boot = with(full(), place, value);
         assert_eq!(said(&boot), told);
-        let error = settings(&boot).err().or_else(|| sockets(&boot).err());
+        let error = settings(&boot).err().or_else(|| connection_settings(&boot).err());
         assert!(matches!(error, Some(BootInfoError::OutOfRange { .. })), "{error:?}");
     }
 }
@@ -401,7 +401,7 @@
     ] {
         let boot = with(full(), place, value);
         assert_eq!(said(&boot), told);
-        assert!(matches!(settings(&boot), Err(BootInfoError::AtOdds { .. })));
+        assert!(matches!(settings(&boot), Err(BootInfoError::Conflict { .. })));
     }
 }
 
--- a/crates/fawnrouter-node/src/boot.rs
+++ b/crates/fawnrouter-node/src/boot.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use fawnrouter::{Settings, SettingsError};
-use fawnrouter_bootinfo::{BootInfoError, Names, Sockets, shown};
+use fawnrouter_bootinfo::{BootInfoError, ConnectionSettings, NameIndex, abbreviated};
 use serde_json::{Map, Value};
 
 use crate::pool::{Pool, PoolError};
@@ -54,9 +54,9 @@
     /// The decisions' settings.
     pub settings: Settings,
     /// The names that calls carry.
-    pub names: Names,
+    pub names: NameIndex,
     /// What the settings say of connections.
-    pub sockets: Sockets,
+    pub sockets: ConnectionSettings,
 }
 
 struct Fields<'a>(&'a Map<String, Value>);
@@ -69,7 +69,7 @@
         read: impl Fn(&Value) -> Option<T>,
     ) -> Result<T, BootError> {
         let wrong = |field, value: Option<&Value>, wanted| {
-            let found = value.map_or_else(|| "missing".to_owned(), shown);
+            let found = value.map_or_else(|| "missing".to_owned(), abbreviated);
             BootError::Field { field, found, wanted }
         };
         let (map, key) = match field.split_once('.') {
@@ -113,7 +113,7 @@
             known: Pool::known(&known)?,
             settings,
             names,
-            sockets: fawnrouter_bootinfo::sockets(&boot)?,
+            sockets: fawnrouter_bootinfo::connection_settings(&boot)?,
         })
     }
 }
--- a/crates/fawnrouter-node/src/node.rs
+++ b/crates/fawnrouter-node/src/node.rs
@@ -16,7 +16,7 @@
     Action, CallId, Controller, Event, Note, Outcome, Report, ServerId, Settings, SettingsError, Time,
     TimerId,
 };
-use fawnrouter_bootinfo::{Names, Sockets};
+use fawnrouter_bootinfo::{ConnectionSettings, NameIndex};
 use fawnrouter_jsonl::{Message, Tag, Verb};
 use fawnrouter_machine::{Decide, StateMachine, TimerQueue};
 use rand_chacha::ChaCha8Rng;
@@ -73,8 +73,8 @@
 pub struct Node {
     controller: Box<dyn Decide>,
     decisions: Settings,
-    names: Names,
-    sockets: Sockets,
+    names: NameIndex,
+    sockets: ConnectionSettings,
     rng: ChaCha8Rng,
     now: Time,
     calls: Calls,
@@ -140,7 +140,11 @@
             rng: ChaCha8Rng::seed_from_u64(settings.seed ^ 0x6e6f_6465),
             now: Time::default(),
             calls: Calls::default(),
-            links: Links::new(settings.links, settings.sockets.multiplex, settings.sockets.idle),
+            links: Links::new(
+                settings.links,
+                settings.sockets.max_set_ups_per_connection,
+                settings.sockets.idle_timeout,
+            ),
             seats: Seats::new(settings.clients),
             leaving: BTreeMap::new(),
             news: VecDeque::new(),
@@ -149,7 +153,7 @@
             serial: None,
             probes: BTreeMap::new(),
             due: TimerQueue::default(),
-            house: HOUSE.min(settings.sockets.idle.mul_f64(HOUSE_SHARE)).max(LOOK_AGAIN),
+            house: HOUSE.min(settings.sockets.idle_timeout.mul_f64(HOUSE_SHARE)).max(LOOK_AGAIN),
             events: VecDeque::new(),
             stopping: None,
             wound_up: None,
--- a/crates/fawnrouter-node/src/node/callers.rs
+++ b/crates/fawnrouter-node/src/node/callers.rs
@@ -251,7 +251,7 @@
         };
         // An id that was just used and given up: the guard holds for it, whoever calls.
         let barred = self.calls.ended.get(tag).and_then(|e| e.barred).is_some_and(|until| self.now < until);
-        if barred || self.is_over() || self.calls.open.len() >= self.sockets.max_open {
+        if barred || self.is_over() || self.calls.open.len() >= self.sockets.max_open_calls {
             self.counters.refused += 1;
             let refusal = self.congested(tag);
             return self.tell_client(client, &refusal);
--- a/crates/fawnrouter-node/src/node/interface.rs
+++ b/crates/fawnrouter-node/src/node/interface.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use fawnrouter::Settings;
-use fawnrouter_bootinfo::{Names, Sockets};
+use fawnrouter_bootinfo::{ConnectionSettings, NameIndex};
 use fawnrouter_dns::Answer;
 use fawnrouter_jsonl::{Fault, Message, Tag};
 
@@ -20,9 +20,9 @@
     /// The decisions' settings.
     pub decisions: Settings,
     /// The names that calls carry.
-    pub names: Names,
+    pub names: NameIndex,
     /// What the settings say of connections.
-    pub sockets: Sockets,
+    pub sockets: ConnectionSettings,
     /// Clients' connections at the most.
     pub clients: usize,
     /// Connections to core switches at the most.
--- a/crates/fawnrouter-node/src/node/trunk.rs
+++ b/crates/fawnrouter-node/src/node/trunk.rs
@@ -128,7 +128,7 @@
         };
         self.sign(server, sign);
         // Free circuits and the like come by themselves, or with an answer.
-        let report = message.opts.get("load").and_then(|l| l.text()).map(fawnrouter_bootinfo::told_report);
+        let report = message.opts.get("load").and_then(|l| l.text()).map(fawnrouter_bootinfo::parse_report);
         let here = self
             .calls
             .open
--- a/crates/fawnrouter-node/src/request.rs
+++ b/crates/fawnrouter-node/src/request.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use fawnrouter::{CallId, Cell, NewCall, Settings};
-use fawnrouter_bootinfo::Names;
+use fawnrouter_bootinfo::NameIndex;
 use fawnrouter_jsonl::{Message, Tag};
 
 /// Causes of ITU-T Q.850 that this gateway gives.
@@ -42,7 +42,7 @@
 ///
 /// # Errors
 /// The cause to release it with.
-pub(crate) fn read(message: &Message, settings: &Settings, names: &Names) -> Result<Request, i64> {
+pub(crate) fn read(message: &Message, settings: &Settings, names: &NameIndex) -> Result<Request, i64> {
     let option = |name: &str| message.opts.get(name);
     let extras = option("extras").map_or(Some(""), |v| v.text()).ok_or(cause::INVALID)?;
     let mut figures = std::collections::BTreeMap::new();
@@ -54,7 +54,7 @@
         return Ok(Request::Standing((*at).to_owned()));
     }
     let name = option("class").ok_or(cause::MISSING)?.text().ok_or(cause::INVALID)?;
-    let class = names.class(name).ok_or(cause::INVALID)?;
+    let class = names.class_id(name).ok_or(cause::INVALID)?;
     let left =
         option("left").ok_or(cause::MISSING)?.whole().map(Duration::from_millis).ok_or(cause::INVALID)?;
     // A try is a part of the time that its class may take in all.
@@ -71,7 +71,7 @@
     let whole = |x: &f64| x.is_finite() && x.fract() == 0.0;
     let destination = figure("dest", 0.0).filter(|d| whole(d) && (0.0..=f64::from(u32::MAX)).contains(d));
     let _via = figure("via", -1.0).filter(|v| whole(v) && *v >= -1.0).ok_or(cause::INVALID)?;
-    let tenant = option("tenant").and_then(|t| t.text()).and_then(|t| names.tenant(t));
+    let tenant = option("tenant").and_then(|t| t.text()).and_then(|t| names.tenant_id(t));
     Ok(Request::New(NewCall {
         id: CallId(message.tag.0),
         class: Some(class),
