--- a/crates/fawnrouter-capacity/src/platform.rs
+++ b/crates/fawnrouter-capacity/src/platform.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 
-use fawnrouter_dns::Type;
+use fawnrouter_dns::RecordType;
 use serde_json::{Value, json};
 
 /// Length of a message's header (RFC 1035 §4.1.1), which the first question follows.
@@ -121,7 +121,7 @@
         self.bytes.extend(&text[..usize::from(length)]);
     }
 
-    fn record(&mut self, owner: &str, kind: Type, data: impl FnOnce(&mut Self)) {
+    fn record(&mut self, owner: &str, kind: RecordType, data: impl FnOnce(&mut Self)) {
         self.name(owner);
         self.u16(kind as u16);
         self.u16(CLASS_IN);
@@ -136,7 +136,7 @@
 
     fn srv(&mut self, owner: &str, row: &SwitchRow) {
         let priority = if row.draining { PRIORITY_DRAINING } else { PRIORITY_READY };
-        self.record(owner, Type::Srv, |writer| {
+        self.record(owner, RecordType::Srv, |writer| {
             writer.u16(priority);
             writer.u16(SRV_WEIGHT);
             writer.u16(row.address.port());
@@ -145,7 +145,7 @@
     }
 
     fn soa(&mut self, serial: u32) {
-        self.record("cluster.lan", Type::Soa, |writer| {
+        self.record("cluster.lan", RecordType::Soa, |writer| {
             writer.name("ns.cluster.lan");
             writer.name("admin.cluster.lan");
             writer.bytes.extend(serial.to_be_bytes());
@@ -159,10 +159,12 @@
             SocketAddr::V4(address) => *address.ip(),
             SocketAddr::V6(_) => Ipv4Addr::UNSPECIFIED,
         };
-        self.record(&host, Type::A, |writer| writer.bytes.extend(address.octets()));
+        self.record(&host, RecordType::A, |writer| writer.bytes.extend(address.octets()));
         let texts =
             ["kind=std".to_owned(), format!("cell={}", row.cell), format!("started={}", row.started_unix_ms)];
-        self.record(&host, Type::Txt, |writer| texts.iter().for_each(|text| writer.text(text.as_bytes())));
+        self.record(&host, RecordType::Txt, |writer| {
+            texts.iter().for_each(|text| writer.text(text.as_bytes()))
+        });
     }
 }
 
--- a/crates/fawnrouter-capacity/tests/hollow.rs
+++ b/crates/fawnrouter-capacity/tests/hollow.rs
@@ -11,7 +11,7 @@
     Fault, FaultPlan, PlannedCall, TrafficPlan, answer_of_switch, release_of_switch,
 };
 use fawnrouter_capacity::platform::{GatewayPlace, SwitchRow, gateway_configuration, list_answer};
-use fawnrouter_dns::{Name, Type, query, read_answer};
+use fawnrouter_dns::{Name, RecordType, query, read_response};
 use fawnrouter_jsonl::{Message, Tag, Verb};
 use fawnrouter_node::fawnrouter::ServerState;
 use fawnrouter_node::{Boot, LIST_NAME, Pool};
@@ -35,7 +35,7 @@
 
 fn question(id: u16) -> (Name, Vec<u8>) {
     let name: Name = LIST_NAME.parse().unwrap();
-    let question = query(id, &name, Type::Srv);
+    let question = query(id, &name, RecordType::Srv);
     (name, question)
 }
 
@@ -93,7 +93,7 @@
         let rows: Vec<SwitchRow> = (0..count).map(row).collect();
         let (name, question) = question(0x1234);
         let datagram = list_answer(&question, 77, &rows);
-        let answer = read_answer(&datagram, 0x1234, &name, Type::Srv).unwrap();
+        let answer = read_response(&datagram, 0x1234, &name, RecordType::Srv).unwrap();
         let pool = Pool::answer(&answer).unwrap();
         assert_eq!(pool.serial, 77);
         assert_eq!(pool.listed.len(), rows.len());
@@ -151,7 +151,7 @@
     assert_eq!((boot.seed, boot.descriptors), (place.seed, 512));
     assert_eq!((boot.settings.gateways, boot.settings.me.0), (26, 25));
     let (name, question) = question(1);
-    let answer = read_answer(&list_answer(&question, 9, &rows), 1, &name, Type::Srv).unwrap();
+    let answer = read_response(&list_answer(&question, 9, &rows), 1, &name, RecordType::Srv).unwrap();
     assert_eq!(boot.known, Pool::answer(&answer).unwrap(), "the file and the name server tell the same");
 }
 
--- a/crates/fawnrouter-dns/src/lib.rs
+++ b/crates/fawnrouter-dns/src/lib.rs
@@ -8,12 +8,12 @@
 mod read;
 
 pub use name::{Name, NameError};
-pub use read::{Answer, Data, MAX_MESSAGE, ReadError, Record, read_answer};
+pub use read::{MAX_MESSAGE_BYTES, Record, RecordData, Response, ResponseError, read_response};
 
 /// The types of record that are read (RFC 1035 §3.2.2, RFC 2782).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u16)]
-pub enum Type {
+pub enum RecordType {
     /// An address.
     A = 1,
     /// The start of authority, which carries the serial.
@@ -29,7 +29,7 @@
 
 /// Writes a query for one name (RFC 1035 §4.1.1, §4.1.2): opcode 0, no recursion wanted, one question.
 #[must_use]
-pub fn query(id: u16, name: &Name, kind: Type) -> Vec<u8> {
+pub fn query(id: u16, name: &Name, kind: RecordType) -> Vec<u8> {
     let mut out = Vec::with_capacity(64);
     out.extend(id.to_be_bytes());
     out.extend([0, 0, 0, 1, 0, 0, 0, 0, 0, 0]);
--- a/crates/fawnrouter-dns/src/name.rs
+++ b/crates/fawnrouter-dns/src/name.rs
@@ -12,19 +12,19 @@
 pub enum NameError {
     /// A label is empty or longer than 63 bytes.
     #[error("a label of a name is empty or longer than {MAX_LABEL} bytes")]
-    Label,
+    InvalidLabel,
     /// The name is longer than 255 bytes.
     #[error("a name is longer than {MAX_NAME} bytes")]
     TooLong,
     /// It runs over the message's end.
     #[error("a name runs over the end of the message")]
-    Cut,
+    UnexpectedEnd,
     /// A pointer does not point back.
     #[error("a pointer in a name does not point back")]
-    Pointer,
+    InvalidPointer,
     /// A label is not printable ASCII.
     #[error("a label of a name holds bytes that are not printable ASCII")]
-    Bytes,
+    NotPrintableAscii,
 }
 
 /// A name, label by label. Upper case is taken for lower case (RFC 1035 §2.3.3).
@@ -52,11 +52,12 @@
     pub(crate) fn read(message: &[u8], at: usize) -> Result<(Self, usize), NameError> {
         let (mut labels, mut length, mut after, mut at, mut before) = (Vec::new(), 1, None, at, at);
         loop {
-            let head = *message.get(at).ok_or(NameError::Cut)?;
+            let head = *message.get(at).ok_or(NameError::UnexpectedEnd)?;
             match head {
                 0 => return Ok((Self(labels), after.unwrap_or(at + 1))),
                 1..=63 => {
-                    let bytes = message.get(at + 1..at + 1 + usize::from(head)).ok_or(NameError::Cut)?;
+                    let bytes =
+                        message.get(at + 1..at + 1 + usize::from(head)).ok_or(NameError::UnexpectedEnd)?;
                     length += 1 + bytes.len();
                     if length > MAX_NAME {
                         return Err(NameError::TooLong);
@@ -65,18 +66,18 @@
                     at += 1 + bytes.len();
                 }
                 0xc0.. => {
-                    let low = *message.get(at + 1).ok_or(NameError::Cut)?;
+                    let low = *message.get(at + 1).ok_or(NameError::UnexpectedEnd)?;
                     let target = usize::from(u16::from_be_bytes([head & 0x3f, low]));
                     // Each pointer must point before the place where the part that holds it began, so that a ring
                     // of pointers comes to an end.
                     if target >= before {
-                        return Err(NameError::Pointer);
+                        return Err(NameError::InvalidPointer);
                     }
                     after = after.or(Some(at + 2));
                     (at, before) = (target, target);
                 }
                 // 0x40 and 0x80 are reserved (RFC 1035 §4.1.4).
-                _ => return Err(NameError::Label),
+                _ => return Err(NameError::InvalidLabel),
             }
         }
     }
@@ -84,7 +85,7 @@
 
 fn label(bytes: &[u8]) -> Result<String, NameError> {
     if !bytes.iter().all(u8::is_ascii_graphic) {
-        return Err(NameError::Bytes);
+        return Err(NameError::NotPrintableAscii);
     }
     Ok(bytes.iter().map(|b| char::from(b.to_ascii_lowercase())).collect())
 }
@@ -95,7 +96,11 @@
     fn from_str(text: &str) -> Result<Self, NameError> {
         let text = text.strip_suffix('.').unwrap_or(text);
         let labels = text.split('.').map(|l| {
-            if (1..=MAX_LABEL).contains(&l.len()) { label(l.as_bytes()) } else { Err(NameError::Label) }
+            if (1..=MAX_LABEL).contains(&l.len()) {
+                label(l.as_bytes())
+            } else {
+                Err(NameError::InvalidLabel)
+            }
         });
         let labels = labels.collect::<Result<Vec<_>, _>>()?;
         if labels.iter().map(|l| l.len() + 1).sum::<usize>() >= MAX_NAME {
--- a/crates/fawnrouter-dns/tests/messages.rs
+++ b/crates/fawnrouter-dns/tests/messages.rs
@@ -1,6 +1,6 @@
 //! Queries and answers, good, cut, and hostile.
 
-use fawnrouter_dns::{Data, Name, NameError, ReadError, Type, query, read_answer};
+use fawnrouter_dns::{Name, NameError, RecordData, RecordType, ResponseError, query, read_response};
 use proptest::prelude::*;
 
 fn name(text: &str) -> Name {
@@ -24,13 +24,13 @@
     m
 }
 
-fn read(message: &[u8]) -> Result<fawnrouter_dns::Answer, ReadError> {
-    read_answer(message, 0x1234, &name("_app._tcp.cluster.lan"), Type::Srv)
+fn read(message: &[u8]) -> Result<fawnrouter_dns::Response, ResponseError> {
+    read_response(message, 0x1234, &name("_app._tcp.cluster.lan"), RecordType::Srv)
 }
 
 #[test]
 fn a_query_is_written_as_the_rfc_draws_it() {
-    let bytes = query(0xbeef, &name("a.bc"), Type::Srv);
+    let bytes = query(0xbeef, &name("a.bc"), RecordType::Srv);
     assert_eq!(bytes, b"\xbe\xef\0\0\0\x01\0\0\0\0\0\0\x01a\x02bc\0\0\x21\0\x01");
 }
 
@@ -38,12 +38,12 @@
 fn srv_address_text_and_serial_are_read_through_compressed_names() {
     let answer = read(&good()).unwrap();
     let target = name("s1.east.lan");
-    let srv = Data::Srv { priority: 0, weight: 40, port: 5060, target: target.clone() };
+    let srv = RecordData::Srv { priority: 0, weight: 40, port: 5060, target: target.clone() };
     assert_eq!(answer.answers[0].data, srv);
-    assert_eq!(answer.authority[0].data, Data::Soa { serial: 41 });
+    assert_eq!(answer.authority[0].data, RecordData::Soa { serial: 41 });
     assert_eq!(answer.additional[0].name, target);
-    assert_eq!(answer.additional[0].data, Data::A([10, 1, 0, 9].into()));
-    assert_eq!(answer.additional[1].data, Data::Txt(vec![b"kind=std".to_vec(), b"cell=2".to_vec()]));
+    assert_eq!(answer.additional[0].data, RecordData::A([10, 1, 0, 9].into()));
+    assert_eq!(answer.additional[1].data, RecordData::Txt(vec![b"kind=std".to_vec(), b"cell=2".to_vec()]));
 }
 
 #[test]
@@ -52,7 +52,7 @@
     for cut in 0..message.len() {
         assert!(read(&message[..cut]).is_err(), "cut at {cut}");
     }
-    assert_eq!(read(&[message, vec![0]].concat()), Err(ReadError::TooLong));
+    assert_eq!(read(&[message, vec![0]].concat()), Err(ResponseError::TrailingBytes));
 }
 
 #[test]
@@ -62,11 +62,11 @@
         message[at] = to;
         read(&message)
     };
-    assert_eq!(changed(1, 0x35), Err(ReadError::OtherId));
-    assert_eq!(changed(2, 0x04), Err(ReadError::NoAnswer));
-    assert_eq!(changed(2, 0x86), Err(ReadError::Truncated));
-    assert_eq!(changed(3, 0x02), Err(ReadError::Failed(2)));
-    assert_eq!(changed(13, b'x'), Err(ReadError::OtherQuestion));
+    assert_eq!(changed(1, 0x35), Err(ResponseError::IdMismatch));
+    assert_eq!(changed(2, 0x04), Err(ResponseError::NotAResponse));
+    assert_eq!(changed(2, 0x86), Err(ResponseError::Truncated));
+    assert_eq!(changed(3, 0x02), Err(ResponseError::ResponseCode(2)));
+    assert_eq!(changed(13, b'x'), Err(ResponseError::QuestionMismatch));
     assert!(changed(13, b'_').is_ok());
 }
 
@@ -74,18 +74,18 @@
 fn pointers_in_a_ring_or_forward_are_refused() {
     let head = |name: &[u8]| [&[0x12, 0x34, 0x80, 0, 0, 1, 0, 0, 0, 0, 0, 0], name].concat();
     for ring in [b"\xc0\x0c".as_slice(), b"\x01a\xc0\x0c", b"\xc0\x0e\xc0\x0c", b"\xc0\xff"] {
-        assert_eq!(read(&head(ring)), Err(ReadError::Name(NameError::Pointer)), "{ring:?}");
+        assert_eq!(read(&head(ring)), Err(ResponseError::Name(NameError::InvalidPointer)), "{ring:?}");
     }
-    assert_eq!(read(&head(b"\x40a")), Err(ReadError::Name(NameError::Label)));
+    assert_eq!(read(&head(b"\x40a")), Err(ResponseError::Name(NameError::InvalidLabel)));
 }
 
 #[test]
 fn names_out_of_bounds_are_refused() {
-    assert_eq!("".parse::<Name>(), Err(NameError::Label));
-    assert_eq!("a..b".parse::<Name>(), Err(NameError::Label));
-    assert_eq!("x".repeat(64).parse::<Name>(), Err(NameError::Label));
+    assert_eq!("".parse::<Name>(), Err(NameError::InvalidLabel));
+    assert_eq!("a..b".parse::<Name>(), Err(NameError::InvalidLabel));
+    assert_eq!("x".repeat(64).parse::<Name>(), Err(NameError::InvalidLabel));
     assert_eq!(["x".repeat(63).as_str(); 4].join(".").parse::<Name>(), Err(NameError::TooLong));
-    assert_eq!("a b".parse::<Name>(), Err(NameError::Bytes));
+    assert_eq!("a b".parse::<Name>(), Err(NameError::NotPrintableAscii));
     assert_eq!(name("A.lan."), name("a.lan"));
 }
 
@@ -108,9 +108,9 @@
     #[test]
     fn a_name_is_written_and_read_back(labels in prop::collection::vec("[a-z0-9_-]{1,20}", 1..8)) {
         let name = name(&labels.join("."));
-        let message = query(0x1234, &name, Type::Srv);
+        let message = query(0x1234, &name, RecordType::Srv);
         let mut answer = message.clone();
         answer[2] = 0x80;
-        prop_assert_eq!(read_answer(&answer, 0x1234, &name, Type::Srv), Ok(Default::default()));
+        prop_assert_eq!(read_response(&answer, 0x1234, &name, RecordType::Srv), Ok(Default::default()));
     }
 }
--- a/crates/fawnrouter-node/src/ask.rs
+++ b/crates/fawnrouter-node/src/ask.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use fawnrouter::Time;
-use fawnrouter_dns::{Answer, Name, ReadError, Type, query, read_answer};
+use fawnrouter_dns::{Name, RecordType, Response, ResponseError, query, read_response};
 
 use crate::pool::LIST_NAME;
 
@@ -25,7 +25,7 @@
     NotAsked,
     /// It cannot be read or relied on.
     #[error(transparent)]
-    Read(#[from] ReadError),
+    Read(#[from] ResponseError),
 }
 
 /// A question to be sent.
@@ -65,7 +65,7 @@
         if self.open.len() > OUTSTANDING {
             self.open.pop_front();
         }
-        Asked { datagram: query(id, &self.name, Type::Srv), next: now.plus(PACE) }
+        Asked { datagram: query(id, &self.name, RecordType::Srv), next: now.plus(PACE) }
     }
 
     /// Reads a datagram of the name server's. A question whose answer is useless stays open: the good one may come
@@ -73,10 +73,10 @@
     ///
     /// # Errors
     /// Says why it is not used.
-    pub fn answer(&mut self, datagram: &[u8]) -> Result<Answer, AskError> {
+    pub fn answer(&mut self, datagram: &[u8]) -> Result<Response, AskError> {
         let id = datagram.get(..2).and_then(|b| b.try_into().ok()).map(u16::from_be_bytes);
         let id = id.filter(|id| self.open.contains(id)).ok_or(AskError::NotAsked)?;
-        let answer = read_answer(datagram, id, &self.name, Type::Srv)?;
+        let answer = read_response(datagram, id, &self.name, RecordType::Srv)?;
         self.open.retain(|open| *open != id);
         Ok(answer)
     }
@@ -98,7 +98,7 @@
         let now = Time::from_nanos(0);
         let asked: Vec<Vec<u8>> = (1..=5).map(|id| ask.ask(now, id).datagram).collect();
         assert_eq!(ask.answer(&reply(&asked[0], 0)), Err(AskError::NotAsked), "too old");
-        assert_eq!(ask.answer(&reply(&asked[1], 2)), Err(AskError::Read(ReadError::Failed(2))));
+        assert_eq!(ask.answer(&reply(&asked[1], 2)), Err(AskError::Read(ResponseError::ResponseCode(2))));
         assert!(ask.answer(&reply(&asked[1], 0)).is_ok());
         assert_eq!(ask.answer(&reply(&asked[1], 0)), Err(AskError::NotAsked), "a second copy");
         assert!(ask.answer(&reply(&asked[4], 0)).is_ok());
--- a/crates/fawnrouter-node/src/node/interface.rs
+++ b/crates/fawnrouter-node/src/node/interface.rs
@@ -5,7 +5,7 @@
 
 use fawnrouter::Settings;
 use fawnrouter_bootinfo::{ConnectionSettings, NameIndex};
-use fawnrouter_dns::Answer;
+use fawnrouter_dns::Response;
 use fawnrouter_jsonl::{Fault, Message, Tag};
 
 use crate::boot::Boot;
@@ -148,7 +148,7 @@
         tag: Tag,
     },
     /// The name server answered.
-    Answer(Answer),
+    Answer(Response),
     /// A new configuration holds this list.
     Known(Pool),
     /// The gateway is to end.
--- a/crates/fawnrouter-node/src/pool.rs
+++ b/crates/fawnrouter-node/src/pool.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use fawnrouter::{Cell, ServerEntry, ServerId, ServerState, Time};
-use fawnrouter_dns::{Answer, Data, Name};
+use fawnrouter_dns::{Name, RecordData, Response};
 use serde_json::Value;
 
 /// The name whose SRV records are the list.
@@ -136,9 +136,9 @@
     ///
     /// # Errors
     /// Names the first record that is missing or makes no sense.
-    pub fn answer(answer: &Answer) -> Result<Self, PoolError> {
+    pub fn answer(answer: &Response) -> Result<Self, PoolError> {
         let serial = answer.authority.iter().find_map(|r| match r.data {
-            Data::Soa { serial } => Some(serial),
+            RecordData::Soa { serial } => Some(serial),
             _ => None,
         });
         let mut pool = Self { serial: serial.ok_or(PoolError::NoSerial)?, ..Self::default() };
@@ -146,13 +146,13 @@
             (BTreeMap::<&Name, Ipv4Addr>::new(), BTreeMap::<&Name, &[Vec<u8>]>::new());
         for record in answer.answers.iter().chain(&answer.additional) {
             match &record.data {
-                Data::A(address) => drop(hosts.insert(&record.name, *address)),
-                Data::Txt(parts) => drop(texts.insert(&record.name, parts)),
+                RecordData::A(address) => drop(hosts.insert(&record.name, *address)),
+                RecordData::Txt(parts) => drop(texts.insert(&record.name, parts)),
                 _ => {}
             }
         }
         for record in &answer.answers {
-            let Data::Srv { priority, port, target, .. } = &record.data else { continue };
+            let RecordData::Srv { priority, port, target, .. } = &record.data else { continue };
             let wrong = |why| PoolError::Record(target.to_string(), why);
             let [id, zone, ..] = target.labels() else { return Err(wrong("the target names no zone")) };
             let host = hosts.get(target).ok_or_else(|| wrong("no A record"))?;
