--- a/crates/fawnrouter-capacity/src/hollow/recording.rs
+++ b/crates/fawnrouter-capacity/src/hollow/recording.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use fawnrouter_jsonl::{Decoder, Fault, Message, Tag};
+use fawnrouter_jsonl::{DecodeError, Decoder, Message, Tag};
 use fawnrouter_node::fawnrouter::Time;
 use fawnrouter_node::{Ask, Boot, ClientId, Input, LinkEnd, LinkId, Node, NodeSettings, Output};
 
@@ -242,7 +242,7 @@
     meter: Meter,
     decoder: &mut Decoder,
     line: &[u8],
-) -> (Option<Result<Message, Fault>>, Flow) {
+) -> (Option<Result<Message, DecodeError>>, Flow) {
     let (read, cost) = meter.measure(|| {
         decoder.push(line);
         decoder.next_message()
--- a/crates/fawnrouter-capacity/src/hollow/world/callers.rs
+++ b/crates/fawnrouter-capacity/src/hollow/world/callers.rs
@@ -79,7 +79,7 @@
 
     fn write_from_caller(&mut self, gateway: usize, client: ClientId, message: &Message) {
         let mut line = Vec::new();
-        message.write(&mut line);
+        message.encode(&mut line);
         let to = self.run_of(gateway);
         let event = Event::ClientLine { to, client, tag: message.tag.0, line };
         self.queue.put(self.now + CALLER_DELAY, event);
@@ -162,7 +162,7 @@
         }
         self.outcome.calls.unanswered += 1;
         self.callers.calls.remove(&tag);
-        let given_up = Message::new(Verb::Finish, Tag(tag)).cause(CAUSE_CLEARING);
+        let given_up = Message::new(Verb::Finish, Tag(tag)).with_cause(CAUSE_CLEARING);
         self.write_from_caller(call.gateway, call.client, &given_up);
     }
 
--- a/crates/fawnrouter-capacity/src/hollow/world/gateways.rs
+++ b/crates/fawnrouter-capacity/src/hollow/world/gateways.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use fawnrouter_jsonl::{Decoder, Fault, Message};
+use fawnrouter_jsonl::{DecodeError, Decoder, Message};
 use fawnrouter_node::{Ask, ClientId, Input, LinkEnd, LinkId, Output};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -166,7 +166,7 @@
         gateway: usize,
         line: &[u8],
         decoder: impl FnOnce(&mut Process) -> Option<&mut Decoder>,
-    ) -> Option<Result<Message, Fault>> {
+    ) -> Option<Result<Message, DecodeError>> {
         let process = self.gateways[gateway].process.as_mut()?;
         let decoder = decoder(process)?;
         let (read, cost) = read(self.meter, decoder, line);
--- a/crates/fawnrouter-capacity/src/hollow/world/switches.rs
+++ b/crates/fawnrouter-capacity/src/hollow/world/switches.rs
@@ -154,7 +154,7 @@
         let Some(record) = self.connections.get(&connection).filter(|r| r.open_at_switch) else { return };
         let (gateway, switch) = (record.gateway.gateway, record.switch);
         let mut line = Vec::new();
-        message.write(&mut line);
+        message.encode(&mut line);
         let cause = cause_of(message.verb);
         self.note_switch(switch, cause, Flow::sent(line.len()));
         let (from, to) = (self.switches[switch].place, self.gateways[gateway].place);
--- a/crates/fawnrouter-capacity/src/plan.rs
+++ b/crates/fawnrouter-capacity/src/plan.rs
@@ -92,36 +92,36 @@
     pub fn set_up(&self, cells: u32) -> Message {
         let cell = self.tag % u64::from(cells.max(1));
         Message::new(Verb::Start, Tag(self.tag))
-            .option("class", CLASS_NAME)
-            .option("left", CALLER_WAIT.as_millis())
-            .option("key", format_args!("{:016x}", self.tag.rotate_left(32)))
-            .option("extras", format_args!("dest:{cell};width:1;via:-1"))
-            .description(OFFER.to_owned())
+            .with_option("class", CLASS_NAME)
+            .with_option("left", CALLER_WAIT.as_millis())
+            .with_option("key", format_args!("{:016x}", self.tag.rotate_left(32)))
+            .with_option("extras", format_args!("dest:{cell};width:1;via:-1"))
+            .with_description(OFFER.to_owned())
     }
 }
 
 /// The answer that a core switch gives to a set-up.
 #[must_use]
 pub fn answer_of_switch(tag: u64) -> Message {
-    Message::new(Verb::Started, Tag(tag)).description(ANSWER.to_owned())
+    Message::new(Verb::Started, Tag(tag)).with_description(ANSWER.to_owned())
 }
 
 /// The release that a core switch sends when a call has come to its end.
 #[must_use]
 pub fn release_of_switch(tag: u64) -> Message {
-    Message::new(Verb::Finish, Tag(tag)).cause(CAUSE_CLEARING)
+    Message::new(Verb::Finish, Tag(tag)).with_cause(CAUSE_CLEARING)
 }
 
 /// The answer that a core switch gives to a test.
 #[must_use]
 pub fn passed_test(tag: u64) -> Message {
-    Message::new(Verb::Echoed, Tag(tag)).cause(CAUSE_TEST_PASSED)
+    Message::new(Verb::Echoed, Tag(tag)).with_cause(CAUSE_TEST_PASSED)
 }
 
 /// What a caller says of a call that stands at a core switch already, to a gateway that may not know it.
 #[must_use]
 pub fn told_standing(tag: u64, switch: &str) -> Message {
-    Message::new(Verb::Start, Tag(tag)).option("extras", format_args!("at:{switch}"))
+    Message::new(Verb::Start, Tag(tag)).with_option("extras", format_args!("at:{switch}"))
 }
 
 /// Something that breaks or comes back.
--- a/crates/fawnrouter-capacity/src/process/callers.rs
+++ b/crates/fawnrouter-capacity/src/process/callers.rs
@@ -126,7 +126,7 @@
     fn set_up(&mut self, call: &PlannedCall, place: usize) -> Result<(), ProcessError> {
         let message = call.set_up(self.cells);
         let mut line = Vec::new();
-        message.write(&mut line);
+        message.encode(&mut line);
         self.traffic.update(|traffic| traffic.said.add(message.verb, line.len()));
         if let Some(stamps) = &self.stamps {
             stamps.stamp(call.tag, Moment::CallerWrites);
@@ -150,7 +150,7 @@
     let mut stream = TcpStream::connect(address)?;
     stream.set_nodelay(true)?;
     let mut test = Vec::new();
-    Message::new(Verb::Echo, Tag(0)).cause(0).write(&mut test);
+    Message::new(Verb::Echo, Tag(0)).with_cause(0).encode(&mut test);
     stream.write_all(&test)?;
     Ok(stream)
 }
--- a/crates/fawnrouter-capacity/src/process/event_loop.rs
+++ b/crates/fawnrouter-capacity/src/process/event_loop.rs
@@ -220,7 +220,7 @@
             return;
         }
         self.line.clear();
-        message.write(&mut self.line);
+        message.encode(&mut self.line);
         self.party.writes(message, self.line.len());
         // One that has ended is found as it is read.
         let _ = connection.stream.write_all(&self.line);
--- a/crates/fawnrouter-capacity/src/process/lines.rs
+++ b/crates/fawnrouter-capacity/src/process/lines.rs
@@ -1,6 +1,6 @@
 //! Lines as the stand-ins see them on their sockets, and counts of them.
 
-use fawnrouter_jsonl::{Decoder, Fault, Message};
+use fawnrouter_jsonl::{DecodeError, Decoder, Message};
 
 use crate::hollow::{ByVerb, Volume};
 
@@ -20,7 +20,7 @@
     ///
     /// # Errors
     /// Where a line is no message. Nothing after it can be read.
-    pub fn push(&mut self, bytes: &[u8], mut take: impl FnMut(Message, usize)) -> Result<(), Fault> {
+    pub fn push(&mut self, bytes: &[u8], mut take: impl FnMut(Message, usize)) -> Result<(), DecodeError> {
         for piece in bytes.split_inclusive(|byte| *byte == b'\n') {
             self.decoder.push(piece);
             self.length += piece.len();
--- a/crates/fawnrouter-capacity/tests/hollow.rs
+++ b/crates/fawnrouter-capacity/tests/hollow.rs
@@ -41,7 +41,7 @@
 
 fn bytes_of(message: &Message) -> u64 {
     let mut line = Vec::new();
-    message.write(&mut line);
+    message.encode(&mut line);
     line.len() as u64
 }
 
@@ -265,7 +265,7 @@
 
 /// Bytes of tests that gateways sent.
 fn tests(outcome: &Outcome) -> u64 {
-    let test = Message::new(Verb::Echo, Tag(1)).cause(0);
+    let test = Message::new(Verb::Echo, Tag(1)).with_cause(0);
     outcome.to_switches.messages(Verb::Echo) * bytes_of(&test)
 }
 
@@ -581,7 +581,7 @@
 fn one_planned_call_reads_as_the_platforms_page_has_it() {
     let call = PlannedCall { at: Duration::ZERO, gateway: 0, tag: 0x9b1f_03aa_5c7e_2d41 };
     let mut line = Vec::new();
-    call.set_up(26).write(&mut line);
+    call.set_up(26).encode(&mut line);
     let value: serde_json::Value = serde_json::from_slice(&line).unwrap();
     assert_eq!(value["verb"], "START");
     assert_eq!(value["tag"], "9b1f03aa5c7e2d41");
--- a/crates/fawnrouter-jsonl/src/decode.rs
+++ b/crates/fawnrouter-jsonl/src/decode.rs
@@ -5,7 +5,7 @@
 use crate::message::{Message, Tag};
 
 /// The longest line, line feed included: "no message exceeds 16 KiB".
-pub const MAX_LINE: usize = 16 * 1024;
+pub const MAX_LINE_BYTES: usize = 16 * 1024;
 
 /// The most options of a message: several times what any message of the page has.
 const MAX_OPTIONS: usize = 64;
@@ -13,13 +13,13 @@
 /// Why a line is no message. Nothing after it on the connection can be trusted.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
-pub enum Fault {
+pub enum DecodeError {
     /// No end of the line within the limit.
-    #[error("a line is longer than {MAX_LINE} bytes")]
+    #[error("a line is longer than {MAX_LINE_BYTES} bytes")]
     TooLong,
     /// The line is not JSON, or not of a message's form.
     #[error("a line is no message: {reason}")]
-    Unreadable {
+    Malformed {
         /// What the parser says of it.
         reason: String,
         /// The call that it names all the same.
@@ -30,13 +30,13 @@
     TooManyOptions(Tag),
 }
 
-impl Fault {
+impl DecodeError {
     /// The call that the faulty line names, where it is JSON with a good tag.
     #[must_use]
     pub fn tag(&self) -> Option<Tag> {
         match self {
             Self::TooLong => None,
-            Self::Unreadable { tag, .. } => *tag,
+            Self::Malformed { tag, .. } => *tag,
             Self::TooManyOptions(tag) => Some(*tag),
         }
     }
@@ -77,7 +77,7 @@
 
     /// Bytes of a line that is not complete.
     #[must_use]
-    pub fn held(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.bytes.len() - self.start
     }
 
@@ -85,7 +85,7 @@
     ///
     /// # Errors
     /// The line is no message. The decoder then gives nothing more.
-    pub fn next_message(&mut self) -> Result<Option<Message>, Fault> {
+    pub fn next_message(&mut self) -> Result<Option<Message>, DecodeError> {
         loop {
             if self.broken {
                 return Ok(None);
@@ -93,10 +93,10 @@
             let found = self.bytes[self.searched..].iter().position(|b| *b == b'\n');
             let Some(end) = found.map(|at| self.searched + at) else {
                 self.searched = self.bytes.len();
-                if self.held() >= MAX_LINE {
-                    return Err(self.fail(Fault::TooLong));
+                if self.buffered_bytes() >= MAX_LINE_BYTES {
+                    return Err(self.fail(DecodeError::TooLong));
                 }
-                if self.held() == 0 {
+                if self.buffered_bytes() == 0 {
                     // A connection that was busy once does not keep its memory.
                     *self = Self::default();
                 }
@@ -104,8 +104,8 @@
             };
             let line = self.start..end;
             (self.start, self.searched) = (end + 1, end + 1);
-            if line.len() >= MAX_LINE {
-                return Err(self.fail(Fault::TooLong));
+            if line.len() >= MAX_LINE_BYTES {
+                return Err(self.fail(DecodeError::TooLong));
             }
             let line = &self.bytes[line];
             if line.iter().all(u8::is_ascii_whitespace) {
@@ -113,18 +113,18 @@
             }
             return match serde_json::from_slice::<Message>(line) {
                 Ok(message) if message.opts.len() > MAX_OPTIONS => {
-                    Err(self.fail(Fault::TooManyOptions(message.tag)))
+                    Err(self.fail(DecodeError::TooManyOptions(message.tag)))
                 }
                 Ok(message) => Ok(Some(message)),
                 Err(error) => {
                     let tag = serde_json::from_slice::<OnlyTag>(line).ok().map(|l| l.tag);
-                    Err(self.fail(Fault::Unreadable { reason: error.to_string(), tag }))
+                    Err(self.fail(DecodeError::Malformed { reason: error.to_string(), tag }))
                 }
             };
         }
     }
 
-    fn fail(&mut self, fault: Fault) -> Fault {
+    fn fail(&mut self, fault: DecodeError) -> DecodeError {
         *self = Self { broken: true, ..Self::default() };
         fault
     }
--- a/crates/fawnrouter-jsonl/src/lib.rs
+++ b/crates/fawnrouter-jsonl/src/lib.rs
@@ -8,5 +8,5 @@
 mod decode;
 mod message;
 
-pub use decode::{Decoder, Fault, MAX_LINE};
-pub use message::{Message, Option_, Options, Tag, Verb};
+pub use decode::{DecodeError, Decoder, MAX_LINE_BYTES};
+pub use message::{Message, OptionValue, Options, Tag, Verb};
--- a/crates/fawnrouter-jsonl/src/message.rs
+++ b/crates/fawnrouter-jsonl/src/message.rs
@@ -67,17 +67,17 @@
 /// The value of an option: text or a number.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
-pub enum Option_ {
+pub enum OptionValue {
     /// Text.
     Text(String),
     /// A number.
     Number(serde_json::Number),
 }
 
-impl Option_ {
+impl OptionValue {
     /// As a whole number that is not negative, however it is spelled.
     #[must_use]
-    pub fn whole(&self) -> Option<u64> {
+    pub fn as_u64(&self) -> Option<u64> {
         match self {
             Self::Text(text) => text.parse().ok(),
             Self::Number(number) => number.as_u64(),
@@ -86,7 +86,7 @@
 
     /// As text.
     #[must_use]
-    pub fn text(&self) -> Option<&str> {
+    pub fn as_str(&self) -> Option<&str> {
         match self {
             Self::Text(text) => Some(text),
             Self::Number(_) => None,
@@ -95,7 +95,7 @@
 }
 
 /// The options of a message by name.
-pub type Options = BTreeMap<String, Option_>;
+pub type Options = BTreeMap<String, OptionValue>;
 
 /// One message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -124,27 +124,27 @@
 
     /// With this cause.
     #[must_use]
-    pub fn cause(mut self, rc: i64) -> Self {
+    pub fn with_cause(mut self, rc: i64) -> Self {
         self.rc = Some(rc);
         self
     }
 
     /// With this option, as text.
     #[must_use]
-    pub fn option(mut self, name: &str, value: impl fmt::Display) -> Self {
-        self.opts.insert(name.to_owned(), Option_::Text(value.to_string()));
+    pub fn with_option(mut self, name: &str, value: impl fmt::Display) -> Self {
+        self.opts.insert(name.to_owned(), OptionValue::Text(value.to_string()));
         self
     }
 
     /// With this description.
     #[must_use]
-    pub fn description(mut self, blob: String) -> Self {
+    pub fn with_description(mut self, blob: String) -> Self {
         self.blob = Some(blob);
         self
     }
 
     /// Appends the message as a line.
-    pub fn write(&self, out: &mut Vec<u8>) {
+    pub fn encode(&self, out: &mut Vec<u8>) {
         let start = out.len();
         // Text, numbers and maps with text for keys can always be written.
         if serde_json::to_writer(&mut *out, self).is_err() {
--- a/crates/fawnrouter-jsonl/tests/lines.rs
+++ b/crates/fawnrouter-jsonl/tests/lines.rs
@@ -1,12 +1,12 @@
 //! The codec on good, cut and broken lines.
 
-use fawnrouter_jsonl::{Decoder, Fault, MAX_LINE, Message, Tag, Verb};
+use fawnrouter_jsonl::{DecodeError, Decoder, MAX_LINE_BYTES, Message, Tag, Verb};
 use proptest::prelude::*;
 
 const START: &str = r#"{"verb":"START","tag":"9b1f03aa5c7e2d41","opts":{"class":"voice","left":"1500"},"blob":"9d41\r\nc=IN IP4 10.4.7.9\r\n"}"#;
 const REFUSED: &str = r#"{"verb":"FINISH","tag":"9b1f03aa5c7e2d41","opts":{},"rc":34}"#;
 
-fn all(bytes: &[u8]) -> Result<Vec<Message>, Fault> {
+fn all(bytes: &[u8]) -> Result<Vec<Message>, DecodeError> {
     let mut decoder = Decoder::new();
     decoder.push(bytes);
     let mut messages = Vec::new();
@@ -19,10 +19,10 @@
 #[test]
 fn the_pages_examples_are_read_and_written_back_to_the_byte() {
     let messages = all(format!("{START}\n{REFUSED}\n").as_bytes()).unwrap();
-    assert_eq!(messages[0].opts["left"].whole(), Some(1500));
+    assert_eq!(messages[0].opts["left"].as_u64(), Some(1500));
     assert_eq!((messages[1].verb, messages[1].rc), (Verb::Finish, Some(34)));
     let mut written = Vec::new();
-    messages.iter().for_each(|m| m.write(&mut written));
+    messages.iter().for_each(|m| m.encode(&mut written));
     assert_eq!(String::from_utf8(written).unwrap(), format!("{START}\n{REFUSED}\n"));
 }
 
@@ -40,7 +40,7 @@
             }
         }
         assert_eq!(messages, whole, "cut at {cut}");
-        assert_eq!(decoder.held(), 0);
+        assert_eq!(decoder.buffered_bytes(), 0);
     }
 }
 
@@ -51,9 +51,9 @@
         let blob = "x".repeat(pad);
         format!("{{\"verb\":\"START\",\"tag\":\"9b1f03aa5c7e2d41\",\"blob\":\"{blob}\"}}\n")
     };
-    assert_eq!(all(line(MAX_LINE - frame).as_bytes()).unwrap().len(), 1);
-    assert_eq!(all(line(MAX_LINE - frame + 1).as_bytes()), Err(Fault::TooLong));
-    assert_eq!(all(&vec![b'x'; MAX_LINE]), Err(Fault::TooLong));
+    assert_eq!(all(line(MAX_LINE_BYTES - frame).as_bytes()).unwrap().len(), 1);
+    assert_eq!(all(line(MAX_LINE_BYTES - frame + 1).as_bytes()), Err(DecodeError::TooLong));
+    assert_eq!(all(&vec![b'x'; MAX_LINE_BYTES]), Err(DecodeError::TooLong));
 }
 
 #[test]
@@ -64,11 +64,11 @@
     let fault = decoder.next_message().unwrap_err();
     assert_eq!(fault.tag(), Some(Tag(0x9b1f_03aa_5c7e_2d41)));
     decoder.push(b"more\n");
-    assert_eq!((decoder.next_message(), decoder.held()), (Ok(None), 0), "nothing is kept after it");
+    assert_eq!((decoder.next_message(), decoder.buffered_bytes()), (Ok(None), 0), "nothing is kept after it");
     for line in ["{}", "[]", "nonsense", "{\"verb\":\"START\",\"tag\":\"9B1F03AA5C7E2D41\"}", "\u{fffd}", "1"]
     {
         assert!(
-            matches!(all(format!("{line}\n").as_bytes()), Err(Fault::Unreadable { tag: None, .. })),
+            matches!(all(format!("{line}\n").as_bytes()), Err(DecodeError::Malformed { tag: None, .. })),
             "{line}"
         );
     }
@@ -78,7 +78,7 @@
 fn figures_are_read_as_text_or_number_and_nothing_else_passes_for_one() {
     let read = |value: &str| {
         let line = format!("{{\"verb\":\"ECHO\",\"tag\":\"0000000000000001\",\"opts\":{{\"n\":{value}}}}}\n");
-        all(line.as_bytes()).map(|m| m[0].opts["n"].whole())
+        all(line.as_bytes()).map(|m| m[0].opts["n"].as_u64())
     };
     assert_eq!((read("7"), read("\"7\"")), (Ok(Some(7)), Ok(Some(7))));
     for odd in ["-1", "1.5", "\"1e3\"", "\"\"", "99999999999999999999999"] {
@@ -94,7 +94,7 @@
         for part in parts {
             decoder.push(&part);
             while let Ok(Some(_)) = decoder.next_message() {}
-            prop_assert!(decoder.held() < MAX_LINE);
+            prop_assert!(decoder.buffered_bytes() < MAX_LINE_BYTES);
         }
     }
 
@@ -105,7 +105,7 @@
         if let Ok(messages) = all(&bytes) {
             for message in messages {
                 let mut again = Vec::new();
-                message.write(&mut again);
+                message.encode(&mut again);
                 if message.verb != Verb::Other {
                     prop_assert_eq!(all(&again).unwrap(), vec![message]);
                 }
@@ -116,9 +116,9 @@
     #[test]
     fn what_is_written_is_read_back(tag in any::<u64>(), blob in ".*", value in ".*", rc in any::<i64>()) {
         prop_assume!(blob.len() + value.len() < 2000);
-        let message = Message::new(Verb::Finish, Tag(tag)).cause(rc).option("wait", value).description(blob);
+        let message = Message::new(Verb::Finish, Tag(tag)).with_cause(rc).with_option("wait", value).with_description(blob);
         let mut bytes = Vec::new();
-        message.write(&mut bytes);
+        message.encode(&mut bytes);
         prop_assert_eq!(all(&bytes).unwrap(), vec![message]);
     }
 }
--- a/crates/fawnrouter-node/src/node.rs
+++ b/crates/fawnrouter-node/src/node.rs
@@ -283,15 +283,18 @@
                 }
             }
             Action::Refuse { call, retry_after } => {
-                let finish = Message::new(Verb::Finish, request::tag(call)).cause(cause::NO_CIRCUIT);
+                let finish = Message::new(Verb::Finish, request::tag(call)).with_cause(cause::NO_CIRCUIT);
                 let wait = retry_after.as_millis();
                 self.counters.refused += 1;
-                self.answer(request::tag(call), if wait > 0 { finish.option("wait", wait) } else { finish });
+                self.answer(
+                    request::tag(call),
+                    if wait > 0 { finish.with_option("wait", wait) } else { finish },
+                );
             }
             Action::Fail(call) => {
                 self.counters.failed += 1;
                 let finish = Message::new(Verb::Finish, request::tag(call));
-                self.answer(request::tag(call), finish.cause(cause::TEMPORARY_FAILURE));
+                self.answer(request::tag(call), finish.with_cause(cause::TEMPORARY_FAILURE));
             }
             Action::SetTimer { after, timer } => self.due.set(Key::Module(timer), self.now.plus(after)),
             Action::Probe(server) => {
@@ -326,7 +329,7 @@
                     // The decisions end each call before this; only a process that stood still comes here.
                     self.counters.failed += 1;
                     self.events.push_back(Event::Lapsed(CallId(tag.0)));
-                    self.answer(tag, Message::new(Verb::Finish, tag).cause(cause::TEMPORARY_FAILURE));
+                    self.answer(tag, Message::new(Verb::Finish, tag).with_cause(cause::TEMPORARY_FAILURE));
                 } else {
                     self.lapse(tag);
                 }
--- a/crates/fawnrouter-node/src/node/attempts.rs
+++ b/crates/fawnrouter-node/src/node/attempts.rs
@@ -39,10 +39,10 @@
         attempt.sent = Some((link, now));
         let left = attempt.until.since(now).as_millis().max(1);
         let start = Message::new(Verb::Start, tag)
-            .option("class", &open.class)
-            .option("key", &open.key)
-            .option("left", left)
-            .description(open.blob.clone());
+            .with_option("class", &open.class)
+            .with_option("key", &open.key)
+            .with_option("left", left)
+            .with_description(open.blob.clone());
         let (server, until, client) = (attempt.server, attempt.until, open.client);
         self.due.set(Key::Attempt(tag), until);
         self.links.forgive(server, tag);
@@ -62,7 +62,7 @@
             Some((link, _)) => {
                 if let Some(l) = self.links.links.get_mut(&link) {
                     l.spend(self.now, tag, false, true);
-                    let line = written(&Message::new(Verb::Finish, tag).cause(cause::CLEARING));
+                    let line = written(&Message::new(Verb::Finish, tag).with_cause(cause::CLEARING));
                     self.out.push(Output::GiveUp { link, tag, line });
                 } else {
                     self.release(attempt.server, tag, cause::CLEARING);
@@ -123,7 +123,7 @@
     /// Releases a call at a core switch, now or on the next connection.
     pub(super) fn release(&mut self, server: ServerId, tag: Tag, rc: i64) {
         match self.links.for_release(server) {
-            Some(link) => self.tell_switch(link, &Message::new(Verb::Finish, tag).cause(rc)),
+            Some(link) => self.tell_switch(link, &Message::new(Verb::Finish, tag).with_cause(rc)),
             None => {
                 self.links.owe(server, tag, rc);
                 self.tend(server);
@@ -138,6 +138,6 @@
 
 pub(super) fn written(message: &Message) -> Vec<u8> {
     let mut line = Vec::with_capacity(256);
-    message.write(&mut line);
+    message.encode(&mut line);
     line
 }
--- a/crates/fawnrouter-node/src/node/callers.rs
+++ b/crates/fawnrouter-node/src/node/callers.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use fawnrouter::{CallId, Event, Note, Outcome};
-use fawnrouter_jsonl::{Fault, Message, Tag, Verb};
+use fawnrouter_jsonl::{DecodeError, Message, Tag, Verb};
 
 use super::attempts::written;
 use super::{Key, LAST_CALL, LOOK_AGAIN, MAX_NEWS, Node, Output, TEST_FAILED, TEST_PASSED};
@@ -79,7 +79,7 @@
     /// An error without a call, and the end.
     pub(super) fn goodbye(&mut self, client: ClientId, tag: Option<Tag>, rc: i64, why: &str) {
         let line = match tag {
-            Some(tag) => written(&Message::new(Verb::Finish, tag).cause(rc).option("error", why)),
+            Some(tag) => written(&Message::new(Verb::Finish, tag).with_cause(rc).with_option("error", why)),
             None => nameless(rc, why),
         };
         self.out.push(Output::ToClient { client, line });
@@ -118,7 +118,7 @@
         }
     }
 
-    pub(super) fn client_fault(&mut self, client: ClientId, fault: &Fault) {
+    pub(super) fn client_fault(&mut self, client: ClientId, fault: &DecodeError) {
         if !self.seats.is_in(client) {
             return;
         }
@@ -168,7 +168,7 @@
             Verb::Echo => {
                 // A gateway that ends fails the test, so that the front turns to others.
                 let rc = if self.stopping.is_none() { TEST_PASSED } else { TEST_FAILED };
-                self.tell_client(client, &Message::new(Verb::Echoed, tag).cause(rc));
+                self.tell_client(client, &Message::new(Verb::Echoed, tag).with_cause(rc));
             }
             Verb::Pending | Verb::Finished | Verb::Echoed | Verb::Load => {}
             Verb::Started | Verb::Other => {
@@ -195,11 +195,13 @@
                         let refusal = self.congested(message.tag);
                         self.tell_client(client, &refusal);
                     }
-                    Err(rc) => self.tell_client(client, &Message::new(Verb::Finish, message.tag).cause(rc)),
+                    Err(rc) => {
+                        self.tell_client(client, &Message::new(Verb::Finish, message.tag).with_cause(rc))
+                    }
                 }
             }
             Verb::Echo => {
-                self.tell_client(client, &Message::new(Verb::Echoed, message.tag).cause(TEST_FAILED));
+                self.tell_client(client, &Message::new(Verb::Echoed, message.tag).with_cause(TEST_FAILED));
             }
             _ => {}
         }
@@ -223,15 +225,15 @@
 
     /// "Refused" of the gateway itself, with a time to come back where callers heed one.
     fn congested(&self, tag: Tag) -> Message {
-        let refusal = Message::new(Verb::Finish, tag).cause(cause::CONGESTION);
+        let refusal = Message::new(Verb::Finish, tag).with_cause(cause::CONGESTION);
         let wait = self.decisions.limits.max_retry_after.as_millis();
         let told = self.decisions.limits.retry_after && wait > 0;
-        if told { refusal.option("wait", wait) } else { refusal }
+        if told { refusal.with_option("wait", wait) } else { refusal }
     }
 
     pub(super) fn start(&mut self, client: ClientId, message: Message) {
         let tag = message.tag;
-        let wrong = |rc| Message::new(Verb::Finish, tag).cause(rc);
+        let wrong = |rc| Message::new(Verb::Finish, tag).with_cause(rc);
         let read = request::read(&message, &self.decisions, &self.names);
         if let Ok(Request::Standing(at)) = &read {
             return self.told_standing(client, tag, at);
@@ -259,7 +261,8 @@
         self.counters.taken += 1;
         let deadline = self.now.plus(new.left);
         self.due.set(Key::Call(tag), deadline.minus(LAST_CALL.min(new.left / 4)));
-        let text = |name: &str| message.opts.get(name).and_then(|v| v.text()).unwrap_or_default().to_owned();
+        let text =
+            |name: &str| message.opts.get(name).and_then(|v| v.as_str()).unwrap_or_default().to_owned();
         let (class, key) = (text("class"), text("key"));
         let blob = message.blob.unwrap_or_default();
         self.calls.insert(tag, Open { client, deadline, class, key, blob, attempts: 0, out: None });
@@ -290,7 +293,7 @@
             // It is over already, or its core switch is.
             (_, released) => {
                 let rc = released.unwrap_or(cause::TEMPORARY_FAILURE);
-                self.tell_client(client, &Message::new(Verb::Finish, tag).cause(rc));
+                self.tell_client(client, &Message::new(Verb::Finish, tag).with_cause(rc));
             }
         }
     }
@@ -313,7 +316,7 @@
             self.tell_client(client, &Message::new(Verb::Finished, tag));
         } else {
             self.counters.invalid += 1;
-            self.tell_client(client, &Message::new(Verb::Finish, tag).cause(cause::INVALID_REFERENCE));
+            self.tell_client(client, &Message::new(Verb::Finish, tag).with_cause(cause::INVALID_REFERENCE));
         }
     }
 
@@ -326,7 +329,7 @@
 
     /// Tells the caller of a standing call that it is over; where its connection is gone, on another, or on the next.
     pub(super) fn tell_caller(&mut self, client: Option<ClientId>, tag: Tag, rc: i64) {
-        let line = written(&Message::new(Verb::Finish, tag).cause(rc));
+        let line = written(&Message::new(Verb::Finish, tag).with_cause(rc));
         match client.filter(|client| self.seats.is_in(*client)).or_else(|| self.seats.instead()) {
             Some(client) => self.out.push(Output::Tell { client, tag, line }),
             None => {
--- a/crates/fawnrouter-node/src/node/interface.rs
+++ b/crates/fawnrouter-node/src/node/interface.rs
@@ -6,7 +6,7 @@
 use fawnrouter::Settings;
 use fawnrouter_bootinfo::{ConnectionSettings, NameIndex};
 use fawnrouter_dns::Response;
-use fawnrouter_jsonl::{Fault, Message, Tag};
+use fawnrouter_jsonl::{DecodeError, Message, Tag};
 
 use crate::boot::Boot;
 use crate::links::LinkId;
@@ -107,7 +107,7 @@
         /// Which.
         client: ClientId,
         /// What is wrong.
-        fault: Fault,
+        fault: DecodeError,
     },
     /// A client's connection ended.
     ClientDown {
@@ -131,7 +131,7 @@
         /// On which connection.
         link: LinkId,
         /// What is wrong.
-        fault: Fault,
+        fault: DecodeError,
     },
     /// A connection to a core switch ended or did not come up.
     LinkDown {
--- a/crates/fawnrouter-node/src/node/standing.rs
+++ b/crates/fawnrouter-node/src/node/standing.rs
@@ -61,7 +61,7 @@
             return self.lapse(tag);
         }
         if self.calls.standing.len() >= MAX_STANDING {
-            return self.answer(tag, Message::new(Verb::Finish, tag).cause(cause::CONGESTION));
+            return self.answer(tag, Message::new(Verb::Finish, tag).with_cause(cause::CONGESTION));
         }
         let Some(open) = self.drop_open(tag) else { return };
         if let Some((link, written)) = attempt.sent {
@@ -79,7 +79,7 @@
         let standing =
             Standing { client: open.client, server: attempt.server, attempt: Some(attempt.no), since: now };
         self.calls.stand(tag, standing);
-        let (client, line) = (open.client, written(&Message::new(Verb::Started, tag).description(blob)));
+        let (client, line) = (open.client, written(&Message::new(Verb::Started, tag).with_description(blob)));
         if self.seats.is_in(client) {
             self.out.push(Output::Tell { client, tag, line });
         }
--- a/crates/fawnrouter-node/src/node/trunk.rs
+++ b/crates/fawnrouter-node/src/node/trunk.rs
@@ -49,7 +49,7 @@
         let Some(server) = self.links.up(self.now, link) else { return };
         self.sign(server, Sign::Connected);
         for (tag, rc) in self.links.owed(server) {
-            self.tell_switch(link, &Message::new(Verb::Finish, tag).cause(rc));
+            self.tell_switch(link, &Message::new(Verb::Finish, tag).with_cause(rc));
         }
         for tag in self.links.take_waiting(server) {
             // What is over by now ends in this turn, and is not sent before.
@@ -128,7 +128,7 @@
         };
         self.sign(server, sign);
         // Free circuits and the like come by themselves, or with an answer.
-        let report = message.opts.get("load").and_then(|l| l.text()).map(fawnrouter_bootinfo::parse_report);
+        let report = message.opts.get("load").and_then(|l| l.as_str()).map(fawnrouter_bootinfo::parse_report);
         let here = self
             .calls
             .open
@@ -146,7 +146,7 @@
             Verb::Finish => {
                 let Some(rc) = message.rc else { return self.link_fault(link, "a release without a cause") };
                 if here.is_some() {
-                    let note = match message.opts.get("note").and_then(|n| n.text()) {
+                    let note = match message.opts.get("note").and_then(|n| n.as_str()) {
                         Some("group_full") => Note::NoCircuit,
                         Some("processor_full") => Note::ProcessorFull(None),
                         Some("user_busy") => Note::NumberBusy,
@@ -192,7 +192,7 @@
     fn late_answer(&mut self, link: LinkId, server: ServerId, tag: Tag) {
         let stands = self.calls.standing.get(&tag).is_some_and(|s| s.server == server);
         if !stands && self.links.links.get_mut(&link).is_some_and(|l| l.release_late(tag)) {
-            self.tell_switch(link, &Message::new(Verb::Finish, tag).cause(cause::CLEARING));
+            self.tell_switch(link, &Message::new(Verb::Finish, tag).with_cause(cause::CLEARING));
         }
     }
 
@@ -209,7 +209,7 @@
         self.probes.retain(|_, (_, sent, _)| now.since(*sent) < PROBE_MEMORY);
         let tag = Tag(self.rng.next_u64());
         self.probes.insert(tag, (server, now, asked));
-        self.tell_switch(link, &Message::new(Verb::Echo, tag).cause(0));
+        self.tell_switch(link, &Message::new(Verb::Echo, tag).with_cause(0));
         true
     }
 }
--- a/crates/fawnrouter-node/src/request.rs
+++ b/crates/fawnrouter-node/src/request.rs
@@ -44,7 +44,7 @@
 /// The cause to release it with.
 pub(crate) fn read(message: &Message, settings: &Settings, names: &NameIndex) -> Result<Request, i64> {
     let option = |name: &str| message.opts.get(name);
-    let extras = option("extras").map_or(Some(""), |v| v.text()).ok_or(cause::INVALID)?;
+    let extras = option("extras").map_or(Some(""), |v| v.as_str()).ok_or(cause::INVALID)?;
     let mut figures = std::collections::BTreeMap::new();
     for pair in extras.split(';').filter(|p| !p.is_empty()) {
         let (name, value) = pair.split_once(':').ok_or(cause::INVALID)?;
@@ -53,15 +53,15 @@
     if let Some(at) = figures.get("at") {
         return Ok(Request::Standing((*at).to_owned()));
     }
-    let name = option("class").ok_or(cause::MISSING)?.text().ok_or(cause::INVALID)?;
+    let name = option("class").ok_or(cause::MISSING)?.as_str().ok_or(cause::INVALID)?;
     let class = names.class_id(name).ok_or(cause::INVALID)?;
     let left =
-        option("left").ok_or(cause::MISSING)?.whole().map(Duration::from_millis).ok_or(cause::INVALID)?;
+        option("left").ok_or(cause::MISSING)?.as_u64().map(Duration::from_millis).ok_or(cause::INVALID)?;
     // A try is a part of the time that its class may take in all.
     if left.is_zero() || left > settings.classes[class.0].deadline {
         return Err(cause::INVALID);
     }
-    let key = option("key").ok_or(cause::MISSING)?.text().ok_or(cause::INVALID)?;
+    let key = option("key").ok_or(cause::MISSING)?.as_str().ok_or(cause::INVALID)?;
     if key.is_empty() || key.len() > MAX_KEY || message.blob.as_ref().is_none_or(String::is_empty) {
         return Err(cause::MISSING);
     }
@@ -71,7 +71,7 @@
     let whole = |x: &f64| x.is_finite() && x.fract() == 0.0;
     let destination = figure("dest", 0.0).filter(|d| whole(d) && (0.0..=f64::from(u32::MAX)).contains(d));
     let _via = figure("via", -1.0).filter(|v| whole(v) && *v >= -1.0).ok_or(cause::INVALID)?;
-    let tenant = option("tenant").and_then(|t| t.text()).and_then(|t| names.tenant_id(t));
+    let tenant = option("tenant").and_then(|t| t.as_str()).and_then(|t| names.tenant_id(t));
     Ok(Request::New(NewCall {
         id: CallId(message.tag.0),
         class: Some(class),
@@ -79,7 +79,7 @@
         number: key.into(),
         width,
         tenant,
-        redialled: option("retry").is_some_and(|v| v.text() == Some("1") || v.whole() == Some(1)),
+        redialled: option("retry").is_some_and(|v| v.as_str() == Some("1") || v.as_u64() == Some(1)),
         transit: false,
         destination: Cell(destination.ok_or(cause::INVALID)? as u32),
     }))
--- a/crates/fawnrouter-node/tests/calls.rs
+++ b/crates/fawnrouter-node/tests/calls.rs
@@ -15,8 +15,8 @@
     let link = rig.standing(client, 7);
     let (_, _, sent) = rig.to_links().into_iter().find(|(_, _, m)| m.verb == Verb::Start).unwrap();
     assert_eq!(sent.blob.as_deref(), Some("offer 7"));
-    assert_eq!((sent.opts["class"].text(), sent.opts["key"].text()), (Some("voice"), Some("7f3a")));
-    assert!(sent.opts["left"].whole().is_some_and(|left| left > 1000 && left <= 3000));
+    assert_eq!((sent.opts["class"].as_str(), sent.opts["key"].as_str()), (Some("voice"), Some("7f3a")));
+    assert!(sent.opts["left"].as_u64().is_some_and(|left| left > 1000 && left <= 3000));
     assert_eq!(rig.to_clients()[0].2.blob.as_deref(), Some("answer 7"));
     rig.finish(link, 7, 16);
     assert_eq!(rig.told(7), [(Verb::Started, None), (Verb::Finish, Some(16))]);
@@ -498,7 +498,7 @@
         rig.call(client, tag, 8000);
     }
     let (_, _, last) = rig.to_clients().into_iter().find(|(_, _, m)| m.tag.0 == 1001).unwrap();
-    assert_eq!((last.rc, last.opts["wait"].whole()), (Some(42), Some(2000)));
+    assert_eq!((last.rc, last.opts["wait"].as_u64()), (Some(42), Some(2000)));
     assert_eq!(rig.node.held()[0], 1000);
 }
 
--- a/crates/fawnrouter-node/tests/common/mod.rs
+++ b/crates/fawnrouter-node/tests/common/mod.rs
@@ -273,7 +273,7 @@
     }
 }
 
-pub fn parse(line: &[u8]) -> Result<Message, fawnrouter_node::jsonl::Fault> {
+pub fn parse(line: &[u8]) -> Result<Message, fawnrouter_node::jsonl::DecodeError> {
     let mut decoder = Decoder::new();
     decoder.push(line);
     if !line.ends_with(b"\n") {
--- a/crates/fawnrouterd/src/node/reader.rs
+++ b/crates/fawnrouterd/src/node/reader.rs
@@ -4,7 +4,7 @@
 use std::io::{ErrorKind, Read};
 use std::net::TcpStream;
 
-use fawnrouter_node::jsonl::{Decoder, Fault, Message};
+use fawnrouter_node::jsonl::{DecodeError, Decoder, Message};
 use fawnrouter_node::{Intake, Next};
 
 /// Bytes of one connection that are read before any of them is handed on: five hundred set-ups and what gives them up.
@@ -34,7 +34,7 @@
     /// The client's end, or a reset.
     ended: bool,
     end_told: bool,
-    fault: Option<Fault>,
+    fault: Option<DecodeError>,
     fault_told: bool,
     /// Something was read since the node last heard whether part of a line lies there, and whether one did then.
     read: bool,
@@ -111,7 +111,7 @@
     }
 
     /// Once all messages have been handed on: a fault, told once.
-    pub fn fault(&mut self) -> Option<Fault> {
+    pub fn fault(&mut self) -> Option<DecodeError> {
         if std::mem::replace(&mut self.fault_told, self.fault.is_some()) { None } else { self.fault.clone() }
     }
 
@@ -121,7 +121,7 @@
 
     /// Once all messages have been handed on: whether part of a line lies there, if that is news.
     pub fn half(&mut self) -> Option<bool> {
-        let lies = self.decoder.held() > 0;
+        let lies = self.decoder.buffered_bytes() > 0;
         let before = std::mem::replace(&mut self.half, lies);
         let news = std::mem::take(&mut self.read) && !self.ended && self.fault.is_none();
         (news && (lies || before)).then_some(lies)
