--- a/crates/fawnrouter-capacity/src/hollow/recording.rs
+++ b/crates/fawnrouter-capacity/src/hollow/recording.rs
@@ -42,10 +42,10 @@
     /// An input that is told in one piece; the others are lines, answers and configurations.
     pub fn of(input: &Input) -> Option<Self> {
         Some(match input {
-            Input::ClientUp { client } => Self::ClientUp(*client),
-            Input::ClientReadOut { client } => Self::ClientReadOut(*client),
-            Input::ClientDown { client } => Self::ClientDown(*client),
-            Input::Unheard { tag } => Self::Unheard(*tag),
+            Input::ClientConnected { client } => Self::ClientUp(*client),
+            Input::ClientFullyRead { client } => Self::ClientReadOut(*client),
+            Input::ClientDisconnected { client } => Self::ClientDown(*client),
+            Input::NotDelivered { tag } => Self::Unheard(*tag),
             Input::LinkUp { link } => Self::LinkUp(*link),
             Input::LinkDown { link, end } => Self::LinkDown(*link, *end),
             Input::Stop => Self::Stop,
@@ -104,10 +104,10 @@
 fn written(outputs: &[Output]) -> u64 {
     let length = |output: &Output| match output {
         Output::ToClient { line, .. }
-        | Output::Tell { line, .. }
+        | Output::NotifyCaller { line, .. }
         | Output::ToLink { line, .. }
         | Output::SetUp { line, .. }
-        | Output::GiveUp { line, .. } => line.len() as u64,
+        | Output::CancelSetUp { line, .. } => line.len() as u64,
         _ => 0,
     };
     outputs.iter().map(length).sum()
@@ -150,7 +150,7 @@
                     Ok(message) => {
                         (cause_of(message.verb), Input::ClientMessage { client: *client, message })
                     }
-                    Err(fault) => (Cause::Calls, Input::ClientFault { client: *client, fault }),
+                    Err(fault) => (Cause::Calls, Input::ClientDecodeError { client: *client, fault }),
                 });
                 self.line(*at, *second, cost, input);
             }
@@ -159,21 +159,21 @@
                 let (read, cost) = read(self.meter, decoder, line);
                 let input = read.map(|read| match read {
                     Ok(message) => (cause_of(message.verb), Input::LinkMessage { link: *link, message }),
-                    Err(fault) => (Cause::Calls, Input::LinkFault { link: *link, fault }),
+                    Err(fault) => (Cause::Calls, Input::LinkDecodeError { link: *link, fault }),
                 });
                 self.line(*at, *second, cost, input);
             }
             Step::ClientUp(client) => {
-                self.feed(*at, *second, Cause::Connections, Input::ClientUp { client: *client });
+                self.feed(*at, *second, Cause::Connections, Input::ClientConnected { client: *client });
             }
             Step::ClientReadOut(client) => {
-                self.feed(*at, *second, Cause::Connections, Input::ClientReadOut { client: *client });
+                self.feed(*at, *second, Cause::Connections, Input::ClientFullyRead { client: *client });
             }
             Step::ClientDown(client) => {
-                self.feed(*at, *second, Cause::Connections, Input::ClientDown { client: *client });
+                self.feed(*at, *second, Cause::Connections, Input::ClientDisconnected { client: *client });
                 self.clients.remove(client);
             }
-            Step::Unheard(tag) => self.feed(*at, *second, Cause::Calls, Input::Unheard { tag: *tag }),
+            Step::Unheard(tag) => self.feed(*at, *second, Cause::Calls, Input::NotDelivered { tag: *tag }),
             Step::LinkUp(link) => self.feed(*at, *second, Cause::Connections, Input::LinkUp { link: *link }),
             Step::LinkDown(link, end) => {
                 self.links.remove(link);
@@ -199,7 +199,7 @@
         let (read, cost) = self.meter.measure(|| ask.answer(datagram));
         self.note(second, Cause::List, cost);
         if let Ok(list) = read {
-            self.feed(at, second, Cause::List, Input::Answer(list));
+            self.feed(at, second, Cause::List, Input::ListResponse(list));
         }
     }
 
@@ -234,7 +234,7 @@
 pub(crate) fn build(text: &str) -> Result<(Node, Input), HollowError> {
     let boot = Boot::read(text.as_bytes())?;
     let node = Node::new(NodeSettings::new(&boot))?;
-    Ok((node, Input::Known(boot.known)))
+    Ok((node, Input::ConfiguredList(boot.known)))
 }
 
 /// Reads a line by the decoder of its connection.
--- a/crates/fawnrouter-capacity/src/hollow/world/callers.rs
+++ b/crates/fawnrouter-capacity/src/hollow/world/callers.rs
@@ -89,7 +89,7 @@
         let Some(process) = self.running(to) else { return };
         process.clients.insert(client, Decoder::new());
         self.note_gateway(to.gateway, Cause::Connections, Flow::connected());
-        self.feed(to.gateway, Cause::Connections, Input::ClientUp { client });
+        self.feed(to.gateway, Cause::Connections, Input::ClientConnected { client });
     }
 
     pub(super) fn client_line(&mut self, to: GatewayRun, client: ClientId, tag: u64, line: &[u8]) {
@@ -108,7 +108,7 @@
                 self.feed(to.gateway, cause, Input::ClientMessage { client, message });
             }
             Err(fault) => {
-                self.feed(to.gateway, Cause::Calls, Input::ClientFault { client, fault });
+                self.feed(to.gateway, Cause::Calls, Input::ClientDecodeError { client, fault });
             }
         }
     }
--- a/crates/fawnrouter-capacity/src/hollow/world/gateways.rs
+++ b/crates/fawnrouter-capacity/src/hollow/world/gateways.rs
@@ -118,7 +118,7 @@
                 self.record(gateway, || step);
             }
             let ended = match &input {
-                Input::ClientDown { client } => Some(*client),
+                Input::ClientDisconnected { client } => Some(*client),
                 _ => None,
             };
             let Some(process) = self.gateways[gateway].process.as_mut() else { break };
@@ -183,24 +183,24 @@
             Output::ToClient { client, line } => {
                 self.write_to_client(gateway, client, &line);
             }
-            Output::Tell { client, tag, line } => {
+            Output::NotifyCaller { client, tag, line } => {
                 if !self.write_to_client(gateway, client, &line) {
-                    inputs.push_back((Cause::Calls, Input::Unheard { tag }));
+                    inputs.push_back((Cause::Calls, Input::NotDelivered { tag }));
                 }
             }
             Output::CloseClient { client } => {
                 self.callers.lose_connection(gateway, client);
-                inputs.push_back((Cause::Connections, Input::ClientReadOut { client }));
-                inputs.push_back((Cause::Connections, Input::ClientDown { client }));
+                inputs.push_back((Cause::Connections, Input::ClientFullyRead { client }));
+                inputs.push_back((Cause::Connections, Input::ClientDisconnected { client }));
             }
             Output::OpenLink { link, address, within } => self.open_link(gateway, link, address, within),
             Output::ToLink { link, line }
             | Output::SetUp { link, line, .. }
-            | Output::GiveUp { link, line, .. } => self.write_to_link(gateway, link, &line),
+            | Output::CancelSetUp { link, line, .. } => self.write_to_link(gateway, link, &line),
             Output::CloseLink { link } => self.close_link(gateway, link),
             Output::Done => self.gateway_exits(gateway),
             // All is written at once, so that there is nothing to take back.
-            Output::Recall { .. } | Output::Log(_) => {}
+            Output::RecallSetUps { .. } | Output::Log(_) => {}
         }
     }
 
@@ -244,7 +244,7 @@
         if let Some(process) = self.gateways[gateway].process.as_mut() {
             process.links.insert(link, (connection, Decoder::new()));
         }
-        let end = Event::ConnectionEnd { connection, end: LinkEnd::Unreached };
+        let end = Event::ConnectionEnd { connection, end: LinkEnd::Unreachable };
         self.queue.put(self.now + within, end);
         if reaches {
             self.transmit(from, to, None, Event::Dial { connection });
@@ -305,7 +305,7 @@
     /// A connection has ended, or has not come up in time.
     pub(super) fn connection_end(&mut self, connection: ConnectionId, end: LinkEnd) {
         let Some(record) = self.connections.get(&connection).filter(|r| r.open_at_gateway) else { return };
-        if end == LinkEnd::Unreached && record.up {
+        if end == LinkEnd::Unreachable && record.up {
             return;
         }
         let (run, link) = (record.gateway, record.link);
@@ -333,7 +333,7 @@
                 self.feed(run.gateway, cause, Input::LinkMessage { link, message });
             }
             Err(fault) => {
-                self.feed(run.gateway, Cause::Calls, Input::LinkFault { link, fault });
+                self.feed(run.gateway, Cause::Calls, Input::LinkDecodeError { link, fault });
             }
         }
     }
--- a/crates/fawnrouter-capacity/src/hollow/world/list.rs
+++ b/crates/fawnrouter-capacity/src/hollow/world/list.rs
@@ -72,7 +72,7 @@
         self.gateways[to.gateway].answered = self.now;
         let readable = match read {
             Ok(list) => {
-                cost.add(self.feed(to.gateway, Cause::List, Input::Answer(list)));
+                cost.add(self.feed(to.gateway, Cause::List, Input::ListResponse(list)));
                 true
             }
             Err(_) => false,
--- a/crates/fawnrouter-node/src/node.rs
+++ b/crates/fawnrouter-node/src/node.rs
@@ -124,7 +124,7 @@
     /// # Errors
     /// Where the module refuses the settings.
     pub fn new(settings: NodeSettings) -> Result<Self, SettingsError> {
-        let controller = Controller::new(settings.decisions.clone(), settings.seed)?;
+        let controller = Controller::new(settings.controller_settings.clone(), settings.seed)?;
         Ok(Self::with(settings, Box::new(controller)))
     }
 
@@ -133,19 +133,19 @@
     pub fn with(settings: NodeSettings, controller: Box<dyn Decide>) -> Self {
         Self {
             controller,
-            decisions: settings.decisions,
+            decisions: settings.controller_settings,
             names: settings.names,
-            sockets: settings.sockets,
+            sockets: settings.connections,
             // Another stream than the controller's, which has the seed itself.
             rng: ChaCha8Rng::seed_from_u64(settings.seed ^ 0x6e6f_6465),
             now: Time::default(),
             calls: Calls::default(),
             links: Links::new(
-                settings.links,
-                settings.sockets.max_set_ups_per_connection,
-                settings.sockets.idle_timeout,
+                settings.max_links,
+                settings.connections.max_set_ups_per_connection,
+                settings.connections.idle_timeout,
             ),
-            seats: Seats::new(settings.clients),
+            seats: Seats::new(settings.max_clients),
             leaving: BTreeMap::new(),
             news: VecDeque::new(),
             servers: BTreeMap::new(),
@@ -153,7 +153,7 @@
             serial: None,
             probes: BTreeMap::new(),
             due: TimerQueue::default(),
-            house: HOUSE.min(settings.sockets.idle_timeout.mul_f64(HOUSE_SHARE)).max(LOOK_AGAIN),
+            house: HOUSE.min(settings.connections.idle_timeout.mul_f64(HOUSE_SHARE)).max(LOOK_AGAIN),
             events: VecDeque::new(),
             stopping: None,
             wound_up: None,
@@ -194,7 +194,7 @@
             self.due.set(Key::House, self.now.plus(self.house));
         }
         match input {
-            Input::ClientUp { client } => self.client_up(client),
+            Input::ClientConnected { client } => self.client_up(client),
             Input::ClientMessage { client, message } => {
                 if self.seats.is_in(client) {
                     self.seats.spoke(self.now, client);
@@ -203,43 +203,43 @@
                     self.last_message(client, message);
                 }
             }
-            Input::Withdrawn { client, message } => {
+            Input::SetUpWithdrawn { client, message } => {
                 if self.seats.is_in(client) || self.leaving.contains_key(&client) {
                     self.seats.spoke(self.now, client);
                     self.withdrawn(client, message);
                 }
             }
-            Input::ClientEnded { client } => {
+            Input::ClientHalfClosed { client } => {
                 if self.seats.is_in(client) {
                     self.leaving.insert(client, None);
                 }
                 self.client_down(client);
             }
-            Input::Unheard { tag } => self.unheard(tag),
-            Input::ClientReadOut { client } => {
+            Input::NotDelivered { tag } => self.unheard(tag),
+            Input::ClientFullyRead { client } => {
                 if let Some(line) = self.leaving.get_mut(&client).and_then(Option::take) {
                     self.out.push(Output::ToClient { client, line });
                 }
             }
-            Input::ClientRead { client, half } => {
+            Input::ClientBytesRead { client, partial_line: half } => {
                 self.seats.half(self.now, client, half);
                 self.watch(client);
             }
-            Input::ClientFault { client, fault } => self.client_fault(client, &fault),
-            Input::ClientDown { client } => {
+            Input::ClientDecodeError { client, fault } => self.client_fault(client, &fault),
+            Input::ClientDisconnected { client } => {
                 self.client_down(client);
                 self.leaving.remove(&client);
             }
             Input::LinkUp { link } => self.link_up(link),
             Input::LinkMessage { link, message } => self.link_message(link, message),
-            Input::LinkFault { link, fault } => self.link_fault(link, &fault.to_string()),
+            Input::LinkDecodeError { link, fault } => self.link_fault(link, &fault.to_string()),
             Input::LinkDown { link, end } => self.link_down(link, end),
-            Input::Recalled { link, tag } => self.recalled(link, tag),
-            Input::Answer(answer) => match Pool::answer(&answer) {
+            Input::SetUpRecalled { link, tag } => self.recalled(link, tag),
+            Input::ListResponse(answer) => match Pool::answer(&answer) {
                 Ok(pool) => self.take_pool(&pool),
                 Err(error) => self.log(format!("the name server's list is not used: {error}")),
             },
-            Input::Known(pool) => self.take_pool(&pool),
+            Input::ConfiguredList(pool) => self.take_pool(&pool),
             Input::Stop => self.stop(),
             Input::Wake => {}
         }
--- a/crates/fawnrouter-node/src/node/attempts.rs
+++ b/crates/fawnrouter-node/src/node/attempts.rs
@@ -63,7 +63,7 @@
                 if let Some(l) = self.links.links.get_mut(&link) {
                     l.spend(self.now, tag, false, true);
                     let line = written(&Message::new(Verb::Finish, tag).with_cause(cause::CLEARING));
-                    self.out.push(Output::GiveUp { link, tag, line });
+                    self.out.push(Output::CancelSetUp { link, tag, line });
                 } else {
                     self.release(attempt.server, tag, cause::CLEARING);
                 }
--- a/crates/fawnrouter-node/src/node/callers.rs
+++ b/crates/fawnrouter-node/src/node/callers.rs
@@ -46,11 +46,11 @@
         match self.seats.arrive(self.now, client) {
             Arrival::In => {}
             Arrival::InFor(least) => {
-                self.counters.unseated += 1;
+                self.counters.evicted_clients += 1;
                 self.close_client(least, "idle, and its place is needed");
             }
             Arrival::Full => {
-                self.counters.unseated += 1;
+                self.counters.evicted_clients += 1;
                 self.part(client, cause::CONGESTION, "no room for another connection");
                 return;
             }
@@ -63,7 +63,7 @@
         self.seats.stands(client, true);
         if self.seats.is_in(client) {
             for (_, tag, line) in std::mem::take(&mut self.news) {
-                self.out.push(Output::Tell { client, tag, line });
+                self.out.push(Output::NotifyCaller { client, tag, line });
             }
         }
     }
@@ -137,7 +137,7 @@
         if !self.calls.open.contains_key(&tag) {
             return;
         }
-        self.counters.lapsed += 1;
+        self.counters.abandoned += 1;
         let sent = self.calls.open.get(&tag).is_some_and(|c| c.attempts > 0);
         self.withdraw(tag);
         self.events.push_back(Event::Lapsed(CallId(tag.0)));
@@ -213,8 +213,8 @@
         let tag = message.tag;
         match request::read(&message, &self.decisions, &self.names) {
             Ok(Request::New(_)) if !self.is_known(tag) => {
-                (self.counters.taken, self.counters.lapsed) =
-                    (self.counters.taken + 1, self.counters.lapsed + 1);
+                (self.counters.accepted, self.counters.abandoned) =
+                    (self.counters.accepted + 1, self.counters.abandoned + 1);
                 self.calls.ended.put(tag, Ended::default());
             }
             _ if self.seats.is_in(client) => self.start(client, message),
@@ -258,7 +258,7 @@
             let refusal = self.congested(tag);
             return self.tell_client(client, &refusal);
         }
-        self.counters.taken += 1;
+        self.counters.accepted += 1;
         let deadline = self.now.plus(new.left);
         self.due.set(Key::Call(tag), deadline.minus(LAST_CALL.min(new.left / 4)));
         let text =
@@ -331,7 +331,7 @@
     pub(super) fn tell_caller(&mut self, client: Option<ClientId>, tag: Tag, rc: i64) {
         let line = written(&Message::new(Verb::Finish, tag).with_cause(rc));
         match client.filter(|client| self.seats.is_in(*client)).or_else(|| self.seats.instead()) {
-            Some(client) => self.out.push(Output::Tell { client, tag, line }),
+            Some(client) => self.out.push(Output::NotifyCaller { client, tag, line }),
             None => {
                 self.news.push_back((self.now, tag, line));
                 if self.news.len() > MAX_NEWS {
--- a/crates/fawnrouter-node/src/node/interface.rs
+++ b/crates/fawnrouter-node/src/node/interface.rs
@@ -18,15 +18,15 @@
 #[derive(Debug)]
 pub struct NodeSettings {
     /// The decisions' settings.
-    pub decisions: Settings,
+    pub controller_settings: Settings,
     /// The names that calls carry.
     pub names: NameIndex,
     /// What the settings say of connections.
-    pub sockets: ConnectionSettings,
+    pub connections: ConnectionSettings,
     /// Clients' connections at the most.
-    pub clients: usize,
+    pub max_clients: usize,
     /// Connections to core switches at the most.
-    pub links: usize,
+    pub max_links: usize,
     /// Seed of all random numbers.
     pub seed: u64,
 }
@@ -37,11 +37,11 @@
     pub fn new(boot: &Boot) -> Self {
         let shares = Shares::of(boot.descriptors);
         Self {
-            decisions: boot.settings.clone(),
+            controller_settings: boot.settings.clone(),
             names: boot.names.clone(),
-            sockets: boot.sockets,
-            clients: shares.clients,
-            links: shares.links,
+            connections: boot.sockets,
+            max_clients: shares.clients,
+            max_links: shares.links,
             seed: boot.seed,
         }
     }
@@ -53,7 +53,7 @@
     /// It was refused: nobody listens.
     Refused,
     /// It did not come up in time, or could not be made.
-    Unreached,
+    Unreachable,
     /// It was up, and is closed or reset.
     Broken,
 }
@@ -62,7 +62,7 @@
 #[derive(Debug)]
 pub enum Input {
     /// A client connected.
-    ClientUp {
+    ClientConnected {
         /// Its number.
         client: ClientId,
     },
@@ -74,43 +74,43 @@
         message: Message,
     },
     /// A set-up that its caller had given up, or left behind with its connection, before anybody looked at it.
-    Withdrawn {
+    SetUpWithdrawn {
         /// Which client.
         client: ClientId,
         /// The set-up.
         message: Message,
     },
     /// A client ended its side; what it had sent before comes behind this, and then [`Input::ClientDown`].
-    ClientEnded {
+    ClientHalfClosed {
         /// Which.
         client: ClientId,
     },
     /// A connection ended before a byte of this was written ([`Output::Tell`]).
-    Unheard {
+    NotDelivered {
         /// Of which call.
         tag: Tag,
     },
     /// All that had come on a connection that is to be closed has been handed on.
-    ClientReadOut {
+    ClientFullyRead {
         /// Which.
         client: ClientId,
     },
     /// A client's bytes have been read; whether a part of a line lies there.
-    ClientRead {
+    ClientBytesRead {
         /// Which.
         client: ClientId,
         /// Part of a line is there.
-        half: bool,
+        partial_line: bool,
     },
     /// A client sent what is no message.
-    ClientFault {
+    ClientDecodeError {
         /// Which.
         client: ClientId,
         /// What is wrong.
         fault: DecodeError,
     },
     /// A client's connection ended.
-    ClientDown {
+    ClientDisconnected {
         /// Which.
         client: ClientId,
     },
@@ -127,7 +127,7 @@
         message: Message,
     },
     /// A core switch sent what is no message.
-    LinkFault {
+    LinkDecodeError {
         /// On which connection.
         link: LinkId,
         /// What is wrong.
@@ -141,16 +141,16 @@
         end: LinkEnd,
     },
     /// After [`Output::Recall`]: not a byte of this set-up had been written, and none will be.
-    Recalled {
+    SetUpRecalled {
         /// On which connection it lay.
         link: LinkId,
         /// Whose set-up.
         tag: Tag,
     },
     /// The name server answered.
-    Answer(Response),
+    ListResponse(Response),
     /// A new configuration holds this list.
-    Known(Pool),
+    ConfiguredList(Pool),
     /// The gateway is to end.
     Stop,
     /// Something is due.
@@ -169,7 +169,7 @@
     },
     /// Write to a client what concerns a call that stands or stood; say so if its connection ends before a byte of it is
     /// written ([`Input::Unheard`]).
-    Tell {
+    NotifyCaller {
         /// Which client.
         client: ClientId,
         /// Of which call.
@@ -211,7 +211,7 @@
         line: Vec<u8>,
     },
     /// Take that set-up back if not a byte of it has been written, and write nothing; else write this.
-    GiveUp {
+    CancelSetUp {
         /// On which connection.
         link: LinkId,
         /// Whose set-up.
@@ -221,7 +221,7 @@
     },
     /// Take back every set-up on this connection of which not a byte has been written, and say which they were
     /// ([`Input::Recalled`]).
-    Recall {
+    RecallSetUps {
         /// Which connection.
         link: LinkId,
     },
@@ -240,23 +240,23 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Set-ups taken.
-    pub taken: u64,
+    pub accepted: u64,
     /// Calls that stood.
-    pub stood: u64,
+    pub established: u64,
     /// Refused.
     pub refused: u64,
     /// Failed.
     pub failed: u64,
     /// Given up by their callers.
-    pub lapsed: u64,
+    pub abandoned: u64,
     /// Set-ups that made no sense.
     pub invalid: u64,
     /// Attempts sent.
     pub attempts: u64,
     /// Standing calls that a core switch lost.
-    pub cut: u64,
+    pub calls_lost: u64,
     /// Answers that could not be read or used.
-    pub spoilt: u64,
+    pub invalid_responses: u64,
     /// Connections of clients that got no seat or had to leave theirs.
-    pub unseated: u64,
+    pub evicted_clients: u64,
 }
--- a/crates/fawnrouter-node/src/node/list.rs
+++ b/crates/fawnrouter-node/src/node/list.rs
@@ -89,7 +89,7 @@
                 }
                 // A peer that does not read leaves set-ups in the outbox, and might take them after the grace.
                 let laden = self.links.links.iter().filter(|(_, l)| l.server == server && !l.open.is_empty());
-                self.out.extend(laden.map(|(link, _)| Output::Recall { link: *link }));
+                self.out.extend(laden.map(|(link, _)| Output::RecallSetUps { link: *link }));
             }
             // Where nothing stands and nothing is out there is nothing more to hear: the place is another's.
             if self.need(server) == Need::None {
--- a/crates/fawnrouter-node/src/node/standing.rs
+++ b/crates/fawnrouter-node/src/node/standing.rs
@@ -75,13 +75,13 @@
                 took: now.since(written),
             });
         }
-        self.counters.stood += 1;
+        self.counters.established += 1;
         let standing =
             Standing { client: open.client, server: attempt.server, attempt: Some(attempt.no), since: now };
         self.calls.stand(tag, standing);
         let (client, line) = (open.client, written(&Message::new(Verb::Started, tag).with_description(blob)));
         if self.seats.is_in(client) {
-            self.out.push(Output::Tell { client, tag, line });
+            self.out.push(Output::NotifyCaller { client, tag, line });
         }
         self.served(open.client);
         self.watch_life(attempt.server);
@@ -98,7 +98,7 @@
     pub(super) fn falls(&mut self, tag: Tag, rc: i64) {
         let Some(standing) = self.calls.fall(tag, Some(rc)) else { return };
         let outcome = if rc == cause::CLEARING { Outcome::Ended } else { Outcome::Reset };
-        self.counters.cut += u64::from(outcome == Outcome::Reset);
+        self.counters.calls_lost += u64::from(outcome == Outcome::Reset);
         self.standing_ended(tag, standing, outcome);
         self.tell_caller(Some(standing.client), tag, rc);
     }
--- a/crates/fawnrouter-node/src/node/trunk.rs
+++ b/crates/fawnrouter-node/src/node/trunk.rs
@@ -70,7 +70,7 @@
 
     /// A spoilt answer: the connection is of no further use, nor are the set-ups on it.
     pub(super) fn link_fault(&mut self, link: LinkId, why: &str) {
-        self.counters.spoilt += 1;
+        self.counters.invalid_responses += 1;
         if let Some(l) = self.links.links.get(&link) {
             let server = l.server;
             self.log(format!("connection to core switch {} closed: {why}", server.0));
--- a/crates/fawnrouter-node/tests/calls.rs
+++ b/crates/fawnrouter-node/tests/calls.rs
@@ -154,7 +154,7 @@
     let client = rig.connect();
     rig.call(client, 7, 3000);
     assert!(rig.starts(7).is_empty());
-    rig.input(Input::Known(pool(2, &[("s-1", 7001, "Terminating", 0)])));
+    rig.input(Input::ConfiguredList(pool(2, &[("s-1", 7001, "Terminating", 0)])));
     let links: Vec<LinkId> = rig.links.keys().copied().collect();
     for link in links {
         rig.up.insert(link, true);
@@ -202,7 +202,7 @@
     rig.client_says(stranger, r#"{"verb":"ECHO","tag":"00000000000000aa","opts":{},"rc":0}"#);
     let link = rig.standing(first, 7);
     rig.standing(first, 8);
-    rig.input(Input::ClientDown { client: first });
+    rig.input(Input::ClientDisconnected { client: first });
     rig.finish(link, 7, 16);
     assert_eq!(rig.told(7).len(), 1, "only a stranger is there");
     let second = rig.connect();
@@ -285,7 +285,7 @@
     rig.pass(1000);
     let started = rig.now_ms - 500;
     let link = rig.standing(client, 8);
-    rig.input(Input::Known(pool(2, &[("s-1", 7001, "Ready", started)])));
+    rig.input(Input::ConfiguredList(pool(2, &[("s-1", 7001, "Ready", started)])));
     assert_eq!(rig.told(7).last(), Some(&(Verb::Finish, Some(41))));
     assert_eq!(rig.told(8), [(Verb::Started, None)]);
     rig.finish(link, 8, 16);
@@ -296,7 +296,7 @@
 fn a_new_id_at_an_old_address_has_connections_of_its_own() {
     let mut rig = Rig::with(&[("s-1", 7001, "Ready", 0)]);
     let old: Vec<LinkId> = rig.up.keys().copied().collect();
-    rig.input(Input::Known(pool(2, &[("s-2", 7001, "Ready", START_MS)])));
+    rig.input(Input::ConfiguredList(pool(2, &[("s-2", 7001, "Ready", START_MS)])));
     assert!(old.iter().all(|link| rig.seen.iter().any(|(_, o)| *o == Output::CloseLink { link: *link })));
     rig.pass(200);
     assert!(rig.up.keys().any(|l| !old.contains(l)));
@@ -309,8 +309,8 @@
 #[test]
 fn an_older_list_changes_nothing() {
     let mut rig = Rig::new(1);
-    rig.input(Input::Known(pool(5, &[("s-1", 7001, "Ready", 0), ("s-2", 7002, "Ready", 0)])));
-    rig.input(Input::Known(pool(4, &[("s-1", 7001, "Terminating", 0)])));
+    rig.input(Input::ConfiguredList(pool(5, &[("s-1", 7001, "Ready", 0), ("s-2", 7002, "Ready", 0)])));
+    rig.input(Input::ConfiguredList(pool(4, &[("s-1", 7001, "Terminating", 0)])));
     assert_eq!(rig.node.held()[4], 2);
     let client = rig.connect();
     rig.call(client, 7, 3000);
@@ -397,7 +397,7 @@
     rig.call(one, 7, 3000);
     rig.call(two, 8, 3000);
     rig.client_says(one, &finish(7, 16));
-    rig.input(Input::ClientDown { client: two });
+    rig.input(Input::ClientDisconnected { client: two });
     assert_eq!(rig.told(7), [(Verb::Finished, None)]);
     for tag in [7, 8] {
         assert_eq!(rig.releases(tag).len(), 1);
@@ -413,9 +413,9 @@
 fn silent_clients_and_half_lines_are_closed_within_3_s_and_callers_in_a_set_up_are_not() {
     let mut rig = Rig::new(1);
     let (silent, half, caller) = (rig.connect(), rig.connect(), rig.connect());
-    rig.input(Input::ClientRead { client: half, half: true });
+    rig.input(Input::ClientBytesRead { client: half, partial_line: true });
     rig.call(caller, 7, 8000);
-    rig.input(Input::ClientRead { client: caller, half: true });
+    rig.input(Input::ClientBytesRead { client: caller, partial_line: true });
     rig.pass(2999);
     assert!(rig.closed(silent) && rig.closed(half) && !rig.closed(caller));
 }
@@ -544,7 +544,7 @@
     let port = |n: u64| 7001 + (n % 3) as u16;
     for n in 1..300u64 {
         let id = format!("s-new{n}");
-        rig.input(Input::Known(pool(n as u32 + 1, &[(&id, port(n), "Ready", rig.now_ms - 20_000)])));
+        rig.input(Input::ConfiguredList(pool(n as u32 + 1, &[(&id, port(n), "Ready", rig.now_ms - 20_000)])));
         let client = rig.connect();
         rig.call(client, n, 2000);
         rig.pass(400);
@@ -552,7 +552,7 @@
             rig.started(link, n);
             rig.finish(link, n, 16);
         }
-        rig.input(Input::ClientDown { client });
+        rig.input(Input::ClientDisconnected { client });
         rig.seen.retain(|(_, o)| matches!(o, Output::CloseClient { .. }));
     }
     rig.pass(3000);
@@ -574,7 +574,7 @@
     let hanging: Vec<LinkId> = rig.links.keys().copied().collect();
     for link in hanging {
         rig.links.remove(&link);
-        rig.input(Input::LinkDown { link, end: LinkEnd::Unreached });
+        rig.input(Input::LinkDown { link, end: LinkEnd::Unreachable });
     }
     rig.pass(5000);
     assert_eq!(rig.node.held()[0], 0);
@@ -635,7 +635,7 @@
         let link = rig.standing(client, 7);
         let port = rig.links[&link];
         let state_of = |p| if p == port && state == "Draining" { "Terminating" } else { "Ready" };
-        rig.input(Input::Known(pool(
+        rig.input(Input::ConfiguredList(pool(
             2,
             &[("s-1", 7001, state_of(7001), 0), ("s-2", 7002, state_of(7002), 0)],
         )));
@@ -669,7 +669,10 @@
     rig.pass(600);
     assert!(rig.up.keys().any(|l| rig.links[l] == port), "connected to the newcomer");
     assert_eq!(rig.told(7), [(Verb::Started, None)]);
-    rig.input(Input::Known(pool(2, &[(other.0, other.1, "Ready", 0), ("s-3", port, "Ready", START_MS)])));
+    rig.input(Input::ConfiguredList(pool(
+        2,
+        &[(other.0, other.1, "Ready", 0), ("s-3", port, "Ready", START_MS)],
+    )));
     assert_eq!(rig.told(7), [(Verb::Started, None), (Verb::Finish, Some(41))]);
 }
 
@@ -684,7 +687,7 @@
     rig.call(client, 9, 3000);
     assert_eq!((rig.starts(8).len(), rig.starts(9).len()), (1, 1));
     assert!(rig.up.len() >= 2, "two connections");
-    rig.input(Input::Known(pool(2, &[("s-1", 7001, "Terminating", 0)])));
+    rig.input(Input::ConfiguredList(pool(2, &[("s-1", 7001, "Terminating", 0)])));
     let before: Vec<LinkId> = rig.up.keys().copied().collect();
     rig.broken(first);
     rig.pass(50);
--- a/crates/fawnrouter-node/tests/common/mod.rs
+++ b/crates/fawnrouter-node/tests/common/mod.rs
@@ -95,7 +95,7 @@
             begun: BTreeMap::new(),
             next_client: 0,
         };
-        rig.input(Input::Known(boot.known));
+        rig.input(Input::ConfiguredList(boot.known));
         rig
     }
 
@@ -153,21 +153,21 @@
         let hanging: Vec<LinkId> = self.links.keys().copied().filter(hangs).collect();
         for link in hanging {
             self.links.remove(&link);
-            self.input(Input::LinkDown { link, end: LinkEnd::Unreached });
+            self.input(Input::LinkDown { link, end: LinkEnd::Unreachable });
         }
     }
 
     pub fn connect(&mut self) -> ClientId {
         self.next_client += 1;
         let client = ClientId(self.next_client);
-        self.input(Input::ClientUp { client });
+        self.input(Input::ClientConnected { client });
         client
     }
 
     pub fn client_says(&mut self, client: ClientId, line: &str) {
         match parse(line.as_bytes()) {
             Ok(message) => self.input(Input::ClientMessage { client, message }),
-            Err(fault) => self.input(Input::ClientFault { client, fault }),
+            Err(fault) => self.input(Input::ClientDecodeError { client, fault }),
         }
     }
 
@@ -179,7 +179,7 @@
     pub fn switch_says(&mut self, link: LinkId, line: &str) {
         match parse(line.as_bytes()) {
             Ok(message) => self.input(Input::LinkMessage { link, message }),
-            Err(fault) => self.input(Input::LinkFault { link, fault }),
+            Err(fault) => self.input(Input::LinkDecodeError { link, fault }),
         }
     }
 
@@ -213,7 +213,7 @@
         let written = self.seen.iter().filter_map(|(at, o)| match o {
             Output::ToLink { link, line }
             | Output::SetUp { link, line, .. }
-            | Output::GiveUp { link, line, .. } => Some((*at, *link, parse(line).unwrap())),
+            | Output::CancelSetUp { link, line, .. } => Some((*at, *link, parse(line).unwrap())),
             _ => None,
         });
         written.collect()
@@ -238,7 +238,7 @@
     /// What was written to clients with a tag: when, to whom, what.
     pub fn to_clients(&self) -> Vec<(u64, ClientId, Message)> {
         let written = self.seen.iter().filter_map(|(at, o)| match o {
-            Output::ToClient { client, line } | Output::Tell { client, line, .. } => {
+            Output::ToClient { client, line } | Output::NotifyCaller { client, line, .. } => {
                 parse(line).ok().map(|m| (*at, *client, m))
             }
             _ => None,
--- a/crates/fawnrouter-node/tests/edges.rs
+++ b/crates/fawnrouter-node/tests/edges.rs
@@ -61,13 +61,13 @@
         let held = (1..=30).filter(|tag| rig.starts(*tag).is_empty()).count();
         assert!(held > 0, "some are held");
         let at = rig.seen.len();
-        rig.input(Input::Known(pool(2, &[("s-1", 7001, told, 0), ready[1]])));
+        rig.input(Input::ConfiguredList(pool(2, &[("s-1", 7001, told, 0), ready[1]])));
         (31..=60).for_each(|tag| rig.call(client, tag, 4000));
         rig.pass(4000);
         let sent = rig.seen[at..].iter().filter_map(|(_, output)| match output {
             Output::ToLink { link, line }
             | Output::SetUp { link, line, .. }
-            | Output::GiveUp { link, line, .. } => Some((*link, parse(line).ok()?.verb)),
+            | Output::CancelSetUp { link, line, .. } => Some((*link, parse(line).ok()?.verb)),
             _ => None,
         });
         // Those that are closed by now among them.
--- a/crates/fawnrouter-node/tests/intake.rs
+++ b/crates/fawnrouter-node/tests/intake.rs
@@ -59,17 +59,17 @@
 fn nothing_is_tried_for_a_set_up_given_up_unread_and_its_caller_hears_that_it_is_over() {
     let mut rig = Rig::new(1);
     let client = rig.connect();
-    rig.input(Input::Withdrawn { client, message: message(&start(7, 3000)) });
+    rig.input(Input::SetUpWithdrawn { client, message: message(&start(7, 3000)) });
     rig.client_says(client, &finish(7, 16));
     rig.pass(4000);
     assert!(rig.starts(7).is_empty());
     assert_eq!(rig.told(7), [(Verb::Finished, None)]);
     // One that makes no sense, or carries another call's id, is what it would have been.
-    rig.input(Input::Withdrawn { client, message: message(&start(8, 99_000)) });
+    rig.input(Input::SetUpWithdrawn { client, message: message(&start(8, 99_000)) });
     assert_eq!(rig.told(8), [(Verb::Finish, Some(100))]);
     let other = rig.connect();
     rig.call(other, 9, 3000);
-    rig.input(Input::Withdrawn { client, message: message(&start(9, 3000)) });
+    rig.input(Input::SetUpWithdrawn { client, message: message(&start(9, 3000)) });
     assert!(rig.closed(client) && !rig.closed(other) && rig.starts(9).len() == 1);
 }
 
@@ -79,11 +79,11 @@
     let client = rig.connect();
     rig.standing(client, 6);
     rig.call(client, 7, 3000);
-    rig.input(Input::ClientEnded { client });
+    rig.input(Input::ClientHalfClosed { client });
     assert_eq!(rig.releases(7).len(), 1, "its set-up is given up");
-    rig.input(Input::Withdrawn { client, message: message(&start(8, 3000)) });
+    rig.input(Input::SetUpWithdrawn { client, message: message(&start(8, 3000)) });
     rig.client_says(client, &finish(6, 16));
-    rig.input(Input::ClientDown { client });
+    rig.input(Input::ClientDisconnected { client });
     rig.pass(4000);
     assert_eq!((rig.releases(6).len(), rig.starts(8).len()), (1, 0));
     let before = rig.seen.len();
@@ -101,9 +101,9 @@
     let mut lines = ready;
     let drains = usize::from(rig.links[&first] - 7001);
     lines[drains].2 = "Terminating";
-    rig.input(Input::Known(pool(2, &lines)));
-    assert!(rig.seen.iter().any(|(_, o)| *o == Output::Recall { link: first }));
-    rig.input(Input::Recalled { link: first, tag: fawnrouter_node::jsonl::Tag(7) });
+    rig.input(Input::ConfiguredList(pool(2, &lines)));
+    assert!(rig.seen.iter().any(|(_, o)| *o == Output::RecallSetUps { link: first }));
+    rig.input(Input::SetUpRecalled { link: first, tag: fawnrouter_node::jsonl::Tag(7) });
     rig.pass(20);
     let starts = rig.starts(7);
     assert!(starts.len() == 2 && rig.links[&starts[1].1] != rig.links[&first], "no guard: it was never sent");
--- a/crates/fawnrouter-node/tests/recorded.rs
+++ b/crates/fawnrouter-node/tests/recorded.rs
@@ -73,11 +73,11 @@
                 let states = ["Ready", "Ready", "Terminating"];
                 let mut state = || states[draw.below(3) as usize];
                 let lines = [("s-1", 7001, state(), 0), ("s-2", 7002, state(), 0), ("s-3", 7003, state(), 0)];
-                rig.input(Input::Known(pool(serial, &lines[draw.below(2) as usize..])));
+                rig.input(Input::ConfiguredList(pool(serial, &lines[draw.below(2) as usize..])));
             }
             28 if clients.len() > 1 => {
                 let client = clients.remove(draw.below(clients.len() as u64) as usize);
-                rig.input(Input::ClientDown { client });
+                rig.input(Input::ClientDisconnected { client });
             }
             _ => rig.pass(1 + draw.below(200)),
         }
@@ -91,12 +91,12 @@
 
 fn text(output: &Output) -> String {
     match output {
-        Output::ToClient { client, line } | Output::Tell { client, line, .. } => {
+        Output::ToClient { client, line } | Output::NotifyCaller { client, line, .. } => {
             format!("{client:?} {}", String::from_utf8_lossy(line))
         }
         Output::ToLink { link, line }
         | Output::SetUp { link, line, .. }
-        | Output::GiveUp { link, line, .. } => format!("{link:?} {}", String::from_utf8_lossy(line)),
+        | Output::CancelSetUp { link, line, .. } => format!("{link:?} {}", String::from_utf8_lossy(line)),
         other => format!("{other:?}"),
     }
 }
--- a/crates/fawnrouter-node/tests/rules.rs
+++ b/crates/fawnrouter-node/tests/rules.rs
@@ -80,7 +80,7 @@
                 Output::CloseLink { link } => self.broken(*link, *at),
                 Output::ToLink { link, line }
                 | Output::SetUp { link, line, .. }
-                | Output::GiveUp { link, line, .. } => {
+                | Output::CancelSetUp { link, line, .. } => {
                     let message = parse(line).unwrap();
                     let tag = message.tag.0;
                     if message.verb == Verb::Start {
@@ -99,7 +99,7 @@
                         self.guard.insert(tag, at + 200);
                     }
                 }
-                Output::ToClient { client, line } | Output::Tell { client, line, .. } => {
+                Output::ToClient { client, line } | Output::NotifyCaller { client, line, .. } => {
                     let Ok(message) = parse(line) else { continue };
                     let Some(owed) = self.calls.get_mut(&message.tag.0) else { continue };
                     match message.verb {
@@ -144,16 +144,18 @@
     let told = rig.seen.iter().filter(|(_, o)| match o {
         Output::ToLink { line, .. }
         | Output::SetUp { line, .. }
-        | Output::GiveUp { line, .. }
+        | Output::CancelSetUp { line, .. }
         | Output::ToClient { line, .. }
-        | Output::Tell { line, .. } => of_call(line),
+        | Output::NotifyCaller { line, .. } => of_call(line),
         _ => false,
     });
     told.map(|(at, output)| match output {
         Output::ToLink { link, line }
         | Output::SetUp { link, line, .. }
-        | Output::GiveUp { link, line, .. } => format!("{at} to {link:?}: {}", String::from_utf8_lossy(line)),
-        Output::ToClient { client, line } | Output::Tell { client, line, .. } => {
+        | Output::CancelSetUp { link, line, .. } => {
+            format!("{at} to {link:?}: {}", String::from_utf8_lossy(line))
+        }
+        Output::ToClient { client, line } | Output::NotifyCaller { client, line, .. } => {
             format!("{at} to {client:?}: {}", String::from_utf8_lossy(line))
         }
         _ => String::new(),
@@ -199,7 +201,7 @@
                         .values_mut()
                         .filter(|o| o.client == client && o.answers == 0)
                         .for_each(|o| o.given_up = true);
-                    rig.input(Input::ClientDown { client });
+                    rig.input(Input::ClientDisconnected { client });
                 }
             }
             Step::Answer { out } => {
@@ -264,7 +266,7 @@
                     lines.push(("s-other", 7009, "Ready", 0));
                 }
                 // What the node closes with this list it has not written before.
-                rig.input(Input::Known(pool(serial, &lines)));
+                rig.input(Input::ConfiguredList(pool(serial, &lines)));
             }
             Step::Pass { ms } => rig.pass(ms),
             Step::Stop => {
--- a/crates/fawnrouterd/src/node/client.rs
+++ b/crates/fawnrouterd/src/node/client.rs
@@ -34,7 +34,7 @@
     let _ = stream.get_ref().set_nodelay(true);
     let (client, peer) = gate.client(stream);
     gate.drives(true);
-    gate.input(Input::ClientUp { client });
+    gate.input(Input::ClientConnected { client });
     gate.spawn(drive(gate.clone(), client, peer));
 }
 
@@ -92,7 +92,7 @@
         if handed {
             future::yield_now().await;
         } else if last_look {
-            gate.input(Input::ClientReadOut { client });
+            gate.input(Input::ClientFullyRead { client });
             peer.outbox.finish();
             return future::pending().await;
         } else if peer.reader.borrow().has_told_fault() {
@@ -114,7 +114,7 @@
         handed = true;
         gate.input(match next {
             Next::Message(message) => Input::ClientMessage { client, message },
-            Next::Withdrawn(message) => Input::Withdrawn { client, message },
+            Next::Withdrawn(message) => Input::SetUpWithdrawn { client, message },
         });
     }
     if peer.reader.borrow().is_empty() {
@@ -124,9 +124,9 @@
             (reader.fault(), reader.half())
         };
         if let Some(fault) = fault {
-            gate.input(Input::ClientFault { client, fault });
+            gate.input(Input::ClientDecodeError { client, fault });
         } else if let Some(half) = half {
-            gate.input(Input::ClientRead { client, half });
+            gate.input(Input::ClientBytesRead { client, partial_line: half });
         }
     }
     handed
--- a/crates/fawnrouterd/src/node/gate.rs
+++ b/crates/fawnrouterd/src/node/gate.rs
@@ -133,14 +133,14 @@
     fn forget(&self, client: ClientId) -> Vec<Input> {
         let peer = self.clients.borrow_mut().remove(&client);
         let unheard = peer.into_iter().flat_map(|peer| peer.outbox.unwritten());
-        let unheard = unheard.map(|tag| Input::Unheard { tag: Tag(tag) });
-        std::iter::once(Input::ClientEnded { client }).chain(unheard).collect()
+        let unheard = unheard.map(|tag| Input::NotDelivered { tag: Tag(tag) });
+        std::iter::once(Input::ClientHalfClosed { client }).chain(unheard).collect()
     }
 
     /// A client's connection takes nothing more.
     pub fn client_gone(self: &Rc<Self>, client: ClientId) {
         self.client_ended(client);
-        self.input(Input::ClientDown { client });
+        self.input(Input::ClientDisconnected { client });
     }
 
     /// Whether this is still a connection of the gateway's.
@@ -187,12 +187,12 @@
                     peer.outbox.push(|out| out.extend_from_slice(&line));
                 }
             }
-            Output::Tell { client, tag, line } => match self.clients.borrow().get(&client) {
+            Output::NotifyCaller { client, tag, line } => match self.clients.borrow().get(&client) {
                 Some(peer) => {
                     peer.outbox.push_marked(tag.0, &line);
                     next.push_back(Next::Look(client));
                 }
-                None => next.push_back(Next::Input(Input::Unheard { tag })),
+                None => next.push_back(Next::Input(Input::NotDelivered { tag })),
             },
             Output::CloseClient { client } => {
                 if let Some(peer) = self.clients.borrow().get(&client) {
@@ -215,17 +215,17 @@
                     next.push_back(Next::Look(client));
                 }
             }
-            Output::GiveUp { link, tag, line } => {
+            Output::CancelSetUp { link, tag, line } => {
                 if let Some(outbox) = self.links.borrow().get(&link)
                     && !outbox.take_back(tag.0)
                 {
                     outbox.push(|out| out.extend_from_slice(&line));
                 }
             }
-            Output::Recall { link } => {
+            Output::RecallSetUps { link } => {
                 let back = self.links.borrow().get(&link).map(|outbox| outbox.take_back_all());
                 let back = back.into_iter().flatten();
-                next.extend(back.map(|mark| Next::Input(Input::Recalled { link, tag: Tag(mark) })));
+                next.extend(back.map(|mark| Next::Input(Input::SetUpRecalled { link, tag: Tag(mark) })));
             }
             Output::CloseLink { link } => self.drop_link(link),
             Output::Log(line) => self.log(now, &line),
@@ -302,16 +302,16 @@
         let (c, held) = self.pump.with(|node| (node.counters(), node.held()));
         let [open, standing, clients, links, switches] = held;
         tracing::info!(
-            taken = c.taken,
-            stood = c.stood,
+            taken = c.accepted,
+            stood = c.established,
             refused = c.refused,
             failed = c.failed,
-            lapsed = c.lapsed,
+            lapsed = c.abandoned,
             invalid = c.invalid,
             attempts = c.attempts,
-            cut = c.cut,
-            spoilt = c.spoilt,
-            unseated = c.unseated,
+            cut = c.calls_lost,
+            spoilt = c.invalid_responses,
+            unseated = c.evicted_clients,
             open,
             standing,
             clients,
--- a/crates/fawnrouterd/src/node/mod.rs
+++ b/crates/fawnrouterd/src/node/mod.rs
@@ -71,7 +71,7 @@
     let executor = Rc::new(LocalExecutor::new());
     let shares = Shares::of(boot.descriptors);
     let gate = Gate::new(node, shares, boot.nameserver, trunk::open, &executor);
-    gate.input(Input::Known(boot.known));
+    gate.input(Input::ConfiguredList(boot.known));
     tracing::info!(name = boot.name, %address, "gateway ready");
     let all = async {
         let tasks = [
--- a/crates/fawnrouterd/src/node/names.rs
+++ b/crates/fawnrouterd/src/node/names.rs
@@ -65,7 +65,7 @@
             match future::or(received, due).await {
                 None => break,
                 Some(Ok(n)) => match ask.answer(&buffer[..n]) {
-                    Ok(answer) => gate.input(Input::Answer(answer)),
+                    Ok(answer) => gate.input(Input::ListResponse(answer)),
                     Err(error) => {
                         gate.log(gate.pump.clock.now(), &format!("a datagram is not used: {error}"))
                     }
--- a/crates/fawnrouterd/src/node/signals.rs
+++ b/crates/fawnrouterd/src/node/signals.rs
@@ -30,7 +30,7 @@
         Ok(boot) => {
             tracing::info!(nameserver = %boot.nameserver, serial = boot.known.serial, "new configuration");
             gate.nameserver.set(boot.nameserver);
-            gate.input(Input::Known(boot.known));
+            gate.input(Input::ConfiguredList(boot.known));
         }
         Err(error) => tracing::warn!("the configuration stays as it was: {error}"),
     }
--- a/crates/fawnrouterd/src/node/trunk.rs
+++ b/crates/fawnrouterd/src/node/trunk.rs
@@ -38,7 +38,7 @@
             LinkEnd::Broken
         }
         Err(ErrorKind::ConnectionRefused) => LinkEnd::Refused,
-        Err(_) => LinkEnd::Unreached,
+        Err(_) => LinkEnd::Unreachable,
     };
     if gate.has_link(link) {
         gate.drop_link(link);
@@ -71,7 +71,7 @@
             match decoder.next_message() {
                 Ok(Some(message)) => gate.input(Input::LinkMessage { link, message }),
                 Ok(None) => break,
-                Err(fault) => return gate.input(Input::LinkFault { link, fault }),
+                Err(fault) => return gate.input(Input::LinkDecodeError { link, fault }),
             }
         }
         future::yield_now().await;
