--- a/crates/fawnrouter-capacity/src/hollow/recording.rs
+++ b/crates/fawnrouter-capacity/src/hollow/recording.rs
@@ -138,7 +138,7 @@
             }
             Step::Ask(id) => {
                 if let Some((_, ask)) = &mut self.process {
-                    let (_, cost) = self.meter.measure(|| ask.ask(*at, *id));
+                    let (_, cost) = self.meter.measure(|| ask.next_query(*at, *id));
                     self.note(*second, Cause::List, cost);
                 }
             }
@@ -196,7 +196,7 @@
 
     fn answer(&mut self, at: Time, second: Option<u64>, datagram: &[u8]) {
         let Some((_, ask)) = &mut self.process else { return };
-        let (read, cost) = self.meter.measure(|| ask.answer(datagram));
+        let (read, cost) = self.meter.measure(|| ask.accept_response(datagram));
         self.note(second, Cause::List, cost);
         if let Ok(list) = read {
             self.feed(at, second, Cause::List, Input::ListResponse(list));
--- a/crates/fawnrouter-capacity/src/hollow/world/list.rs
+++ b/crates/fawnrouter-capacity/src/hollow/world/list.rs
@@ -22,7 +22,7 @@
         let meter = self.meter;
         let Some(process) = self.running(run) else { return };
         let id = process.ids.random();
-        let (asked, cost) = meter.measure(|| process.ask.ask(time, id));
+        let (asked, cost) = meter.measure(|| process.ask.next_query(time, id));
         let bytes = asked.datagram.len();
         self.record(gateway, || Step::Ask(id));
         self.note_gateway(gateway, Cause::List, cost);
@@ -36,7 +36,7 @@
             list.question_bytes += bytes as u64;
             list.lost += u64::from(!arrives);
         }
-        let next = asked.next.since(time);
+        let next = asked.next_at.since(time);
         self.queue.put(self.now + next, Event::Ask(run));
     }
 
@@ -64,7 +64,7 @@
         let mut datagram = answer.bytes.to_vec();
         datagram[..2].copy_from_slice(&answer.id);
         let changed = process.serial != answer.serial;
-        let (read, mut cost) = meter.measure(|| process.ask.answer(&datagram));
+        let (read, mut cost) = meter.measure(|| process.ask.accept_response(&datagram));
         process.serial = answer.serial;
         self.record(to.gateway, || Step::Answer(datagram.clone()));
         self.note_gateway(to.gateway, Cause::List, cost);
--- a/crates/fawnrouter-capacity/src/platform.rs
+++ b/crates/fawnrouter-capacity/src/platform.rs
@@ -180,7 +180,7 @@
     let count = u16::try_from(rows.len()).unwrap_or(u16::MAX);
     let mut writer = MessageWriter::answering(question, [count, 1, 2 * count]);
     for row in rows {
-        writer.srv(fawnrouter_node::LIST_NAME, row);
+        writer.srv(fawnrouter_node::LIST_DNS_NAME, row);
     }
     writer.soa(serial);
     for row in rows {
--- a/crates/fawnrouter-capacity/tests/hollow.rs
+++ b/crates/fawnrouter-capacity/tests/hollow.rs
@@ -14,7 +14,7 @@
 use fawnrouter_dns::{Name, RecordType, query, read_response};
 use fawnrouter_jsonl::{Message, Tag, Verb};
 use fawnrouter_node::fawnrouter::ServerState;
-use fawnrouter_node::{Boot, LIST_NAME, Pool};
+use fawnrouter_node::{Boot, LIST_DNS_NAME, Pool};
 
 const SEED: u64 = 42;
 
@@ -34,7 +34,7 @@
 }
 
 fn question(id: u16) -> (Name, Vec<u8>) {
-    let name: Name = LIST_NAME.parse().unwrap();
+    let name: Name = LIST_DNS_NAME.parse().unwrap();
     let question = query(id, &name, RecordType::Srv);
     (name, question)
 }
@@ -94,11 +94,11 @@
         let (name, question) = question(0x1234);
         let datagram = list_answer(&question, 77, &rows);
         let answer = read_response(&datagram, 0x1234, &name, RecordType::Srv).unwrap();
-        let pool = Pool::answer(&answer).unwrap();
+        let pool = Pool::from_response(&answer).unwrap();
         assert_eq!(pool.serial, 77);
-        assert_eq!(pool.listed.len(), rows.len());
+        assert_eq!(pool.switches.len(), rows.len());
         for row in &rows {
-            let listed = &pool.listed[&row.id];
+            let listed = &pool.switches[&row.id];
             assert_eq!((listed.zone.as_str(), listed.cell.0), (row.zone.as_str(), row.cell));
             assert_eq!(listed.address, row.address);
             assert_eq!(listed.state == ServerState::Draining, row.draining);
@@ -152,7 +152,11 @@
     assert_eq!((boot.settings.gateways, boot.settings.me.0), (26, 25));
     let (name, question) = question(1);
     let answer = read_response(&list_answer(&question, 9, &rows), 1, &name, RecordType::Srv).unwrap();
-    assert_eq!(boot.known, Pool::answer(&answer).unwrap(), "the file and the name server tell the same");
+    assert_eq!(
+        boot.known,
+        Pool::from_response(&answer).unwrap(),
+        "the file and the name server tell the same"
+    );
 }
 
 // ---- The plan -------------------------------------------------------------------------------------------------
--- a/crates/fawnrouter-node/src/boot.rs
+++ b/crates/fawnrouter-node/src/boot.rs
@@ -14,10 +14,10 @@
 pub enum BootError {
     /// Not JSON; serde_json's text names line and column.
     #[error("not JSON: {0}; it must be one object")]
-    Json(String),
+    InvalidJson(String),
     /// A field is missing or of the wrong kind.
     #[error("{field}: is {found}; it must be {wanted}")]
-    Field {
+    InvalidField {
         /// Which.
         field: &'static str,
         /// What is there.
@@ -27,13 +27,13 @@
     },
     /// The settings object is wrong.
     #[error("settings.{0}")]
-    Settings(#[from] BootInfoError),
+    InvalidSettings(#[from] BootInfoError),
     /// The decision module refuses the settings.
     #[error("settings: {0}")]
-    Refused(#[from] SettingsError),
+    RejectedSettings(#[from] SettingsError),
     /// The list of the start is wrong.
     #[error("known: {0}")]
-    Known(#[from] PoolError),
+    InvalidKnownList(#[from] PoolError),
 }
 
 /// A configuration that has been read and checked.
@@ -56,7 +56,7 @@
     /// The names that calls carry.
     pub names: NameIndex,
     /// What the settings say of connections.
-    pub sockets: ConnectionSettings,
+    pub connections: ConnectionSettings,
 }
 
 struct Fields<'a>(&'a Map<String, Value>);
@@ -70,7 +70,7 @@
     ) -> Result<T, BootError> {
         let wrong = |field, value: Option<&Value>, wanted| {
             let found = value.map_or_else(|| "missing".to_owned(), abbreviated);
-            BootError::Field { field, found, wanted }
+            BootError::InvalidField { field, found, wanted }
         };
         let (map, key) = match field.split_once('.') {
             None => (self.0, field),
@@ -91,8 +91,8 @@
     /// # Errors
     /// Names the first thing that is wrong.
     pub fn read(text: &[u8]) -> Result<Self, BootError> {
-        let value: Value = serde_json::from_slice(text).map_err(|e| BootError::Json(e.to_string()))?;
-        let Value::Object(map) = &value else { return Err(BootError::Json("no object".to_owned())) };
+        let value: Value = serde_json::from_slice(text).map_err(|e| BootError::InvalidJson(e.to_string()))?;
+        let Value::Object(map) = &value else { return Err(BootError::InvalidJson("no object".to_owned())) };
         let f = Fields(map);
         let address = |v: &Value| v.as_str().and_then(|a| a.parse::<SocketAddr>().ok());
         let boot =
@@ -110,10 +110,10 @@
                 v.as_u64().and_then(|n| usize::try_from(n).ok()).filter(|n| *n >= 64)
             })?,
             nameserver: f.get("nameserver", "an address and a port, as 10.2.0.1:5300", address)?,
-            known: Pool::known(&known)?,
+            known: Pool::from_configuration(&known)?,
             settings,
             names,
-            sockets: fawnrouter_bootinfo::connection_settings(&boot)?,
+            connections: fawnrouter_bootinfo::connection_settings(&boot)?,
         })
     }
 }
--- a/crates/fawnrouter-node/src/intake.rs
+++ b/crates/fawnrouter-node/src/intake.rs
@@ -9,16 +9,16 @@
 
 /// The next thing to be looked at.
 #[derive(Debug)]
-pub enum Next {
+pub enum QueuedMessage {
     /// As it came.
-    Message(Message),
+    Live(Message),
     /// A set-up that has been given up since.
     Withdrawn(Message),
 }
 
 /// Messages of one connection, in order.
 #[derive(Debug, Default)]
-pub struct Intake {
+pub struct Inbox {
     /// What ends a call that was set up before: it goes ahead of all else, so that no attempt is made meanwhile.
     ends: VecDeque<Message>,
     queue: VecDeque<(Message, bool)>,
@@ -28,7 +28,7 @@
     set_ups: BTreeMap<Tag, u64>,
 }
 
-impl Intake {
+impl Inbox {
     /// Adds a message that was read.
     pub fn push(&mut self, message: Message) {
         match message.verb {
@@ -45,7 +45,7 @@
     }
 
     /// The client has gone: what it has set up is given up.
-    pub fn end(&mut self) {
+    pub fn withdraw_all(&mut self) {
         self.set_ups.clear();
         let set_ups = self.queue.iter_mut().filter(|(message, _)| message.verb == Verb::Start);
         set_ups.for_each(|(_, withdrawn)| *withdrawn = true);
@@ -65,20 +65,20 @@
     }
 
     /// The next that ends a call set up before.
-    pub fn take_end(&mut self) -> Option<Message> {
+    pub fn pop_finish(&mut self) -> Option<Message> {
         self.ends.pop_front()
     }
 
     /// The next: what ends a call, then all else, each in the order in which they came.
-    pub fn take(&mut self) -> Option<Next> {
-        if let Some(message) = self.take_end() {
-            return Some(Next::Message(message));
+    pub fn pop(&mut self) -> Option<QueuedMessage> {
+        if let Some(message) = self.pop_finish() {
+            return Some(QueuedMessage::Live(message));
         }
         let (message, withdrawn) = self.queue.pop_front()?;
         if self.set_ups.get(&message.tag) == Some(&self.handed) {
             self.set_ups.remove(&message.tag);
         }
         self.handed += 1;
-        Some(if withdrawn { Next::Withdrawn(message) } else { Next::Message(message) })
+        Some(if withdrawn { QueuedMessage::Withdrawn(message) } else { QueuedMessage::Live(message) })
     }
 }
--- a/crates/fawnrouter-node/src/lib.rs
+++ b/crates/fawnrouter-node/src/lib.rs
@@ -28,14 +28,14 @@
 mod seats;
 mod shares;
 
-pub use ask::{Ask, AskError, Asked};
+pub use ask::{Ask, AskError, ListQuery};
 pub use boot::{Boot, BootError};
 pub use fawnrouter;
 pub use fawnrouter_dns as dns;
 pub use fawnrouter_jsonl as jsonl;
-pub use intake::{Intake, Next};
+pub use intake::{Inbox, QueuedMessage};
 pub use links::LinkId;
 pub use node::{Counters, Input, LinkEnd, Node, NodeSettings, Output};
-pub use pool::{LIST_NAME, Pool, PoolError};
+pub use pool::{LIST_DNS_NAME, Pool, PoolError};
 pub use seats::ClientId;
-pub use shares::Shares;
+pub use shares::DescriptorShares;
--- a/crates/fawnrouter-node/src/node.rs
+++ b/crates/fawnrouter-node/src/node.rs
@@ -26,7 +26,7 @@
 use crate::calls::Calls;
 use crate::links::{LinkId, Links, Need};
 use crate::liveness::Life;
-use crate::pool::{Ids, Listed, Pool};
+use crate::pool::{Ids, ListedSwitch, Pool};
 use crate::request::{self, cause};
 use crate::seats::{ClientId, Seats};
 
@@ -64,7 +64,7 @@
 #[derive(Debug)]
 struct Server {
     id: String,
-    listed: Option<Listed>,
+    listed: Option<ListedSwitch>,
     life: Life,
 }
 
@@ -125,12 +125,12 @@
     /// Where the module refuses the settings.
     pub fn new(settings: NodeSettings) -> Result<Self, SettingsError> {
         let controller = Controller::new(settings.controller_settings.clone(), settings.seed)?;
-        Ok(Self::with(settings, Box::new(controller)))
+        Ok(Self::with_controller(settings, Box::new(controller)))
     }
 
     /// The same around other decisions.
     #[must_use]
-    pub fn with(settings: NodeSettings, controller: Box<dyn Decide>) -> Self {
+    pub fn with_controller(settings: NodeSettings, controller: Box<dyn Decide>) -> Self {
         Self {
             controller,
             decisions: settings.controller_settings,
@@ -235,7 +235,7 @@
             Input::LinkDecodeError { link, fault } => self.link_fault(link, &fault.to_string()),
             Input::LinkDown { link, end } => self.link_down(link, end),
             Input::SetUpRecalled { link, tag } => self.recalled(link, tag),
-            Input::ListResponse(answer) => match Pool::answer(&answer) {
+            Input::ListResponse(answer) => match Pool::from_response(&answer) {
                 Ok(pool) => self.take_pool(&pool),
                 Err(error) => self.log(format!("the name server's list is not used: {error}")),
             },
--- a/crates/fawnrouter-node/src/node/interface.rs
+++ b/crates/fawnrouter-node/src/node/interface.rs
@@ -12,7 +12,7 @@
 use crate::links::LinkId;
 use crate::pool::Pool;
 use crate::seats::ClientId;
-use crate::shares::Shares;
+use crate::shares::DescriptorShares;
 
 /// All that a gateway is told at its start.
 #[derive(Debug)]
@@ -35,11 +35,11 @@
     /// What a configuration says, with its descriptors divided as [`Shares`] has it.
     #[must_use]
     pub fn new(boot: &Boot) -> Self {
-        let shares = Shares::of(boot.descriptors);
+        let shares = DescriptorShares::divide(boot.descriptors);
         Self {
             controller_settings: boot.settings.clone(),
             names: boot.names.clone(),
-            connections: boot.sockets,
+            connections: boot.connections,
             max_clients: shares.clients,
             max_links: shares.links,
             seed: boot.seed,
--- a/crates/fawnrouter-node/src/node/list.rs
+++ b/crates/fawnrouter-node/src/node/list.rs
@@ -44,7 +44,7 @@
         self.serial = Some(pool.serial);
         let mut entries = Vec::new();
         let mut seen = BTreeSet::new();
-        for (id, listed) in &pool.listed {
+        for (id, listed) in &pool.switches {
             let server = self.ids.number(id);
             seen.insert(server);
             entries.push(entry(server, listed));
@@ -69,7 +69,7 @@
         self.decide();
         // A new core switch listens where one listened that is gone: nothing there is the old one's any more. Guards
         // against its answers and connections being taken for signs of the old one's life.
-        let taken: BTreeSet<SocketAddr> = pool.listed.values().map(|l| l.address).collect();
+        let taken: BTreeSet<SocketAddr> = pool.switches.values().map(|l| l.address).collect();
         for server in gone.iter().copied() {
             if self.links.sites.get(&server).is_some_and(|site| taken.contains(&site.address)) {
                 self.cut(server, None, "is gone and its address is another's");
--- a/crates/fawnrouter-node/src/pool.rs
+++ b/crates/fawnrouter-node/src/pool.rs
@@ -10,7 +10,7 @@
 use serde_json::Value;
 
 /// The name whose SRV records are the list.
-pub const LIST_NAME: &str = "_app._tcp.cluster.lan";
+pub const LIST_DNS_NAME: &str = "_app._tcp.cluster.lan";
 
 /// The most core switches that a list may name; a longer one is refused whole.
 const MAX_LISTED: usize = 4096;
@@ -21,7 +21,7 @@
 pub enum PoolError {
     /// An event of the configuration is not of the form that the page shows.
     #[error("{field} is {found}; it must be {wanted}")]
-    Event {
+    InvalidEvent {
         /// Which field.
         field: &'static str,
         /// What is there.
@@ -34,7 +34,7 @@
     NoSerial,
     /// A record that the list needs is missing or makes no sense.
     #[error("{0}: {1}")]
-    Record(String, &'static str),
+    InvalidRecord(String, &'static str),
     /// No core switch at all: never true of a service, and more likely a fault of the name server's.
     #[error("the answer names no core switch")]
     Empty,
@@ -45,7 +45,7 @@
 
 /// What the list says of one core switch.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct ListedSwitch {
     /// Its zone.
     pub zone: String,
     /// Its pool.
@@ -64,7 +64,7 @@
     /// The number of the last event.
     pub serial: u32,
     /// By id.
-    pub listed: BTreeMap<String, Listed>,
+    pub switches: BTreeMap<String, ListedSwitch>,
 }
 
 fn started(unix_ms: u64) -> Option<Time> {
@@ -76,7 +76,7 @@
     ///
     /// # Errors
     /// Where an event is not of the form that the page shows.
-    pub fn known(known: &Value) -> Result<Self, PoolError> {
+    pub fn from_configuration(from_configuration: &Value) -> Result<Self, PoolError> {
         fn field<T>(
             at: &Value,
             field: &'static str,
@@ -84,17 +84,18 @@
             read: impl Fn(&Value) -> Option<T>,
         ) -> Result<T, PoolError> {
             let value = at.get(field).unwrap_or(&Value::Null);
-            read(value).ok_or_else(|| PoolError::Event { field, found: value.to_string(), wanted })
+            read(value).ok_or_else(|| PoolError::InvalidEvent { field, found: value.to_string(), wanted })
         }
         let number = |v: &Value| v.as_u64().and_then(|n| u32::try_from(n).ok());
         let text = |v: &Value| v.as_str().filter(|t| !t.is_empty()).map(str::to_owned);
         let list = |v: &Value| v.as_array().cloned();
-        let mut pool = Self { serial: field(known, "seq", "a number", number)?, ..Self::default() };
-        for event in field(known, "results", "a list of events", list)? {
+        let mut pool =
+            Self { serial: field(from_configuration, "seq", "a number", number)?, ..Self::default() };
+        for event in field(from_configuration, "results", "a list of events", list)? {
             let fleet =
                 field(&event, "fleet", "an object", |v| v.as_object().map(|o| Value::Object(o.clone())))?;
             if fleet.get("reset").and_then(Value::as_bool) == Some(true) {
-                pool.listed.clear();
+                pool.switches.clear();
             }
             for instance in field(&fleet, "instances", "a list of core switches", list)? {
                 let id = field(&instance, "instanceId", "an id", text)?;
@@ -106,11 +107,11 @@
                         _ => None,
                     })?;
                 if state == ServerState::Gone {
-                    pool.listed.remove(&id);
+                    pool.switches.remove(&id);
                     continue;
                 }
                 let address = |v: &Value| v.as_str().and_then(|a| a.parse().ok());
-                let listed = Listed {
+                let listed = ListedSwitch {
                     zone: field(&instance, "zone", "a zone's name", text)?,
                     cell: Cell(field(&instance, "cell", "a number", number)?),
                     state,
@@ -122,10 +123,10 @@
                     )?),
                     address: field(&instance, "hostPort", "an address and a port", address)?,
                 };
-                pool.listed.insert(id, listed);
+                pool.switches.insert(id, listed);
             }
         }
-        if pool.listed.len() > MAX_LISTED {
+        if pool.switches.len() > MAX_LISTED {
             return Err(PoolError::TooMany);
         }
         Ok(pool)
@@ -136,7 +137,7 @@
     ///
     /// # Errors
     /// Names the first record that is missing or makes no sense.
-    pub fn answer(answer: &Response) -> Result<Self, PoolError> {
+    pub fn from_response(answer: &Response) -> Result<Self, PoolError> {
         let serial = answer.authority.iter().find_map(|r| match r.data {
             RecordData::Soa { serial } => Some(serial),
             _ => None,
@@ -153,7 +154,7 @@
         }
         for record in &answer.answers {
             let RecordData::Srv { priority, port, target, .. } = &record.data else { continue };
-            let wrong = |why| PoolError::Record(target.to_string(), why);
+            let wrong = |why| PoolError::InvalidRecord(target.to_string(), why);
             let [id, zone, ..] = target.labels() else { return Err(wrong("the target names no zone")) };
             let host = hosts.get(target).ok_or_else(|| wrong("no A record"))?;
             let text = texts.get(target).ok_or_else(|| wrong("no TXT record"))?;
@@ -163,20 +164,20 @@
                 pairs.find(|(key, _)| *key == name).and_then(|(_, value)| value.parse::<u64>().ok())
             };
             let cell = figure("cell").and_then(|n| u32::try_from(n).ok());
-            let listed = Listed {
+            let listed = ListedSwitch {
                 zone: zone.clone(),
                 cell: Cell(cell.ok_or_else(|| wrong("TXT has no cell"))?),
                 state: if *priority == 0 { ServerState::Ready } else { ServerState::Draining },
                 started: started(figure("started").ok_or_else(|| wrong("TXT has no start time"))?),
                 address: SocketAddr::from((*host, *port)),
             };
-            pool.listed.insert(id.clone(), listed);
-            if pool.listed.len() > MAX_LISTED {
+            pool.switches.insert(id.clone(), listed);
+            if pool.switches.len() > MAX_LISTED {
                 return Err(PoolError::TooMany);
             }
         }
         // Guards against a failing name server; the last list stands until one is named again.
-        if pool.listed.is_empty() { Err(PoolError::Empty) } else { Ok(pool) }
+        if pool.switches.is_empty() { Err(PoolError::Empty) } else { Ok(pool) }
     }
 }
 
@@ -207,7 +208,7 @@
 }
 
 /// The controller's entry for what is listed.
-pub(crate) fn entry(id: ServerId, listed: &Listed) -> ServerEntry {
+pub(crate) fn entry(id: ServerId, listed: &ListedSwitch) -> ServerEntry {
     ServerEntry {
         id,
         zone: listed.zone.as_str().into(),
--- a/crates/fawnrouter-node/src/shares.rs
+++ b/crates/fawnrouter-node/src/shares.rs
@@ -10,7 +10,7 @@
 
 /// What each part may hold at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Shares {
+pub struct DescriptorShares {
     /// Callers' connections that are served: a half, as callers keep to a third; less where the reserve needs it.
     pub clients: usize,
     /// Connections to core switches: a quarter.
@@ -19,10 +19,10 @@
     pub closing: usize,
 }
 
-impl Shares {
+impl DescriptorShares {
     /// The division of this many.
     #[must_use]
-    pub fn of(descriptors: usize) -> Self {
+    pub fn divide(descriptors: usize) -> Self {
         let (links, closing) = (descriptors / 4, descriptors / 8);
         let rest = descriptors.saturating_sub(links + closing + RESERVED);
         Self { clients: (descriptors / 2).min(rest).max(1), links: links.max(1), closing }
@@ -30,7 +30,7 @@
 
     /// Callers' connections at once, served or on their way out.
     #[must_use]
-    pub fn callers(&self) -> usize {
+    pub fn max_client_connections(&self) -> usize {
         self.clients + self.closing
     }
 }
--- a/crates/fawnrouter-node/tests/common/mod.rs
+++ b/crates/fawnrouter-node/tests/common/mod.rs
@@ -48,7 +48,7 @@
 }
 
 pub fn pool(serial: u32, lines: &[Line<'_>]) -> Pool {
-    Pool::known(&serde_json::from_str(&known(serial, lines)).unwrap()).unwrap()
+    Pool::from_configuration(&serde_json::from_str(&known(serial, lines)).unwrap()).unwrap()
 }
 
 pub struct Rig {
--- a/crates/fawnrouter-node/tests/edges.rs
+++ b/crates/fawnrouter-node/tests/edges.rs
@@ -20,7 +20,7 @@
     let (mut ask, mut now, mut times) = (Ask::new(), 0, Vec::new());
     while now < until_ms {
         times.push(now);
-        let next = ask.ask(Time(Duration::from_millis(now)), times.len() as u16).next;
+        let next = ask.next_query(Time(Duration::from_millis(now)), times.len() as u16).next_at;
         now = next.0.as_millis() as u64;
     }
     times
@@ -42,12 +42,16 @@
     let mut ask = Ask::new();
     let mut last = Vec::new();
     for n in 0..18u64 {
-        let asked = ask.ask(Time(Duration::from_millis(n * 250)), n as u16);
-        assert_eq!(asked.next, Time(Duration::from_millis((n + 1) * 250)), "no back-off in 4.5 s of silence");
+        let asked = ask.next_query(Time(Duration::from_millis(n * 250)), n as u16);
+        assert_eq!(
+            asked.next_at,
+            Time(Duration::from_millis((n + 1) * 250)),
+            "no back-off in 4.5 s of silence"
+        );
         last = asked.datagram;
     }
     last[2] = 0x80;
-    assert!(ask.answer(&last).is_ok());
+    assert!(ask.accept_response(&last).is_ok());
 }
 
 #[test]
--- a/crates/fawnrouter-node/tests/intake.rs
+++ b/crates/fawnrouter-node/tests/intake.rs
@@ -5,25 +5,25 @@
 
 use common::*;
 use fawnrouter_node::jsonl::{Message, Verb};
-use fawnrouter_node::{Input, Intake, Next, Output, Shares};
+use fawnrouter_node::{DescriptorShares, Inbox, Input, Output, QueuedMessage};
 
 fn message(line: &str) -> Message {
     parse(line.as_bytes()).unwrap()
 }
 
 /// Tags in order; those given up are negative.
-fn order(intake: &mut Intake) -> Vec<i64> {
-    let next = std::iter::from_fn(|| intake.take());
+fn order(intake: &mut Inbox) -> Vec<i64> {
+    let next = std::iter::from_fn(|| intake.pop());
     next.map(|next| match next {
-        Next::Message(m) => m.tag.0 as i64,
-        Next::Withdrawn(m) => -(m.tag.0 as i64),
+        QueuedMessage::Live(m) => m.tag.0 as i64,
+        QueuedMessage::Withdrawn(m) => -(m.tag.0 as i64),
     })
     .collect()
 }
 
 #[test]
 fn a_set_up_that_is_given_up_behind_hundreds_of_others_is_known_before_it_is_looked_at() {
-    let mut intake = Intake::default();
+    let mut intake = Inbox::default();
     (1..=500).for_each(|tag| intake.push(message(&start(tag, 3000))));
     (1..=499).for_each(|tag| intake.push(message(&finish(tag, 16))));
     let taken = order(&mut intake);
@@ -33,7 +33,7 @@
 
 #[test]
 fn the_same_id_again_at_once_is_another_set_up_and_one_already_handed_on_is_given_up_as_usual() {
-    let mut intake = Intake::default();
+    let mut intake = Inbox::default();
     for line in [start(7, 3000), finish(7, 16), start(7, 3000)] {
         intake.push(message(&line));
     }
@@ -47,11 +47,11 @@
 
 #[test]
 fn a_clients_end_gives_up_all_that_it_has_set_up_and_nothing_that_it_releases() {
-    let mut intake = Intake::default();
+    let mut intake = Inbox::default();
     for line in [start(1, 3000), finish(6, 16), start(1, 3000), start(2, 3000)] {
         intake.push(message(&line));
     }
-    intake.end();
+    intake.withdraw_all();
     assert_eq!(order(&mut intake), [6, -1, -1, -2]);
 }
 
@@ -115,8 +115,8 @@
 #[test]
 fn every_descriptor_is_somebodys_before_any_is_taken() {
     for descriptors in 64..=4096 {
-        let shares = Shares::of(descriptors);
-        let dealt = shares.callers() + shares.links;
+        let shares = DescriptorShares::divide(descriptors);
+        let dealt = shares.max_client_connections() + shares.links;
         assert!(dealt + 16 <= descriptors, "{descriptors}: {shares:?}");
         assert!(shares.clients >= descriptors / 3, "callers keep to a third: {descriptors}, {shares:?}");
         assert!(shares.links >= 16 && shares.closing >= 8, "{descriptors}: {shares:?}");
--- a/crates/fawnrouter-node/tests/settings.rs
+++ b/crates/fawnrouter-node/tests/settings.rs
@@ -96,7 +96,7 @@
         ("/settings/me", json!(7)),
     ] {
         let error = read(&with(place, Some(value))).unwrap_err();
-        assert!(matches!(error, BootError::Settings(_)), "{error:?}");
+        assert!(matches!(error, BootError::InvalidSettings(_)), "{error:?}");
     }
 }
 
@@ -128,7 +128,7 @@
         config.pointer_mut(place).unwrap()["newField"] = json!({"any": [1, null]});
     }
     let (old, new) = (read(&good()).unwrap(), read(&config).unwrap());
-    assert_eq!((old.settings, old.sockets), (new.settings, new.sockets));
+    assert_eq!((old.settings, old.connections), (new.settings, new.connections));
 }
 
 #[test]
--- a/crates/fawnrouterd/src/node/client.rs
+++ b/crates/fawnrouterd/src/node/client.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use async_io::{Async, Timer};
-use fawnrouter_node::{ClientId, Input, Next};
+use fawnrouter_node::{ClientId, Input, QueuedMessage};
 use futures_lite::future;
 
 use super::gate::{Gate, Peer};
@@ -113,8 +113,8 @@
         let Some(next) = peer.reader.borrow_mut().next() else { break };
         handed = true;
         gate.input(match next {
-            Next::Message(message) => Input::ClientMessage { client, message },
-            Next::Withdrawn(message) => Input::SetUpWithdrawn { client, message },
+            QueuedMessage::Live(message) => Input::ClientMessage { client, message },
+            QueuedMessage::Withdrawn(message) => Input::SetUpWithdrawn { client, message },
         });
     }
     if peer.reader.borrow().is_empty() {
--- a/crates/fawnrouterd/src/node/gate.rs
+++ b/crates/fawnrouterd/src/node/gate.rs
@@ -10,7 +10,7 @@
 use async_io::Async;
 use fawnrouter_node::fawnrouter::Time;
 use fawnrouter_node::jsonl::Tag;
-use fawnrouter_node::{ClientId, Input, LinkId, Node, Output, Shares};
+use fawnrouter_node::{ClientId, DescriptorShares, Input, LinkId, Node, Output};
 
 use super::reader::{Reader, Room};
 use crate::flag::Flag;
@@ -65,7 +65,7 @@
     closing: Cell<usize>,
     /// Clients' connections that a task still serves or closes.
     driven: Cell<usize>,
-    shares: Shares,
+    shares: DescriptorShares,
     open_trunk: Opener,
     executor: Weak<LocalExecutor<'static>>,
     log: RefCell<LogRate>,
@@ -75,7 +75,7 @@
 impl Gate {
     pub fn new(
         node: Node,
-        shares: Shares,
+        shares: DescriptorShares,
         nameserver: SocketAddr,
         open_trunk: Opener,
         executor: &Rc<LocalExecutor<'static>>,
@@ -122,7 +122,7 @@
 
     /// Whether there is room for one more connection of a client's, its way out included.
     pub fn has_room(&self) -> bool {
-        self.driven.get() < self.shares.callers()
+        self.driven.get() < self.shares.max_client_connections()
     }
 
     /// A client has ended its side, or its connection cannot be written to: what has not been said will not be heard.
--- a/crates/fawnrouterd/src/node/mod.rs
+++ b/crates/fawnrouterd/src/node/mod.rs
@@ -22,7 +22,7 @@
 use async_io::{Async, Timer};
 use async_signal::{Signal, Signals};
 use fawnrouter_node::fawnrouter::SettingsError;
-use fawnrouter_node::{Input, Node, NodeSettings, Shares};
+use fawnrouter_node::{DescriptorShares, Input, Node, NodeSettings};
 use futures_lite::future;
 
 pub use config::{ConfigError, Source};
@@ -69,7 +69,7 @@
     let signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map_err(NodeError::Signals)?;
     let node = Node::new(NodeSettings::new(&boot))?;
     let executor = Rc::new(LocalExecutor::new());
-    let shares = Shares::of(boot.descriptors);
+    let shares = DescriptorShares::divide(boot.descriptors);
     let gate = Gate::new(node, shares, boot.nameserver, trunk::open, &executor);
     gate.input(Input::ConfiguredList(boot.known));
     tracing::info!(name = boot.name, %address, "gateway ready");
--- a/crates/fawnrouterd/src/node/names.rs
+++ b/crates/fawnrouterd/src/node/names.rs
@@ -52,10 +52,10 @@
     while gate.nameserver.get() == server {
         let mut id = [0; 2];
         getrandom::fill(&mut id).map_err(|e| io::Error::other(e.to_string()))?;
-        let asked = ask.ask(gate.pump.clock.now(), u16::from_ne_bytes(id));
+        let asked = ask.next_query(gate.pump.clock.now(), u16::from_ne_bytes(id));
         // A refusal of the last datagram may be told here; the next question is asked all the same.
         let _ = socket.send(&asked.datagram).await;
-        let next = gate.pump.clock.instant(asked.next);
+        let next = gate.pump.clock.instant(asked.next_at);
         loop {
             let received = async { Some(socket.recv(&mut buffer).await) };
             let due = async {
@@ -64,7 +64,7 @@
             };
             match future::or(received, due).await {
                 None => break,
-                Some(Ok(n)) => match ask.answer(&buffer[..n]) {
+                Some(Ok(n)) => match ask.accept_response(&buffer[..n]) {
                     Ok(answer) => gate.input(Input::ListResponse(answer)),
                     Err(error) => {
                         gate.log(gate.pump.clock.now(), &format!("a datagram is not used: {error}"))
--- a/crates/fawnrouterd/src/node/reader.rs
+++ b/crates/fawnrouterd/src/node/reader.rs
@@ -5,7 +5,7 @@
 use std::net::TcpStream;
 
 use fawnrouter_node::jsonl::{DecodeError, Decoder, Message};
-use fawnrouter_node::{Intake, Next};
+use fawnrouter_node::{Inbox, QueuedMessage};
 
 /// Bytes of one connection that are read before any of them is handed on: five hundred set-ups and what gives them up.
 const LOOK_AHEAD: usize = 256 * 1024;
@@ -28,7 +28,7 @@
 #[derive(Default)]
 pub struct Reader {
     decoder: Decoder,
-    intake: Intake,
+    intake: Inbox,
     /// Bytes behind what the intake holds.
     ahead: usize,
     /// The client's end, or a reset.
@@ -59,7 +59,7 @@
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Ok(_) | Err(_) => {
                     self.ended = true;
-                    self.intake.end();
+                    self.intake.withdraw_all();
                 }
             }
         }
@@ -93,12 +93,12 @@
 
     /// The next message that ends a call set up before.
     pub fn next_end(&mut self) -> Option<Message> {
-        self.intake.take_end()
+        self.intake.pop_finish()
     }
 
     /// The next of all.
-    pub fn next(&mut self) -> Option<Next> {
-        self.intake.take()
+    pub fn next(&mut self) -> Option<QueuedMessage> {
+        self.intake.pop()
     }
 
     pub fn is_empty(&self) -> bool {
