--- a/crates/fawnrouter-node/src/boot.rs
+++ b/crates/fawnrouter-node/src/boot.rs
@@ -6,7 +6,7 @@
 use fawnrouter_bootinfo::{BootInfoError, ConnectionSettings, NameIndex, abbreviated};
 use serde_json::{Map, Value};
 
-use crate::pool::{Pool, PoolError};
+use crate::switch_list::{Pool, PoolError};
 
 /// What is wrong with a configuration; each text names the field and what would be right.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
--- a/crates/fawnrouter-node/src/calls.rs
+++ b/crates/fawnrouter-node/src/calls.rs
@@ -5,8 +5,8 @@
 use fawnrouter::{AttemptNo, ServerId, Time};
 use fawnrouter_jsonl::Tag;
 
+use crate::client_connections::ClientId;
 use crate::links::LinkId;
-use crate::seats::ClientId;
 
 /// An attempt that is out.
 #[derive(Clone, Copy, Debug)]
--- a/crates/fawnrouter-node/src/lib.rs
+++ b/crates/fawnrouter-node/src/lib.rs
@@ -5,37 +5,37 @@
 //! | module | what it does |
 //! | --- | --- |
 //! | `boot` | the configuration file, checked whole before anything of it is used |
-//! | `pool` | the list of core switches from `known` and from DNS answers; ids as numbers |
-//! | `ask` | what is asked of the name server, and which datagram is its answer |
+//! | `switch_list` | the list of core switches from `known` and from DNS answers; ids as numbers |
+//! | `list_query` | what is asked of the name server, and which datagram is its answer |
 //! | `request` | whether a set-up makes sense, and what it says |
 //! | `links` | connections to core switches: which set-up on which, how many, when again |
 //! | `liveness` | when a core switch's standing calls count as cut though nobody said so |
-//! | `intake` | what a client has sent and nobody has looked at yet: what is given up before it is tried |
-//! | `shares` | how the descriptors are divided, before any is taken |
-//! | `seats` | which client's connection is closed, when and why |
+//! | `inbox` | what a client has sent and nobody has looked at yet: what is given up before it is tried |
+//! | `descriptor_shares` | how the descriptors are divided, before any is taken |
+//! | `client_connections` | which client's connection is closed, when and why |
 //! | `calls` | calls, open and standing, and what is remembered of those that ended |
 //! | `node` | inputs, the controller's events and actions, what comes due; a file each for callers, attempts, connections, standing calls, the list |
 
-mod ask;
 mod boot;
 mod calls;
-mod intake;
+mod client_connections;
+mod descriptor_shares;
+mod inbox;
 mod links;
+mod list_query;
 mod liveness;
 mod node;
-mod pool;
 mod request;
-mod seats;
-mod shares;
+mod switch_list;
 
-pub use ask::{Ask, AskError, ListQuery};
 pub use boot::{Boot, BootError};
+pub use client_connections::ClientId;
+pub use descriptor_shares::DescriptorShares;
 pub use fawnrouter;
 pub use fawnrouter_dns as dns;
 pub use fawnrouter_jsonl as jsonl;
-pub use intake::{Inbox, QueuedMessage};
+pub use inbox::{Inbox, QueuedMessage};
 pub use links::LinkId;
+pub use list_query::{Ask, AskError, ListQuery};
 pub use node::{Counters, Input, LinkEnd, Node, NodeSettings, Output};
-pub use pool::{LIST_DNS_NAME, Pool, PoolError};
-pub use seats::ClientId;
-pub use shares::DescriptorShares;
+pub use switch_list::{LIST_DNS_NAME, Pool, PoolError};
--- a/crates/fawnrouter-node/src/ask.rs
+++ b/crates/fawnrouter-node/src/list_query.rs
@@ -9,7 +9,7 @@
 use fawnrouter::Time;
 use fawnrouter_dns::{Name, RecordType, Response, ResponseError, query, read_response};
 
-use crate::pool::LIST_DNS_NAME;
+use crate::switch_list::LIST_DNS_NAME;
 
 /// Between two questions: news is at most this old when it is heard, while the page counts it as told after 1.5 s.
 const PACE: Duration = Duration::from_millis(250);
--- a/crates/fawnrouter-node/src/node.rs
+++ b/crates/fawnrouter-node/src/node.rs
@@ -3,11 +3,11 @@
 
 mod attempts;
 mod callers;
-mod ending;
+mod established;
 mod interface;
-mod list;
-mod standing;
-mod trunk;
+mod shutdown;
+mod switch_links;
+mod switch_list;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -24,11 +24,11 @@
 
 pub use self::interface::{Counters, Input, LinkEnd, NodeSettings, Output};
 use crate::calls::Calls;
+use crate::client_connections::{ClientId, Seats};
 use crate::links::{LinkId, Links, Need};
 use crate::liveness::Life;
-use crate::pool::{Ids, ListedSwitch, Pool};
 use crate::request::{self, cause};
-use crate::seats::{ClientId, Seats};
+use crate::switch_list::{Ids, ListedSwitch, Pool};
 
 /// Causes of a test's answer ("test passed, failed: cause 1 or 0").
 const TEST_PASSED: i64 = 1;
--- a/crates/fawnrouter-node/src/node/callers.rs
+++ b/crates/fawnrouter-node/src/node/callers.rs
@@ -8,8 +8,8 @@
 use super::attempts::written;
 use super::{Key, LAST_CALL, LOOK_AGAIN, MAX_NEWS, Node, Output, TEST_FAILED, TEST_PASSED};
 use crate::calls::{Ended, MAX_STANDING, Open, Standing};
+use crate::client_connections::{Arrival, ClientId};
 use crate::request::{self, Request, cause};
-use crate::seats::{Arrival, ClientId};
 
 impl Node {
     /// The one final answer of a call that does not stand. An attempt that is out is withdrawn.
--- a/crates/fawnrouter-node/src/node/interface.rs
+++ b/crates/fawnrouter-node/src/node/interface.rs
@@ -9,10 +9,10 @@
 use fawnrouter_jsonl::{DecodeError, Message, Tag};
 
 use crate::boot::Boot;
+use crate::client_connections::ClientId;
+use crate::descriptor_shares::DescriptorShares;
 use crate::links::LinkId;
-use crate::pool::Pool;
-use crate::seats::ClientId;
-use crate::shares::DescriptorShares;
+use crate::switch_list::Pool;
 
 /// All that a gateway is told at its start.
 #[derive(Debug)]
--- a/crates/fawnrouter-node/src/node/list.rs
+++ b/crates/fawnrouter-node/src/node/switch_list.rs
@@ -8,7 +8,7 @@
 use super::{Key, Node, Output, Server};
 use crate::links::{LinkId, Need};
 use crate::liveness::Life;
-use crate::pool::{Pool, entry};
+use crate::switch_list::{Pool, entry};
 
 impl Node {
     /// A core switch that is not listed and holds nothing is forgotten, with its number.
