--- a/crates/fawnrouter-node/src/node.rs
+++ b/crates/fawnrouter-node/src/node.rs
@@ -3,11 +3,11 @@
 
 mod attempts;
 mod callers;
-mod ending;
+mod established;
 mod interface;
-mod list;
-mod standing;
-mod trunk;
+mod shutdown;
+mod switch_links;
+mod switch_list;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -16,19 +16,19 @@
     Action, CallId, Controller, Event, LoadReport, Outcome, OutcomeDetail, ServerId, Settings, SettingsError,
     Time, TimerId,
 };
-use fawnrouter_bootinfo::{Names, Sockets};
+use fawnrouter_bootinfo::{ConnectionSettings, NameIndex};
 use fawnrouter_jsonl::{Message, Tag, Verb};
-use fawnrouter_machine::{Decide, Due, Machine};
+use fawnrouter_machine::{Decide, StateMachine, TimerQueue};
 use rand_chacha::ChaCha8Rng;
 use rand_core::{RngCore, SeedableRng};
 
 pub use self::interface::{Counters, Input, LinkEnd, NodeSettings, Output};
 use crate::calls::Calls;
+use crate::client_connections::{ClientId, Seats};
 use crate::links::{LinkId, Links, Need};
 use crate::liveness::Life;
-use crate::pool::{Ids, Listed, Pool};
 use crate::request::{self, cause};
-use crate::seats::{ClientId, Seats};
+use crate::switch_list::{Ids, ListedSwitch, Pool};
 
 /// Causes of a test's answer ("test passed, failed: cause 1 or 0").
 const TEST_PASSED: i64 = 1;
@@ -64,7 +64,7 @@
 #[derive(Debug)]
 struct Server {
     id: String,
-    listed: Option<Listed>,
+    listed: Option<ListedSwitch>,
     life: Life,
 }
 
@@ -73,8 +73,8 @@
 pub struct Node {
     controller: Box<dyn Decide>,
     decisions: Settings,
-    names: Names,
-    sockets: Sockets,
+    names: NameIndex,
+    sockets: ConnectionSettings,
     rng: ChaCha8Rng,
     now: Time,
     calls: Calls,
@@ -89,7 +89,7 @@
     ids: Ids,
     serial: Option<u32>,
     probes: BTreeMap<Tag, (ServerId, Time, bool)>,
-    due: Due<Key>,
+    due: TimerQueue<Key>,
     /// Between two looks for idle connections.
     house: Duration,
     events: VecDeque<Event>,
@@ -101,7 +101,7 @@
     out: Vec<Output>,
 }
 
-impl Machine for Node {
+impl StateMachine for Node {
     type Input = Input;
     type Output = Output;
 
@@ -124,32 +124,36 @@
     /// # Errors
     /// Where the module refuses the settings.
     pub fn new(settings: NodeSettings) -> Result<Self, SettingsError> {
-        let controller = Controller::new(settings.decisions.clone(), settings.seed)?;
-        Ok(Self::with(settings, Box::new(controller)))
+        let controller = Controller::new(settings.controller_settings.clone(), settings.seed)?;
+        Ok(Self::with_controller(settings, Box::new(controller)))
     }
 
     /// The same around other decisions.
     #[must_use]
-    pub fn with(settings: NodeSettings, controller: Box<dyn Decide>) -> Self {
+    pub fn with_controller(settings: NodeSettings, controller: Box<dyn Decide>) -> Self {
         Self {
             controller,
-            decisions: settings.decisions,
+            decisions: settings.controller_settings,
             names: settings.names,
-            sockets: settings.sockets,
+            sockets: settings.connections,
             // Another stream than the controller's, which has the seed itself.
             rng: ChaCha8Rng::seed_from_u64(settings.seed ^ 0x6e6f_6465),
             now: Time::default(),
             calls: Calls::default(),
-            links: Links::new(settings.links, settings.sockets.multiplex, settings.sockets.idle),
-            seats: Seats::new(settings.clients),
+            links: Links::new(
+                settings.max_links,
+                settings.connections.max_set_ups_per_connection,
+                settings.connections.idle_timeout,
+            ),
+            seats: Seats::new(settings.max_clients),
             leaving: BTreeMap::new(),
             news: VecDeque::new(),
             servers: BTreeMap::new(),
             ids: Ids::default(),
             serial: None,
             probes: BTreeMap::new(),
-            due: Due::default(),
-            house: HOUSE.min(settings.sockets.idle.mul_f64(HOUSE_SHARE)).max(LOOK_AGAIN),
+            due: TimerQueue::default(),
+            house: HOUSE.min(settings.connections.idle_timeout.mul_f64(HOUSE_SHARE)).max(LOOK_AGAIN),
             events: VecDeque::new(),
             stopping: None,
             wound_up: None,
@@ -180,7 +184,7 @@
     /// When [`Input::Wake`] is wanted.
     #[must_use]
     pub fn next_wake(&self) -> Option<Time> {
-        self.due.first()
+        self.due.next_at()
     }
 
     /// Takes an input at the clock's reading `now` (time since the Unix epoch) and appends what is to be done.
@@ -190,7 +194,7 @@
             self.due.set(Key::House, self.now.plus(self.house));
         }
         match input {
-            Input::ClientUp { client } => self.client_up(client),
+            Input::ClientConnected { client } => self.client_up(client),
             Input::ClientMessage { client, message } => {
                 if self.seats.is_in(client) {
                     self.seats.spoke(self.now, client);
@@ -199,48 +203,48 @@
                     self.last_message(client, message);
                 }
             }
-            Input::Withdrawn { client, message } => {
+            Input::SetUpWithdrawn { client, message } => {
                 if self.seats.is_in(client) || self.leaving.contains_key(&client) {
                     self.seats.spoke(self.now, client);
                     self.withdrawn(client, message);
                 }
             }
-            Input::ClientEnded { client } => {
+            Input::ClientHalfClosed { client } => {
                 if self.seats.is_in(client) {
                     self.leaving.insert(client, None);
                 }
                 self.client_down(client);
             }
-            Input::Unheard { tag } => self.unheard(tag),
-            Input::ClientReadOut { client } => {
+            Input::NotDelivered { tag } => self.unheard(tag),
+            Input::ClientFullyRead { client } => {
                 if let Some(line) = self.leaving.get_mut(&client).and_then(Option::take) {
                     self.out.push(Output::ToClient { client, line });
                 }
             }
-            Input::ClientRead { client, half } => {
+            Input::ClientBytesRead { client, partial_line: half } => {
                 self.seats.half(self.now, client, half);
                 self.watch(client);
             }
-            Input::ClientFault { client, fault } => self.client_fault(client, &fault),
-            Input::ClientDown { client } => {
+            Input::ClientDecodeError { client, fault } => self.client_fault(client, &fault),
+            Input::ClientDisconnected { client } => {
                 self.client_down(client);
                 self.leaving.remove(&client);
             }
             Input::LinkUp { link } => self.link_up(link),
             Input::LinkMessage { link, message } => self.link_message(link, message),
-            Input::LinkFault { link, fault } => self.link_fault(link, &fault.to_string()),
+            Input::LinkDecodeError { link, fault } => self.link_fault(link, &fault.to_string()),
             Input::LinkDown { link, end } => self.link_down(link, end),
-            Input::Recalled { link, tag } => self.recalled(link, tag),
-            Input::Answer(answer) => match Pool::answer(&answer) {
+            Input::SetUpRecalled { link, tag } => self.recalled(link, tag),
+            Input::ListResponse(answer) => match Pool::from_response(&answer) {
                 Ok(pool) => self.take_pool(&pool),
                 Err(error) => self.log(format!("the name server's list is not used: {error}")),
             },
-            Input::Known(pool) => self.take_pool(&pool),
+            Input::ConfiguredList(pool) => self.take_pool(&pool),
             Input::Stop => self.stop(),
             Input::Wake => {}
         }
         self.decide();
-        while let Some(key) = self.due.pop(self.now) {
+        while let Some(key) = self.due.pop_due(self.now) {
             self.came_due(key);
             self.decide();
         }
@@ -279,15 +283,18 @@
                 }
             }
             Action::Refuse { call, retry_after } => {
-                let finish = Message::new(Verb::Finish, request::tag(call)).cause(cause::NO_CIRCUIT);
+                let finish = Message::new(Verb::Finish, request::tag(call)).with_cause(cause::NO_CIRCUIT);
                 let wait = retry_after.as_millis();
                 self.counters.refused += 1;
-                self.answer(request::tag(call), if wait > 0 { finish.option("wait", wait) } else { finish });
+                self.answer(
+                    request::tag(call),
+                    if wait > 0 { finish.with_option("wait", wait) } else { finish },
+                );
             }
             Action::Fail(call) => {
                 self.counters.failed += 1;
                 let finish = Message::new(Verb::Finish, request::tag(call));
-                self.answer(request::tag(call), finish.cause(cause::TEMPORARY_FAILURE));
+                self.answer(request::tag(call), finish.with_cause(cause::TEMPORARY_FAILURE));
             }
             Action::SetTimer { after, timer } => self.due.set(Key::Module(timer), self.now.plus(after)),
             Action::Probe(server) => {
@@ -321,8 +328,8 @@
                 if self.now < open.deadline {
                     // The decisions end each call before this; only a process that stood still comes here.
                     self.counters.failed += 1;
-                    self.events.push_back(Event::Abandoned(CallId(tag.0)));
-                    self.answer(tag, Message::new(Verb::Finish, tag).cause(cause::TEMPORARY_FAILURE));
+                    self.events.push_back(Event::Lapsed(CallId(tag.0)));
+                    self.answer(tag, Message::new(Verb::Finish, tag).with_cause(cause::TEMPORARY_FAILURE));
                 } else {
                     self.lapse(tag);
                 }
--- a/crates/fawnrouterd/src/node/reader.rs
+++ b/crates/fawnrouterd/src/node/reader.rs
@@ -4,8 +4,8 @@
 use std::io::{ErrorKind, Read};
 use std::net::TcpStream;
 
-use fawnrouter_node::jsonl::{Decoder, Fault, Message};
-use fawnrouter_node::{Intake, Next};
+use fawnrouter_node::jsonl::{DecodeError, Decoder, Message};
+use fawnrouter_node::{Inbox, QueuedMessage};
 
 /// Bytes of one connection that are read before any of them is handed on: five hundred set-ups and what gives them up.
 const LOOK_AHEAD: usize = 256 * 1024;
@@ -28,13 +28,13 @@
 #[derive(Default)]
 pub struct Reader {
     decoder: Decoder,
-    intake: Intake,
+    intake: Inbox,
     /// Bytes behind what the intake holds.
     ahead: usize,
     /// The client's end, or a reset.
     ended: bool,
     end_told: bool,
-    fault: Option<Fault>,
+    fault: Option<DecodeError>,
     fault_told: bool,
     /// Something was read since the node last heard whether part of a line lies there, and whether one did then.
     read: bool,
@@ -59,7 +59,7 @@
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Ok(_) | Err(_) => {
                     self.ended = true;
-                    self.intake.end();
+                    self.intake.withdraw_all();
                 }
             }
         }
@@ -93,12 +93,12 @@
 
     /// The next message that ends a call set up before.
     pub fn next_end(&mut self) -> Option<Message> {
-        self.intake.take_end()
+        self.intake.pop_finish()
     }
 
     /// The next of all.
-    pub fn next(&mut self) -> Option<Next> {
-        self.intake.take()
+    pub fn next(&mut self) -> Option<QueuedMessage> {
+        self.intake.pop()
     }
 
     pub fn is_empty(&self) -> bool {
@@ -111,7 +111,7 @@
     }
 
     /// Once all messages have been handed on: a fault, told once.
-    pub fn fault(&mut self) -> Option<Fault> {
+    pub fn fault(&mut self) -> Option<DecodeError> {
         if std::mem::replace(&mut self.fault_told, self.fault.is_some()) { None } else { self.fault.clone() }
     }
 
@@ -121,7 +121,7 @@
 
     /// Once all messages have been handed on: whether part of a line lies there, if that is news.
     pub fn half(&mut self) -> Option<bool> {
-        let lies = self.decoder.held() > 0;
+        let lies = self.decoder.buffered_bytes() > 0;
         let before = std::mem::replace(&mut self.half, lies);
         let news = std::mem::take(&mut self.read) && !self.ended && self.fault.is_none();
         (news && (lies || before)).then_some(lies)
