--- a/crates/fawnrouter-config/src/settings/zones.rs
+++ b/crates/fawnrouter-config/src/settings/zones.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-use fawnrouter_engine::zones::{Budget, Cost, HealthSettings, Limit, Money, Span, ZoneSettings};
+use fawnrouter_engine::zones::{Budget, BudgetPeriod, HealthSettings, Limit, Money, ZoneCost, ZoneSettings};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
@@ -150,32 +150,32 @@
     pub fn zone_settings(&self) -> Option<ZoneSettings> {
         let plan = self.zones.as_ref()?;
         let cost = |c: &PairCost| match c.per_call {
-            Some(units) if !c.forbidden => Cost::Money(Money::units(units)),
-            _ => Cost::Forbidden,
+            Some(units) if !c.forbidden => ZoneCost::Money(Money::from_units(units)),
+            _ => ZoneCost::Forbidden,
         };
         let own = plan.costs.iter().filter(|c| c.from == plan.own);
         let costs: BTreeMap<_, _> = own.map(|c| (c.to.as_str().into(), cost(c))).collect();
         let budget = |b: &BudgetPlan| Budget {
             from: Some(plan.own.as_str().into()),
             to: b.to.as_deref().map(Into::into),
-            span: match b.window {
-                Window::Minute => Span::Minute,
-                Window::Hour => Span::Hour,
-                Window::Day => Span::Day,
+            period: match b.window {
+                Window::Minute => BudgetPeriod::Minute,
+                Window::Hour => BudgetPeriod::Hour,
+                Window::Day => BudgetPeriod::Day,
             },
-            limit: Limit { calls: b.calls, money: b.money.map(Money::units) },
+            limit: Limit { calls: b.calls, money: b.money.map(Money::from_units) },
             carry: b.carry,
             emergency: b.emergency,
             sharers: plan.gateways,
         };
         let ours = plan.budgets.iter().filter(|b| b.from.as_ref().is_none_or(|f| *f == plan.own));
         Some(ZoneSettings {
-            own: plan.own.as_str().into(),
+            own_zone: plan.own.as_str().into(),
             costs,
-            other: Cost::Money(Money::units(plan.other_cost)),
+            default_cost: ZoneCost::Money(Money::from_units(plan.other_cost)),
             budgets: ours.map(budget).collect(),
             me: plan.number,
-            points_a_unit: plan.points_a_unit,
+            points_per_unit: plan.points_a_unit,
             health: HealthSettings::default(),
             // Apart from each other by the golden ratio.
             phase: (f64::from(self.gateway.number) * 0.618_033_988_749_895).fract(),
--- a/crates/fawnrouter-engine/src/interface.rs
+++ b/crates/fawnrouter-engine/src/interface.rs
@@ -9,7 +9,7 @@
 
 use fawnrouter_admission::SetUpSettings;
 use fawnrouter_machine::BackoffSettings;
-use fawnrouter_zones::{Saved, ZoneSettings};
+use fawnrouter_zones::{SavedAccount, ZoneSettings};
 
 use crate::classify::CallRules;
 use crate::identity::{AuthSettings, KnownClient};
@@ -111,7 +111,7 @@
         switches: Vec<Switch>,
     },
     /// What was spent across zones before a restart; `None` where that is not known any more.
-    Account(Option<Box<Saved>>),
+    Account(Option<Box<SavedAccount>>),
     /// Nothing but time has passed: [`Engine::next_wake`](crate::Engine::next_wake) is due.
     Wake,
     /// No new calls from now on; [`Output::Drained`] follows when the last one has ended.
--- a/crates/fawnrouter-engine/tests/zones.rs
+++ b/crates/fawnrouter-engine/tests/zones.rs
@@ -7,19 +7,21 @@
 use common::*;
 use fawnrouter_engine::fawnrouter::ListKind;
 use fawnrouter_engine::sip::Method;
-use fawnrouter_engine::zones::{Budget, Cost, HealthSettings, Limit, Money, Span, State, ZoneSettings};
+use fawnrouter_engine::zones::{
+    Budget, BudgetPeriod, HealthSettings, Limit, Money, ZoneCost, ZoneSettings, ZoneState,
+};
 use fawnrouter_engine::{EngineSettings, Input, Switch};
 
 fn in_kochi(calls: u64) -> EngineSettings {
     let limit = Limit { calls: Some(calls), money: None };
-    let (span, carry, emergency, sharers) = (Span::Day, 0.0, 0.0, 1);
+    let (span, carry, emergency, sharers) = (BudgetPeriod::Day, 0.0, 0.0, 1);
     let zones = ZoneSettings {
-        own: "kochi".into(),
+        own_zone: "kochi".into(),
         costs: BTreeMap::new(),
-        other: Cost::Money(Money::units(1.0)),
-        budgets: vec![Budget { from: None, to: None, span, limit, carry, emergency, sharers }],
+        default_cost: ZoneCost::Money(Money::from_units(1.0)),
+        budgets: vec![Budget { from: None, to: None, period: span, limit, carry, emergency, sharers }],
         me: 0,
-        points_a_unit: 0.2,
+        points_per_unit: 0.2,
         health: HealthSettings::default(),
         phase: 0.0,
     };
@@ -59,7 +61,7 @@
     rig.list(ListKind::Whole, vec![two()[0].clone()]);
     rig.pass(ms(3000));
     let zones = rig.engine.zones().expect("on").clone();
-    assert_eq!(zones.with(|z| z.state()), State::Down);
+    assert_eq!(zones.with(|z| z.state()), ZoneState::Down);
     let spilled = sent(&mut rig, 20).len() + sent(&mut rig, 20).len();
     assert!((5..=15).contains(&spilled), "{spilled}");
     let spent = zones.with(|z| z.account().lines()[0].1.spent.0);
--- a/crates/fawnrouter-lab/tests/admission.rs
+++ b/crates/fawnrouter-lab/tests/admission.rs
@@ -542,7 +542,7 @@
             // The account is on the disk before it is killed.
             let begin = Instant::now();
             let saved = |g: &Gateway| fawnrouterd::ledger::read(&g.folder().join("account"));
-            while saved(&gateway).ok().is_none_or(|l| l.account.lines[0].spent.0 < 3) {
+            while saved(&gateway).ok().is_none_or(|l| l.account.states[0].spent.0 < 3) {
                 assert!(begin.elapsed() < PATIENCE);
                 std::thread::sleep(Duration::from_millis(20));
             }
--- a/crates/fawnrouter-zones/src/account.rs
+++ b/crates/fawnrouter-zones/src/account.rs
@@ -6,12 +6,12 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::budget::{Budget, BudgetError, Money, share_of};
-use crate::grants::{Word, spare};
+use crate::budget::{Budget, BudgetError, Money, gateway_share};
+use crate::grants::{GrantMessage, spare};
 
 /// What was spent of a budget in a window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LineState {
+pub struct BudgetState {
     /// The window.
     pub window: u64,
     /// Calls and money spent in it.
@@ -22,32 +22,33 @@
     #[serde(default)]
     pub given: (u64, Money),
     /// Calls and money got from other gateways in it.
-    #[serde(default)]
-    pub got: (u64, Money),
+    #[serde(default, rename = "got")]
+    pub received: (u64, Money),
 }
 
 /// The account as it is kept over a restart, a state for each budget in the settings' order, with what tells whether
 /// the settings are still the same.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Saved {
+pub struct SavedAccount {
     /// When it was saved, nanoseconds since the Unix epoch.
     pub at_ns: u64,
     /// The budgets that the states are of.
     pub budgets: Vec<Budget>,
     /// The states.
-    pub lines: Vec<LineState>,
+    #[serde(rename = "lines")]
+    pub states: Vec<BudgetState>,
     /// The last grant heard of each other gateway.
-    #[serde(default)]
-    pub heard: Vec<(u32, u64)>,
+    #[serde(default, rename = "heard")]
+    pub last_grants: Vec<(u32, u64)>,
 }
 
 /// A budget, what was spent of this gateway's share of it, and that share.
-pub type LineView = (Budget, LineState, (Option<u64>, Option<Money>));
+pub type BudgetView = (Budget, BudgetState, (Option<u64>, Option<Money>));
 
 /// Why a spill cannot be paid for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the budget of this window is spent")]
-pub struct Exhausted;
+pub struct BudgetExhausted;
 
 /// What a spill was charged, to be able to give it back.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -68,7 +69,7 @@
 #[derive(Debug)]
 struct Line {
     budget: Budget,
-    state: LineState,
+    state: BudgetState,
     /// Calls wanted a second, spent or not: a running mean.
     wanted_per_s: f64,
     wanted_at: Duration,
@@ -93,14 +94,14 @@
 
 impl Line {
     fn share(&self, me: u32, window: u64) -> (Option<u64>, Option<Money>) {
-        let of = |whole: u64| share_of(whole, self.budget.sharers, me, window);
+        let of = |whole: u64| gateway_share(whole, self.budget.sharers, me, window);
         (self.budget.limit.calls.map(of), self.budget.limit.money.map(|m| Money(of(m.0))))
     }
 
     /// Turns to the window of a time. Only forward: a clock that is set back over an edge must not open a window that
     /// was closed, with its budget whole again.
     fn turn(&mut self, me: u32, now: Duration) {
-        let window = self.budget.span.window(now);
+        let window = self.budget.period.window_at(now);
         if window <= self.state.window {
             return;
         }
@@ -111,21 +112,21 @@
         // What was left of the window before last is gone: carry-over is for one window.
         let next = window == self.state.window + 1;
         let carried = if next {
-            let LineState { spent, carried, given, got, .. } = self.state;
+            let BudgetState { spent, carried, given, received: got, .. } = self.state;
             let calls = calls.map_or(0, |share| keep(share, carried.0 + got.0, spent.0 + given.0));
             let money = money.map_or(0, |m| keep(m.0, carried.1.0 + got.1.0, spent.1.0 + given.1.0));
             (calls, Money(money))
         } else {
             (calls.map_or(0, most), Money(money.map_or(0, |m| most(m.0))))
         };
-        self.state = LineState { window, carried, ..LineState::default() };
+        self.state = BudgetState { window, carried, ..BudgetState::default() };
     }
 
     /// Calls and money that may be spent in this window, with a part of the emergency allowance.
     fn allowance(&self, me: u32, level: f64) -> (Option<u64>, Option<Money>) {
         let (calls, money) = self.share(me, self.state.window);
         let more = |share: u64| (share as f64 * self.budget.emergency * level.clamp(0.0, 1.0)) as u64;
-        let LineState { carried, given, got, .. } = self.state;
+        let BudgetState { carried, given, received: got, .. } = self.state;
         let calls = calls.map(|n| (n + carried.0 + got.0 + more(n)).saturating_sub(given.0));
         let money = money.map(|m| (m.0 + carried.1.0 + got.1.0 + more(m.0)).saturating_sub(given.1.0));
         (calls, money.map(Money))
@@ -147,7 +148,7 @@
 
     /// Lets the mean of what is wanted forget what has passed; returns the time constant, seconds.
     fn forget(&mut self, now: Duration) -> f64 {
-        let forget = (self.budget.span.length().as_secs_f64() * FORGET_SHARE).max(10.0);
+        let forget = (self.budget.period.duration().as_secs_f64() * FORGET_SHARE).max(10.0);
         let passed = now.saturating_sub(self.wanted_at).as_secs_f64();
         self.wanted_per_s *= (-passed / forget).exp();
         self.wanted_at = now;
@@ -156,13 +157,14 @@
 
     /// How far spending is ahead of the window's time, as a share of what may be spent.
     fn ahead(&self, me: u32, level: f64, now: Duration) -> f64 {
-        let left = self.budget.span.left(now).as_secs_f64() / self.budget.span.length().as_secs_f64();
+        let left =
+            self.budget.period.remaining(now).as_secs_f64() / self.budget.period.duration().as_secs_f64();
         self.part_spent(me, level) - (1.0 - left)
     }
 
     /// Calls and money spent at the window's end, if things go on as they do.
     fn expected(&self, now: Duration) -> (f64, f64) {
-        let more = self.wanted_per_s * self.budget.span.left(now).as_secs_f64();
+        let more = self.wanted_per_s * self.budget.period.remaining(now).as_secs_f64();
         let (calls, money) = self.state.spent;
         let mean_cost = if calls == 0 { 0.0 } else { money.0 as f64 / calls as f64 };
         (calls as f64 + more, money.0 as f64 + more * mean_cost)
@@ -204,7 +206,7 @@
         budgets.iter().try_for_each(Budget::validate)?;
         let line = |budget| Line {
             budget,
-            state: LineState::default(),
+            state: BudgetState::default(),
             wanted_per_s: 0.0,
             wanted_at: Duration::ZERO,
             price: PRICE.0,
@@ -232,14 +234,14 @@
         for line in &mut self.lines {
             if first && line.state.window == 0 {
                 // A gateway that has just begun has saved nothing up.
-                line.state.window = line.budget.span.window(self.now);
+                line.state.window = line.budget.period.window_at(self.now);
             }
             line.turn(self.me, self.now);
         }
     }
 
     /// Whether a spill could be paid for, with so much of the emergency allowance.
-    pub fn affords(&mut self, now: Duration, to: &str, cost: Money, level: f64) -> bool {
+    pub fn can_afford(&mut self, now: Duration, to: &str, cost: Money, level: f64) -> bool {
         self.advance(now);
         let from = &*self.from;
         self.lines.iter().filter(|l| l.budget.covers(from, to)).all(|l| l.fits(self.me, level, cost))
@@ -247,7 +249,7 @@
 
     /// Notes that a call would spill if it could: forecasts go by what is wanted, or a spent budget would look as if
     /// nobody wanted any.
-    pub fn wants(&mut self, now: Duration, to: &str) {
+    pub fn record_demand(&mut self, now: Duration, to: &str) {
         self.advance(now);
         let now = self.now;
         for line in self.lines.iter_mut().filter(|l| l.budget.covers(&self.from, to)) {
@@ -266,10 +268,10 @@
         to: &Arc<str>,
         cost: Money,
         level: f64,
-    ) -> Result<Charge, Exhausted> {
-        if !self.affords(now, to, cost, level) {
+    ) -> Result<Charge, BudgetExhausted> {
+        if !self.can_afford(now, to, cost, level) {
             *self.refused.entry(to.clone()).or_default() += 1;
-            return Err(Exhausted);
+            return Err(BudgetExhausted);
         }
         let mut windows = Vec::new();
         for (n, line) in self.lines.iter_mut().enumerate().filter(|(_, l)| l.budget.covers(&self.from, to)) {
@@ -322,7 +324,7 @@
 
     /// What this gateway says to others of its zone now: each budget that it will want more of than it has. Whom it says
     /// it to, and how often, is its embedder's to settle.
-    pub fn needs(&mut self, now: Duration) -> Vec<Word> {
+    pub fn budget_requests(&mut self, now: Duration) -> Vec<GrantMessage> {
         self.advance(now);
         let me = self.me;
         let word = |(n, line): (usize, &Line)| {
@@ -332,19 +334,19 @@
             let calls = calls.map_or(0, |n| lacks(n, expected.0));
             let money = Money(money.map_or(0, |m| lacks(m.0, expected.1)));
             let wanted = calls > 0 || money.0 > 0;
-            let (line, window) = (u16::try_from(n).ok()?, line.state.window);
-            wanted.then_some(Word::Need { line, window, calls, money })
+            let (budget, window) = (u16::try_from(n).ok()?, line.state.window);
+            wanted.then_some(GrantMessage::Need { budget, window, calls, money })
         };
         self.lines.iter().enumerate().filter_map(word).collect()
     }
 
     /// Another gateway of the zone has said something: what is answered, if anything. What it says of a window that is
     /// over, or not begun here, changes nothing.
-    pub fn hear(&mut self, now: Duration, from: u32, word: &Word) -> Option<Word> {
+    pub fn on_message(&mut self, now: Duration, from: u32, word: &GrantMessage) -> Option<GrantMessage> {
         self.advance(now);
         let (me, now) = (self.me, self.now);
         match *word {
-            Word::Need { line: n, window, calls, money } => {
+            GrantMessage::Need { budget: n, window, calls, money } => {
                 let line = self.lines.get_mut(usize::from(n)).filter(|l| l.state.window == window)?;
                 let (may_calls, may_money) = line.allowance(me, 0.0);
                 let expected = line.expected(now);
@@ -357,9 +359,9 @@
                 // Taken off before it is said.
                 line.state.given = (line.state.given.0 + calls, Money(line.state.given.1.0 + money.0));
                 self.next_grant += 1;
-                Some(Word::Grant { line: n, window, id: self.next_grant, calls, money })
+                Some(GrantMessage::Grant { budget: n, window, id: self.next_grant, calls, money })
             }
-            Word::Grant { line: n, window, id, calls, money } => {
+            GrantMessage::Grant { budget: n, window, id, calls, money } => {
                 let last = self.heard.entry(from).or_default();
                 let line = self.lines.get_mut(usize::from(n)).filter(|l| l.state.window == window)?;
                 // One that was overtaken by a later one is lost with those that never came.
@@ -367,7 +369,8 @@
                     return None;
                 }
                 *last = id;
-                line.state.got = (line.state.got.0 + calls, Money(line.state.got.1.0 + money.0));
+                line.state.received =
+                    (line.state.received.0 + calls, Money(line.state.received.1.0 + money.0));
                 None
             }
         }
@@ -375,7 +378,7 @@
 
     /// Each budget with what was spent of this gateway's share, and that share now.
     #[must_use]
-    pub fn lines(&self) -> Vec<LineView> {
+    pub fn lines(&self) -> Vec<BudgetView> {
         let of = |l: &Line| (l.budget.clone(), l.state, l.allowance(self.me, 0.0));
         self.lines.iter().map(of).collect()
     }
@@ -388,23 +391,23 @@
 
     /// The account, to be kept over a restart.
     #[must_use]
-    pub fn save(&self) -> Saved {
-        Saved {
+    pub fn save(&self) -> SavedAccount {
+        SavedAccount {
             at_ns: u64::try_from(self.now.as_nanos()).unwrap_or(u64::MAX),
             budgets: self.lines.iter().map(|l| l.budget.clone()).collect(),
-            lines: self.lines.iter().map(|l| l.state).collect(),
-            heard: self.heard.iter().map(|(from, id)| (*from, *id)).collect(),
+            states: self.lines.iter().map(|l| l.state).collect(),
+            last_grants: self.heard.iter().map(|(from, id)| (*from, *id)).collect(),
         }
     }
 
     /// Takes up a saved account. A budget that was not in it, or that has changed, begins with its share of this window
     /// spent: a restart must be no way to spend twice.
-    pub fn restore(&mut self, now: Duration, saved: Option<&Saved>) {
+    pub fn restore(&mut self, now: Duration, saved: Option<&SavedAccount>) {
         // A clock that was set back meanwhile counts as one that stands still, over the restart too.
         self.advance(now.max(saved.map_or(Duration::ZERO, |s| Duration::from_nanos(s.at_ns))));
-        let known: Vec<(&Budget, &LineState)> =
-            saved.map(|s| s.budgets.iter().zip(&s.lines).collect()).unwrap_or_default();
-        self.heard = saved.map(|s| s.heard.iter().copied().collect()).unwrap_or_default();
+        let known: Vec<(&Budget, &BudgetState)> =
+            saved.map(|s| s.budgets.iter().zip(&s.states).collect()).unwrap_or_default();
+        self.heard = saved.map(|s| s.last_grants.iter().copied().collect()).unwrap_or_default();
         for line in &mut self.lines {
             let same = known.iter().find(|(budget, _)| **budget == line.budget);
             match same {
--- a/crates/fawnrouter-zones/src/budget.rs
+++ b/crates/fawnrouter-zones/src/budget.rs
@@ -17,13 +17,13 @@
 impl Money {
     /// So many units; what is no amount counts as nothing.
     #[must_use]
-    pub fn units(units: f64) -> Self {
+    pub fn from_units(units: f64) -> Self {
         Self((units.max(0.0) * 1e6).round() as u64)
     }
 
     /// In units.
     #[must_use]
-    pub fn in_units(self) -> f64 {
+    pub fn to_units(self) -> f64 {
         self.0 as f64 / 1e6
     }
 }
@@ -31,7 +31,7 @@
 /// The length of a window. Windows begin at whole multiples of it since the Unix epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Span {
+pub enum BudgetPeriod {
     /// 60 s.
     Minute,
     /// 3,600 s.
@@ -40,10 +40,10 @@
     Day,
 }
 
-impl Span {
+impl BudgetPeriod {
     /// Its length.
     #[must_use]
-    pub const fn length(self) -> Duration {
+    pub const fn duration(self) -> Duration {
         Duration::from_secs(match self {
             Self::Minute => 60,
             Self::Hour => 3600,
@@ -53,14 +53,14 @@
 
     /// The number of the window that a time lies in.
     #[must_use]
-    pub const fn window(self, now: Duration) -> u64 {
-        now.as_secs() / self.length().as_secs()
+    pub const fn window_at(self, now: Duration) -> u64 {
+        now.as_secs() / self.duration().as_secs()
     }
 
     /// Time from `now` to the end of its window.
     #[must_use]
-    pub fn left(self, now: Duration) -> Duration {
-        self.length() * u32::try_from(self.window(now) + 1).unwrap_or(u32::MAX) - now
+    pub fn remaining(self, now: Duration) -> Duration {
+        self.duration() * u32::try_from(self.window_at(now) + 1).unwrap_or(u32::MAX) - now
     }
 }
 
@@ -81,7 +81,8 @@
     /// The zone that they go to; `None`: any other.
     pub to: Option<Arc<str>>,
     /// Its windows.
-    pub span: Span,
+    #[serde(rename = "span")]
+    pub period: BudgetPeriod,
     /// What may be spent in one of them.
     pub limit: Limit,
     /// The share of an unused window that goes into the next one, 0 to 1.
@@ -100,7 +101,7 @@
     NoSharers,
     /// A share is no share.
     #[error("carry must be 0 to 1, emergency 0 to 100")]
-    Share,
+    InvalidShare,
     /// It limits nothing.
     #[error("a budget limits neither calls nor money")]
     NoLimit,
@@ -116,7 +117,7 @@
             return Err(BudgetError::NoSharers);
         }
         if !(0.0..=1.0).contains(&self.carry) || !(0.0..=100.0).contains(&self.emergency) {
-            return Err(BudgetError::Share);
+            return Err(BudgetError::InvalidShare);
         }
         if self.limit.calls.is_none() && self.limit.money.is_none() {
             return Err(BudgetError::NoLimit);
@@ -135,7 +136,7 @@
 /// divide goes to different ones in each window. Sixty calls a minute among 250 gateways so mean one call a minute for
 /// sixty of them, and not the same ones all day.
 #[must_use]
-pub fn share_of(whole: u64, sharers: u32, me: u32, window: u64) -> u64 {
+pub fn gateway_share(whole: u64, sharers: u32, me: u32, window: u64) -> u64 {
     let sharers = u64::from(sharers.max(1));
     let (each, rest) = (whole / sharers, whole % sharers);
     // The window's number times the rest moves the lucky ones along, each in turn.
@@ -154,7 +155,7 @@
                 let mut got = vec![0; sharers as usize];
                 for window in 0..u64::from(sharers) {
                     let parts: Vec<u64> =
-                        (0..sharers).map(|me| share_of(whole, sharers, me, window)).collect();
+                        (0..sharers).map(|me| gateway_share(whole, sharers, me, window)).collect();
                     assert_eq!(parts.iter().sum::<u64>(), whole, "{whole} among {sharers} in {window}");
                     parts.iter().zip(&mut got).for_each(|(p, g)| *g += p);
                 }
@@ -167,14 +168,14 @@
     #[test]
     fn windows_begin_at_whole_multiples() {
         let s = Duration::from_secs;
-        assert_eq!((Span::Minute.window(s(119)), Span::Minute.window(s(120))), (1, 2));
-        assert_eq!(Span::Day.left(s(86_399)), s(1));
-        assert_eq!(Span::Hour.left(s(7200)), s(3600));
+        assert_eq!((BudgetPeriod::Minute.window_at(s(119)), BudgetPeriod::Minute.window_at(s(120))), (1, 2));
+        assert_eq!(BudgetPeriod::Day.remaining(s(86_399)), s(1));
+        assert_eq!(BudgetPeriod::Hour.remaining(s(7200)), s(3600));
     }
 
     #[test]
     fn money_is_whole_millionths() {
-        assert_eq!(Money::units(0.1).0 * 10, Money::units(1.0).0);
-        assert_eq!((Money::units(-1.0), Money::units(f64::NAN)), (Money(0), Money(0)));
+        assert_eq!(Money::from_units(0.1).0 * 10, Money::from_units(1.0).0);
+        assert_eq!((Money::from_units(-1.0), Money::from_units(f64::NAN)), (Money(0), Money(0)));
     }
 }
--- a/crates/fawnrouter-zones/src/grants.rs
+++ b/crates/fawnrouter-zones/src/grants.rs
@@ -11,11 +11,12 @@
 /// What one gateway says to another of its zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Word {
+pub enum GrantMessage {
     /// It will want more than it has.
     Need {
         /// The budget, by its place in the settings.
-        line: u16,
+        #[serde(rename = "line")]
+        budget: u16,
         /// The window.
         window: u64,
         /// Calls that it lacks.
@@ -26,7 +27,8 @@
     /// It gives some away.
     Grant {
         /// The budget, by its place in the settings.
-        line: u16,
+        #[serde(rename = "line")]
+        budget: u16,
         /// The window.
         window: u64,
         /// Rises with each grant of a gateway, so that one that comes twice counts once.
--- a/crates/fawnrouter-zones/src/health.rs
+++ b/crates/fawnrouter-zones/src/health.rs
@@ -18,13 +18,13 @@
     /// No longer down from this share on.
     pub up_from: f64,
     /// A change for the worse must last this long.
-    pub dwell: Duration,
+    pub worsen_delay: Duration,
     /// A change for the better must last this long.
-    pub relief: Duration,
+    pub recover_delay: Duration,
     /// A switch that left the list still counts as the zone's for this long: a restart takes it off the list.
-    pub memory: Duration,
+    pub switch_memory: Duration,
     /// The emergency allowance closes over this time once the zone is up.
-    pub close: Duration,
+    pub emergency_close_time: Duration,
 }
 
 impl Default for HealthSettings {
@@ -34,17 +34,17 @@
             calm_below: 0.1,
             down_below: 0.5,
             up_from: 0.75,
-            dwell: Duration::from_millis(600),
-            relief: Duration::from_secs(2),
-            memory: Duration::from_secs(600),
-            close: Duration::from_secs(10),
+            worsen_delay: Duration::from_millis(600),
+            recover_delay: Duration::from_secs(2),
+            switch_memory: Duration::from_secs(600),
+            emergency_close_time: Duration::from_secs(10),
         }
     }
 }
 
 /// How a zone fares.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub enum State {
+pub enum ZoneState {
     /// It takes what it is offered.
     #[default]
     Calm,
@@ -62,9 +62,9 @@
     stretch: f64,
     /// Switches of the zone and when each was last listed as taking calls.
     listed: BTreeMap<ServerId, Duration>,
-    state: State,
+    state: ZoneState,
     /// The state that would be next, and since when.
-    next: Option<(State, Duration)>,
+    next: Option<(ZoneState, Duration)>,
     pressure: f64,
     well: f64,
     level: f64,
@@ -79,7 +79,7 @@
             settings,
             stretch: 1.0 + 0.5 * phase.clamp(0.0, 1.0),
             listed: BTreeMap::new(),
-            state: State::Calm,
+            state: ZoneState::Calm,
             next: None,
             pressure: 0.0,
             well: 1.0,
@@ -100,7 +100,7 @@
                 f += if server.well { server.fraction } else { 0.0 };
             }
         }
-        let memory = self.settings.memory;
+        let memory = self.settings.switch_memory;
         self.listed.retain(|_, at| now.saturating_sub(*at) < memory);
         let all = self.listed.len();
         if all == 0 {
@@ -112,8 +112,8 @@
             self.well = well as f64 / all as f64;
         }
         self.decide(now);
-        let wanted = if self.state == State::Down { 1.0 } else { 0.0 };
-        let step = passed.as_secs_f64() / self.settings.close.as_secs_f64().max(1e-3);
+        let wanted = if self.state == ZoneState::Down { 1.0 } else { 0.0 };
+        let step = passed.as_secs_f64() / self.settings.emergency_close_time.as_secs_f64().max(1e-3);
         // It opens at once and closes as the zone warms up.
         self.level = if wanted > self.level { wanted } else { (self.level - step).max(wanted) };
         self.at = now;
@@ -121,15 +121,16 @@
 
     fn decide(&mut self, now: Duration) {
         let s = &self.settings;
-        let down = if self.state == State::Down { self.well < s.up_from } else { self.well < s.down_below };
+        let down =
+            if self.state == ZoneState::Down { self.well < s.up_from } else { self.well < s.down_below };
         let pressed = match self.state {
-            State::Calm => self.pressure >= s.pressed_from,
-            State::Pressed | State::Down => self.pressure >= s.calm_below,
+            ZoneState::Calm => self.pressure >= s.pressed_from,
+            ZoneState::Pressed | ZoneState::Down => self.pressure >= s.calm_below,
         };
         let seen = match (down, pressed) {
-            (true, _) => State::Down,
-            (false, true) => State::Pressed,
-            (false, false) => State::Calm,
+            (true, _) => ZoneState::Down,
+            (false, true) => ZoneState::Pressed,
+            (false, false) => ZoneState::Calm,
         };
         if seen == self.state {
             self.next = None;
@@ -142,7 +143,7 @@
             _ => now,
         };
         self.next = Some((seen, since));
-        let wait = if seen > self.state { s.dwell } else { s.relief };
+        let wait = if seen > self.state { s.worsen_delay } else { s.recover_delay };
         if now.saturating_sub(since) >= wait.mul_f64(self.stretch) {
             self.state = seen;
             self.next = None;
@@ -151,7 +152,7 @@
 
     /// How the zone fares.
     #[must_use]
-    pub const fn state(&self) -> State {
+    pub const fn state(&self) -> ZoneState {
         self.state
     }
 
@@ -163,7 +164,7 @@
 
     /// Share of the emergency allowance that is open, 0 to 1.
     #[must_use]
-    pub const fn level(&self) -> f64 {
+    pub const fn emergency_level(&self) -> f64 {
         self.level
     }
 
@@ -185,7 +186,7 @@
     }
 
     /// Ten switches, so many of them well with this fraction, so many listed at all.
-    fn see(health: &mut Health, now: u64, listed: u32, well: u32, fraction: f64) -> State {
+    fn see(health: &mut Health, now: u64, listed: u32, well: u32, fraction: f64) -> ZoneState {
         let entries: Vec<ServerEntry> =
             (0..10).map(|n| ServerEntry { id: ServerId(n), ..ServerEntry::default() }).collect();
         let seen = entries.iter().zip(0..).map(|(entry, n)| Seen {
@@ -209,10 +210,10 @@
         assert_eq!(steps(&mut h, 0, 5000, (10, 10, 1.0)), None);
         assert_eq!(steps(&mut h, 5000, 9000, (10, 10, 0.8)), None, "a little pressure is calm");
         assert_eq!(steps(&mut h, 9000, 12_000, (10, 10, 0.6)), Some(9600));
-        assert_eq!(h.state(), State::Pressed);
+        assert_eq!(h.state(), ZoneState::Pressed);
         assert_eq!(steps(&mut h, 12_000, 20_000, (10, 10, 0.8)), None, "not calm before it is well below");
         assert_eq!(steps(&mut h, 20_000, 30_000, (10, 10, 1.0)), Some(22_000));
-        assert_eq!((h.state(), h.level()), (State::Calm, 0.0));
+        assert_eq!((h.state(), h.emergency_level()), (ZoneState::Calm, 0.0));
     }
 
     #[test]
@@ -220,15 +221,15 @@
         let mut h = Health::new(HealthSettings::default(), 0.0);
         see(&mut h, 0, 10, 10, 1.0);
         assert_eq!(steps(&mut h, 200, 3000, (4, 4, 1.0)), Some(800));
-        assert_eq!((h.state(), h.level()), (State::Down, 1.0));
+        assert_eq!((h.state(), h.emergency_level()), (ZoneState::Down, 1.0));
         assert_eq!(steps(&mut h, 3000, 9000, (10, 6, 1.0)), None, "six of ten are not enough to be up");
         let up = steps(&mut h, 9000, 20_000, (10, 9, 1.0));
         assert_eq!(up, Some(11_000));
-        assert!(h.level() > 0.9, "{}", h.level());
-        (11_200..16_000).step_by(200).for_each(|t| assert!(see(&mut h, t, 10, 10, 1.0) != State::Down));
-        assert!((0.4..0.6).contains(&h.level()), "{}", h.level());
-        (16_000..22_000).step_by(200).for_each(|t| assert!(see(&mut h, t, 10, 10, 1.0) != State::Down));
-        assert_eq!((h.state(), h.level()), (State::Calm, 0.0));
+        assert!(h.emergency_level() > 0.9, "{}", h.emergency_level());
+        (11_200..16_000).step_by(200).for_each(|t| assert!(see(&mut h, t, 10, 10, 1.0) != ZoneState::Down));
+        assert!((0.4..0.6).contains(&h.emergency_level()), "{}", h.emergency_level());
+        (16_000..22_000).step_by(200).for_each(|t| assert!(see(&mut h, t, 10, 10, 1.0) != ZoneState::Down));
+        assert_eq!((h.state(), h.emergency_level()), (ZoneState::Calm, 0.0));
     }
 
     #[test]
@@ -236,11 +237,11 @@
         let mut h = Health::new(HealthSettings::default(), 0.0);
         for now in (0..60_000).step_by(200) {
             let sick = now / 400 % 2 == 0;
-            assert_eq!(see(&mut h, now, 10, if sick { 2 } else { 10 }, 1.0), State::Calm);
+            assert_eq!(see(&mut h, now, 10, if sick { 2 } else { 10 }, 1.0), ZoneState::Calm);
         }
         let times: Vec<Option<u64>> = (0..5)
             .map(|n| {
-                let settings = HealthSettings { dwell: ms(2000), ..HealthSettings::default() };
+                let settings = HealthSettings { worsen_delay: ms(2000), ..HealthSettings::default() };
                 let mut h = Health::new(settings, f64::from(n) / 4.0);
                 see(&mut h, 0, 10, 10, 1.0);
                 steps(&mut h, 200, 9000, (10, 0, 1.0))
@@ -251,10 +252,10 @@
 
     #[test]
     fn a_switch_that_is_gone_for_good_is_forgotten() {
-        let mut h = Health::new(HealthSettings { memory: ms(5000), ..HealthSettings::default() }, 0.0);
+        let mut h = Health::new(HealthSettings { switch_memory: ms(5000), ..HealthSettings::default() }, 0.0);
         see(&mut h, 0, 10, 10, 1.0);
         assert_eq!(steps(&mut h, 200, 4000, (4, 4, 1.0)), Some(800));
         assert_eq!(steps(&mut h, 4000, 20_000, (4, 4, 1.0)), Some(7000), "six were taken out of service");
-        assert_eq!(h.state(), State::Calm);
+        assert_eq!(h.state(), ZoneState::Calm);
     }
 }
--- a/crates/fawnrouter-zones/src/lib.rs
+++ b/crates/fawnrouter-zones/src/lib.rs
@@ -19,9 +19,9 @@
 mod record;
 mod zones;
 
-pub use account::{Account, Charge, Exhausted, LineState, LineView, Saved};
-pub use budget::{Budget, BudgetError, Limit, Money, Span, share_of};
-pub use grants::Word;
-pub use health::{Health, HealthSettings, State};
+pub use account::{Account, BudgetExhausted, BudgetState, BudgetView, Charge, SavedAccount};
+pub use budget::{Budget, BudgetError, BudgetPeriod, Limit, Money, gateway_share};
+pub use grants::GrantMessage;
+pub use health::{Health, HealthSettings, ZoneState};
 pub use record::{Cause, Cell, Kind, Minute, Record};
-pub use zones::{Cost, Shared, ZoneSettings, Zones};
+pub use zones::{Shared, ZoneCost, ZoneSettings, Zones};
--- a/crates/fawnrouter-zones/src/record.rs
+++ b/crates/fawnrouter-zones/src/record.rs
@@ -54,6 +54,7 @@
     /// Its number since the Unix epoch.
     pub minute: u64,
     /// By kind.
+    #[serde(rename = "cells")]
     pub cells: Vec<(Kind, Cell)>,
 }
 
--- a/crates/fawnrouter-zones/src/zones.rs
+++ b/crates/fawnrouter-zones/src/zones.rs
@@ -10,14 +10,14 @@
 
 use fawnrouter::{CallId, Seen, ServerEntry, Time, Voice, Wanted};
 
-use crate::account::{Account, Charge, Saved};
+use crate::account::{Account, Charge, SavedAccount};
 use crate::budget::{Budget, BudgetError, Money};
-use crate::health::{Health, HealthSettings, State};
+use crate::health::{Health, HealthSettings, ZoneState};
 use crate::record::{Cause, Kind, Minute, Record};
 
 /// What a call to another zone costs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cost {
+pub enum ZoneCost {
     /// So much; nothing makes the zone as good as the own one, but its calls are counted.
     Money(Money),
     /// It must not go there.
@@ -28,17 +28,17 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ZoneSettings {
     /// This gateway's zone; empty: it has none, and every server is its own.
-    pub own: Arc<str>,
+    pub own_zone: Arc<str>,
     /// Costs from the own zone.
-    pub costs: BTreeMap<Arc<str>, Cost>,
+    pub costs: BTreeMap<Arc<str>, ZoneCost>,
     /// The cost of zones that are not named there.
-    pub other: Cost,
+    pub default_cost: ZoneCost,
     /// Budgets.
     pub budgets: Vec<Budget>,
     /// This gateway's number among those that share them.
     pub me: u32,
     /// Points of worth that a unit of money is worth while budget is ample.
-    pub points_a_unit: f64,
+    pub points_per_unit: f64,
     /// When the own zone is pressed or down.
     pub health: HealthSettings,
     /// Sets this gateway apart from the others, 0 to 1.
@@ -77,7 +77,7 @@
     /// # Errors
     /// See [`BudgetError`].
     pub fn new(settings: ZoneSettings) -> Result<Self, BudgetError> {
-        let account = Account::new(settings.own.clone(), settings.me, settings.budgets.clone())?;
+        let account = Account::new(settings.own_zone.clone(), settings.me, settings.budgets.clone())?;
         let health = Health::new(settings.health, settings.phase);
         Ok(Self {
             settings,
@@ -92,7 +92,7 @@
     }
 
     /// Takes up the account of before a restart; without one, this window's shares count as spent.
-    pub fn restore(&mut self, now: Time, saved: Option<&Saved>) {
+    pub fn restore(&mut self, now: Time, saved: Option<&SavedAccount>) {
         self.account.restore(now.0, saved);
     }
 
@@ -120,32 +120,32 @@
 
     /// How the own zone fares.
     #[must_use]
-    pub const fn state(&self) -> State {
+    pub const fn state(&self) -> ZoneState {
         self.health.state()
     }
 
     /// Whether a server's zone is this gateway's. A server that names none is everybody's.
     fn is_own(&self, zone: &str) -> bool {
-        self.settings.own.is_empty() || zone.is_empty() || *zone == *self.settings.own
+        self.settings.own_zone.is_empty() || zone.is_empty() || *zone == *self.settings.own_zone
     }
 
-    fn cost(&self, zone: &str) -> Cost {
-        self.settings.costs.get(zone).copied().unwrap_or(self.settings.other)
+    fn cost(&self, zone: &str) -> ZoneCost {
+        self.settings.costs.get(zone).copied().unwrap_or(self.settings.default_cost)
     }
 
     fn cause(&self) -> Cause {
         match self.health.state() {
             _ if !self.health.has_switches() => Cause::NoSwitch,
-            State::Down => Cause::Down,
-            State::Pressed if self.health.level() > 0.0 => Cause::Cold,
-            State::Pressed | State::Calm => Cause::Pressed,
+            ZoneState::Down => Cause::Down,
+            ZoneState::Pressed if self.health.emergency_level() > 0.0 => Cause::Cold,
+            ZoneState::Pressed | ZoneState::Calm => Cause::Pressed,
         }
     }
 
     /// Worth that holding on would lose, in points.
     fn at_stake(&self, wanted: &Wanted) -> f64 {
         let state = self.health.state();
-        if state == State::Down || !self.health.has_switches() {
+        if state == ZoneState::Down || !self.health.has_switches() {
             return wanted.worth;
         }
         // In a pressed zone the chance to be passed over again grows with the pressure, and what it costs with the part
@@ -163,7 +163,7 @@
 impl Voice for Zones {
     fn observe(&mut self, now: Time, servers: &mut dyn Iterator<Item = Seen<'_>>) {
         self.now = self.now.max(now);
-        let own = self.settings.own.clone();
+        let own = self.settings.own_zone.clone();
         let ours = |s: &Seen<'_>| own.is_empty() || s.entry.zone.is_empty() || s.entry.zone == own;
         self.health.observe(now.0, servers.filter(ours));
     }
@@ -173,26 +173,26 @@
             return 1.0;
         }
         let cost = match self.cost(&server.zone) {
-            Cost::Forbidden => return 0.0,
-            Cost::Money(Money(0)) => return 1.0,
-            Cost::Money(cost) => cost,
+            ZoneCost::Forbidden => return 0.0,
+            ZoneCost::Money(Money(0)) => return 1.0,
+            ZoneCost::Money(cost) => cost,
         };
         // Calm hours invite nobody over, however quick a neighbour is.
-        if self.health.state() == State::Calm && self.health.has_switches() {
+        if self.health.state() == ZoneState::Calm && self.health.has_switches() {
             return 0.0;
         }
-        let level = self.health.level();
+        let level = self.health.emergency_level();
         let price = self.account.price(now.0, &server.zone, level);
-        let pays = self.at_stake(wanted) >= cost.in_units() * self.settings.points_a_unit * price;
+        let pays = self.at_stake(wanted) >= cost.to_units() * self.settings.points_per_unit * price;
         if !pays {
             return 0.0;
         }
         // What could pay its price is wanted, whether or not there is budget: the price goes by that. Once a call,
         // however often it draws.
         if self.wanting.len() < MOST_OUT && self.wanting.insert(wanted.call) {
-            self.account.wants(now.0, &server.zone);
+            self.account.record_demand(now.0, &server.zone);
         }
-        if !self.account.affords(now.0, &server.zone, cost, level) {
+        if !self.account.can_afford(now.0, &server.zone, cost, level) {
             // Once a call, however often it draws.
             if self.passed_over.len() < MOST_OUT && self.passed_over.insert(wanted.call) {
                 self.record.count(now.0, &kind(wanted, server, Cause::BudgetOut), Money(0));
@@ -201,7 +201,7 @@
         }
         // Among several zones the cheaper and the less spent one is drawn more often.
         let left = self.account.left(now.0, &server.zone, level).max(0.05);
-        left / (1.0 + cost.in_units() * price)
+        left / (1.0 + cost.to_units() * price)
     }
 
     fn sent(&mut self, now: Time, wanted: &Wanted, server: &ServerEntry) {
@@ -210,13 +210,13 @@
             return;
         }
         let (cost, cause) = match self.cost(&server.zone) {
-            Cost::Money(Money(0)) => (Money(0), Cause::Free),
-            Cost::Money(cost) => (cost, self.cause()),
-            Cost::Forbidden => return,
+            ZoneCost::Money(Money(0)) => (Money(0), Cause::Free),
+            ZoneCost::Money(cost) => (cost, self.cause()),
+            ZoneCost::Forbidden => return,
         };
         // Weighed in the same instant, so that it still fits; a charge that does not is a breach of the budget and
         // would show in the record against the account.
-        if let Ok(charge) = self.account.charge(now.0, &server.zone, cost, self.health.level()) {
+        if let Ok(charge) = self.account.charge(now.0, &server.zone, cost, self.health.emergency_level()) {
             let kind = kind(wanted, server, cause);
             self.record.count(now.0, &kind, cost);
             if self.out.len() < MOST_OUT {
--- a/crates/fawnrouter-zones/tests/account.rs
+++ b/crates/fawnrouter-zones/tests/account.rs
@@ -15,7 +15,7 @@
     Budget {
         from: None,
         to: None,
-        span: Span::Minute,
+        period: BudgetPeriod::Minute,
         limit: Limit { calls: Some(calls), money: None },
         carry: 0.0,
         emergency: 0.0,
@@ -71,11 +71,11 @@
 
 #[test]
 fn each_of_several_windows_and_pairs_binds_and_money_counts_beside_calls() {
-    let hour = Budget { span: Span::Hour, ..budget(25, 1) };
+    let hour = Budget { period: BudgetPeriod::Hour, ..budget(25, 1) };
     let dear = Budget {
         to: Some(to()),
-        limit: Limit { calls: None, money: Some(Money::units(12.0)) },
-        span: Span::Day,
+        limit: Limit { calls: None, money: Some(Money::from_units(12.0)) },
+        period: BudgetPeriod::Day,
         ..budget(0, 1)
     };
     let elsewhere = Budget { from: Some("south".into()), ..budget(0, 1) };
@@ -83,9 +83,9 @@
     assert_eq!(spend(&mut a, s(0), 100), 10, "the minute");
     assert_eq!(spend(&mut a, s(60), 100), 10);
     assert_eq!(spend(&mut a, s(120), 100), 5, "the hour");
-    let cost = Money::units(5.0);
+    let cost = Money::from_units(5.0);
     assert!(a.charge(s(3600), &to(), cost, 0.0).is_ok() && a.charge(s(3600), &to(), cost, 0.0).is_ok());
-    assert_eq!(a.charge(s(3600), &to(), cost, 0.0), Err(Exhausted), "two units are left of the day's");
+    assert_eq!(a.charge(s(3600), &to(), cost, 0.0), Err(BudgetExhausted), "two units are left of the day's");
     assert!(a.charge(s(3600), &Arc::from("east"), cost, 0.0).is_ok(), "another pair");
 }
 
@@ -111,7 +111,8 @@
 
 #[test]
 fn a_restart_in_mid_window_is_no_way_to_spend_twice() {
-    let budgets = vec![Budget { carry: 0.5, ..budget(10, 1) }, Budget { span: Span::Day, ..budget(100, 1) }];
+    let budgets =
+        vec![Budget { carry: 0.5, ..budget(10, 1) }, Budget { period: BudgetPeriod::Day, ..budget(100, 1) }];
     let mut a = account(0, budgets.clone());
     assert_eq!(spend(&mut a, s(10), 7), 7);
     let saved = a.save();
@@ -139,7 +140,7 @@
     for second in 0..240u64 {
         // Ten a second are wanted, and after two minutes none.
         if second < 120 {
-            (0..10).for_each(|_| a.wants(s(second), "north"));
+            (0..10).for_each(|_| a.record_demand(s(second), "north"));
         }
         prices.push(a.price(s(second), "north", 0.0));
     }
@@ -153,21 +154,21 @@
 fn one_that_lacks_gets_from_one_that_has_and_both_know_it_after_a_restart() {
     let (mut poor, mut rich) = (account(0, vec![budget(100, 2)]), account(1, vec![budget(100, 2)]));
     for second in 0..20u64 {
-        (0..6).for_each(|_| poor.wants(s(second), "north"));
+        (0..6).for_each(|_| poor.record_demand(s(second), "north"));
         let _ = spend(&mut poor, s(second), 6);
     }
     assert_eq!(spend(&mut poor, s(20), 100), 0, "its fifty are gone");
-    assert!(rich.needs(s(20)).is_empty());
-    let needs = poor.needs(s(20));
-    assert!(matches!(needs[..], [Word::Need { calls: 50.., .. }]), "{needs:?}");
-    let grant = rich.hear(s(20), 0, &needs[0]).expect("it has plenty");
+    assert!(rich.budget_requests(s(20)).is_empty());
+    let needs = poor.budget_requests(s(20));
+    assert!(matches!(needs[..], [GrantMessage::Need { calls: 50.., .. }]), "{needs:?}");
+    let grant = rich.on_message(s(20), 0, &needs[0]).expect("it has plenty");
     assert_eq!(
         grant,
-        Word::Grant {
-            line: 0,
+        GrantMessage::Grant {
+            budget: 0,
             window: s(20).as_secs() / 60,
             id: match grant {
-                Word::Grant { id, .. } => id,
+                GrantMessage::Grant { id, .. } => id,
                 _ => 0,
             },
             calls: 24,
@@ -177,14 +178,14 @@
     // Before it is heard it is nobody's; heard twice it counts once; in the next window it is nothing.
     assert_eq!(rich.lines()[0].2.0, Some(26));
     for _ in 0..2 {
-        assert_eq!(poor.hear(s(21), 1, &grant), None);
+        assert_eq!(poor.on_message(s(21), 1, &grant), None);
     }
     let saved = (poor.save(), rich.save());
     let (mut poor, mut rich) = (account(0, vec![budget(100, 2)]), account(1, vec![budget(100, 2)]));
     poor.restore(s(22), Some(&saved.0));
     rich.restore(s(22), Some(&saved.1));
     assert_eq!((spend(&mut poor, s(23), 100), spend(&mut rich, s(23), 100)), (24, 26));
-    assert_eq!(poor.hear(s(61), 1, &grant), None);
+    assert_eq!(poor.on_message(s(61), 1, &grant), None);
     assert_eq!((spend(&mut poor, s(61), 100), spend(&mut rich, s(61), 100)), (50, 50));
 }
 
@@ -200,7 +201,7 @@
         carry in prop::sample::select(vec![0.0, 0.5, 1.0]),
         ops in proptest::collection::vec((0u32..250, 0u64..400, 0u8..15), 1..400),
     ) {
-        let mut on_the_way: Vec<(usize, u32, Word)> = Vec::new();
+        let mut on_the_way: Vec<(usize, u32, GrantMessage)> = Vec::new();
         let budget = Budget { carry, ..budget(calls, sharers) };
         let mut fleet: Vec<Account> = (0..sharers).map(|me| account(me, vec![budget.clone()])).collect();
         let mut clocks = vec![0u64; sharers as usize];
@@ -222,11 +223,11 @@
                 }
                 // It asks another, whose answer may come late, twice, out of order or never.
                 12 => {
-                    (0..20).for_each(|_| fleet[me].wants(now, "north"));
+                    (0..20).for_each(|_| fleet[me].record_demand(now, "north"));
                     let other = (me + step as usize) % fleet.len();
-                    for need in fleet[me].needs(now) {
+                    for need in fleet[me].budget_requests(now) {
                         let theirs = s(clocks[other]);
-                        let answer = fleet[other].hear(theirs, me as u32, &need).filter(|_| other != me);
+                        let answer = fleet[other].on_message(theirs, me as u32, &need).filter(|_| other != me);
                         on_the_way.extend(answer.map(|word| (me, other as u32, word)));
                     }
                 }
@@ -238,7 +239,7 @@
                             on_the_way.swap_remove(at);
                         }
                         let theirs = s(clocks[to]);
-                        let _ = fleet[to].hear(theirs, from, &word);
+                        let _ = fleet[to].on_message(theirs, from, &word);
                     }
                 }
                 _ => {
--- a/crates/fawnrouter-zones/tests/common/mod.rs
+++ b/crates/fawnrouter-zones/tests/common/mod.rs
@@ -6,7 +6,9 @@
 use std::time::Duration;
 
 use fawnrouter::*;
-use fawnrouter_zones::{Budget, Cost, HealthSettings, Limit, Money, Shared, Span, Word, ZoneSettings, Zones};
+use fawnrouter_zones::{
+    Budget, BudgetPeriod, GrantMessage, HealthSettings, Limit, Money, Shared, ZoneCost, ZoneSettings, Zones,
+};
 use rand_chacha::ChaCha8Rng;
 use rand_core::{RngCore, SeedableRng};
 
@@ -195,19 +197,19 @@
     let budget = Budget {
         from: Some(own.into()),
         to: None,
-        span: Span::Minute,
+        period: BudgetPeriod::Minute,
         limit: Limit { calls: Some(plan.budget), money: None },
         carry: 0.0,
         emergency: plan.emergency,
         sharers,
     };
     ZoneSettings {
-        own: own.into(),
+        own_zone: own.into(),
         costs: BTreeMap::new(),
-        other: Cost::Money(Money::units(1.0)),
+        default_cost: ZoneCost::Money(Money::from_units(1.0)),
         budgets: if plan.policy == Policy::Unbudgeted { vec![] } else { vec![budget] },
         me: me / ZONES.len() as u32,
-        points_a_unit: if plan.policy == Policy::HardCap { 0.0 } else { 0.2 },
+        points_per_unit: if plan.policy == Policy::HardCap { 0.0 } else { 0.2 },
         health: HealthSettings::default(),
         phase: f64::from(me % 16) / 16.0,
     }
@@ -355,7 +357,7 @@
         // Once a second each gateway that lacks something asks two others of its zone.
         if plan.policy == Policy::Talking && step % 100 == 50 {
             for g in 0..fleet.len() {
-                let words = shared[g].with(|z| z.account_mut().needs(now.0));
+                let words = shared[g].with(|z| z.account_mut().budget_requests(now.0));
                 for word in words {
                     for _ in 0..2 {
                         let count = (fleet.len() - 1 - zone_of(g as u32)) / ZONES.len() + 1;
@@ -364,11 +366,11 @@
                             continue;
                         }
                         let from = (g / ZONES.len()) as u32;
-                        let answer: Option<Word> =
-                            shared[other].with(|z| z.account_mut().hear(now.0, from, &word));
+                        let answer: Option<GrantMessage> =
+                            shared[other].with(|z| z.account_mut().on_message(now.0, from, &word));
                         if let Some(grant) = answer.filter(|_| unit() >= 0.1) {
                             let from = (other / ZONES.len()) as u32;
-                            shared[g].with(|z| z.account_mut().hear(now.0, from, &grant));
+                            shared[g].with(|z| z.account_mut().on_message(now.0, from, &grant));
                         }
                     }
                 }
--- a/crates/fawnrouter-zones/tests/voice.rs
+++ b/crates/fawnrouter-zones/tests/voice.rs
@@ -12,21 +12,29 @@
 
 fn budget(calls: u64) -> Budget {
     let limit = Limit { calls: Some(calls), money: None };
-    Budget { from: None, to: None, span: Span::Minute, limit, carry: 0.0, emergency: 1.0, sharers: 1 }
+    Budget {
+        from: None,
+        to: None,
+        period: BudgetPeriod::Minute,
+        limit,
+        carry: 0.0,
+        emergency: 1.0,
+        sharers: 1,
+    }
 }
 
 fn settings(own: &str, calls: u64) -> ZoneSettings {
     ZoneSettings {
-        own: own.into(),
+        own_zone: own.into(),
         costs: BTreeMap::from([
-            ("free".into(), Cost::Money(Money(0))),
-            ("never".into(), Cost::Forbidden),
-            ("dear".into(), Cost::Money(Money::units(50.0))),
+            ("free".into(), ZoneCost::Money(Money(0))),
+            ("never".into(), ZoneCost::Forbidden),
+            ("dear".into(), ZoneCost::Money(Money::from_units(50.0))),
         ]),
-        other: Cost::Money(Money::units(1.0)),
+        default_cost: ZoneCost::Money(Money::from_units(1.0)),
         budgets: vec![budget(calls)],
         me: 0,
-        points_a_unit: 0.2,
+        points_per_unit: 0.2,
         health: HealthSettings::default(),
         phase: 0.0,
     }
@@ -63,7 +71,7 @@
 #[test]
 fn a_quiet_night_lets_nothing_spill_though_a_neighbour_is_quicker() {
     let mut z = voice(settings("kochi", 100), 4, 1.0);
-    assert_eq!(z.state(), State::Calm);
+    assert_eq!(z.state(), ZoneState::Calm);
     for call in 0..50 {
         assert!(!says(&mut z, 5000, wanted(call, 100.0, 0), "north"));
         assert_eq!(z.weigh(t(5000), &wanted(call, 1.0, 2000), &server(1, "kochi")), 1.0);
@@ -89,7 +97,7 @@
 #[test]
 fn in_a_pressed_zone_a_call_holds_on_until_what_it_would_lose_is_worth_the_cost() {
     let mut z = voice(settings("kochi", 100), 4, 0.4);
-    assert_eq!(z.state(), State::Pressed);
+    assert_eq!(z.state(), ZoneState::Pressed);
     // Pressure 0.6; a cost of one unit at 0.2 points: a third of the aim for one point, a ninth for three.
     assert!(!says(&mut z, 5000, wanted(1, 1.0, 2000), "north"));
     assert!(
@@ -103,7 +111,7 @@
 #[test]
 fn a_zone_that_is_down_lets_go_at_once_and_a_gateway_alone_without_switches_always() {
     let mut z = voice(settings("kochi", 100), 1, 1.0);
-    assert_eq!(z.state(), State::Down);
+    assert_eq!(z.state(), ZoneState::Down);
     assert!(says(&mut z, 5000, wanted(1, 1.0, 2000), "north"));
     let mut alone = Zones::new(settings("lonely", 100)).expect("sound settings");
     assert!(!says(&mut alone, 4000, wanted(1, 1.0, 2000), "north"), "nothing has been looked at yet");
--- a/crates/fawnrouterd/src/control.rs
+++ b/crates/fawnrouterd/src/control.rs
@@ -235,15 +235,15 @@
     let look = |z: &mut fawnrouter_engine::zones::Zones| {
         let budgets = z.account().lines().into_iter().map(|(budget, state, (calls, money))| BudgetShown {
             to: budget.to.as_deref().map(str::to_owned),
-            window: format!("{:?}", budget.span),
+            window: format!("{:?}", budget.period),
             calls: (state.spent.0, calls),
-            cost: (state.spent.1.in_units(), money.map(|m| m.in_units())),
+            cost: (state.spent.1.to_units(), money.map(|m| m.to_units())),
         });
         let mut went: BTreeMap<(String, String), (u64, f64)> = BTreeMap::new();
         for (kind, cell) in z.record().total() {
             let key = (kind.to.to_string(), crate::report::text(kind.cause).to_owned());
             let sum = went.entry(key).or_default();
-            *sum = (sum.0 + cell.calls, sum.1 + cell.money.in_units());
+            *sum = (sum.0 + cell.calls, sum.1 + cell.money.to_units());
         }
         let went = went.into_iter().map(|((to, cause), (calls, cost))| (to, cause, calls, cost));
         ZonesShown {
--- a/crates/fawnrouterd/src/ledger.rs
+++ b/crates/fawnrouterd/src/ledger.rs
@@ -8,7 +8,7 @@
 
 use async_io::Timer;
 use fawnrouter_engine::Input;
-use fawnrouter_engine::zones::{Minute, Saved};
+use fawnrouter_engine::zones::{Minute, SavedAccount};
 use serde::{Deserialize, Serialize};
 
 use crate::core::Core;
@@ -24,7 +24,7 @@
     /// The classes' names, by their numbers.
     pub classes: Vec<String>,
     /// The account.
-    pub account: Saved,
+    pub account: SavedAccount,
     /// What spilled, minute by minute.
     pub minutes: Vec<Minute>,
 }
@@ -114,7 +114,7 @@
     let mut last = None;
     loop {
         Timer::after(PAUSE).await;
-        let now = core.with_engine(|e| e.zones().map(|z| z.with(|z| z.account().save().lines)));
+        let now = core.with_engine(|e| e.zones().map(|z| z.with(|z| z.account().save().states)));
         if now != last {
             save(&core, file.clone()).await;
             last = now;
--- a/crates/fawnrouterd/src/report.rs
+++ b/crates/fawnrouterd/src/report.rs
@@ -33,7 +33,7 @@
             let key = (class(ledger, kind.class), &*kind.to, kind.trunk_group, text(kind.cause));
             let sum = sums.entry(key).or_default();
             sum.0 += cell.calls;
-            sum.1 += cell.money.in_units();
+            sum.1 += cell.money.to_units();
         }
     }
     let mut out = format!(
@@ -45,18 +45,18 @@
         let pair = format!("{} to {to}", ledger.own);
         let _ = writeln!(out, "{class:<20} {pair:<32} {group:>11} {cause:<24} {calls:>8} {cost:>12.2}");
     }
-    for (budget, line) in ledger.account.budgets.iter().zip(&ledger.account.lines) {
+    for (budget, line) in ledger.account.budgets.iter().zip(&ledger.account.states) {
         let to = budget.to.as_deref().unwrap_or("all others");
         let limit = |n: Option<String>| n.unwrap_or_else(|| "any".into());
         let _ = writeln!(
             out,
             "spent here in the present {:?}, to {to}: {} calls, {:.2} cost; the zone's budget: {} calls, {} cost, \
              shared by {}",
-            budget.span,
+            budget.period,
             line.spent.0,
-            line.spent.1.in_units(),
+            line.spent.1.to_units(),
             limit(budget.limit.calls.map(|n| n.to_string())),
-            limit(budget.limit.money.map(|m| format!("{:.2}", m.in_units()))),
+            limit(budget.limit.money.map(|m| format!("{:.2}", m.to_units()))),
             budget.sharers
         );
     }
@@ -87,7 +87,7 @@
                 kind.trunk_group,
                 text(kind.cause),
                 cell.calls,
-                cell.money.in_units()
+                cell.money.to_units()
             );
         }
     }
@@ -148,7 +148,7 @@
     use fawnrouter_engine::zones::{Cell, Kind, Minute, Money};
 
     fn ledger() -> Ledger {
-        let cell = |calls| Cell { calls, money: Money::units(calls as f64 * 1.5) };
+        let cell = |calls| Cell { calls, money: Money::from_units(calls as f64 * 1.5) };
         let kind = |class, to: &str, cause| Kind { class, to: to.into(), trunk_group: 5, cause };
         let minute = |n, calls| Minute {
             minute: n,
