--- a/crates/fawnrouter-config/src/settings/zones.rs
+++ b/crates/fawnrouter-config/src/settings/zones.rs
@@ -174,7 +174,7 @@
             costs,
             default_cost: ZoneCost::Money(Money::from_units(plan.other_cost)),
             budgets: ours.map(budget).collect(),
-            me: plan.number,
+            gateway_index: plan.number,
             points_per_unit: plan.points_a_unit,
             health: HealthSettings::default(),
             // Apart from each other by the golden ratio.
--- a/crates/fawnrouter-engine/src/engine.rs
+++ b/crates/fawnrouter-engine/src/engine.rs
@@ -9,7 +9,7 @@
 };
 use fawnrouter_admission::Stay;
 use fawnrouter_sip::transaction::{ACK_WAIT, CancelStep};
-use fawnrouter_zones::{BudgetError, Shared, Zones};
+use fawnrouter_zones::{BudgetError, SharedZonePolicy, ZonePolicy};
 use rand_chacha::ChaCha8Rng;
 use rand_core::{RngCore, SeedableRng};
 
@@ -42,7 +42,7 @@
     pub(crate) rng: ChaCha8Rng,
     pub(crate) intake: Intake,
     pub(crate) gate: Gate,
-    zones: Option<Shared>,
+    zones: Option<SharedZonePolicy>,
     pub(crate) table: Table,
     pub(crate) now: Time,
     /// Calls without a final answer.
@@ -80,7 +80,7 @@
     pub fn new(settings: EngineSettings) -> Result<Self, EngineError> {
         let seed = ChaCha8Rng::seed_from_u64(settings.seed).next_u64();
         let mut controller = Controller::new(settings.decisions.clone(), seed)?;
-        let zones = settings.zones.clone().map(Zones::new).transpose()?.map(Shared::new);
+        let zones = settings.zones.clone().map(ZonePolicy::new).transpose()?.map(SharedZonePolicy::new);
         if let Some(zones) = &zones {
             controller = controller.with_voice(Box::new(zones.clone()));
         }
@@ -158,7 +158,7 @@
 
     /// Traffic across zones, if it is decided on.
     #[must_use]
-    pub const fn zones(&self) -> Option<&Shared> {
+    pub const fn zones(&self) -> Option<&SharedZonePolicy> {
         self.zones.as_ref()
     }
 
--- a/crates/fawnrouter-engine/tests/zones.rs
+++ b/crates/fawnrouter-engine/tests/zones.rs
@@ -20,7 +20,7 @@
         costs: BTreeMap::new(),
         default_cost: ZoneCost::Money(Money::from_units(1.0)),
         budgets: vec![Budget { from: None, to: None, period: span, limit, carry, emergency, sharers }],
-        me: 0,
+        gateway_index: 0,
         points_per_unit: 0.2,
         health: HealthSettings::default(),
         phase: 0.0,
@@ -64,17 +64,17 @@
     assert_eq!(zones.with(|z| z.state()), ZoneState::Down);
     let spilled = sent(&mut rig, 20).len() + sent(&mut rig, 20).len();
     assert!((5..=15).contains(&spilled), "{spilled}");
-    let spent = zones.with(|z| z.account().lines()[0].1.spent.0);
+    let spent = zones.with(|z| z.account().budget_views()[0].1.spent.0);
     assert_eq!(spent, spilled as u64);
     // A gateway that starts again in the same window knows what it spent.
     let saved = zones.with(|z| z.account().save());
     let mut again = Rig::new(in_kochi(15));
     again.now = rig.now;
     again.input(Input::Account(Some(Box::new(saved))));
-    let spent = again.engine.zones().expect("on").with(|z| z.account().lines()[0].1.spent.0);
+    let spent = again.engine.zones().expect("on").with(|z| z.account().budget_views()[0].1.spent.0);
     assert_eq!(spent, spilled as u64);
     let mut blank = Rig::new(in_kochi(15));
     blank.input(Input::Account(None));
-    let spent = blank.engine.zones().expect("on").with(|z| z.account().lines()[0].1.spent.0);
+    let spent = blank.engine.zones().expect("on").with(|z| z.account().budget_views()[0].1.spent.0);
     assert_eq!(spent, 15, "not known, so it counts as spent");
 }
--- a/crates/fawnrouter-lab/src/day.rs
+++ b/crates/fawnrouter-lab/src/day.rs
@@ -13,7 +13,7 @@
 use async_lock::Mutex;
 use fawnrouter_audit::{Figures, Listed, Seen, Verdict};
 use fawnrouter_config::{SwitchFile, SwitchLine, SwitchState};
-use fawnrouterd::engine::zones::Cause;
+use fawnrouterd::engine::zones::SpillCause;
 
 use crate::callers::{Callers, Kind};
 use crate::fleet::{GatewayProcess, LIST_REACHES, account_of, settings, write_clients, write_list};
@@ -395,10 +395,10 @@
             let seen = took.map(|(_, n)| n).sum();
             let ledger =
                 fawnrouterd::ledger::read(&folder.join(account_of(number))).map_err(io::Error::other)?;
-            let cells = || ledger.minutes.iter().flat_map(|m| &m.cells);
+            let cells = || ledger.minutes.iter().flat_map(|m| &m.totals);
             let count = |out: bool| {
                 cells()
-                    .filter(|(kind, _)| (kind.cause == Cause::BudgetOut) == out)
+                    .filter(|(kind, _)| (kind.cause == SpillCause::BudgetOut) == out)
                     .map(|(_, c)| c.calls)
                     .sum()
             };
--- a/crates/fawnrouter-zones/src/account.rs
+++ b/crates/fawnrouter-zones/src/account.rs
@@ -316,7 +316,7 @@
     }
 
     /// The part of the scarcest budget that is left in this window, 0 to 1.
-    pub fn left(&mut self, now: Duration, to: &str, level: f64) -> f64 {
+    pub fn remaining_share(&mut self, now: Duration, to: &str, level: f64) -> f64 {
         self.advance(now);
         let covering = self.lines.iter().filter(|l| l.budget.covers(&self.from, to));
         1.0 - covering.map(|l| l.part_spent(self.me, level)).fold(0.0, f64::max).min(1.0)
@@ -378,7 +378,7 @@
 
     /// Each budget with what was spent of this gateway's share, and that share now.
     #[must_use]
-    pub fn lines(&self) -> Vec<BudgetView> {
+    pub fn budget_views(&self) -> Vec<BudgetView> {
         let of = |l: &Line| (l.budget.clone(), l.state, l.allowance(self.me, 0.0));
         self.lines.iter().map(of).collect()
     }
--- a/crates/fawnrouter-zones/src/lib.rs
+++ b/crates/fawnrouter-zones/src/lib.rs
@@ -23,5 +23,5 @@
 pub use budget::{Budget, BudgetError, BudgetPeriod, Limit, Money, gateway_share};
 pub use grants::GrantMessage;
 pub use health::{Health, HealthSettings, ZoneState};
-pub use record::{Cause, Cell, Kind, Minute, Record};
-pub use zones::{Shared, ZoneCost, ZoneSettings, Zones};
+pub use record::{SpillCause, SpillKey, SpillMinute, SpillRecord, SpillTotal};
+pub use zones::{SharedZonePolicy, ZoneCost, ZonePolicy, ZoneSettings};
--- a/crates/fawnrouter-zones/src/zones.rs
+++ b/crates/fawnrouter-zones/src/zones.rs
@@ -13,7 +13,7 @@
 use crate::account::{Account, Charge, SavedAccount};
 use crate::budget::{Budget, BudgetError, Money};
 use crate::health::{Health, HealthSettings, ZoneState};
-use crate::record::{Cause, Kind, Minute, Record};
+use crate::record::{SpillCause, SpillKey, SpillMinute, SpillRecord};
 
 /// What a call to another zone costs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,7 +36,7 @@
     /// Budgets.
     pub budgets: Vec<Budget>,
     /// This gateway's number among those that share them.
-    pub me: u32,
+    pub gateway_index: u32,
     /// Points of worth that a unit of money is worth while budget is ample.
     pub points_per_unit: f64,
     /// When the own zone is pressed or down.
@@ -51,18 +51,18 @@
 
 #[derive(Debug)]
 struct Out {
-    kind: Kind,
+    kind: SpillKey,
     charge: Charge,
     at: Time,
 }
 
 /// The voice of zones for one gateway.
 #[derive(Debug)]
-pub struct Zones {
+pub struct ZonePolicy {
     settings: ZoneSettings,
     account: Account,
     health: Health,
-    record: Record,
+    record: SpillRecord,
     out: BTreeMap<CallId, Out>,
     /// Calls that the budget had nothing left for.
     passed_over: BTreeSet<CallId>,
@@ -71,19 +71,20 @@
     wanting: BTreeSet<CallId>,
 }
 
-impl Zones {
+impl ZonePolicy {
     /// A voice that has spent nothing.
     ///
     /// # Errors
     /// See [`BudgetError`].
     pub fn new(settings: ZoneSettings) -> Result<Self, BudgetError> {
-        let account = Account::new(settings.own_zone.clone(), settings.me, settings.budgets.clone())?;
+        let account =
+            Account::new(settings.own_zone.clone(), settings.gateway_index, settings.budgets.clone())?;
         let health = Health::new(settings.health, settings.phase);
         Ok(Self {
             settings,
             account,
             health,
-            record: Record::default(),
+            record: SpillRecord::default(),
             out: BTreeMap::new(),
             passed_over: BTreeSet::new(),
             now: Time::default(),
@@ -97,7 +98,7 @@
     }
 
     /// Takes up the record of before a restart.
-    pub fn restore_record(&mut self, minutes: Vec<Minute>) {
+    pub fn restore_record(&mut self, minutes: Vec<SpillMinute>) {
         self.record.restore(minutes);
     }
 
@@ -114,7 +115,7 @@
 
     /// What spilled.
     #[must_use]
-    pub const fn record(&self) -> &Record {
+    pub const fn record(&self) -> &SpillRecord {
         &self.record
     }
 
@@ -133,12 +134,12 @@
         self.settings.costs.get(zone).copied().unwrap_or(self.settings.default_cost)
     }
 
-    fn cause(&self) -> Cause {
+    fn cause(&self) -> SpillCause {
         match self.health.state() {
-            _ if !self.health.has_switches() => Cause::NoSwitch,
-            ZoneState::Down => Cause::Down,
-            ZoneState::Pressed if self.health.emergency_level() > 0.0 => Cause::Cold,
-            ZoneState::Pressed | ZoneState::Calm => Cause::Pressed,
+            _ if !self.health.has_switches() => SpillCause::NoSwitch,
+            ZoneState::Down => SpillCause::Down,
+            ZoneState::Pressed if self.health.emergency_level() > 0.0 => SpillCause::Cold,
+            ZoneState::Pressed | ZoneState::Calm => SpillCause::Pressed,
         }
     }
 
@@ -155,12 +156,12 @@
     }
 }
 
-fn kind(wanted: &Wanted, server: &ServerEntry, cause: Cause) -> Kind {
+fn kind(wanted: &Wanted, server: &ServerEntry, cause: SpillCause) -> SpillKey {
     let class = wanted.class.and_then(|c| u32::try_from(c.0).ok()).unwrap_or(u32::MAX);
-    Kind { class, to: server.zone.clone(), trunk_group: server.cell.0, cause }
+    SpillKey { class, to: server.zone.clone(), trunk_group: server.cell.0, cause }
 }
 
-impl Voice for Zones {
+impl Voice for ZonePolicy {
     fn observe(&mut self, now: Time, servers: &mut dyn Iterator<Item = Seen<'_>>) {
         self.now = self.now.max(now);
         let own = self.settings.own_zone.clone();
@@ -195,12 +196,12 @@
         if !self.account.can_afford(now.0, &server.zone, cost, level) {
             // Once a call, however often it draws.
             if self.passed_over.len() < MOST_OUT && self.passed_over.insert(wanted.call) {
-                self.record.count(now.0, &kind(wanted, server, Cause::BudgetOut), Money(0));
+                self.record.add_call(now.0, &kind(wanted, server, SpillCause::BudgetOut), Money(0));
             }
             return 0.0;
         }
         // Among several zones the cheaper and the less spent one is drawn more often.
-        let left = self.account.left(now.0, &server.zone, level).max(0.05);
+        let left = self.account.remaining_share(now.0, &server.zone, level).max(0.05);
         left / (1.0 + cost.to_units() * price)
     }
 
@@ -210,7 +211,7 @@
             return;
         }
         let (cost, cause) = match self.cost(&server.zone) {
-            ZoneCost::Money(Money(0)) => (Money(0), Cause::Free),
+            ZoneCost::Money(Money(0)) => (Money(0), SpillCause::Free),
             ZoneCost::Money(cost) => (cost, self.cause()),
             ZoneCost::Forbidden => return,
         };
@@ -218,7 +219,7 @@
         // would show in the record against the account.
         if let Ok(charge) = self.account.charge(now.0, &server.zone, cost, self.health.emergency_level()) {
             let kind = kind(wanted, server, cause);
-            self.record.count(now.0, &kind, cost);
+            self.record.add_call(now.0, &kind, cost);
             if self.out.len() < MOST_OUT {
                 self.out.insert(wanted.call, Out { kind, charge, at: now });
             }
@@ -231,28 +232,28 @@
         let now = self.now;
         let Some(out) = self.out.remove(&call).filter(|_| !stood) else { return };
         self.account.refund(now.0, &out.charge);
-        self.record.take_back(out.at.0, &out.kind, out.charge.cost());
+        self.record.subtract_call(out.at.0, &out.kind, out.charge.cost());
     }
 }
 
 /// A voice that its embedder can look at while a controller holds it.
 #[derive(Clone, Debug)]
-pub struct Shared(Arc<Mutex<Zones>>);
+pub struct SharedZonePolicy(Arc<Mutex<ZonePolicy>>);
 
-impl Shared {
+impl SharedZonePolicy {
     /// Shares it.
     #[must_use]
-    pub fn new(zones: Zones) -> Self {
+    pub fn new(zones: ZonePolicy) -> Self {
         Self(Arc::new(Mutex::new(zones)))
     }
 
     /// Looks at it, or changes it. One thread at a time; another one waits.
-    pub fn with<T>(&self, look: impl FnOnce(&mut Zones) -> T) -> T {
+    pub fn with<T>(&self, look: impl FnOnce(&mut ZonePolicy) -> T) -> T {
         look(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
-impl Voice for Shared {
+impl Voice for SharedZonePolicy {
     fn observe(&mut self, now: Time, servers: &mut dyn Iterator<Item = Seen<'_>>) {
         self.with(|z| z.observe(now, servers));
     }
--- a/crates/fawnrouter-zones/tests/account.rs
+++ b/crates/fawnrouter-zones/tests/account.rs
@@ -40,7 +40,7 @@
 fn a_budget_exhausted_one_second_before_the_window_turns_is_whole_again_after_it() {
     let mut a = account(0, vec![budget(10, 1)]);
     assert_eq!(spend(&mut a, s(59), 100), 10);
-    assert_eq!(a.left(s(59), "north", 0.0), 0.0);
+    assert_eq!(a.remaining_share(s(59), "north", 0.0), 0.0);
     assert_eq!(spend(&mut a, s(60), 100), 10);
     assert_eq!(a.refused()[&to()], 2);
 }
@@ -176,7 +176,7 @@
         }
     );
     // Before it is heard it is nobody's; heard twice it counts once; in the next window it is nothing.
-    assert_eq!(rich.lines()[0].2.0, Some(26));
+    assert_eq!(rich.budget_views()[0].2.0, Some(26));
     for _ in 0..2 {
         assert_eq!(poor.on_message(s(21), 1, &grant), None);
     }
@@ -246,7 +246,7 @@
                     for _ in 0..=step {
                         if fleet[me].charge(now, &to(), Money(0), 0.0).is_ok() {
                             // The window that it was charged to, by the account itself.
-                            let window = fleet[me].lines()[0].1.window;
+                            let window = fleet[me].budget_views()[0].1.window;
                             *spent.entry(window).or_default() += 1;
                         }
                     }
--- a/crates/fawnrouter-zones/tests/common/mod.rs
+++ b/crates/fawnrouter-zones/tests/common/mod.rs
@@ -7,7 +7,8 @@
 
 use fawnrouter::*;
 use fawnrouter_zones::{
-    Budget, BudgetPeriod, GrantMessage, HealthSettings, Limit, Money, Shared, ZoneCost, ZoneSettings, Zones,
+    Budget, BudgetPeriod, GrantMessage, HealthSettings, Limit, Money, SharedZonePolicy, ZoneCost, ZonePolicy,
+    ZoneSettings,
 };
 use rand_chacha::ChaCha8Rng;
 use rand_core::{RngCore, SeedableRng};
@@ -208,19 +209,20 @@
         costs: BTreeMap::new(),
         default_cost: ZoneCost::Money(Money::from_units(1.0)),
         budgets: if plan.policy == Policy::Unbudgeted { vec![] } else { vec![budget] },
-        me: me / ZONES.len() as u32,
+        gateway_index: me / ZONES.len() as u32,
         points_per_unit: if plan.policy == Policy::HardCap { 0.0 } else { 0.2 },
         health: HealthSettings::default(),
         phase: f64::from(me % 16) / 16.0,
     }
 }
 
-fn voice(plan: &Plan, me: u32, shared: &mut Vec<Shared>) -> Option<Box<dyn Voice>> {
+fn voice(plan: &Plan, me: u32, shared: &mut Vec<SharedZonePolicy>) -> Option<Box<dyn Voice>> {
     match plan.policy {
         Policy::Unvoiced => None,
         Policy::Preference => Some(Box::new(Preference(ZONES[zone_of(me)].into()))),
         _ => {
-            let zones = Shared::new(Zones::new(zone_settings(plan, me)).expect("sound settings"));
+            let zones =
+                SharedZonePolicy::new(ZonePolicy::new(zone_settings(plan, me)).expect("sound settings"));
             shared.push(zones.clone());
             Some(Box::new(zones))
         }
@@ -233,7 +235,7 @@
     // A whole minute, so that windows and the run's minutes are the same.
     let start = Time(Duration::from_secs(28_000_000 * 60));
     let mut now = start;
-    let mut shared: Vec<Shared> = Vec::new();
+    let mut shared: Vec<SharedZonePolicy> = Vec::new();
     let mut fleet: Vec<Controller> = (0..plan.gateways)
         .map(|me| {
             let controller = Controller::new(settings(plan.gateways, me), u64::from(me) + plan.seed * 1000);
--- a/crates/fawnrouter-zones/tests/voice.rs
+++ b/crates/fawnrouter-zones/tests/voice.rs
@@ -33,7 +33,7 @@
         ]),
         default_cost: ZoneCost::Money(Money::from_units(1.0)),
         budgets: vec![budget(calls)],
-        me: 0,
+        gateway_index: 0,
         points_per_unit: 0.2,
         health: HealthSettings::default(),
         phase: 0.0,
@@ -50,8 +50,8 @@
 }
 
 /// A voice whose four own switches have been like this for five seconds.
-fn voice(settings: ZoneSettings, well: u32, fraction: f64) -> Zones {
-    let mut zones = Zones::new(settings).expect("sound settings");
+fn voice(settings: ZoneSettings, well: u32, fraction: f64) -> ZonePolicy {
+    let mut zones = ZonePolicy::new(settings).expect("sound settings");
     let own: Vec<ServerEntry> = (0..4).map(|n| server(n, "kochi")).collect();
     for step in 0..50 {
         let look = |n: u32| (step < 5 || n < well, if step < 5 { 1.0 } else { fraction });
@@ -64,7 +64,7 @@
     zones
 }
 
-fn says(zones: &mut Zones, now: u64, wanted: Wanted, zone: &str) -> bool {
+fn says(zones: &mut ZonePolicy, now: u64, wanted: Wanted, zone: &str) -> bool {
     zones.weigh(t(now), &wanted, &server(9, zone)) > 0.0
 }
 
@@ -113,12 +113,12 @@
     let mut z = voice(settings("kochi", 100), 1, 1.0);
     assert_eq!(z.state(), ZoneState::Down);
     assert!(says(&mut z, 5000, wanted(1, 1.0, 2000), "north"));
-    let mut alone = Zones::new(settings("lonely", 100)).expect("sound settings");
+    let mut alone = ZonePolicy::new(settings("lonely", 100)).expect("sound settings");
     assert!(!says(&mut alone, 4000, wanted(1, 1.0, 2000), "north"), "nothing has been looked at yet");
     alone.observe(t(4500), &mut std::iter::empty());
     assert!(says(&mut alone, 5000, wanted(1, 1.0, 2000), "north"));
     alone.sent(t(5000), &wanted(1, 1.0, 2000), &server(9, "north"));
-    assert_eq!(alone.record().total().keys().next().map(|k| k.cause), Some(Cause::NoSwitch));
+    assert_eq!(alone.record().total().keys().next().map(|k| k.cause), Some(SpillCause::NoSwitch));
 }
 
 #[test]
@@ -150,7 +150,7 @@
         0,
         0.0,
     );
-    let spent = |z: &Zones| z.account().lines()[0].1.spent.0;
+    let spent = |z: &ZonePolicy| z.account().budget_views()[0].1.spent.0;
     for (n, stood) in [(1, false), (2, true), (3, false)] {
         let call = wanted(n, 5.0, 0);
         assert!(says(&mut z, 5000, call, "north"));
@@ -174,6 +174,6 @@
     let mut seen = std::iter::once(Seen { entry: &moved, ready: true, well: true, fraction: 1.0 });
     z.observe(t(5100), &mut seen);
     z.ended(call.call, false);
-    assert_eq!(z.account().lines()[0].1.spent.0, 0);
+    assert_eq!(z.account().budget_views()[0].1.spent.0, 0);
     assert_eq!(z.weigh(t(5200), &wanted(2, 1.0, 2000), &moved), 1.0);
 }
--- a/crates/fawnrouterd/src/control.rs
+++ b/crates/fawnrouterd/src/control.rs
@@ -232,13 +232,14 @@
 
 fn zones(core: &Core) -> Option<ZonesShown> {
     let own = core.settings.zones.as_ref()?.own.clone();
-    let look = |z: &mut fawnrouter_engine::zones::Zones| {
-        let budgets = z.account().lines().into_iter().map(|(budget, state, (calls, money))| BudgetShown {
-            to: budget.to.as_deref().map(str::to_owned),
-            window: format!("{:?}", budget.period),
-            calls: (state.spent.0, calls),
-            cost: (state.spent.1.to_units(), money.map(|m| m.to_units())),
-        });
+    let look = |z: &mut fawnrouter_engine::zones::ZonePolicy| {
+        let budgets =
+            z.account().budget_views().into_iter().map(|(budget, state, (calls, money))| BudgetShown {
+                to: budget.to.as_deref().map(str::to_owned),
+                window: format!("{:?}", budget.period),
+                calls: (state.spent.0, calls),
+                cost: (state.spent.1.to_units(), money.map(|m| m.to_units())),
+            });
         let mut went: BTreeMap<(String, String), (u64, f64)> = BTreeMap::new();
         for (kind, cell) in z.record().total() {
             let key = (kind.to.to_string(), crate::report::text(kind.cause).to_owned());
--- a/crates/fawnrouterd/src/ledger.rs
+++ b/crates/fawnrouterd/src/ledger.rs
@@ -8,7 +8,7 @@
 
 use async_io::Timer;
 use fawnrouter_engine::Input;
-use fawnrouter_engine::zones::{Minute, SavedAccount};
+use fawnrouter_engine::zones::{SavedAccount, SpillMinute};
 use serde::{Deserialize, Serialize};
 
 use crate::core::Core;
@@ -26,7 +26,7 @@
     /// The account.
     pub account: SavedAccount,
     /// What spilled, minute by minute.
-    pub minutes: Vec<Minute>,
+    pub minutes: Vec<SpillMinute>,
 }
 
 /// Why a file cannot be used.
--- a/crates/fawnrouterd/src/report.rs
+++ b/crates/fawnrouterd/src/report.rs
@@ -3,20 +3,20 @@
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
-use fawnrouter_engine::zones::Cause;
+use fawnrouter_engine::zones::SpillCause;
 use plotters::prelude::*;
 
 use crate::ledger::Ledger;
 
 /// A cause in words.
-pub const fn text(cause: Cause) -> &'static str {
+pub const fn text(cause: SpillCause) -> &'static str {
     match cause {
-        Cause::Pressed => "own zone pressed",
-        Cause::Down => "own zone down",
-        Cause::Cold => "own zone cold",
-        Cause::NoSwitch => "no switch in own zone",
-        Cause::Free => "costs nothing",
-        Cause::BudgetOut => "budget out, not sent",
+        SpillCause::Pressed => "own zone pressed",
+        SpillCause::Down => "own zone down",
+        SpillCause::Cold => "own zone cold",
+        SpillCause::NoSwitch => "no switch in own zone",
+        SpillCause::Free => "costs nothing",
+        SpillCause::BudgetOut => "budget out, not sent",
     }
 }
 
@@ -29,7 +29,7 @@
     let last = ledger.minutes.last().map_or(0, |m| m.minute);
     let mut sums: BTreeMap<(&str, &str, u32, &str), (u64, f64)> = BTreeMap::new();
     for minute in ledger.minutes.iter().filter(|m| m.minute + minutes > last) {
-        for (kind, cell) in &minute.cells {
+        for (kind, cell) in &minute.totals {
             let key = (class(ledger, kind.class), &*kind.to, kind.trunk_group, text(kind.cause));
             let sum = sums.entry(key).or_default();
             sum.0 += cell.calls;
@@ -76,7 +76,7 @@
 pub fn csv(ledger: &Ledger) -> String {
     let mut out = String::from("unix_s,class,from,to,trunk_group,cause,calls,cost\r\n");
     for minute in &ledger.minutes {
-        for (kind, cell) in &minute.cells {
+        for (kind, cell) in &minute.totals {
             let _ = write!(
                 out,
                 "{},{},{},{},{},{},{},{:.6}\r\n",
@@ -101,8 +101,8 @@
 pub fn svg(ledger: &Ledger) -> Result<String, String> {
     let mut zones: BTreeMap<&str, BTreeMap<u64, u64>> = BTreeMap::new();
     for minute in &ledger.minutes {
-        for (kind, cell) in &minute.cells {
-            if kind.cause != Cause::BudgetOut {
+        for (kind, cell) in &minute.totals {
+            if kind.cause != SpillCause::BudgetOut {
                 *zones.entry(&kind.to).or_default().entry(minute.minute).or_default() += cell.calls;
             }
         }
@@ -145,16 +145,16 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use fawnrouter_engine::zones::{Cell, Kind, Minute, Money};
+    use fawnrouter_engine::zones::{Money, SpillKey, SpillMinute, SpillTotal};
 
     fn ledger() -> Ledger {
-        let cell = |calls| Cell { calls, money: Money::from_units(calls as f64 * 1.5) };
-        let kind = |class, to: &str, cause| Kind { class, to: to.into(), trunk_group: 5, cause };
-        let minute = |n, calls| Minute {
+        let cell = |calls| SpillTotal { calls, money: Money::from_units(calls as f64 * 1.5) };
+        let kind = |class, to: &str, cause| SpillKey { class, to: to.into(), trunk_group: 5, cause };
+        let minute = |n, calls| SpillMinute {
             minute: n,
-            cells: vec![
-                (kind(0, "north, far", Cause::Down), cell(calls)),
-                (kind(7, "east", Cause::BudgetOut), cell(1)),
+            totals: vec![
+                (kind(0, "north, far", SpillCause::Down), cell(calls)),
+                (kind(7, "east", SpillCause::BudgetOut), cell(1)),
             ],
         };
         Ledger {
