--- a/crates/fawnrouter-config/src/settings/clients.rs
+++ b/crates/fawnrouter-config/src/settings/clients.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 
 use fawnrouter_engine::digest::{Algorithm, GuardSettings, Ha1, Secret};
-use fawnrouter_engine::{AuthSettings, KnownClient, Strangers};
+use fawnrouter_engine::{AuthSettings, KnownClient, UnknownClients};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
@@ -173,10 +173,10 @@
             attempts: clients.attempts,
         };
         let strangers = match clients.strangers {
-            StrangersMay::Call => Strangers::Allowed,
-            StrangersMay::Nothing => Strangers::Asked,
+            StrangersMay::Call => UnknownClients::Allowed,
+            StrangersMay::Nothing => UnknownClients::Challenged,
         };
-        Some(AuthSettings { guard, key, strangers })
+        Some(AuthSettings { guard, key, unknown_clients: strangers })
     }
 
     /// The known clients of a file as the engine takes them.
--- a/crates/fawnrouter-config/src/settings/mod.rs
+++ b/crates/fawnrouter-config/src/settings/mod.rs
@@ -11,7 +11,9 @@
 use std::time::Duration;
 
 use fawnrouter_engine::fawnrouter as module;
-use fawnrouter_engine::{BackoffSettings, CallRules, Destination, EngineSettings, IntakeLimits, Match, Rule};
+use fawnrouter_engine::{
+    BackoffSettings, CallMatch, CallRule, CallRules, EngineSettings, IntakeLimits, PoolChoice,
+};
 use module::{Cell, ClassId, PeerId, TenantId};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -552,20 +554,22 @@
     pub fn engine(&self, seed: u64, words: bool) -> EngineSettings {
         let class_of = |name: &str| self.classes.iter().position(|c| c.name == name).map(ClassId);
         let tenant_of = |name: &str| self.tenants.iter().position(|t| t.name == name).map(TenantId);
-        let mut class: Vec<Rule<ClassId>> = (self.calls.class.iter())
-            .filter_map(|r| class_of(&r.class).map(|gets| Rule { when: r.when.to_match(), gets }))
+        let mut class: Vec<CallRule<ClassId>> = (self.calls.class.iter())
+            .filter_map(|r| class_of(&r.class).map(|gets| CallRule { when: r.when.to_match(), value: gets }))
             .collect();
-        class.push(Rule { when: Match::default(), gets: ClassId(0) });
+        class.push(CallRule { when: CallMatch::default(), value: ClassId(0) });
         let tenant = (self.calls.tenant.iter())
-            .filter_map(|r| tenant_of(&r.tenant).map(|gets| Rule { when: r.when.to_match(), gets }))
+            .filter_map(|r| {
+                tenant_of(&r.tenant).map(|gets| CallRule { when: r.when.to_match(), value: gets })
+            })
             .collect();
-        let mut destination: Vec<Rule<Destination>> = (self.calls.pool.iter())
-            .map(|r| Rule { when: r.when.to_match(), gets: Destination::Pool(Cell(r.pool)) })
+        let mut destination: Vec<CallRule<PoolChoice>> = (self.calls.pool.iter())
+            .map(|r| CallRule { when: r.when.to_match(), value: PoolChoice::Pool(Cell(r.pool)) })
             .collect();
-        let spread = Destination::Spread(self.calls.spread.iter().copied().map(Cell).collect());
-        destination.push(Rule { when: Match::default(), gets: spread });
+        let spread = PoolChoice::Spread(self.calls.spread.iter().copied().map(Cell).collect());
+        destination.push(CallRule { when: CallMatch::default(), value: spread });
         EngineSettings {
-            decisions: self.decisions(),
+            controller: self.decisions(),
             seed: self.gateway.seed.unwrap_or(seed),
             host: self.gateway.host.clone(),
             rules: CallRules { class, tenant, destination },
@@ -580,11 +584,11 @@
                 most: ms(self.trunk.backoff_most_ms),
             },
             cut_after: ms(self.trunk.cut_after_ms),
-            longest_try: ms(self.limits.longest_try_ms),
+            max_expires: ms(self.limits.longest_try_ms),
             auth: None,
             zones: self.zone_settings(),
             set_ups: self.set_ups(seed),
-            words,
+            call_events: words,
         }
     }
 
@@ -636,9 +640,9 @@
 }
 
 impl When {
-    fn to_match(&self) -> Match {
+    fn to_match(&self) -> CallMatch {
         let pair = |p: &Option<NameValue>| p.as_ref().map(|p| (p.name.clone(), p.value.clone()));
-        Match {
+        CallMatch {
             number_prefix: self.number_prefix.clone(),
             host: self.host.clone(),
             from_host: self.from_host.clone(),
--- a/crates/fawnrouter-engine/src/caller.rs
+++ b/crates/fawnrouter-engine/src/caller.rs
@@ -11,9 +11,9 @@
 use crate::due::{Key, LegId};
 use crate::engine::Engine;
 use crate::identify::Passage;
-use crate::intake::Load;
-use crate::interface::{CallWord, ClientId, Output};
-use crate::status::{Answer, whole_seconds};
+use crate::intake::IntakeLoad;
+use crate::interface::{CallEvent, ClientId, Output};
+use crate::status::{FinalAnswer, retry_after_seconds};
 use crate::table::{Call, Stage};
 
 /// Methods that the gateway takes (RFC 3261 §20.5).
@@ -90,8 +90,8 @@
 
     /// The answer to an INVITE of which no call is made.
     fn not_taken(&mut self, client: ClientId, invite: &Message, why: &str, wait: Duration) {
-        self.counters.not_taken += 1;
-        let wait = whole_seconds(wait).max(1).to_string();
+        self.counters.rejected += 1;
+        let wait = retry_after_seconds(wait).max(1).to_string();
         let reason = format!("SIP;cause=503;text=\"{why}\"");
         let extra = [(Name::RetryAfter, wait.as_str()), (Name::Reason, reason.as_str())];
         self.respond(client, invite, 503, None, &extra);
@@ -117,16 +117,16 @@
             return self.respond(client, &invite, 400, Some(what), &[]);
         }
         let of_client = self.table.clients.get(&client).map_or(0, |c| c.calls.len());
-        let load = Load { calls: self.table.live(), pending: self.pending, of_client };
-        if let Err((refusal, wait)) = self.intake.judge(load) {
+        let load = IntakeLoad { calls: self.table.live(), pending: self.pending, client_calls: of_client };
+        if let Err((refusal, wait)) = self.intake.check(load) {
             return self.not_taken(client, &invite, refusal.text(), wait);
         }
         let seen = self.settings.rules.classify(&invite, &uri);
-        let class = seen.class.and_then(|c| self.settings.decisions.classes.get(c.0));
-        let limit = class.map_or(self.settings.longest_try, |c| c.deadline).min(self.settings.longest_try);
+        let class = seen.class.and_then(|c| self.settings.controller.classes.get(c.0));
+        let limit = class.map_or(self.settings.max_expires, |c| c.deadline).min(self.settings.max_expires);
         // `Expires` is the try's time left (RFC 3261 §13.2.1): whole seconds from when the INVITE came in.
         let told = invite.get(Name::Expires).and_then(|x| x.trim().parse().ok()).map(Duration::from_secs);
-        let left = told.unwrap_or(limit).min(self.settings.longest_try);
+        let left = told.unwrap_or(limit).min(self.settings.max_expires);
         let class_name = class.map(|c| c.name.clone()).unwrap_or_default();
         let id = self.new_call_id();
         let turn = self.judge_set_up(client, id);
@@ -159,8 +159,12 @@
             known.calls.insert(id);
         }
         self.pending += 1;
-        self.counters.taken += 1;
-        self.word(id, || CallWord::Taken { call_id: words.0, class: words.1.into(), number: words.2.into() });
+        self.counters.accepted += 1;
+        self.word(id, || CallEvent::Accepted {
+            call_id: words.0,
+            class: words.1.into(),
+            number: words.2.into(),
+        });
         self.provisional(id, 100, None);
         let new = NewCall {
             id,
@@ -174,7 +178,7 @@
             destination: seen.destination,
         };
         if turn == Turn::Wait {
-            let wait = self.set_ups().map_or(left, SetUps::wait).min(left);
+            let wait = self.set_up_admission().map_or(left, SetUps::wait).min(left);
             self.table.due.set(Key::Call(id), self.now.plus(wait));
             if let Some(call) = self.table.calls.get_mut(&id) {
                 call.waits = Some(new);
@@ -235,7 +239,7 @@
     }
 
     /// The final answer of a call that does not stand. The call is kept only to know its ACK.
-    pub(crate) fn answer_final(&mut self, id: CallId, answer: Answer) {
+    pub(crate) fn answer_final(&mut self, id: CallId, answer: FinalAnswer) {
         let Some(call) = self.table.calls.get(&id).filter(|c| matches!(c.stage, Stage::Routing)) else {
             return;
         };
@@ -248,7 +252,7 @@
             let bytes = draft.finish(b"");
             self.out.push(Output::ToClient { client, bytes });
         }
-        self.word(id, || CallWord::Answered { status: answer.status, after });
+        self.word(id, || CallEvent::Answered { status: answer.status, after });
         self.set_up_over(id);
         self.pending -= 1;
         self.table.due.set(Key::Call(id), self.now.plus(ACK_WAIT));
@@ -275,9 +279,9 @@
         }
         self.set_up_moved(id, Stay::Standing);
         self.pending -= 1;
-        self.counters.stood += 1;
+        self.counters.established += 1;
         self.table.due.set(Key::Call(id), self.now.plus(ACK_WAIT));
-        self.word(id, || CallWord::Answered { status: 200, after });
+        self.word(id, || CallEvent::Answered { status: 200, after });
         true
     }
 
@@ -317,7 +321,7 @@
     /// The caller takes its INVITE back before there is a final answer.
     fn caller_gives_up(&mut self, id: CallId) {
         self.counters.abandoned += 1;
-        self.lapse(id, Answer { status: 487, retry_after_s: None, text: "the caller gave up" });
+        self.lapse(id, FinalAnswer { status: 487, retry_after_s: None, text: "the caller gave up" });
     }
 
     fn on_caller_bye(&mut self, client: ClientId, bye: &Message) {
@@ -419,7 +423,10 @@
         if self.table.calls.get(&id).is_some_and(|c| matches!(c.stage, Stage::Routing)) {
             self.counters.failed += 1;
         }
-        self.answer_final(id, Answer { status, retry_after_s: None, text: "the switch refused the call" });
+        self.answer_final(
+            id,
+            FinalAnswer { status, retry_after_s: None, text: "the switch refused the call" },
+        );
     }
 }
 
--- a/crates/fawnrouter-engine/src/classify.rs
+++ b/crates/fawnrouter-engine/src/classify.rs
@@ -8,7 +8,7 @@
 
 /// What a rule looks at. All parts that are given must fit; a rule without any fits every call.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Match {
+pub struct CallMatch {
     /// The number called begins with this.
     pub number_prefix: Option<String>,
     /// The host of the request-URI.
@@ -23,7 +23,7 @@
     pub uri_param: Option<(String, String)>,
 }
 
-impl Match {
+impl CallMatch {
     fn fits(&self, call: &Seen<'_>) -> bool {
         let same = |wanted: &Option<String>, seen: &str| {
             wanted.as_ref().is_none_or(|w| w.eq_ignore_ascii_case(seen))
@@ -45,16 +45,16 @@
 
 /// A rule: calls that fit get this.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Rule<T> {
+pub struct CallRule<T> {
     /// Which calls.
-    pub when: Match,
+    pub when: CallMatch,
     /// What they get.
-    pub gets: T,
+    pub value: T,
 }
 
 /// The pool of first choice.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Destination {
+pub enum PoolChoice {
     /// This one.
     Pool(Cell),
     /// One of these by the number called, always the same for a number.
@@ -65,16 +65,16 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallRules {
     /// The class; calls that no rule fits have none and are refused.
-    pub class: Vec<Rule<ClassId>>,
+    pub class: Vec<CallRule<ClassId>>,
     /// The tenant.
-    pub tenant: Vec<Rule<TenantId>>,
+    pub tenant: Vec<CallRule<TenantId>>,
     /// The pool of first choice.
-    pub destination: Vec<Rule<Destination>>,
+    pub destination: Vec<CallRule<PoolChoice>>,
 }
 
 /// What the rules say of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Classified {
+pub struct Classification {
     /// Its class.
     pub class: Option<ClassId>,
     /// Its tenant.
@@ -95,7 +95,7 @@
 impl CallRules {
     /// Applies the rules to an INVITE and its request-URI.
     #[must_use]
-    pub fn classify(&self, invite: &Message, uri: &Uri<'_>) -> Classified {
+    pub fn classify(&self, invite: &Message, uri: &Uri<'_>) -> Classification {
         let from = invite.get(Name::From).and_then(|f| Address::parse(f).ok());
         let from_host = from.and_then(|a| Uri::parse(a.uri).ok()).map_or("", |u| u.host);
         let number = uri.number();
@@ -103,8 +103,8 @@
         let number = if number.is_empty() { uri.host.to_owned() } else { number.into_owned() };
         let seen = Seen { invite, uri, from_host, number: &number };
         let destination = match first(&self.destination, &seen) {
-            Some(Destination::Pool(cell)) => *cell,
-            Some(Destination::Spread(cells)) if !cells.is_empty() => {
+            Some(PoolChoice::Pool(cell)) => *cell,
+            Some(PoolChoice::Spread(cells)) if !cells.is_empty() => {
                 let mut hash = SipHasher13::new();
                 hash.write(number.as_bytes());
                 cells[(hash.finish() % cells.len() as u64) as usize]
@@ -113,12 +113,12 @@
         };
         let class = first(&self.class, &seen).copied();
         let tenant = first(&self.tenant, &seen).copied();
-        Classified { class, tenant, destination, number }
+        Classification { class, tenant, destination, number }
     }
 }
 
-fn first<'r, T>(rules: &'r [Rule<T>], seen: &Seen<'_>) -> Option<&'r T> {
-    rules.iter().find(|rule| rule.when.fits(seen)).map(|rule| &rule.gets)
+fn first<'r, T>(rules: &'r [CallRule<T>], seen: &Seen<'_>) -> Option<&'r T> {
+    rules.iter().find(|rule| rule.when.fits(seen)).map(|rule| &rule.value)
 }
 
 #[cfg(test)]
@@ -134,8 +134,8 @@
         Message::parse(text.as_bytes(), &Limits::default()).expect("a sound message")
     }
 
-    fn when(set: impl FnOnce(&mut Match)) -> Match {
-        let mut when = Match::default();
+    fn when(set: impl FnOnce(&mut CallMatch)) -> CallMatch {
+        let mut when = CallMatch::default();
         set(&mut when);
         when
     }
@@ -144,20 +144,29 @@
     fn the_first_rule_that_fits_decides_and_a_call_without_one_has_no_class() {
         let rules = CallRules {
             class: vec![
-                Rule { when: when(|m| m.number_prefix = Some("+9148".into())), gets: ClassId(1) },
-                Rule { when: when(|m| m.header = Some(("X-Kind".into(), "check".into()))), gets: ClassId(0) },
-                Rule { when: when(|m| m.uri_param = Some(("kind".into(), "push".into()))), gets: ClassId(2) },
+                CallRule { when: when(|m| m.number_prefix = Some("+9148".into())), value: ClassId(1) },
+                CallRule {
+                    when: when(|m| m.header = Some(("X-Kind".into(), "check".into()))),
+                    value: ClassId(0),
+                },
+                CallRule {
+                    when: when(|m| m.uri_param = Some(("kind".into(), "push".into()))),
+                    value: ClassId(2),
+                },
             ],
-            tenant: vec![Rule {
+            tenant: vec![CallRule {
                 when: when(|m| m.from_host = Some("BANK.example".into())),
-                gets: TenantId(4),
+                value: TenantId(4),
             }],
             destination: vec![
-                Rule {
+                CallRule {
                     when: when(|m| m.trunk_group = Some("tg-7".into())),
-                    gets: Destination::Pool(Cell(7)),
+                    value: PoolChoice::Pool(Cell(7)),
+                },
+                CallRule {
+                    when: CallMatch::default(),
+                    value: PoolChoice::Spread(vec![Cell(1), Cell(2), Cell(3)]),
                 },
-                Rule { when: Match::default(), gets: Destination::Spread(vec![Cell(1), Cell(2), Cell(3)]) },
             ],
         };
         let classify = |uri: &str, extra: &str| {
--- a/crates/fawnrouter-engine/src/engine.rs
+++ b/crates/fawnrouter-engine/src/engine.rs
@@ -79,19 +79,19 @@
     /// Where the decisions' settings hold figures that make no sense.
     pub fn new(settings: EngineSettings) -> Result<Self, EngineError> {
         let seed = ChaCha8Rng::seed_from_u64(settings.seed).next_u64();
-        let mut controller = Controller::new(settings.decisions.clone(), seed)?;
+        let mut controller = Controller::new(settings.controller.clone(), seed)?;
         let zones = settings.zones.clone().map(ZonePolicy::new).transpose()?.map(SharedZonePolicy::new);
         if let Some(zones) = &zones {
             controller = controller.with_voice(Box::new(zones.clone()));
         }
-        let mut engine = Self::with(settings, Box::new(controller));
+        let mut engine = Self::with_controller(settings, Box::new(controller));
         engine.zones = zones;
         Ok(engine)
     }
 
     /// An engine around something else that decides, as a baseline in a comparison.
     #[must_use]
-    pub fn with(settings: EngineSettings, controller: Box<dyn Decide>) -> Self {
+    pub fn with_controller(settings: EngineSettings, controller: Box<dyn Decide>) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(settings.seed);
         rng.set_stream(1);
         Self {
@@ -119,7 +119,7 @@
         self.now = self.now.max(now);
         self.fire();
         match input {
-            Input::ClientUp { client, peer, origin, must_prove } => {
+            Input::ClientUp { client, peer, origin, must_authenticate: must_prove } => {
                 let host = peer.ip().to_string();
                 let identity = Identity::new(origin, must_prove);
                 let fresh = Client { peer, host, calls: Default::default(), identity };
@@ -131,12 +131,12 @@
             Input::TrunkMessage { server, message } => self.on_trunk_message(server, &message),
             Input::TrunkDown { server } => self.on_trunk_down(server),
             Input::List { kind, switches } => self.on_list(kind, switches),
-            Input::Account(saved) => {
+            Input::ZoneAccount(saved) => {
                 if let Some(zones) = &self.zones {
                     zones.with(|z| z.restore(self.now, saved.as_deref()));
                 }
             }
-            Input::Clients(clients) => self.set_clients(clients),
+            Input::KnownClients(clients) => self.set_clients(clients),
             Input::Wake => {}
             Input::Drain => self.intake.drain(),
             Input::Stop => self.stop(),
@@ -176,19 +176,19 @@
 
     /// Calls of a client that are held, out or standing now.
     #[must_use]
-    pub fn calls_of(&self, client: ClientId) -> usize {
+    pub fn client_call_count(&self, client: ClientId) -> usize {
         self.table.clients.get(&client).map_or(0, |c| c.calls.len())
     }
 
     /// Legs known now, with those that only wait for a late answer.
     #[must_use]
-    pub fn legs(&self) -> usize {
+    pub fn leg_count(&self) -> usize {
         self.table.legs.len()
     }
 
     /// Timers set now: one for a call, a leg and a switch each at the most, and one of the decisions.
     #[must_use]
-    pub fn timers(&self) -> usize {
+    pub fn timer_count(&self) -> usize {
         self.table.due.len()
     }
 
@@ -201,9 +201,9 @@
         CallId(self.next_call)
     }
 
-    pub(crate) fn word(&mut self, call: CallId, word: impl FnOnce() -> CallWord) {
-        if self.settings.words {
-            self.out.push(Output::Word { call, word: word() });
+    pub(crate) fn word(&mut self, call: CallId, word: impl FnOnce() -> CallEvent) {
+        if self.settings.call_events {
+            self.out.push(Output::CallEvent { call, event: word() });
         }
     }
 
@@ -271,7 +271,7 @@
         let (call, attempt, server, took) = (leg.call, leg.attempt, leg.server, self.now.since(leg.sent));
         let (note, report) = (Note::None, Report::default());
         self.events.push_back(Event::Closed { call, attempt, server, done, outcome, note, took, report });
-        self.word(call, || CallWord::Closed { attempt, outcome });
+        self.word(call, || CallEvent::AttemptClosed { attempt, outcome });
         self.abandon_leg(id);
     }
 
@@ -330,7 +330,7 @@
     }
 
     /// Ends a call that the controller still has: it is told that the caller has gone.
-    pub(crate) fn lapse(&mut self, id: CallId, answer: status::Answer) {
+    pub(crate) fn lapse(&mut self, id: CallId, answer: status::FinalAnswer) {
         let call = self.table.calls.get(&id);
         let (out, waits) = (call.and_then(|c| c.out), call.is_some_and(|c| c.waits.is_some()));
         self.answer_final(id, answer);
@@ -520,7 +520,7 @@
             let done = true;
             self.events.push_back(Event::Closed { call, attempt, server, done, outcome, note, took, report });
             let stood = self.now.since(*since);
-            self.word(call, || CallWord::Released { outcome, stood });
+            self.word(call, || CallEvent::Released { outcome, established_for: stood });
         }
     }
 
--- a/crates/fawnrouter-engine/src/gate.rs
+++ b/crates/fawnrouter-engine/src/gate.rs
@@ -4,18 +4,18 @@
 use fawnrouter_admission::{SetUpSettings, SetUps};
 use fawnrouter_digest::Guard;
 
-use crate::identity::{AuthSettings, Strangers};
+use crate::identity::{AuthSettings, UnknownClients};
 
 /// The decisions that stand before the controller; each may be off.
 #[derive(Debug)]
 pub(crate) struct Gate {
-    pub guard: Option<(Guard, Strangers)>,
+    pub guard: Option<(Guard, UnknownClients)>,
     pub set_ups: Option<SetUps>,
 }
 
 impl Gate {
     pub fn new(auth: Option<AuthSettings>, set_ups: Option<SetUpSettings>) -> Self {
-        let guard = auth.map(|a| (Guard::new(a.guard, a.key), a.strangers));
+        let guard = auth.map(|a| (Guard::new(a.guard, a.key), a.unknown_clients));
         Self { guard, set_ups: set_ups.map(SetUps::new) }
     }
 }
--- a/crates/fawnrouter-engine/src/identify.rs
+++ b/crates/fawnrouter-engine/src/identify.rs
@@ -7,7 +7,7 @@
 use fawnrouter_sip::{Message, Method, Name};
 
 use crate::engine::Engine;
-use crate::identity::{KnownClient, Strangers};
+use crate::identity::{KnownClient, UnknownClients};
 use crate::interface::{ClientId, Output};
 
 /// What comes of looking at who sent a request.
@@ -53,7 +53,7 @@
         let (now, strangers) = (self.now.0, *strangers);
         if !says_something {
             let lets_in =
-                identity.known.is_some() || (strangers == Strangers::Allowed && !identity.must_prove);
+                identity.known.is_some() || (strangers == UnknownClients::Allowed && !identity.must_prove);
             if lets_in {
                 return Passage::Go(None);
             }
@@ -71,8 +71,8 @@
                 if identity.known.is_none() {
                     identity.known = Some(name.clone());
                     identity.must_prove = false;
-                    self.counters.proofs += 1;
-                    self.out.push(Output::Known { client, name });
+                    self.counters.authenticated += 1;
+                    self.out.push(Output::ClientIdentified { client, name });
                 }
                 Passage::Go(Some(info))
             }
@@ -84,7 +84,7 @@
                 Passage::Answered
             }
             Checked::Refuse => {
-                self.counters.impostors += 1;
+                self.counters.auth_failures += 1;
                 self.respond(client, request, 403, None, &[]);
                 self.out.push(Output::CloseClient { client, reason: "too many wrong answers" });
                 Passage::Answered
@@ -94,7 +94,7 @@
 
     /// Whose connection it is, once it has shown that.
     #[must_use]
-    pub fn known_as(&self, client: ClientId) -> Option<&Arc<str>> {
+    pub fn client_name(&self, client: ClientId) -> Option<&Arc<str>> {
         self.table.clients.get(&client).and_then(|c| c.identity.known.as_ref())
     }
 }
--- a/crates/fawnrouter-engine/src/identity.rs
+++ b/crates/fawnrouter-engine/src/identity.rs
@@ -8,11 +8,11 @@
 
 /// What clients may do that have not shown who they are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Strangers {
+pub enum UnknownClients {
     /// They may call, within their limits.
     Allowed,
     /// They are asked who they are.
-    Asked,
+    Challenged,
 }
 
 /// How clients show who they are.
@@ -23,7 +23,7 @@
     /// Secret, and fresh at each start: keys the nonces.
     pub key: [u8; 32],
     /// Who need not.
-    pub strangers: Strangers,
+    pub unknown_clients: UnknownClients,
 }
 
 /// A known client.
--- a/crates/fawnrouter-engine/src/intake.rs
+++ b/crates/fawnrouter-engine/src/intake.rs
@@ -18,18 +18,18 @@
 
 /// What an engine holds when a call comes in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Load {
+pub struct IntakeLoad {
     /// All calls.
     pub calls: usize,
     /// Calls without a final answer.
     pub pending: usize,
     /// Calls of this client.
-    pub of_client: usize,
+    pub client_calls: usize,
 }
 
 /// Why a call is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum IntakeRefusal {
     /// The gateway ends.
     Draining,
     /// All calls that it may hold.
@@ -40,7 +40,7 @@
     PerClient,
 }
 
-impl Refusal {
+impl IntakeRefusal {
     /// The text of its Reason header.
     #[must_use]
     pub const fn text(self) -> &'static str {
@@ -82,15 +82,15 @@
     ///
     /// # Errors
     /// Why it is not taken; the second part is how long the caller should stay away.
-    pub fn judge(&self, load: Load) -> Result<(), (Refusal, Duration)> {
+    pub fn check(&self, load: IntakeLoad) -> Result<(), (IntakeRefusal, Duration)> {
         let refusal = if self.draining {
-            Refusal::Draining
+            IntakeRefusal::Draining
         } else if load.calls >= self.limits.calls {
-            Refusal::Calls
+            IntakeRefusal::Calls
         } else if load.pending >= self.limits.pending {
-            Refusal::Pending
-        } else if load.of_client >= self.limits.per_client {
-            Refusal::PerClient
+            IntakeRefusal::Pending
+        } else if load.client_calls >= self.limits.per_client {
+            IntakeRefusal::PerClient
         } else {
             return Ok(());
         };
@@ -108,13 +108,13 @@
             IntakeLimits { calls: 10, pending: 5, per_client: 3, retry_after: Duration::from_secs(2) };
         let mut intake = Intake::new(limits);
         let judge = |i: &Intake, calls, pending, of_client| {
-            i.judge(Load { calls, pending, of_client }).map_err(|(refusal, _)| refusal)
+            i.check(IntakeLoad { calls, pending, client_calls: of_client }).map_err(|(refusal, _)| refusal)
         };
         assert_eq!(judge(&intake, 9, 4, 2), Ok(()));
-        assert_eq!(judge(&intake, 10, 0, 0), Err(Refusal::Calls));
-        assert_eq!(judge(&intake, 9, 5, 0), Err(Refusal::Pending));
-        assert_eq!(judge(&intake, 9, 4, 3), Err(Refusal::PerClient));
+        assert_eq!(judge(&intake, 10, 0, 0), Err(IntakeRefusal::Calls));
+        assert_eq!(judge(&intake, 9, 5, 0), Err(IntakeRefusal::Pending));
+        assert_eq!(judge(&intake, 9, 4, 3), Err(IntakeRefusal::PerClient));
         intake.drain();
-        assert_eq!(judge(&intake, 0, 0, 0), Err(Refusal::Draining));
+        assert_eq!(judge(&intake, 0, 0, 0), Err(IntakeRefusal::Draining));
     }
 }
--- a/crates/fawnrouter-engine/src/interface.rs
+++ b/crates/fawnrouter-engine/src/interface.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
     /// The decisions' settings.
-    pub decisions: fawnrouter::Settings,
+    pub controller: fawnrouter::Settings,
     /// Seed of all random numbers: the controller's, tags, branches, back-off.
     pub seed: u64,
     /// The gateway's host (and port) in Via and Contact.
@@ -38,7 +38,7 @@
     /// part of a dialog); then it counts as cut.
     pub cut_after: Duration,
     /// The longest `Expires` that is believed; a longer or missing one is replaced by the class's deadline.
-    pub longest_try: Duration,
+    pub max_expires: Duration,
     /// How clients show who they are; `None`: nobody is asked.
     pub auth: Option<AuthSettings>,
     /// Fairness of set-ups among clients; `None`: each goes straight to the controller.
@@ -46,7 +46,7 @@
     /// Traffic across zones; `None`: every switch is as near as any other.
     pub zones: Option<ZoneSettings>,
     /// Whether [`Output::Word`]s are wanted.
-    pub words: bool,
+    pub call_events: bool,
 }
 
 /// A core switch of the list, with where it listens.
@@ -70,10 +70,10 @@
         /// Where the client is: the peer's address, or what a trusted forwarder said.
         origin: IpAddr,
         /// It gets nothing before it has shown that it is a known client.
-        must_prove: bool,
+        must_authenticate: bool,
     },
     /// The known clients changed.
-    Clients(Vec<KnownClient>),
+    KnownClients(Vec<KnownClient>),
     /// A client sent a message.
     ClientMessage {
         /// The connection.
@@ -111,7 +111,7 @@
         switches: Vec<Switch>,
     },
     /// What was spent across zones before a restart; `None` where that is not known any more.
-    Account(Option<Box<SavedAccount>>),
+    ZoneAccount(Option<Box<SavedAccount>>),
     /// Nothing but time has passed: [`Engine::next_wake`](crate::Engine::next_wake) is due.
     Wake,
     /// No new calls from now on; [`Output::Drained`] follows when the last one has ended.
@@ -138,7 +138,7 @@
         bytes: Vec<u8>,
     },
     /// A client has shown who it is.
-    Known {
+    ClientIdentified {
         /// The connection.
         client: ClientId,
         /// The client's name.
@@ -166,11 +166,11 @@
     /// A line of the decisions for the operators.
     Log(String),
     /// A word about a call, if [`EngineSettings::words`] asks for them.
-    Word {
+    CallEvent {
         /// The call.
         call: CallId,
         /// What happened to it.
-        word: CallWord,
+        event: CallEvent,
     },
     /// After [`Input::Drain`]: no call is left.
     Drained,
@@ -178,9 +178,9 @@
 
 /// What happens to a call, for logs and records.
 #[derive(Clone, Debug, PartialEq)]
-pub enum CallWord {
+pub enum CallEvent {
     /// It was taken.
-    Taken {
+    Accepted {
         /// The caller's Call-ID.
         call_id: Arc<str>,
         /// Its class's name.
@@ -189,14 +189,14 @@
         number: Arc<str>,
     },
     /// A set-up went out.
-    Sent {
+    AttemptSent {
         /// Which attempt.
         attempt: AttemptNo,
         /// Where to.
         server: ServerId,
     },
     /// An attempt ended without a standing call.
-    Closed {
+    AttemptClosed {
         /// Which attempt.
         attempt: AttemptNo,
         /// How.
@@ -214,7 +214,7 @@
         /// How.
         outcome: Outcome,
         /// Time that it stood.
-        stood: Duration,
+        established_for: Duration,
     },
 }
 
@@ -222,11 +222,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Calls taken.
-    pub taken: u64,
+    pub accepted: u64,
     /// Calls not taken for limits or drain, answered 503.
-    pub not_taken: u64,
+    pub rejected: u64,
     /// Calls that stood.
-    pub stood: u64,
+    pub established: u64,
     /// Calls refused by the decisions.
     pub refused: u64,
     /// Calls that failed.
@@ -240,9 +240,9 @@
     /// Set-ups sent.
     pub attempts: u64,
     /// Connections that showed who they are.
-    pub proofs: u64,
+    pub authenticated: u64,
     /// Requests answered 401.
     pub challenged: u64,
     /// Connections given up for wrong answers.
-    pub impostors: u64,
+    pub auth_failures: u64,
 }
--- a/crates/fawnrouter-engine/src/lib.rs
+++ b/crates/fawnrouter-engine/src/lib.rs
@@ -34,7 +34,7 @@
 mod table;
 mod trunk;
 
-pub use classify::{CallRules, Classified, Destination, Match, Rule};
+pub use classify::{CallMatch, CallRule, CallRules, Classification, PoolChoice};
 pub use engine::{Engine, EngineError};
 pub use fawnrouter;
 pub use fawnrouter_admission as admission;
@@ -42,7 +42,10 @@
 pub use fawnrouter_machine::{Backoff, BackoffSettings, Decide};
 pub use fawnrouter_sip as sip;
 pub use fawnrouter_zones as zones;
-pub use identity::{AuthSettings, KnownClient, Strangers};
-pub use intake::{Intake, IntakeLimits, Load, Refusal};
+pub use identity::{AuthSettings, KnownClient, UnknownClients};
+pub use intake::{Intake, IntakeLimits, IntakeLoad, IntakeRefusal};
 pub use interface::*;
-pub use status::{Answer, Finality, Meaning, Told, answer_to_caller, meaning, overload_words, whole_seconds};
+pub use status::{
+    FinalAnswer, ResponseDetails, ResponseMeaning, Retryability, answer_to_caller, overload_report,
+    response_meaning, retry_after_seconds,
+};
--- a/crates/fawnrouter-engine/src/set_up_admission.rs
+++ b/crates/fawnrouter-engine/src/set_up_admission.rs
@@ -7,7 +7,7 @@
 use crate::due::Key;
 use crate::engine::Engine;
 use crate::interface::ClientId;
-use crate::status::{Answer, whole_seconds};
+use crate::status::{FinalAnswer, retry_after_seconds};
 
 impl Engine {
     /// Whether a new set-up may go on, wait, or not.
@@ -26,8 +26,8 @@
     fn refuse_set_up(&mut self, id: CallId, turn: Turn) {
         if let Turn::Refuse { why, retry_after } = turn {
             self.counters.refused += 1;
-            let retry_after_s = Some(whole_seconds(retry_after).max(1));
-            self.answer_final(id, Answer { status: 503, retry_after_s, text: why.text() });
+            let retry_after_s = Some(retry_after_seconds(retry_after).max(1));
+            self.answer_final(id, FinalAnswer { status: 503, retry_after_s, text: why.text() });
         }
     }
 
@@ -83,7 +83,7 @@
 
     /// The decisions on set-ups, for operators, if they are on.
     #[must_use]
-    pub fn set_ups(&self) -> Option<&SetUps> {
+    pub fn set_up_admission(&self) -> Option<&SetUps> {
         self.gate.set_ups.as_ref()
     }
 }
--- a/crates/fawnrouter-engine/src/status.rs
+++ b/crates/fawnrouter-engine/src/status.rs
@@ -31,37 +31,37 @@
 
 /// Whether other switches may still take the call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Finality {
+pub enum Retryability {
     /// Another attempt can help.
-    MayGoOn,
+    Retryable,
     /// None can: the answer goes to the caller as it is.
-    Ends,
+    Final,
 }
 
 /// What a final response of 300 or more means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Meaning {
+pub struct ResponseMeaning {
     /// The outcome.
     pub outcome: Outcome,
     /// What is said beside it.
     pub note: Note,
     /// What becomes of the call.
-    pub finality: Finality,
+    pub retryability: Retryability,
 }
 
 /// What a response told beside its status.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Told {
+pub struct ResponseDetails {
     /// Retry-After.
     pub retry_after: Option<Duration>,
     /// The cause of a Reason in Q.850.
     pub q850: Option<u16>,
 }
 
-impl Told {
+impl ResponseDetails {
     /// Reads a response.
     #[must_use]
-    pub fn of(response: &Message) -> Self {
+    pub fn from_response(response: &Message) -> Self {
         let retry = response.get(Name::RetryAfter).and_then(|v| {
             // A comment or parameters may follow the seconds (RFC 3261 §20.33).
             let digits = v.split(['(', ';', ' ']).next().unwrap_or("");
@@ -75,7 +75,7 @@
 
 /// The table from a switch's final response.
 #[must_use]
-pub fn meaning(status: u16, told: Told) -> Meaning {
+pub fn response_meaning(status: u16, told: ResponseDetails) -> ResponseMeaning {
     let (outcome, note) = match (status, told.q850) {
         (_, Some(17)) | (486 | 600, _) => (Outcome::Error, Note::NumberBusy),
         (503, Some(34 | 44)) => (Outcome::Full, Note::NoCircuit),
@@ -85,13 +85,13 @@
         _ => (Outcome::Error, Note::None),
     };
     let ends = matches!(status, 404 | 410 | 413 | 415 | 416 | 484 | 485 | 488 | 603 | 604 | 606);
-    let finality = if ends && note == Note::None { Finality::Ends } else { Finality::MayGoOn };
-    Meaning { outcome, note, finality }
+    let finality = if ends && note == Note::None { Retryability::Final } else { Retryability::Retryable };
+    ResponseMeaning { outcome, note, retryability: finality }
 }
 
 /// A final answer to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct FinalAnswer {
     /// The status.
     pub status: u16,
     /// Retry-After, whole seconds.
@@ -103,37 +103,37 @@
 /// The table towards the caller. `refused` is the controller's refusal with its advice, `None` its failure;
 /// `last` is the last final response of a switch to this call.
 #[must_use]
-pub fn answer_to_caller(refused: Option<Duration>, last: Option<(u16, Note)>) -> Answer {
+pub fn answer_to_caller(refused: Option<Duration>, last: Option<(u16, Note)>) -> FinalAnswer {
     match (refused, last) {
         (Some(wait), Some((status, Note::NumberBusy))) => {
-            Answer { status, retry_after_s: seconds(wait), text: "all lines of the number are busy" }
+            FinalAnswer { status, retry_after_s: seconds(wait), text: "all lines of the number are busy" }
         }
         (Some(wait), _) => {
-            Answer { status: 503, retry_after_s: seconds(wait), text: "no switch could take the call" }
+            FinalAnswer { status: 503, retry_after_s: seconds(wait), text: "no switch could take the call" }
         }
         // A switch's 408 or 503 is not the caller's: it would tell it to go elsewhere itself.
         (None, Some((status, _))) if !matches!(status, 408 | 487 | 503 | 504) => {
-            Answer { status, retry_after_s: None, text: "the switch refused the call" }
+            FinalAnswer { status, retry_after_s: None, text: "the switch refused the call" }
         }
-        (None, _) => Answer { status: 504, retry_after_s: None, text: "no switch answered in time" },
+        (None, _) => FinalAnswer { status: 504, retry_after_s: None, text: "no switch answered in time" },
     }
 }
 
 fn seconds(wait: Duration) -> Option<u64> {
-    (!wait.is_zero()).then(|| whole_seconds(wait))
+    (!wait.is_zero()).then(|| retry_after_seconds(wait))
 }
 
 /// The seconds of a Retry-After, rounded up: a caller that comes earlier than it should is worse than one a little
 /// later.
 #[must_use]
-pub fn whole_seconds(wait: Duration) -> u64 {
+pub fn retry_after_seconds(wait: Duration) -> u64 {
     wait.as_secs() + u64::from(wait.subsec_nanos() > 0)
 }
 
 /// A switch's own overload control in the Via it sends back (RFC 7339 §4, RFC 7415 §3): a share of set-ups to hold
 /// back, or a rate. The rate is this gateway's part; the report wants what all senders may send.
 #[must_use]
-pub fn overload_words(via: &Via<'_>, gateways: u32) -> Option<Report> {
+pub fn overload_report(via: &Via<'_>, gateways: u32) -> Option<Report> {
     let oc = via.params.get("oc").filter(|v| !v.is_empty())?.parse::<f64>().ok();
     let oc = oc.filter(|x| x.is_finite() && *x >= 0.0)?;
     // A validity of 0 ends overload control (RFC 7339 §4.3).
@@ -154,22 +154,26 @@
     fn every_row_of_the_table_from_a_switch_holds() {
         let wait = Some(Duration::from_secs(2));
         let rows = [
-            (503, None, None, Outcome::Full, Note::ProcessorFull(None), Finality::MayGoOn),
-            (503, wait, None, Outcome::Full, Note::ProcessorFull(wait), Finality::MayGoOn),
-            (503, wait, Some(34), Outcome::Full, Note::NoCircuit, Finality::MayGoOn),
-            (500, None, Some(42), Outcome::Full, Note::ProcessorFull(None), Finality::MayGoOn),
-            (500, None, None, Outcome::Error, Note::None, Finality::MayGoOn),
-            (486, None, None, Outcome::Error, Note::NumberBusy, Finality::MayGoOn),
-            (480, None, Some(17), Outcome::Error, Note::NumberBusy, Finality::MayGoOn),
-            (408, None, None, Outcome::TimedOut, Note::None, Finality::MayGoOn),
-            (487, None, None, Outcome::Cancelled, Note::None, Finality::MayGoOn),
-            (404, None, None, Outcome::Error, Note::None, Finality::Ends),
-            (604, None, None, Outcome::Error, Note::None, Finality::Ends),
-            (302, None, None, Outcome::Error, Note::None, Finality::MayGoOn),
+            (503, None, None, Outcome::Full, Note::ProcessorFull(None), Retryability::Retryable),
+            (503, wait, None, Outcome::Full, Note::ProcessorFull(wait), Retryability::Retryable),
+            (503, wait, Some(34), Outcome::Full, Note::NoCircuit, Retryability::Retryable),
+            (500, None, Some(42), Outcome::Full, Note::ProcessorFull(None), Retryability::Retryable),
+            (500, None, None, Outcome::Error, Note::None, Retryability::Retryable),
+            (486, None, None, Outcome::Error, Note::NumberBusy, Retryability::Retryable),
+            (480, None, Some(17), Outcome::Error, Note::NumberBusy, Retryability::Retryable),
+            (408, None, None, Outcome::TimedOut, Note::None, Retryability::Retryable),
+            (487, None, None, Outcome::Cancelled, Note::None, Retryability::Retryable),
+            (404, None, None, Outcome::Error, Note::None, Retryability::Final),
+            (604, None, None, Outcome::Error, Note::None, Retryability::Final),
+            (302, None, None, Outcome::Error, Note::None, Retryability::Retryable),
         ];
         for (status, retry_after, q850, outcome, note, finality) in rows {
-            let expected = Meaning { outcome, note, finality };
-            assert_eq!(meaning(status, Told { retry_after, q850 }), expected, "{status} {q850:?}");
+            let expected = ResponseMeaning { outcome, note, retryability: finality };
+            assert_eq!(
+                response_meaning(status, ResponseDetails { retry_after, q850 }),
+                expected,
+                "{status} {q850:?}"
+            );
         }
     }
 
@@ -190,7 +194,7 @@
 
     #[test]
     fn overload_words_become_a_share_or_a_rate() {
-        let words = |text: &str| overload_words(&Via::parse(text).expect("a Via"), 4);
+        let words = |text: &str| overload_report(&Via::parse(text).expect("a Via"), 4);
         let loss = words("SIP/2.0/TCP h;branch=z;oc=20;oc-algo=\"loss\";oc-validity=500;oc-seq=1.1");
         assert_eq!(loss.and_then(|r| r.hold_back), Some(0.2));
         let rate = words("SIP/2.0/TCP h;branch=z;oc=150;oc-algo=\"rate\";oc-validity=1000");
--- a/crates/fawnrouter-engine/src/trunk.rs
+++ b/crates/fawnrouter-engine/src/trunk.rs
@@ -11,8 +11,8 @@
 use crate::caller::{ALLOW, to_tag};
 use crate::due::{Key, LegId};
 use crate::engine::Engine;
-use crate::interface::{CallWord, Output};
-use crate::status::{self, Finality, Told};
+use crate::interface::{CallEvent, Output};
+use crate::status::{self, ResponseDetails, Retryability};
 use crate::table::{Leg, LegState, Stage};
 
 /// Fields of the caller's INVITE that the gateway writes itself or that concern one hop only. All others pass.
@@ -141,7 +141,7 @@
         }
         self.table.due.set(Key::Leg(leg_id), self.now.plus(within));
         self.counters.attempts += 1;
-        self.word(id, || CallWord::Sent { attempt, server });
+        self.word(id, || CallEvent::AttemptSent { attempt, server });
         self.send_to_trunk(server, bytes);
     }
 
@@ -227,7 +227,7 @@
             _ => return,
         }
         let Ok(via) = response.via() else { return };
-        let report = status::overload_words(&via, self.settings.decisions.gateways);
+        let report = status::overload_report(&via, self.settings.controller.gateways);
         let branch = via.branch().unwrap_or("");
         let id = branch.strip_prefix("z9hG4bK").and_then(|b| b.split('.').next());
         let id = id.and_then(|hex| u64::from_str_radix(hex, 16).ok()).map(LegId);
@@ -314,14 +314,15 @@
         self.send_to_trunk(server, ack);
         self.table.drop_leg(id);
         if out {
-            let status::Meaning { outcome, note, finality } = status::meaning(status, Told::of(response));
-            let done = finality == Finality::Ends;
+            let status::ResponseMeaning { outcome, note, retryability: finality } =
+                status::response_meaning(status, ResponseDetails::from_response(response));
+            let done = finality == Retryability::Final;
             if let Some(call) = self.table.calls.get_mut(&call) {
                 call.last = Some((status, note));
             }
             let report = report.unwrap_or_default();
             self.events.push_back(Event::Closed { call, attempt, server, done, outcome, note, took, report });
-            self.word(call, || CallWord::Closed { attempt, outcome });
+            self.word(call, || CallEvent::AttemptClosed { attempt, outcome });
             if done {
                 self.pass_final(call, status);
             }
--- a/crates/fawnrouter-engine/tests/calls.rs
+++ b/crates/fawnrouter-engine/tests/calls.rs
@@ -37,7 +37,7 @@
     let (_, bye) = rig.last_to_switch(Method::Bye);
     assert_eq!(bye.get(Name::CSeq), Some("2 BYE"));
     rig.answer(server, &bye, 200, &[]);
-    assert_eq!((rig.engine.live_calls(), rig.engine.legs()), (0, 0));
+    assert_eq!((rig.engine.live_calls(), rig.engine.leg_count()), (0, 0));
 }
 
 #[test]
@@ -57,7 +57,7 @@
     assert!(matches!(&rig.sent[0], Sent::Trunk(_, m) if m.status() == Some(200)));
     rig.switch_says(server, &from_switch);
     assert!(matches!(rig.sent.last(), Some(Sent::Trunk(_, m)) if m.status() == Some(481)));
-    assert_eq!((rig.engine.live_calls(), rig.engine.legs()), (0, 0));
+    assert_eq!((rig.engine.live_calls(), rig.engine.leg_count()), (0, 0));
 }
 
 #[test]
@@ -73,7 +73,7 @@
     assert_eq!((rig.to_switches(Method::Ack).len(), rig.to_switches(Method::Bye).len()), (1, 1));
     rig.pass(ms(40_000));
     assert_eq!(rig.finals(&invite), [487]);
-    assert_eq!((rig.engine.live_calls(), rig.engine.legs()), (0, 0));
+    assert_eq!((rig.engine.live_calls(), rig.engine.leg_count()), (0, 0));
 }
 
 #[test]
@@ -86,7 +86,7 @@
     rig.answer(server, &out, 100, &[]);
     assert_eq!(rig.to_switches(Method::Cancel).len(), 1);
     rig.answer(server, &out, 487, &[]);
-    assert_eq!((rig.to_switches(Method::Ack).len(), rig.engine.legs()), (1, 0));
+    assert_eq!((rig.to_switches(Method::Ack).len(), rig.engine.leg_count()), (1, 0));
 }
 
 #[test]
@@ -101,7 +101,7 @@
     assert_eq!(rig.to_switches(Method::Bye).len(), 1);
     rig.pass(ms(40_000));
     assert_eq!(rig.to_switches(Method::Invite).len(), 1, "the call of a caller that left goes nowhere");
-    assert_eq!((rig.engine.live_calls(), rig.engine.legs()), (0, 0));
+    assert_eq!((rig.engine.live_calls(), rig.engine.leg_count()), (0, 0));
 }
 
 #[test]
@@ -239,7 +239,7 @@
     rig.pass(ms(400));
     assert_eq!((rig.finals(&invite).len(), rig.to_switches(Method::Cancel).len()), (1, 1));
     rig.answer(server, &out, 487, &[]);
-    assert_eq!(rig.engine.legs(), 0);
+    assert_eq!(rig.engine.leg_count(), 0);
 }
 
 #[test]
@@ -266,7 +266,7 @@
     let invite = rig.call(2);
     let (server, out) = rig.last_to_switch(Method::Invite);
     rig.pass(ms(60_000));
-    assert_eq!(rig.engine.legs(), 0);
+    assert_eq!(rig.engine.leg_count(), 0);
     rig.take();
     rig.answer(server, &out, 200, &[]);
     assert_eq!((rig.to_switches(Method::Ack).len(), rig.to_switches(Method::Bye).len()), (1, 1));
@@ -314,7 +314,7 @@
     rig.list(ListKind::Whole, vec![]);
     rig.pass(ms(3000));
     invites.iter().for_each(|i| assert_eq!(rig.finals(i).len(), 1));
-    assert_eq!((rig.engine.live_calls(), rig.engine.legs()), (0, 0));
+    assert_eq!((rig.engine.live_calls(), rig.engine.leg_count()), (0, 0));
 }
 
 #[test]
@@ -419,7 +419,7 @@
     let mut rig = Rig::new(settings());
     let invites: Vec<Message> = (0..10_000).map(|_| rig.call(5)).collect();
     assert_eq!(rig.engine.live_calls(), 10_000);
-    assert!(rig.engine.timers() <= 10_001);
+    assert!(rig.engine.timer_count() <= 10_001);
     rig.pass(ms(5000));
     let mut finals = std::collections::BTreeMap::<String, u32>::new();
     for sent in &rig.sent {
@@ -434,7 +434,7 @@
     assert_eq!(rig.engine.live_calls(), 0);
     // Without a single ACK, the memory of the refusals goes too.
     rig.pass(ms(40_000));
-    assert!(rig.engine.timers() <= 1, "{}", rig.engine.timers());
+    assert!(rig.engine.timer_count() <= 1, "{}", rig.engine.timer_count());
     drop(invites);
 }
 
--- a/crates/fawnrouter-engine/tests/common/mod.rs
+++ b/crates/fawnrouter-engine/tests/common/mod.rs
@@ -23,7 +23,7 @@
         pools: None,
     };
     EngineSettings {
-        decisions: Settings {
+        controller: Settings {
             gateways: 1,
             me: PeerId(0),
             classes: vec![class("check", 1.0), class("transfer", 3.0)],
@@ -55,23 +55,26 @@
         host: "gw.example".into(),
         rules: CallRules {
             class: vec![
-                Rule {
-                    when: Match { header: Some(("X-Class".into(), "transfer".into())), ..Match::default() },
-                    gets: ClassId(1),
+                CallRule {
+                    when: CallMatch {
+                        header: Some(("X-Class".into(), "transfer".into())),
+                        ..CallMatch::default()
+                    },
+                    value: ClassId(1),
                 },
-                Rule { when: Match::default(), gets: ClassId(0) },
+                CallRule { when: CallMatch::default(), value: ClassId(0) },
             ],
             tenant: vec![],
-            destination: vec![Rule { when: Match::default(), gets: Destination::Pool(Cell(0)) }],
+            destination: vec![CallRule { when: CallMatch::default(), value: PoolChoice::Pool(Cell(0)) }],
         },
         intake: IntakeLimits { calls: 50_000, pending: 20_000, per_client: 20_000, retry_after: ms(2000) },
         backoff: BackoffSettings { first: ms(100), most: ms(2000) },
         cut_after: ms(5000),
-        longest_try: ms(60_000),
+        max_expires: ms(60_000),
         auth: None,
         set_ups: None,
         zones: None,
-        words: false,
+        call_events: false,
     }
 }
 
@@ -134,7 +137,7 @@
     /// A client's connection from this address.
     pub fn client_up(&mut self, client: ClientId, address: [u8; 4]) {
         let peer = std::net::SocketAddr::from((address, 999));
-        self.input(Input::ClientUp { client, peer, origin: peer.ip(), must_prove: false });
+        self.input(Input::ClientUp { client, peer, origin: peer.ip(), must_authenticate: false });
     }
 
     pub fn input(&mut self, input: Input) {
@@ -158,10 +161,12 @@
                     self.up.remove(&server.0);
                     self.sent.push(Sent::CloseTrunk(server));
                 }
-                Output::Known { client, name } => self.sent.push(Sent::Known(client, name.to_string())),
+                Output::ClientIdentified { client, name } => {
+                    self.sent.push(Sent::Known(client, name.to_string()))
+                }
                 Output::CloseClient { client, .. } => self.sent.push(Sent::CloseClient(client)),
                 Output::Drained => self.sent.push(Sent::Drained),
-                Output::Log(_) | Output::Word { .. } => {}
+                Output::Log(_) | Output::CallEvent { .. } => {}
             }
         }
         self.times.resize(self.sent.len(), self.now);
--- a/crates/fawnrouter-engine/tests/gate.rs
+++ b/crates/fawnrouter-engine/tests/gate.rs
@@ -10,7 +10,7 @@
 use fawnrouter_engine::fawnrouter::{Action, CallId, Event, ListKind, ServerId, Time};
 use fawnrouter_engine::sip::{Draft, Message, Method, Name, Start};
 use fawnrouter_engine::{
-    AuthSettings, ClientId, Decide, Engine, EngineSettings, Input, KnownClient, Strangers,
+    AuthSettings, ClientId, Decide, Engine, EngineSettings, Input, KnownClient, UnknownClients,
 };
 
 const REALM: &str = "calls.example";
@@ -24,9 +24,12 @@
     KnownClient { name: name.into(), secret, limits: limits(pending) }
 }
 
-fn guarded(strangers: Strangers) -> EngineSettings {
+fn guarded(strangers: UnknownClients) -> EngineSettings {
     let guard = GuardSettings { realm: REALM.into(), md5: false, nonce_life: ms(60_000), attempts: 3 };
-    EngineSettings { auth: Some(AuthSettings { guard, key: [3; 32], strangers }), ..settings() }
+    EngineSettings {
+        auth: Some(AuthSettings { guard, key: [3; 32], unknown_clients: strangers }),
+        ..settings()
+    }
 }
 
 fn queued(held: usize) -> SetUpSettings {
@@ -49,7 +52,7 @@
 fn rig(settings: EngineSettings) -> Rig {
     let mut rig = Rig::new(settings);
     rig.list(ListKind::Whole, vec![switch(70)]);
-    rig.input(Input::Clients(vec![known("branch", "tellers", 100), known("app", "beans", 2)]));
+    rig.input(Input::KnownClients(vec![known("branch", "tellers", 100), known("app", "beans", 2)]));
     rig.take();
     rig
 }
@@ -93,7 +96,7 @@
 
 #[test]
 fn a_call_is_challenged_comes_again_with_its_proof_and_later_ones_need_none() {
-    let mut rig = rig(guarded(Strangers::Asked));
+    let mut rig = rig(guarded(UnknownClients::Challenged));
     let invite = rig.call(9);
     assert_eq!(rig.finals(&invite), [401]);
     assert!(rig.to_switches(Method::Invite).is_empty(), "nothing goes out for it");
@@ -107,12 +110,12 @@
     let next = rig.call(9);
     assert_eq!(rig.statuses(&next), [100]);
     let c = rig.engine.counters();
-    assert_eq!((c.proofs, c.challenged, c.impostors), (1, 1, 0));
+    assert_eq!((c.authenticated, c.challenged, c.auth_failures), (1, 1, 0));
 }
 
 #[test]
 fn a_thief_of_the_proof_a_wrong_secret_and_another_name_get_nowhere() {
-    let mut rig = rig(guarded(Strangers::Asked));
+    let mut rig = rig(guarded(UnknownClients::Challenged));
     let invite = rig.call(9);
     let proven = with_credentials(&invite, "branch", "tellers", &nonce(&rig), 1);
     rig.client_says(&proven);
@@ -134,7 +137,7 @@
         assert_eq!(rig.finals(&guess), [if n < 3 { 401 } else { 403 }]);
     }
     assert!(rig.sent.iter().any(|s| matches!(s, Sent::CloseClient(c) if *c == thief)));
-    assert_eq!(rig.engine.counters().impostors, 1);
+    assert_eq!(rig.engine.counters().auth_failures, 1);
 }
 
 /// A fresh nonce for a connection, asked for with an empty one.
@@ -154,7 +157,7 @@
 
 #[test]
 fn where_strangers_may_call_a_client_can_still_show_who_it_is_and_is_told_by_its_options() {
-    let mut rig = rig(guarded(Strangers::Allowed));
+    let mut rig = rig(guarded(UnknownClients::Allowed));
     let invite = rig.call(9);
     assert_eq!(rig.statuses(&invite), [100]);
     let nonce = nonce_on(&mut rig, C, &invite);
@@ -170,15 +173,15 @@
     let told = rig.answers(&options).pop().expect("an answer");
     assert_eq!(told.status(), Some(200));
     assert!(told.get(Name::AuthenticationInfo).is_some_and(|i| i.contains("rspauth=")));
-    assert_eq!(rig.engine.known_as(C).map(|n| &**n), Some("branch"));
+    assert_eq!(rig.engine.client_name(C).map(|n| &**n), Some("branch"));
 }
 
 #[test]
 fn one_on_probation_gets_nothing_until_it_has_shown_who_it_is() {
-    let mut rig = rig(guarded(Strangers::Allowed));
+    let mut rig = rig(guarded(UnknownClients::Allowed));
     let late = ClientId(7);
     let peer = std::net::SocketAddr::from(([127, 0, 0, 7], 7));
-    rig.input(Input::ClientUp { client: late, peer, origin: peer.ip(), must_prove: true });
+    rig.input(Input::ClientUp { client: late, peer, origin: peer.ip(), must_authenticate: true });
     let invite = rig.invite(Some(9), &[]);
     rig.says(late, &invite);
     assert_eq!(rig.finals(&invite), [401]);
@@ -189,13 +192,13 @@
 
 #[test]
 fn a_client_whose_secret_changed_shows_again_who_it_is_and_keeps_its_calls() {
-    let mut rig = rig(guarded(Strangers::Asked));
+    let mut rig = rig(guarded(UnknownClients::Challenged));
     let invite = rig.call(9);
     let proven = with_credentials(&invite, "branch", "tellers", &nonce(&rig), 1);
     rig.client_says(&proven);
     let (server, out) = rig.last_to_switch(Method::Invite);
     rig.answer(server, &out, 200, &[]);
-    rig.input(Input::Clients(vec![known("branch", "new", 100)]));
+    rig.input(Input::KnownClients(vec![known("branch", "new", 100)]));
     assert_eq!(rig.engine.live_calls(), 1);
     let next = rig.call(9);
     assert_eq!(rig.finals(&next), [401]);
@@ -235,7 +238,7 @@
 /// An engine whose controller holds what it gets, with room for so many.
 fn holding(room: usize) -> Rig {
     let settings = EngineSettings { set_ups: Some(queued(room)), ..settings() };
-    let mut rig = Rig::around(Engine::with(settings, Box::new(Holds::default())));
+    let mut rig = Rig::around(Engine::with_controller(settings, Box::new(Holds::default())));
     let_go(&mut rig);
     rig
 }
@@ -253,7 +256,7 @@
     let burst: Vec<Message> = (0..20).map(|_| rig.call(9)).collect();
     let one = rig.invite(Some(9), &[]);
     rig.says(calm, &one);
-    let seen = rig.engine.set_ups().expect("on");
+    let seen = rig.engine.set_up_admission().expect("on");
     assert_eq!((seen.held(), seen.waiting()), (2, 19));
     assert!(burst.iter().all(|i| rig.statuses(i) == [100]), "each is told that it is worked on");
     // Three go out: the two that were held, and the first of the burst that waited. Then it is the other's turn.
@@ -264,7 +267,11 @@
     assert_eq!(rig.finals(&one), [200]);
     rig.pass(ms(500));
     let late = burst.iter().filter(|i| rig.finals(i) == [503]).count();
-    assert_eq!((late, rig.engine.set_ups().expect("on").waiting()), (15, 0), "no turn came for them in time");
+    assert_eq!(
+        (late, rig.engine.set_up_admission().expect("on").waiting()),
+        (15, 0),
+        "no turn came for them in time"
+    );
     let told: Vec<u64> = burst
         .iter()
         .filter(|i| rig.finals(i) == [503])
@@ -299,7 +306,7 @@
     let (held, waits, gone) = (rig.call(9), rig.call(9), rig.call(9));
     rig.client_says(&cancel(&waits));
     assert_eq!((rig.finals(&held), rig.finals(&waits)), (vec![], vec![487]));
-    assert_eq!(rig.engine.set_ups().expect("on").waiting(), 1);
+    assert_eq!(rig.engine.set_up_admission().expect("on").waiting(), 1);
     rig.input(Input::ClientDown { client: C });
     assert_eq!(rig.engine.live_calls(), 0);
     assert!(rig.finals(&gone).is_empty(), "nobody is there to be told");
--- a/crates/fawnrouter-engine/tests/zones.rs
+++ b/crates/fawnrouter-engine/tests/zones.rs
@@ -70,11 +70,11 @@
     let saved = zones.with(|z| z.account().save());
     let mut again = Rig::new(in_kochi(15));
     again.now = rig.now;
-    again.input(Input::Account(Some(Box::new(saved))));
+    again.input(Input::ZoneAccount(Some(Box::new(saved))));
     let spent = again.engine.zones().expect("on").with(|z| z.account().budget_views()[0].1.spent.0);
     assert_eq!(spent, spilled as u64);
     let mut blank = Rig::new(in_kochi(15));
-    blank.input(Input::Account(None));
+    blank.input(Input::ZoneAccount(None));
     let spent = blank.engine.zones().expect("on").with(|z| z.account().budget_views()[0].1.spent.0);
     assert_eq!(spent, 15, "not known, so it counts as spent");
 }
--- a/crates/fawnrouter-lab/src/fleet.rs
+++ b/crates/fawnrouter-lab/src/fleet.rs
@@ -111,8 +111,8 @@
         if !baseline {
             return Engine::new(engine);
         }
-        let decide = RoundRobin::new(engine.decisions.limits.max_attempts);
-        Ok(Engine::with(engine, Box::new(decide)))
+        let decide = RoundRobin::new(engine.controller.limits.max_attempts);
+        Ok(Engine::with_controller(engine, Box::new(decide)))
     });
     match ended {
         Ok(true) => ExitCode::SUCCESS,
--- a/crates/fawnrouterd/src/control.rs
+++ b/crates/fawnrouterd/src/control.rs
@@ -282,8 +282,8 @@
     };
     core.with_engine(|engine| {
         let c = engine.counters();
-        shown.proofs = (c.proofs, c.challenged, c.impostors);
-        let Some(set_ups) = engine.set_ups() else { return };
+        shown.proofs = (c.authenticated, c.challenged, c.auth_failures);
+        let Some(set_ups) = engine.set_up_admission() else { return };
         shown.set_ups = (set_ups.waiting(), set_ups.held());
         shown.set_up_room = set_ups.room();
         shown.set_ups_refused = set_ups.refused().iter().map(|(r, n)| (r.text().to_owned(), *n)).collect();
--- a/crates/fawnrouterd/src/core.rs
+++ b/crates/fawnrouterd/src/core.rs
@@ -100,7 +100,7 @@
             Output::ToClient { client, bytes } => {
                 if let Some((conn, outbox)) = connections_now.client(client) {
                     // A message to a client means that one of its calls has changed.
-                    admission_now.active(now, conn, engine.calls_of(client));
+                    admission_now.active(now, conn, engine.client_call_count(client));
                     outbox.push(|out| encode(Opcode::Text, &bytes, None, out));
                 }
             }
@@ -119,7 +119,7 @@
                     outbox.finish();
                 }
             }
-            Output::Known { client, name } => {
+            Output::ClientIdentified { client, name } => {
                 let Some((conn, outbox)) = connections_now.client(client) else { return };
                 let outbox = outbox.clone();
                 tracing::debug!(client = client.0, name = &*name, "client known");
@@ -134,7 +134,7 @@
                 }
             }
             Output::Log(line) => tracing::info!("{line}"),
-            Output::Word { call, word } => self.spans.borrow_mut().word(call, word),
+            Output::CallEvent { call, event: word } => self.spans.borrow_mut().word(call, word),
             Output::Drained => {
                 self.drained.raise();
             }
@@ -173,7 +173,7 @@
             let mut connection_admission = self.connection_admission.borrow_mut();
             connection_admission.sweep(now, &mut self.connections.borrow_mut());
             self.with_engine(|engine| {
-                if let Some(set_ups) = engine.set_ups() {
+                if let Some(set_ups) = engine.set_up_admission() {
                     connection_admission.tell(now, set_ups.refused());
                 } else {
                     connection_admission.tell(now, &Default::default());
@@ -187,9 +187,9 @@
         let (connections, buffer_budget) = (self.connections.borrow(), self.buffer_budget.borrow());
         let (c, live) = self.with_engine(|engine| (engine.counters(), engine.live_calls()));
         tracing::info!(
-            taken = c.taken,
-            not_taken = c.not_taken,
-            stood = c.stood,
+            taken = c.accepted,
+            not_taken = c.rejected,
+            stood = c.established,
             refused = c.refused,
             failed = c.failed,
             abandoned = c.abandoned,
--- a/crates/fawnrouterd/src/ledger.rs
+++ b/crates/fawnrouterd/src/ledger.rs
@@ -71,7 +71,7 @@
     match blocking::unblock(move || read(&path)).await {
         Ok(ledger) => {
             let minutes = ledger.minutes;
-            core.input(Input::Account(Some(Box::new(ledger.account))));
+            core.input(Input::ZoneAccount(Some(Box::new(ledger.account))));
             core.with_engine(|engine| engine.zones().map(|z| z.with(|z| z.restore_record(minutes))));
         }
         Err(LedgerError::Io(error)) if error.kind() == io::ErrorKind::NotFound => {
@@ -80,7 +80,7 @@
         Err(error) => {
             let name = file.display();
             tracing::warn!("{name}: {error}; the budgets across zones count as spent in this window");
-            core.input(Input::Account(None));
+            core.input(Input::ZoneAccount(None));
         }
     }
 }
--- a/crates/fawnrouterd/src/list.rs
+++ b/crates/fawnrouterd/src/list.rs
@@ -77,7 +77,7 @@
         if let Some(admission) = &mut core.connection_admission.borrow_mut().admission {
             admission.set_client_limits(core.settings.client_connections(&clients));
         }
-        core.input(Input::Clients(core.settings.known_clients(&clients)));
+        core.input(Input::KnownClients(core.settings.known_clients(&clients)));
     };
     watch(core, "list of known clients", path, read_clients, take).await;
 }
--- a/crates/fawnrouterd/src/log.rs
+++ b/crates/fawnrouterd/src/log.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use fawnrouter_config::{Log, LogFormat, LogLevel};
-use fawnrouter_engine::CallWord;
+use fawnrouter_engine::CallEvent;
 use fawnrouter_engine::fawnrouter::CallId;
 use tracing::Level;
 
@@ -33,30 +33,30 @@
 
 impl Spans {
     /// Logs a word about a call in its span.
-    pub fn word(&mut self, call: CallId, word: CallWord) {
-        if let CallWord::Taken { call_id, class, number } = &word {
+    pub fn word(&mut self, call: CallId, word: CallEvent) {
+        if let CallEvent::Accepted { call_id, class, number } = &word {
             let span = tracing::debug_span!("call", call_id = %call_id, class = %class, number = %number);
             self.spans.insert(call, span);
         }
         let Some(span) = self.spans.get(&call) else { return };
         let over = span.in_scope(|| match word {
-            CallWord::Taken { .. } => {
+            CallEvent::Accepted { .. } => {
                 tracing::debug!("taken");
                 false
             }
-            CallWord::Sent { attempt, server } => {
+            CallEvent::AttemptSent { attempt, server } => {
                 tracing::debug!(attempt = attempt.0, switch = server.0, "set-up sent");
                 false
             }
-            CallWord::Closed { attempt, outcome } => {
+            CallEvent::AttemptClosed { attempt, outcome } => {
                 tracing::debug!(attempt = attempt.0, ?outcome, "attempt ended");
                 false
             }
-            CallWord::Answered { status, after } => {
+            CallEvent::Answered { status, after } => {
                 tracing::debug!(status, after_ms = after.as_secs_f64() * 1e3, "answered");
                 status >= 300
             }
-            CallWord::Released { outcome, stood } => {
+            CallEvent::Released { outcome, established_for: stood } => {
                 tracing::debug!(?outcome, stood_ms = stood.as_secs_f64() * 1e3, "released");
                 true
             }
