--- a/crates/fawnrouter-zones/src/lib.rs
+++ b/crates/fawnrouter-zones/src/lib.rs
@@ -9,19 +9,19 @@
 //! | `account` | what was spent, refunds, forecasts, the price of a spill |
 //! | `grants` | shares that follow demand, where gateways may talk |
 //! | `health` | whether the own zone is calm, pressed or down, with hysteresis |
-//! | `zones` | the voice: what a call is worth there against what it costs |
+//! | `policy` | the voice: what a call is worth there against what it costs |
 //! | `record` | what spilled, by class, zone and cause, minute by minute |
 
 mod account;
 mod budget;
 mod grants;
 mod health;
+mod policy;
 mod record;
-mod zones;
 
 pub use account::{Account, BudgetExhausted, BudgetState, BudgetView, Charge, SavedAccount};
 pub use budget::{Budget, BudgetError, BudgetPeriod, Limit, Money, gateway_share};
 pub use grants::GrantMessage;
 pub use health::{Health, HealthSettings, ZoneState};
+pub use policy::{SharedZonePolicy, ZoneCost, ZonePolicy, ZoneSettings};
 pub use record::{SpillCause, SpillKey, SpillMinute, SpillRecord, SpillTotal};
-pub use zones::{SharedZonePolicy, ZoneCost, ZonePolicy, ZoneSettings};
