--- a/crates/fawnrouter-zones/tests/common/mod.rs
+++ b/crates/fawnrouter-zones/tests/common/mod.rs
@@ -6,7 +6,10 @@
 use std::time::Duration;
 
 use fawnrouter::*;
-use fawnrouter_zones::{Budget, Cost, HealthSettings, Limit, Money, Shared, Span, Word, ZoneSettings, Zones};
+use fawnrouter_zones::{
+    Budget, BudgetPeriod, GrantMessage, HealthSettings, Limit, Money, SharedZonePolicy, ZoneCost, ZonePolicy,
+    ZoneSettings,
+};
 use rand_chacha::ChaCha8Rng;
 use rand_core::{RngCore, SeedableRng};
 
@@ -195,30 +198,31 @@
     let budget = Budget {
         from: Some(own.into()),
         to: None,
-        span: Span::Minute,
+        period: BudgetPeriod::Minute,
         limit: Limit { calls: Some(plan.budget), money: None },
         carry: 0.0,
         emergency: plan.emergency,
         sharers,
     };
     ZoneSettings {
-        own: own.into(),
+        own_zone: own.into(),
         costs: BTreeMap::new(),
-        other: Cost::Money(Money::units(1.0)),
+        default_cost: ZoneCost::Money(Money::from_units(1.0)),
         budgets: if plan.policy == Policy::Unbudgeted { vec![] } else { vec![budget] },
-        me: me / ZONES.len() as u32,
-        points_a_unit: if plan.policy == Policy::HardCap { 0.0 } else { 0.2 },
+        gateway_index: me / ZONES.len() as u32,
+        points_per_unit: if plan.policy == Policy::HardCap { 0.0 } else { 0.2 },
         health: HealthSettings::default(),
         phase: f64::from(me % 16) / 16.0,
     }
 }
 
-fn voice(plan: &Plan, me: u32, shared: &mut Vec<Shared>) -> Option<Box<dyn RoutingPolicy>> {
+fn voice(plan: &Plan, me: u32, shared: &mut Vec<SharedZonePolicy>) -> Option<Box<dyn Voice>> {
     match plan.policy {
         Policy::Unvoiced => None,
         Policy::Preference => Some(Box::new(Preference(ZONES[zone_of(me)].into()))),
         _ => {
-            let zones = Shared::new(Zones::new(zone_settings(plan, me)).expect("sound settings"));
+            let zones =
+                SharedZonePolicy::new(ZonePolicy::new(zone_settings(plan, me)).expect("sound settings"));
             shared.push(zones.clone());
             Some(Box::new(zones))
         }
@@ -231,7 +235,7 @@
     // A whole minute, so that windows and the run's minutes are the same.
     let start = Time(Duration::from_secs(28_000_000 * 60));
     let mut now = start;
-    let mut shared: Vec<Shared> = Vec::new();
+    let mut shared: Vec<SharedZonePolicy> = Vec::new();
     let mut fleet: Vec<Controller> = (0..plan.gateways)
         .map(|me| {
             let controller = Controller::new(settings(plan.gateways, me), u64::from(me) + plan.seed * 1000);
@@ -364,7 +368,7 @@
         // Once a second each gateway that lacks something asks two others of its zone.
         if plan.policy == Policy::Talking && step % 100 == 50 {
             for g in 0..fleet.len() {
-                let words = shared[g].with(|z| z.account_mut().needs(now.0));
+                let words = shared[g].with(|z| z.account_mut().budget_requests(now.0));
                 for word in words {
                     for _ in 0..2 {
                         let count = (fleet.len() - 1 - zone_of(g as u32)) / ZONES.len() + 1;
@@ -373,11 +377,11 @@
                             continue;
                         }
                         let from = (g / ZONES.len()) as u32;
-                        let answer: Option<Word> =
-                            shared[other].with(|z| z.account_mut().hear(now.0, from, &word));
+                        let answer: Option<GrantMessage> =
+                            shared[other].with(|z| z.account_mut().on_message(now.0, from, &word));
                         if let Some(grant) = answer.filter(|_| unit() >= 0.1) {
                             let from = (other / ZONES.len()) as u32;
-                            shared[g].with(|z| z.account_mut().hear(now.0, from, &grant));
+                            shared[g].with(|z| z.account_mut().on_message(now.0, from, &grant));
                         }
                     }
                 }
--- a/crates/fawnrouter-zones/tests/voice.rs
+++ b/crates/fawnrouter-zones/tests/policy.rs
@@ -12,21 +12,29 @@
 
 fn budget(calls: u64) -> Budget {
     let limit = Limit { calls: Some(calls), money: None };
-    Budget { from: None, to: None, span: Span::Minute, limit, carry: 0.0, emergency: 1.0, sharers: 1 }
+    Budget {
+        from: None,
+        to: None,
+        period: BudgetPeriod::Minute,
+        limit,
+        carry: 0.0,
+        emergency: 1.0,
+        sharers: 1,
+    }
 }
 
 fn settings(own: &str, calls: u64) -> ZoneSettings {
     ZoneSettings {
-        own: own.into(),
+        own_zone: own.into(),
         costs: BTreeMap::from([
-            ("free".into(), Cost::Money(Money(0))),
-            ("never".into(), Cost::Forbidden),
-            ("dear".into(), Cost::Money(Money::units(50.0))),
+            ("free".into(), ZoneCost::Money(Money(0))),
+            ("never".into(), ZoneCost::Forbidden),
+            ("dear".into(), ZoneCost::Money(Money::from_units(50.0))),
         ]),
-        other: Cost::Money(Money::units(1.0)),
+        default_cost: ZoneCost::Money(Money::from_units(1.0)),
         budgets: vec![budget(calls)],
-        me: 0,
-        points_a_unit: 0.2,
+        gateway_index: 0,
+        points_per_unit: 0.2,
         health: HealthSettings::default(),
         phase: 0.0,
     }
@@ -49,8 +57,8 @@
 }
 
 /// A voice whose four own switches have been like this for five seconds.
-fn voice(settings: ZoneSettings, well: u32, fraction: f64) -> Zones {
-    let mut zones = Zones::new(settings).expect("sound settings");
+fn voice(settings: ZoneSettings, well: u32, fraction: f64) -> ZonePolicy {
+    let mut zones = ZonePolicy::new(settings).expect("sound settings");
     let own: Vec<ServerEntry> = (0..4).map(|n| server(n, "kochi")).collect();
     for step in 0..50 {
         let look = |n: u32| (step < 5 || n < well, if step < 5 { 1.0 } else { fraction });
@@ -63,14 +71,14 @@
     zones
 }
 
-fn says(zones: &mut Zones, now: u64, wanted: RoutingRequest, zone: &str) -> bool {
-    zones.server_weight(t(now), &wanted, &server(9, zone)) > 0.0
+fn says(zones: &mut ZonePolicy, now: u64, wanted: Wanted, zone: &str) -> bool {
+    zones.weigh(t(now), &wanted, &server(9, zone)) > 0.0
 }
 
 #[test]
 fn a_quiet_night_lets_nothing_spill_though_a_neighbour_is_quicker() {
     let mut z = voice(settings("kochi", 100), 4, 1.0);
-    assert_eq!(z.state(), State::Calm);
+    assert_eq!(z.state(), ZoneState::Calm);
     for call in 0..50 {
         assert!(!says(&mut z, 5000, wanted(call, 100.0, 0), "north"));
         assert_eq!(z.server_weight(t(5000), &wanted(call, 1.0, 2000), &server(1, "kochi")), 1.0);
@@ -96,7 +104,7 @@
 #[test]
 fn in_a_pressed_zone_a_call_holds_on_until_what_it_would_lose_is_worth_the_cost() {
     let mut z = voice(settings("kochi", 100), 4, 0.4);
-    assert_eq!(z.state(), State::Pressed);
+    assert_eq!(z.state(), ZoneState::Pressed);
     // Pressure 0.6; a cost of one unit at 0.2 points: a third of the aim for one point, a ninth for three.
     assert!(!says(&mut z, 5000, wanted(1, 1.0, 2000), "north"));
     assert!(
@@ -110,14 +118,14 @@
 #[test]
 fn a_zone_that_is_down_lets_go_at_once_and_a_gateway_alone_without_switches_always() {
     let mut z = voice(settings("kochi", 100), 1, 1.0);
-    assert_eq!(z.state(), State::Down);
+    assert_eq!(z.state(), ZoneState::Down);
     assert!(says(&mut z, 5000, wanted(1, 1.0, 2000), "north"));
-    let mut alone = Zones::new(settings("lonely", 100)).expect("sound settings");
+    let mut alone = ZonePolicy::new(settings("lonely", 100)).expect("sound settings");
     assert!(!says(&mut alone, 4000, wanted(1, 1.0, 2000), "north"), "nothing has been looked at yet");
     alone.observe(t(4500), &mut std::iter::empty());
     assert!(says(&mut alone, 5000, wanted(1, 1.0, 2000), "north"));
-    alone.attempt_sent(t(5000), &wanted(1, 1.0, 2000), &server(9, "north"));
-    assert_eq!(alone.record().total().keys().next().map(|k| k.cause), Some(Cause::NoSwitch));
+    alone.sent(t(5000), &wanted(1, 1.0, 2000), &server(9, "north"));
+    assert_eq!(alone.record().total().keys().next().map(|k| k.cause), Some(SpillCause::NoSwitch));
 }
 
 #[test]
@@ -149,7 +157,7 @@
         0,
         0.0,
     );
-    let spent = |z: &Zones| z.account().lines()[0].1.spent.0;
+    let spent = |z: &ZonePolicy| z.account().budget_views()[0].1.spent.0;
     for (n, stood) in [(1, false), (2, true), (3, false)] {
         let call = wanted(n, 5.0, 0);
         assert!(says(&mut z, 5000, call, "north"));
@@ -173,7 +181,7 @@
     let mut seen =
         std::iter::once(ServerView { entry: &moved, ready: true, healthy: true, allowed_fraction: 1.0 });
     z.observe(t(5100), &mut seen);
-    z.attempt_resolved(call.call, false);
-    assert_eq!(z.account().lines()[0].1.spent.0, 0);
-    assert_eq!(z.server_weight(t(5200), &wanted(2, 1.0, 2000), &moved), 1.0);
+    z.ended(call.call, false);
+    assert_eq!(z.account().budget_views()[0].1.spent.0, 0);
+    assert_eq!(z.weigh(t(5200), &wanted(2, 1.0, 2000), &moved), 1.0);
 }
