--- a/benches/admission/src/main.rs
+++ b/benches/admission/src/main.rs
@@ -6,7 +6,7 @@
 use std::num::NonZeroU32;
 use std::time::{Duration, Instant};
 
-use fawnrouter_admission::{Limiter, Rate};
+use fawnrouter_admission::{AddressRateLimiter, Rate};
 use governor::{Quota, RateLimiter};
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
 
@@ -32,9 +32,9 @@
         let addresses: Vec<IpAddr> =
             (0..count).map(|n| IpAddr::V4(Ipv4Addr::from(n.wrapping_mul(2_654_435_761)))).collect();
         // An interval so long that nobody is forgotten while it is measured.
-        let rate = Rate { every: Duration::from_secs(600), burst: 1000 };
+        let rate = Rate { interval: Duration::from_secs(600), burst: 1000 };
         let region = Region::new(COUNTING);
-        let mut ours = Limiter::new(rate, count as usize, 7);
+        let mut ours = AddressRateLimiter::new(rate, count as usize, 7);
         let begin = Instant::now();
         let clock = || Duration::from_secs(1) + begin.elapsed();
         addresses.iter().for_each(|a| assert!(ours.arrive(clock(), *a).is_ok()));
--- a/crates/fawnrouter-admission/src/admission/activity.rs
+++ b/crates/fawnrouter-admission/src/admission/activity.rs
@@ -4,7 +4,7 @@
 
 use super::Admission;
 use super::connection::Stage;
-use super::verdict::Conn;
+use super::verdict::ConnectionId;
 
 /// Bytes of one turn: a few messages of a stranger, as many of a known client as the driver reads at once.
 const STRANGER_TURN: usize = 4 * 1024;
@@ -12,7 +12,7 @@
 
 impl Admission {
     /// A connection does something: it has so many calls standing or out.
-    pub fn active(&mut self, now: Duration, conn: Conn, calls: u32) {
+    pub fn record_activity(&mut self, now: Duration, conn: ConnectionId, calls: u32) {
         self.now = self.now.max(now);
         let Some(entry) = self.conns.get_mut(&conn) else { return };
         // One on probation shows what it is or goes; whatever else it does changes nothing.
@@ -41,23 +41,27 @@
 
     /// A connection has sent so many messages: how long it is not to be read. What it sends meanwhile waits in the
     /// sockets, and so with its sender.
-    pub fn pace(&mut self, now: Duration, conn: Conn, messages: u32) -> Duration {
+    pub fn charge_messages(&mut self, now: Duration, conn: ConnectionId, messages: u32) -> Duration {
         self.now = self.now.max(now);
         let Some(entry) = self.conns.get_mut(&conn) else { return Duration::ZERO };
-        let rate = if entry.stage == Stage::Known { &self.settings.pace.1 } else { &self.settings.pace.0 };
+        let rate = if entry.stage == Stage::Known {
+            &self.settings.message_rates.1
+        } else {
+            &self.settings.message_rates.0
+        };
         entry.pace.charge(self.now, rate, messages)
     }
 
     /// Bytes that a connection may have worked on in one turn. One that sends more than it is worth has short turns,
     /// so that a hundred of them do not make a long round for those who wait.
     #[must_use]
-    pub fn turn(&self, conn: Conn) -> usize {
+    pub fn read_budget(&self, conn: ConnectionId) -> usize {
         let known = self.conns.get(&conn).is_some_and(|e| e.stage == Stage::Known);
         if known { KNOWN_TURN } else { STRANGER_TURN }
     }
 
     /// So many bytes wait for a connection, which has taken so many in all.
-    pub fn reads(&mut self, now: Duration, conn: Conn, waiting: usize, taken: u64) {
+    pub fn record_write_progress(&mut self, now: Duration, conn: ConnectionId, waiting: usize, taken: u64) {
         self.now = self.now.max(now);
         let now = self.now;
         let Some(entry) = self.conns.get_mut(&conn) else { return };
--- a/crates/fawnrouter-admission/src/admission/connection.rs
+++ b/crates/fawnrouter-admission/src/admission/connection.rs
@@ -11,7 +11,7 @@
 pub(super) enum Stage {
     Handshake,
     Probation,
-    Stranger,
+    Unknown,
     Known,
 }
 
--- a/crates/fawnrouter-admission/src/admission/mod.rs
+++ b/crates/fawnrouter-admission/src/admission/mod.rs
@@ -32,9 +32,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::limiter::Limiter;
+use crate::limiter::AddressRateLimiter;
 use crate::reserve::Reserve;
-use crate::spread::Spread;
+use crate::spread::RetryAfterSpread;
 
 use blocked::BlockedAddresses;
 use connection::Entry;
@@ -42,33 +42,33 @@
 use network::Network;
 use snapshot::largest;
 
-pub use settings::{AdmissionSettings, Prefixes, SettingsError};
-pub use snapshot::{Holding, Snapshot};
-pub use verdict::{Arrival, Conn, Eviction, Reason, Verdict};
+pub use settings::{AdmissionSettings, PrefixLengths, SettingsError};
+pub use snapshot::{HolderCount, Snapshot};
+pub use verdict::{Arrival, ConnectionDecision, ConnectionId, EvictionReason, RefusalReason};
 
 /// The decisions of one gateway.
 #[derive(Debug)]
 pub struct Admission {
     settings: AdmissionSettings,
-    limiter: Limiter,
+    limiter: AddressRateLimiter,
     reserve: Reserve,
-    conns: BTreeMap<Conn, Entry>,
+    conns: BTreeMap<ConnectionId, Entry>,
     by_address: Counter<IpAddr>,
     by_prefix: Counter<Network>,
     unproven_by_address: Counter<IpAddr>,
     by_client: Counter<Arc<str>>,
     client_limits: BTreeMap<Arc<str>, usize>,
     /// Strangers without a call, idle for longest first.
-    idle: BTreeSet<(Duration, Conn)>,
+    idle: BTreeSet<(Duration, ConnectionId)>,
     /// Known clients' connections without a call, by client, idle for longest first.
-    idle_known: BTreeSet<(Arc<str>, Duration, Conn)>,
+    idle_known: BTreeSet<(Arc<str>, Duration, ConnectionId)>,
     /// Those that have yet to show what they are, oldest first.
-    unproven: BTreeSet<(Duration, Conn)>,
+    unproven: BTreeSet<(Duration, ConnectionId)>,
     known: usize,
     blocked: BlockedAddresses,
-    refused: BTreeMap<Reason, u64>,
-    evicted: BTreeMap<Eviction, u64>,
-    spread: Spread,
+    refused: BTreeMap<RefusalReason, u64>,
+    evicted: BTreeMap<EvictionReason, u64>,
+    spread: RetryAfterSpread,
     now: Duration,
 }
 
@@ -80,9 +80,9 @@
     pub fn new(settings: AdmissionSettings) -> Result<Self, SettingsError> {
         settings.check()?;
         Ok(Self {
-            limiter: Limiter::new(settings.rate, settings.addresses, settings.seed),
+            limiter: AddressRateLimiter::new(settings.rate, settings.tracked_addresses, settings.seed),
             reserve: Reserve::new(settings.reserve),
-            spread: Spread::new(settings.seed),
+            spread: RetryAfterSpread::new(settings.seed),
             settings,
             conns: BTreeMap::new(),
             by_address: Counter::default(),
@@ -106,16 +106,16 @@
         self.client_limits = limits.into_iter().collect();
     }
 
-    fn refuse(&mut self, reason: Reason, least: Duration) -> Verdict {
+    fn refuse(&mut self, reason: RefusalReason, least: Duration) -> ConnectionDecision {
         *self.refused.entry(reason).or_default() += 1;
-        Verdict::Refuse { reason, retry_after: self.spread.next(least, self.settings.retry_after) }
+        ConnectionDecision::Refuse { reason, retry_after: self.spread.next(least, self.settings.retry_after) }
     }
 
     /// Refuses a connection for a cause outside this decision, such as missing descriptors, and counts it here.
-    pub fn refuse_for(&mut self, now: Duration, reason: Reason) -> Duration {
+    pub fn count_refusal(&mut self, now: Duration, reason: RefusalReason) -> Duration {
         self.now = self.now.max(now);
         match self.refuse(reason, Duration::ZERO) {
-            Verdict::Refuse { retry_after, .. } => retry_after,
+            ConnectionDecision::Refuse { retry_after, .. } => retry_after,
             _ => self.settings.retry_after,
         }
     }
@@ -127,9 +127,9 @@
     }
 
     /// Frees an address: it is no longer blocked and owes nothing.
-    pub fn free(&mut self, address: IpAddr) {
+    pub fn unblock(&mut self, address: IpAddr) {
         self.blocked.free(address);
-        self.limiter.forgive(address);
+        self.limiter.reset(address);
     }
 
     /// What is held and was refused, with the `most` largest holders of each kind.
@@ -150,7 +150,7 @@
 
     /// Addresses whose rate is kept exactly now.
     #[must_use]
-    pub fn addresses_held(&self) -> usize {
-        self.limiter.held()
+    pub fn tracked_addresses(&self) -> usize {
+        self.limiter.tracked_addresses()
     }
 }
--- a/crates/fawnrouter-admission/src/admission/places.rs
+++ b/crates/fawnrouter-admission/src/admission/places.rs
@@ -5,7 +5,7 @@
 
 use super::Admission;
 use super::connection::{Entry, Stage};
-use super::verdict::{Conn, Eviction};
+use super::verdict::{ConnectionId, EvictionReason};
 use crate::limiter::Gcra;
 
 impl Admission {
@@ -21,7 +21,7 @@
     }
 
     /// A connection begins its handshake.
-    pub(super) fn insert(&mut self, conn: Conn, address: IpAddr, counted: bool) {
+    pub(super) fn insert(&mut self, conn: ConnectionId, address: IpAddr, counted: bool) {
         if counted {
             self.count(address);
         }
@@ -53,7 +53,13 @@
     }
 
     /// A connection has shown what it is, or goes without.
-    pub(super) fn end_unproven(&mut self, since: Duration, conn: Conn, address: IpAddr, counted: bool) {
+    pub(super) fn end_unproven(
+        &mut self,
+        since: Duration,
+        conn: ConnectionId,
+        address: IpAddr,
+        counted: bool,
+    ) {
         self.unproven.remove(&(since, conn));
         if counted {
             self.unproven_by_address.remove(&address);
@@ -61,19 +67,19 @@
     }
 
     /// Closes a connection that was in, and counts why.
-    pub(super) fn evict(&mut self, conn: Conn, why: Eviction) {
+    pub(super) fn evict(&mut self, conn: ConnectionId, why: EvictionReason) {
         *self.evicted.entry(why).or_default() += 1;
         self.remove(conn);
     }
 
     /// A connection is gone.
-    pub fn closed(&mut self, now: Duration, conn: Conn) {
+    pub fn connection_closed(&mut self, now: Duration, conn: ConnectionId) {
         self.now = self.now.max(now);
         self.remove(conn);
     }
 
     /// Takes a connection out of all counts and orders.
-    pub(super) fn remove(&mut self, conn: Conn) {
+    pub(super) fn remove(&mut self, conn: ConnectionId) {
         let Some(entry) = self.conns.remove(&conn) else { return };
         match (entry.stage, &entry.client) {
             (Stage::Handshake | Stage::Probation, _) => {
--- a/crates/fawnrouter-admission/src/admission/settings.rs
+++ b/crates/fawnrouter-admission/src/admission/settings.rs
@@ -10,7 +10,7 @@
 
 /// Bits of an address that make its prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Prefixes {
+pub struct PrefixLengths {
     /// Of IPv4, 32 at the most.
     pub v4: u8,
     /// Of IPv6, 128 at the most.
@@ -27,14 +27,14 @@
     /// Strangers' connections of one prefix.
     pub per_prefix: usize,
     /// What a prefix is.
-    pub prefixes: Prefixes,
+    pub prefixes: PrefixLengths,
     /// Prefixes with a cap of their own, as a branch office behind one address needs it; the longest match counts,
     /// for the addresses in it too.
     pub exceptions: Vec<(IpAddr, u8, usize)>,
     /// New connections of one address.
     pub rate: Rate,
     /// Addresses whose rate is kept exactly.
-    pub addresses: usize,
+    pub tracked_addresses: usize,
     /// Handshakes under way, and connections on probation, of all addresses.
     pub handshakes: usize,
     /// The same of one address.
@@ -44,13 +44,13 @@
     pub forwarders: Vec<(IpAddr, u8)>,
     /// A connection for which strangers have no place may stay this long to show that it is a known client's; zero
     /// where nobody can.
-    pub prove: Duration,
+    pub probation_time: Duration,
     /// A stranger without a call that does nothing for this long is closed; zero: never.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// A connection without a call that takes none of the bytes that wait for it for this long is closed; zero: never.
-    pub slow: Duration,
+    pub slow_reader_timeout: Duration,
     /// Messages of a stranger's connection, and of a known client's; beyond it a connection is not read for a while.
-    pub pace: (Rate, Rate),
+    pub message_rates: (Rate, Rate),
     /// The part kept for known clients.
     pub reserve: ReserveSettings,
     /// Connections of one known client, where it has no limit of its own.
@@ -67,7 +67,7 @@
     pub fn within(mut self, descriptors: &Descriptors) -> Self {
         let (total, handshakes) = descriptors.divide(self.total, self.handshakes);
         let part = |n: usize| (n as u128 * total as u128 / self.total.max(1) as u128) as usize;
-        (self.reserve.least, self.reserve.most) = (part(self.reserve.least), part(self.reserve.most));
+        (self.reserve.min, self.reserve.max) = (part(self.reserve.min), part(self.reserve.max));
         (self.total, self.handshakes) = (total, handshakes);
         self
     }
@@ -76,7 +76,7 @@
     pub(super) fn check(&self) -> Result<(), SettingsError> {
         self.check_caps()?;
         self.check_prefixes()?;
-        if self.reserve.most.max(self.reserve.least) >= self.total {
+        if self.reserve.max.max(self.reserve.min) >= self.total {
             return Err(SettingsError::Reserve);
         }
         Ok(())
--- a/crates/fawnrouter-admission/src/admission/snapshot.rs
+++ b/crates/fawnrouter-admission/src/admission/snapshot.rs
@@ -5,15 +5,15 @@
 use std::time::Duration;
 
 use super::counter::Counter;
-use super::verdict::{Eviction, Reason};
+use super::verdict::{EvictionReason, RefusalReason};
 
 /// What one address or client holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Holding {
+pub struct HolderCount {
     /// The address, or the client's name.
-    pub who: String,
+    pub holder: String,
     /// Open connections.
-    pub open: usize,
+    pub connections: usize,
 }
 
 /// What is held and was refused, for operators.
@@ -28,22 +28,22 @@
     /// Places kept for known clients.
     pub reserve: usize,
     /// Refusals by reason.
-    pub refused: BTreeMap<Reason, u64>,
+    pub refused: BTreeMap<RefusalReason, u64>,
     /// Connections that were in and were closed, by reason.
-    pub evicted: BTreeMap<Eviction, u64>,
+    pub evicted: BTreeMap<EvictionReason, u64>,
     /// The addresses that hold most, most first.
-    pub addresses: Vec<Holding>,
+    pub addresses: Vec<HolderCount>,
     /// The known clients that hold most, most first.
-    pub clients: Vec<Holding>,
+    pub clients: Vec<HolderCount>,
     /// Addresses that an operator has blocked, with the time that is left.
     pub blocked: Vec<(IpAddr, Duration)>,
 }
 
 /// Those that hold most, most first.
-pub(super) fn largest<K: Ord + ToString>(counter: &Counter<K>, most: usize) -> Vec<Holding> {
-    let holding = |(who, open): (&K, usize)| Holding { who: who.to_string(), open };
-    let mut all: Vec<Holding> = counter.iter().map(holding).collect();
-    all.sort_by(|a, b| b.open.cmp(&a.open).then_with(|| a.who.cmp(&b.who)));
+pub(super) fn largest<K: Ord + ToString>(counter: &Counter<K>, most: usize) -> Vec<HolderCount> {
+    let holding = |(who, open): (&K, usize)| HolderCount { holder: who.to_string(), connections: open };
+    let mut all: Vec<HolderCount> = counter.iter().map(holding).collect();
+    all.sort_by(|a, b| b.connections.cmp(&a.connections).then_with(|| a.holder.cmp(&b.holder)));
     all.truncate(most);
     all
 }
--- a/crates/fawnrouter-admission/src/admission/verdict.rs
+++ b/crates/fawnrouter-admission/src/admission/verdict.rs
@@ -5,20 +5,20 @@
 
 /// A connection, as the embedder numbers it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Conn(pub u64);
+pub struct ConnectionId(pub u64);
 
 /// A connection that wants in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Arrival {
     /// Its number; never used again.
-    pub conn: Conn,
+    pub conn: ConnectionId,
     /// Where it comes from; behind a trusted forwarder, what that says.
     pub address: IpAddr,
 }
 
 /// Why a connection does not get in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Reason {
+pub enum RefusalReason {
     /// An operator has blocked the address.
     Blocked,
     /// The rate of its address.
@@ -39,7 +39,7 @@
     Descriptors,
 }
 
-impl Reason {
+impl RefusalReason {
     /// A word for logs and answers.
     #[must_use]
     pub const fn text(self) -> &'static str {
@@ -59,45 +59,45 @@
 
 /// Why a connection that was in is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Eviction {
+pub enum EvictionReason {
     /// It was idle, and another needed the place.
-    MadeRoom,
+    PlaceNeeded,
     /// It did nothing for too long.
     Idle,
     /// It did not read.
-    Slow,
+    SlowReader,
     /// It did not show in time that it is a known client's.
-    Unproven,
+    ProbationExpired,
 }
 
-impl Eviction {
+impl EvictionReason {
     /// A word for logs and the close frame.
     #[must_use]
     pub const fn text(self) -> &'static str {
         match self {
-            Self::MadeRoom => "idle, and others want in",
+            Self::PlaceNeeded => "idle, and others want in",
             Self::Idle => "idle for too long",
-            Self::Slow => "does not read",
-            Self::Unproven => "places for unknown clients are taken",
+            Self::SlowReader => "does not read",
+            Self::ProbationExpired => "places for unknown clients are taken",
         }
     }
 }
 
 /// The decision.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ConnectionDecision {
     /// It gets in.
     Accept,
-    /// It gets in for a time ([`AdmissionSettings::prove`](super::AdmissionSettings::prove)), in which it may show
+    /// It gets in for a time ([`AdmissionSettings::probation_time`](super::AdmissionSettings::probation_time)), in which it may show
     /// that it is a known client's; as a stranger it gets nothing.
     Probation,
     /// It gets in, and this one is closed to make room for it: one without a call, idle for longest, or the handshake
     /// that takes longest.
-    Replace(Conn),
+    Replace(ConnectionId),
     /// It does not.
     Refuse {
         /// Why.
-        reason: Reason,
+        reason: RefusalReason,
         /// How long it should stay away.
         retry_after: Duration,
     },
--- a/crates/fawnrouter-admission/src/alarm.rs
+++ b/crates/fawnrouter-admission/src/alarm.rs
@@ -6,13 +6,13 @@
 
 /// A line to write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Line<K> {
+pub enum AlarmEvent<K> {
     /// This began.
-    Began(K),
+    Raised(K),
     /// This goes on: so many since the last line.
-    GoesOn(K, u64),
+    Ongoing(K, u64),
     /// This is over: how long it lasted, and how many there were.
-    Over(K, Duration, u64),
+    Cleared(K, Duration, u64),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -40,7 +40,7 @@
     }
 
     /// So many more of a kind, one at the least.
-    pub fn note(&mut self, now: Duration, kind: K, more: u64) -> Option<Line<K>> {
+    pub fn record(&mut self, now: Duration, kind: K, more: u64) -> Option<AlarmEvent<K>> {
         if let Some(state) = self.states.get_mut(&kind) {
             state.last = state.last.max(now);
             state.count += more;
@@ -48,20 +48,20 @@
             return None;
         }
         self.states.insert(kind, State { began: now, last: now, told: now, count: more, since_told: more });
-        Some(Line::Began(kind))
+        Some(AlarmEvent::Raised(kind))
     }
 
     /// Lines that are due.
-    pub fn pass(&mut self, now: Duration) -> Vec<Line<K>> {
+    pub fn poll(&mut self, now: Duration) -> Vec<AlarmEvent<K>> {
         let mut lines = Vec::new();
         let (calm, again) = (self.calm, self.again);
         self.states.retain(|kind, state| {
             if now.saturating_sub(state.last) >= calm {
-                lines.push(Line::Over(*kind, state.last.saturating_sub(state.began), state.count));
+                lines.push(AlarmEvent::Cleared(*kind, state.last.saturating_sub(state.began), state.count));
                 return false;
             }
             if now.saturating_sub(state.told) >= again {
-                lines.push(Line::GoesOn(*kind, state.since_told));
+                lines.push(AlarmEvent::Ongoing(*kind, state.since_told));
                 (state.told, state.since_told) = (now, 0);
             }
             true
@@ -81,12 +81,19 @@
         let mut lines = Vec::new();
         for n in 0..100_000u64 {
             let now = Duration::from_millis(n);
-            lines.extend(alarms.note(now, 'a', 1));
-            lines.extend(alarms.pass(now));
+            lines.extend(alarms.record(now, 'a', 1));
+            lines.extend(alarms.poll(now));
         }
-        lines.extend(alarms.pass(s(120)));
+        lines.extend(alarms.poll(s(120)));
         let lasted = Duration::from_millis(99_999);
-        assert_eq!(lines, [Line::Began('a'), Line::GoesOn('a', 60_001), Line::Over('a', lasted, 100_000)]);
-        assert_eq!(alarms.note(s(121), 'a', 1), Some(Line::Began('a')));
+        assert_eq!(
+            lines,
+            [
+                AlarmEvent::Raised('a'),
+                AlarmEvent::Ongoing('a', 60_001),
+                AlarmEvent::Cleared('a', lasted, 100_000)
+            ]
+        );
+        assert_eq!(alarms.record(s(121), 'a', 1), Some(AlarmEvent::Raised('a')));
     }
 }
--- a/crates/fawnrouter-admission/src/fair.rs
+++ b/crates/fawnrouter-admission/src/fair.rs
@@ -5,16 +5,16 @@
 
 /// Limits of the queues.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct FairSettings {
+pub struct FairQueueSettings {
     /// Set-ups that wait, of all clients.
-    pub waiting: usize,
+    pub max_waiting: usize,
     /// Set-ups that wait, of one client.
-    pub waiting_per_client: usize,
+    pub max_waiting_per_client: usize,
 }
 
 /// Why a set-up does not wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turned {
+pub enum QueueRejection {
     /// Its client has as many waiting as it may.
     ClientFull,
     /// As many wait as may, and none of a client that holds more.
@@ -37,18 +37,18 @@
 
 /// Queues of set-ups by client `C`. A client without a set-up takes no memory.
 #[derive(Debug)]
-pub struct Fair<C, T> {
-    settings: FairSettings,
+pub struct FairQueue<C, T> {
+    settings: FairQueueSettings,
     queues: BTreeMap<C, Queue<T>>,
     /// Clients with something waiting, in the order of their turns.
     turns: VecDeque<C>,
     waiting: usize,
 }
 
-impl<C: Ord + Clone, T> Fair<C, T> {
+impl<C: Ord + Clone, T> FairQueue<C, T> {
     /// Empty queues.
     #[must_use]
-    pub fn new(settings: FairSettings) -> Self {
+    pub fn new(settings: FairQueueSettings) -> Self {
         Self { settings, queues: BTreeMap::new(), turns: VecDeque::new(), waiting: 0 }
     }
 
@@ -58,17 +58,17 @@
     ///
     /// # Errors
     /// The set-up itself, and why it does not wait.
-    pub fn offer(&mut self, client: C, weight: u32, item: T) -> Result<Option<T>, (T, Turned)> {
+    pub fn offer(&mut self, client: C, weight: u32, item: T) -> Result<Option<T>, (T, QueueRejection)> {
         let weight = weight.max(1);
         let held = self.queues.get(&client).map_or(0, |q| q.items.len());
-        if held >= self.settings.waiting_per_client {
-            return Err((item, Turned::ClientFull));
+        if held >= self.settings.max_waiting_per_client {
+            return Err((item, QueueRejection::ClientFull));
         }
         let mut pushed_out = None;
-        if self.waiting >= self.settings.waiting {
+        if self.waiting >= self.settings.max_waiting {
             let mine = (held + 1) as f64 / f64::from(weight);
             let victim = self.largest().filter(|c| self.queues.get(c).is_some_and(|q| q.share() > mine));
-            let Some(victim) = victim else { return Err((item, Turned::Full)) };
+            let Some(victim) = victim else { return Err((item, QueueRejection::Full)) };
             pushed_out = self.pop_newest(&victim);
         }
         let queue = self.queues.entry(client.clone()).or_insert_with(|| Queue {
@@ -86,12 +86,12 @@
     }
 
     /// The next set-up whose turn it is.
-    pub fn take(&mut self) -> Option<(C, T)> {
-        self.take_of(|_| true)
+    pub fn pop(&mut self) -> Option<(C, T)> {
+        self.pop_where(|_| true)
     }
 
     /// The next set-up whose turn it is, of those clients that may go now. The others keep their places.
-    pub fn take_of(&mut self, may_go: impl Fn(&C) -> bool) -> Option<(C, T)> {
+    pub fn pop_where(&mut self, may_go: impl Fn(&C) -> bool) -> Option<(C, T)> {
         loop {
             let at = self.turns.iter().position(&may_go)?;
             let client = self.turns.remove(at)?;
@@ -137,14 +137,14 @@
     }
 
     /// Takes the newest set-up out of the client that holds most by its weight.
-    pub fn shed(&mut self) -> Option<(C, T)> {
+    pub fn pop_largest(&mut self) -> Option<(C, T)> {
         let client = self.largest()?;
         let item = self.pop_newest(&client)?;
         Some((client, item))
     }
 
     /// Takes one out of a client's queue, the newest, as when its items are all alike.
-    pub fn drop_one(&mut self, client: &C) {
+    pub fn drop_newest(&mut self, client: &C) {
         drop(self.pop_newest(client));
     }
 
@@ -183,12 +183,12 @@
 mod tests {
     use super::*;
 
-    fn fair(waiting: usize, waiting_per_client: usize) -> Fair<&'static str, u32> {
-        Fair::new(FairSettings { waiting, waiting_per_client })
+    fn fair(waiting: usize, waiting_per_client: usize) -> FairQueue<&'static str, u32> {
+        FairQueue::new(FairQueueSettings { max_waiting: waiting, max_waiting_per_client: waiting_per_client })
     }
 
-    fn order(f: &mut Fair<&'static str, u32>, n: usize) -> String {
-        (0..n).filter_map(|_| f.take()).map(|(c, _)| c).collect()
+    fn order(f: &mut FairQueue<&'static str, u32>, n: usize) -> String {
+        (0..n).filter_map(|_| f.pop()).map(|(c, _)| c).collect()
     }
 
     #[test]
@@ -219,9 +219,9 @@
         let mut f = fair(10, 100);
         (0..10).for_each(|n| assert_eq!(f.offer("a", 1, n), Ok(None)));
         assert_eq!(f.offer("b", 1, 100), Ok(Some(9)));
-        assert_eq!(f.offer("a", 1, 11), Err((11, Turned::Full)));
+        assert_eq!(f.offer("a", 1, 11), Err((11, QueueRejection::Full)));
         (1..5).for_each(|n| assert!(f.offer("b", 1, 100 + n).is_ok()));
-        assert_eq!(f.offer("b", 1, 200), Err((200, Turned::Full)), "both hold five");
+        assert_eq!(f.offer("b", 1, 200), Err((200, QueueRejection::Full)), "both hold five");
         assert_eq!(f.waiting(), 10);
     }
 
@@ -229,22 +229,23 @@
     fn a_client_is_held_to_its_own_limit_and_leaves_nothing_behind() {
         let mut f = fair(1000, 2);
         assert!(f.offer("a", 1, 1).is_ok() && f.offer("a", 1, 2).is_ok());
-        assert_eq!(f.offer("a", 1, 3), Err((3, Turned::ClientFull)));
+        assert_eq!(f.offer("a", 1, 3), Err((3, QueueRejection::ClientFull)));
         assert!(f.offer("b", 1, 4).is_ok());
         f.remove(&"a", |_| true);
         assert_eq!((f.clients(), f.waiting()), (1, 1));
-        assert_eq!((order(&mut f, 9), f.clients(), f.take()), ("b".into(), 0, None));
+        assert_eq!((order(&mut f, 9), f.clients(), f.pop()), ("b".into(), 0, None));
     }
 
     #[test]
     fn counts_hold_in_a_long_seeded_run() {
-        let mut f: Fair<u64, u64> = Fair::new(FairSettings { waiting: 50, waiting_per_client: 20 });
+        let mut f: FairQueue<u64, u64> =
+            FairQueue::new(FairQueueSettings { max_waiting: 50, max_waiting_per_client: 20 });
         let (mut state, mut inside) = (12345u64, 0usize);
         for n in 0..100_000 {
             state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
             let client = (state >> 40) % 9;
             match (state >> 33) % 5 {
-                0 => inside -= usize::from(f.take().is_some()),
+                0 => inside -= usize::from(f.pop().is_some()),
                 1 if n % 7 == 0 => {
                     let before = f.waiting();
                     f.remove(&client, |item| item % 2 == 0);
@@ -255,7 +256,7 @@
             assert_eq!(f.waiting(), inside);
             assert!(inside <= 50 && f.clients() <= 9 && f.turns.len() == f.clients());
         }
-        while f.take().is_some() {}
+        while f.pop().is_some() {}
         assert_eq!((f.waiting(), f.clients(), f.turns.len()), (0, 0, 0));
     }
 }
--- a/crates/fawnrouter-admission/src/lib.rs
+++ b/crates/fawnrouter-admission/src/lib.rs
@@ -24,14 +24,18 @@
 mod spread;
 
 pub use admission::{
-    Admission, AdmissionSettings, Arrival, Conn, Eviction, Holding, Prefixes, Reason, SettingsError,
-    Snapshot, Verdict,
+    Admission, AdmissionSettings, Arrival, ConnectionDecision, ConnectionId, EvictionReason, HolderCount,
+    PrefixLengths, RefusalReason, SettingsError, Snapshot,
 };
-pub use alarm::{Alarms, Line};
-pub use bytes::{ByteSettings, Bytes, For};
-pub use descriptors::{Change, DescriptorSettings, Descriptors, Place, Step, TooFew};
-pub use fair::{Fair, FairSettings, Turned};
-pub use limiter::{Gcra, Limiter, Rate};
+pub use alarm::{AlarmEvent, Alarms};
+pub use bytes::{BufferLimits, BufferOwner, DynamicThreshold};
+pub use descriptors::{
+    AcceptDecision, DescriptorSettings, Descriptors, ExhaustionAction, ExhaustionEvent, TooFewDescriptors,
+};
+pub use fair::{FairQueue, FairQueueSettings, QueueRejection};
+pub use limiter::{AddressRateLimiter, Gcra, Rate};
 pub use reserve::{Reserve, ReserveSettings};
-pub use setups::{ClientLimits, SetUpRefusal, SetUpSettings, SetUps, Stay, Turn, Who};
-pub use spread::Spread;
+pub use setups::{
+    CallState, ClientIdentity, ClientLimits, SetUpAdmission, SetUpDecision, SetUpRefusal, SetUpSettings,
+};
+pub use spread::RetryAfterSpread;
--- a/crates/fawnrouter-admission/src/limiter.rs
+++ b/crates/fawnrouter-admission/src/limiter.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rate {
     /// Time that one arrival costs: the inverse of the rate.
-    pub every: Duration,
+    pub interval: Duration,
     /// Arrivals that may come at once.
     pub burst: u32,
 }
@@ -26,12 +26,12 @@
     /// So many a second.
     #[must_use]
     pub fn per_second(per_s: f64, burst: u32) -> Self {
-        let every = Duration::try_from_secs_f64(1.0 / per_s.max(1e-9)).unwrap_or(Duration::MAX);
-        Self { every, burst: burst.max(1) }
+        let interval = Duration::try_from_secs_f64(1.0 / per_s.max(1e-9)).unwrap_or(Duration::MAX);
+        Self { interval, burst: burst.max(1) }
     }
 
     fn tolerance(&self) -> Duration {
-        self.every.saturating_mul(self.burst.saturating_sub(1))
+        self.interval.saturating_mul(self.burst.saturating_sub(1))
     }
 }
 
@@ -46,14 +46,14 @@
     ///
     /// # Errors
     /// As [`Gcra::arrive`].
-    pub fn would(&self, now: Duration, rate: &Rate) -> Result<(), Duration> {
+    pub fn check(&self, now: Duration, rate: &Rate) -> Result<(), Duration> {
         let tolerance = rate.tolerance();
         if self.time > now + tolerance { Err(self.time - now - tolerance) } else { Ok(()) }
     }
 
     /// Charges for what has come already: how long nothing more is to be taken.
     pub fn charge(&mut self, now: Duration, rate: &Rate, count: u32) -> Duration {
-        self.time = self.time.max(now).saturating_add(rate.every.saturating_mul(count));
+        self.time = self.time.max(now).saturating_add(rate.interval.saturating_mul(count));
         self.time.saturating_sub(now.saturating_add(rate.tolerance()))
     }
 
@@ -62,8 +62,8 @@
     /// # Errors
     /// How long to stay away.
     pub fn arrive(&mut self, now: Duration, rate: &Rate) -> Result<(), Duration> {
-        self.would(now, rate)?;
-        self.time = self.time.max(now).saturating_add(rate.every);
+        self.check(now, rate)?;
+        self.time = self.time.max(now).saturating_add(rate.interval);
         Ok(())
     }
 }
@@ -73,7 +73,7 @@
 
 /// The limiter of all addresses.
 #[derive(Debug)]
-pub struct Limiter {
+pub struct AddressRateLimiter {
     rate: Rate,
     capacity: usize,
     exact: BTreeMap<IpAddr, Duration>,
@@ -84,7 +84,7 @@
     now: Duration,
 }
 
-impl Limiter {
+impl AddressRateLimiter {
     /// A limiter that holds `capacity` addresses exactly; `seed` keys the sketch, so that nobody can choose
     /// addresses that share a slot.
     #[must_use]
@@ -151,12 +151,12 @@
 
     /// Addresses that are held exactly.
     #[must_use]
-    pub fn held(&self) -> usize {
+    pub fn tracked_addresses(&self) -> usize {
         self.exact.len()
     }
 
     /// Forgives an address all that it owes exactly; its slots are shared and stay.
-    pub fn forgive(&mut self, address: IpAddr) {
+    pub fn reset(&mut self, address: IpAddr) {
         if let Some(time) = self.exact.remove(&address) {
             self.by_time.remove(&(time, address));
         }
@@ -176,8 +176,8 @@
         IpAddr::V4(Ipv4Addr::from(n))
     }
 
-    fn limiter(capacity: usize) -> Limiter {
-        Limiter::new(Rate::per_second(10.0, 5), capacity, 3)
+    fn limiter(capacity: usize) -> AddressRateLimiter {
+        AddressRateLimiter::new(Rate::per_second(10.0, 5), capacity, 3)
     }
 
     #[test]
@@ -213,7 +213,7 @@
             let _ = l.arrive(ms(10), address(100 + n));
             let _ = l.arrive(ms(10), address(100 + n));
         }
-        assert!(l.held() <= 1000);
+        assert!(l.tracked_addresses() <= 1000);
         assert!(l.arrive(ms(20), address(1)).is_err(), "it may not start afresh");
     }
 
@@ -221,9 +221,9 @@
     fn those_who_owe_nothing_are_forgotten() {
         let mut l = limiter(1000);
         (0..900).for_each(|n| assert!(l.arrive(ms(0), address(n)).is_ok()));
-        assert_eq!(l.held(), 900);
+        assert_eq!(l.tracked_addresses(), 900);
         assert!(l.arrive(ms(200), address(5000)).is_ok());
-        assert_eq!(l.held(), 1);
+        assert_eq!(l.tracked_addresses(), 1);
     }
 
     #[test]
--- a/crates/fawnrouter-admission/src/reserve.rs
+++ b/crates/fawnrouter-admission/src/reserve.rs
@@ -7,9 +7,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReserveSettings {
     /// It is never smaller.
-    pub least: usize,
+    pub min: usize,
     /// It is never larger.
-    pub most: usize,
+    pub max: usize,
     /// Room beyond what known clients hold, as a share of it: for those that come back after a fault, and new ones.
     pub headroom: f64,
     /// It halves its distance to what is held in this time.
@@ -32,7 +32,7 @@
     }
 
     /// Takes note of what known clients hold.
-    pub fn note(&mut self, now: Duration, held: usize) {
+    pub fn record(&mut self, now: Duration, held: usize) {
         let held = held as f64;
         if now > self.at {
             let lives = (now - self.at).as_secs_f64() / self.settings.half_life.as_secs_f64().max(1e-9);
@@ -46,7 +46,7 @@
     #[must_use]
     pub fn size(&self) -> usize {
         let wanted = (self.usual * (1.0 + self.settings.headroom)).ceil() as usize;
-        wanted.clamp(self.settings.least, self.settings.most.max(self.settings.least))
+        wanted.clamp(self.settings.min, self.settings.max.max(self.settings.min))
     }
 }
 
@@ -60,28 +60,28 @@
 
     #[test]
     fn it_grows_at_once_shrinks_slowly_and_keeps_its_bounds() {
-        let settings = ReserveSettings { least: 10, most: 100, headroom: 0.5, half_life: s(60) };
+        let settings = ReserveSettings { min: 10, max: 100, headroom: 0.5, half_life: s(60) };
         let mut reserve = Reserve::new(settings);
         assert_eq!(reserve.size(), 10);
-        reserve.note(s(1), 40);
+        reserve.record(s(1), 40);
         assert_eq!(reserve.size(), 60);
         // All known clients lose their connections at once: their places are kept for them.
-        reserve.note(s(2), 0);
+        reserve.record(s(2), 0);
         assert!(reserve.size() >= 59, "{}", reserve.size());
-        reserve.note(s(62), 0);
+        reserve.record(s(62), 0);
         assert!((29..=31).contains(&reserve.size()), "{}", reserve.size());
-        reserve.note(s(3000), 0);
+        reserve.record(s(3000), 0);
         assert_eq!(reserve.size(), 10);
-        reserve.note(s(3001), 500);
+        reserve.record(s(3001), 500);
         assert_eq!(reserve.size(), 100);
     }
 
     #[test]
     fn a_clock_that_steps_back_changes_nothing() {
-        let settings = ReserveSettings { least: 0, most: 100, headroom: 0.0, half_life: s(60) };
+        let settings = ReserveSettings { min: 0, max: 100, headroom: 0.0, half_life: s(60) };
         let mut reserve = Reserve::new(settings);
-        reserve.note(s(100), 40);
-        reserve.note(s(1), 0);
+        reserve.record(s(100), 40);
+        reserve.record(s(1), 0);
         assert_eq!(reserve.size(), 40);
     }
 }
--- a/crates/fawnrouter-admission/src/setups/call.rs
+++ b/crates/fawnrouter-admission/src/setups/call.rs
@@ -5,31 +5,31 @@
 
 /// Whose set-up it is.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Who {
+pub enum ClientIdentity {
     /// A known client, whatever address it comes from.
     Known(Arc<str>),
     /// Somebody who has not shown who it is, by address.
-    Stranger(IpAddr),
+    Unknown(IpAddr),
 }
 
 /// Where a call is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stay {
+pub enum CallState {
     /// It waits here.
     Waiting,
     /// The decisions hold it: no attempt is out.
-    Held,
+    Routing,
     /// An attempt is out.
-    Out,
+    AttemptSent,
     /// It stands.
-    Standing,
+    Established,
 }
 
 /// A call that is not over.
 #[derive(Debug)]
 pub(super) struct Entry {
-    pub(super) who: Who,
-    pub(super) stay: Stay,
+    pub(super) client: ClientIdentity,
+    pub(super) state: CallState,
 }
 
 /// What one client has.
@@ -45,5 +45,5 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Lane {
     Known(Arc<str>),
-    Strangers,
+    UnknownClients,
 }
--- a/crates/fawnrouter-admission/src/setups/mod.rs
+++ b/crates/fawnrouter-admission/src/setups/mod.rs
@@ -1,5 +1,5 @@
 //! Which set-up reaches the decisions on routes, and when: a rate and a number of calls by client, and when more is
-//! held there than is soon sent, a queue that is fair among clients (see [`Fair`]). What is turned away here gets its
+//! held there than is soon sent, a queue that is fair among clients (see [`FairQueue`]). What is turned away here gets its
 //! final answer at once, so that a client's burst costs that client and nobody else.
 //!
 //! | module | what it does |
@@ -27,48 +27,51 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::fair::{Fair, FairSettings};
-use crate::spread::Spread;
+use crate::fair::{FairQueue, FairQueueSettings};
+use crate::spread::RetryAfterSpread;
 
 use call::{Entry, Holder, Lane};
 use rates::Rates;
 use send_rate::SendRate;
 
-pub use call::{Stay, Who};
+pub use call::{CallState, ClientIdentity};
 pub use settings::{ClientLimits, SetUpSettings};
-pub use verdict::{SetUpRefusal, Turn};
+pub use verdict::{SetUpDecision, SetUpRefusal};
 
 /// The decisions on set-ups of one gateway. Calls go by the embedder's numbers `u64`.
 #[derive(Debug)]
-pub struct SetUps {
+pub struct SetUpAdmission {
     settings: SetUpSettings,
     limits: BTreeMap<Arc<str>, ClientLimits>,
     rates: Rates,
     /// Whose turn it is: a call of a known client, or `None` for the next stranger's.
-    lanes: Fair<Lane, Option<u64>>,
+    lanes: FairQueue<Lane, Option<u64>>,
     /// Whose turn it is among strangers.
-    inner: Fair<IpAddr, u64>,
+    inner: FairQueue<IpAddr, u64>,
     entries: BTreeMap<u64, Entry>,
-    holders: BTreeMap<Who, Holder>,
+    holders: BTreeMap<ClientIdentity, Holder>,
     held: usize,
     /// Of these, strangers'.
     held_strangers: usize,
     sent: SendRate,
-    spread: Spread,
+    spread: RetryAfterSpread,
     refused: BTreeMap<SetUpRefusal, u64>,
     now: Duration,
 }
 
-impl SetUps {
+impl SetUpAdmission {
     /// Begins with no calls.
     #[must_use]
     pub fn new(settings: SetUpSettings) -> Self {
-        let fair = FairSettings { waiting: settings.waiting, waiting_per_client: settings.waiting };
+        let fair = FairQueueSettings {
+            max_waiting: settings.max_waiting,
+            max_waiting_per_client: settings.max_waiting,
+        };
         Self {
             rates: Rates::new(&settings),
-            lanes: Fair::new(fair),
-            inner: Fair::new(fair),
-            spread: Spread::new(settings.seed),
+            lanes: FairQueue::new(fair),
+            inner: FairQueue::new(fair),
+            spread: RetryAfterSpread::new(settings.seed),
             settings,
             limits: BTreeMap::new(),
             entries: BTreeMap::new(),
@@ -87,44 +90,53 @@
         self.rates.keep_clients(|name| self.limits.contains_key(name));
     }
 
-    fn limits_of(&self, who: &Who) -> ClientLimits {
+    fn limits_of(&self, who: &ClientIdentity) -> ClientLimits {
         match who {
-            Who::Known(name) => self.limits.get(name).copied().unwrap_or(self.settings.known),
-            Who::Stranger(_) => self.settings.stranger,
+            ClientIdentity::Known(name) => self.limits.get(name).copied().unwrap_or(self.settings.known),
+            ClientIdentity::Unknown(_) => self.settings.unknown,
         }
     }
 
-    fn refuse(&mut self, why: SetUpRefusal, least: Duration) -> Turn {
+    fn refuse(&mut self, why: SetUpRefusal, least: Duration) -> SetUpDecision {
         *self.refused.entry(why).or_default() += 1;
-        Turn::Refuse { why, retry_after: self.spread.next(least, self.settings.retry_after) }
+        SetUpDecision::Refuse { reason: why, retry_after: self.spread.next(least, self.settings.retry_after) }
     }
 
     /// Judges a new set-up. The second part is a call that waited and is refused in this one's favour.
-    pub fn offer(&mut self, now: Duration, who: Who, call: u64) -> (Turn, Option<(u64, Turn)>) {
+    pub fn offer(
+        &mut self,
+        now: Duration,
+        who: ClientIdentity,
+        call: u64,
+    ) -> (SetUpDecision, Option<(u64, SetUpDecision)>) {
         self.now = self.now.max(now);
         let limits = self.limits_of(&who);
         if let Err((why, least)) = self.judge_client(&who, &limits) {
             return (self.refuse(why, least), None);
         }
         if self.may_go_at_once(&who) {
-            self.enter(call, who, Stay::Held);
-            return (Turn::Go, None);
+            self.enter(call, who, CallState::Routing);
+            return (SetUpDecision::Proceed, None);
         }
         match self.line_up(&who, limits.weight, call) {
             Ok(pushed) => {
-                self.enter(call, who, Stay::Waiting);
+                self.enter(call, who, CallState::Waiting);
                 let pushed = pushed.map(|other| {
                     self.forget(other);
                     (other, self.refuse(SetUpRefusal::Full, Duration::ZERO))
                 });
-                (Turn::Wait, pushed)
+                (SetUpDecision::Wait, pushed)
             }
             Err(()) => (self.refuse(SetUpRefusal::Full, Duration::ZERO), None),
         }
     }
 
     /// The checks that concern a set-up's client alone.
-    fn judge_client(&mut self, who: &Who, limits: &ClientLimits) -> Result<(), (SetUpRefusal, Duration)> {
+    fn judge_client(
+        &mut self,
+        who: &ClientIdentity,
+        limits: &ClientLimits,
+    ) -> Result<(), (SetUpRefusal, Duration)> {
         let holder = self.holders.get(who).copied().unwrap_or_default();
         if holder.calls >= limits.calls {
             return Err((SetUpRefusal::Calls, Duration::ZERO));
@@ -137,38 +149,40 @@
     }
 
     /// Nobody waits while there is room; while somebody waits, nobody of his kind goes past.
-    fn may_go_at_once(&self, who: &Who) -> bool {
+    fn may_go_at_once(&self, who: &ClientIdentity) -> bool {
         let (waits_before_it, room) = match who {
-            Who::Known(_) => (self.lanes.waiting() - self.inner.waiting(), self.has_room()),
-            Who::Stranger(_) => (self.lanes.waiting(), self.has_room() && self.has_room_for_strangers()),
+            ClientIdentity::Known(_) => (self.lanes.waiting() - self.inner.waiting(), self.has_room()),
+            ClientIdentity::Unknown(_) => {
+                (self.lanes.waiting(), self.has_room() && self.has_room_for_strangers())
+            }
         };
         waits_before_it == 0 && room
     }
 
     /// Set-ups that the decisions may hold now.
     #[must_use]
-    pub fn room(&self) -> usize {
-        let sent = self.sent.per_second() * self.settings.held_span.as_secs_f64();
-        self.settings.held_least.saturating_add(sent as usize)
+    pub fn routing_limit(&self) -> usize {
+        let sent = self.sent.per_second() * self.settings.routing_span.as_secs_f64();
+        self.settings.min_routing.saturating_add(sent as usize)
     }
 
     fn has_room(&self) -> bool {
-        self.held < self.room()
+        self.held < self.routing_limit()
     }
 
     fn has_room_for_strangers(&self) -> bool {
-        let room = (self.room() as f64 * self.settings.strangers_share) as usize;
+        let room = (self.routing_limit() as f64 * self.settings.unknown_share) as usize;
         self.held_strangers < room.max(1)
     }
 
     /// A call has waited for as long as one may: what it is told. `None` if it does not wait.
-    pub fn waited(&mut self, now: Duration, call: u64) -> Option<Turn> {
-        let waits = self.entries.get(&call).is_some_and(|e| e.stay == Stay::Waiting);
+    pub fn wait_expired(&mut self, now: Duration, call: u64) -> Option<SetUpDecision> {
+        let waits = self.entries.get(&call).is_some_and(|e| e.state == CallState::Waiting);
         if !waits {
             return None;
         }
-        self.over(now, call);
-        Some(self.refuse(SetUpRefusal::Waited, Duration::ZERO))
+        self.call_ended(now, call);
+        Some(self.refuse(SetUpRefusal::WaitExpired, Duration::ZERO))
     }
 
     /// Set-ups that wait here.
@@ -179,7 +193,7 @@
 
     /// Set-ups that the decisions hold.
     #[must_use]
-    pub const fn held(&self) -> usize {
+    pub const fn routing(&self) -> usize {
         self.held
     }
 
@@ -191,7 +205,7 @@
 
     /// How long one may wait here.
     #[must_use]
-    pub const fn wait(&self) -> Duration {
-        self.settings.wait
+    pub const fn max_wait(&self) -> Duration {
+        self.settings.max_wait
     }
 }
--- a/crates/fawnrouter-admission/src/setups/rates.rs
+++ b/crates/fawnrouter-admission/src/setups/rates.rs
@@ -4,17 +4,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::call::Who;
+use super::call::ClientIdentity;
 use super::settings::SetUpSettings;
 use super::verdict::SetUpRefusal;
-use crate::limiter::{Gcra, Limiter, Rate};
+use crate::limiter::{AddressRateLimiter, Gcra, Rate};
 
 /// Who may send a set-up now.
 #[derive(Debug)]
 pub(super) struct Rates {
     /// Known clients' theoretical arrival times.
     known: BTreeMap<Arc<str>, Gcra>,
-    strangers: Limiter,
+    strangers: AddressRateLimiter,
     all_strangers: Gcra,
     all_strangers_rate: Option<Rate>,
 }
@@ -24,9 +24,13 @@
     pub(super) fn new(settings: &SetUpSettings) -> Self {
         Self {
             known: BTreeMap::new(),
-            strangers: Limiter::new(settings.stranger.rate, settings.addresses, settings.seed),
+            strangers: AddressRateLimiter::new(
+                settings.unknown.rate,
+                settings.tracked_addresses,
+                settings.seed,
+            ),
             all_strangers: Gcra::default(),
-            all_strangers_rate: settings.strangers_rate,
+            all_strangers_rate: settings.unknown_rate,
         }
     }
 
@@ -39,19 +43,19 @@
     pub(super) fn arrive(
         &mut self,
         now: Duration,
-        who: &Who,
+        who: &ClientIdentity,
         rate: &Rate,
     ) -> Result<(), (SetUpRefusal, Duration)> {
         let own_rate = |wait| (SetUpRefusal::Rate, wait);
         match who {
-            Who::Known(name) => {
+            ClientIdentity::Known(name) => {
                 let own = self.known.entry(name.clone()).or_default();
                 own.arrive(now, rate).map_err(own_rate)
             }
-            Who::Stranger(address) => {
+            ClientIdentity::Unknown(address) => {
                 if let Some(all) = &self.all_strangers_rate {
-                    let all_rates = |wait| (SetUpRefusal::Strangers, wait);
-                    self.all_strangers.would(now, all).map_err(all_rates)?;
+                    let all_rates = |wait| (SetUpRefusal::UnknownClientsRate, wait);
+                    self.all_strangers.check(now, all).map_err(all_rates)?;
                 }
                 self.strangers.arrive(now, *address).map_err(own_rate)?;
                 if let Some(all) = &self.all_strangers_rate {
--- a/crates/fawnrouter-admission/src/setups/settings.rs
+++ b/crates/fawnrouter-admission/src/setups/settings.rs
@@ -23,23 +23,23 @@
     /// Known clients without limits of their own.
     pub known: ClientLimits,
     /// Each address of strangers. Its weight counts among strangers only.
-    pub stranger: ClientLimits,
+    pub unknown: ClientLimits,
     /// The weight of all strangers together, against one known client's.
-    pub strangers_weight: u32,
+    pub unknown_weight: u32,
     /// Set-ups a second of all strangers, and at once; `None`: as many as there is room for.
-    pub strangers_rate: Option<Rate>,
+    pub unknown_rate: Option<Rate>,
     /// Of what the decisions may hold, the share that may be strangers': what is held there delays everybody.
-    pub strangers_share: f64,
+    pub unknown_share: f64,
     /// Set-ups that the decisions may hold, whatever is sent.
-    pub held_least: usize,
+    pub min_routing: usize,
     /// Beyond that they may hold what is sent in this time, as it went lately.
-    pub held_span: Duration,
+    pub routing_span: Duration,
     /// Set-ups that may wait here.
-    pub waiting: usize,
+    pub max_waiting: usize,
     /// The longest that one waits here.
-    pub wait: Duration,
+    pub max_wait: Duration,
     /// Strangers' addresses whose rate is kept exactly.
-    pub addresses: usize,
+    pub tracked_addresses: usize,
     /// The shortest time that those refused are told to stay away.
     pub retry_after: Duration,
     /// Keys what is spread and hashed.
--- a/crates/fawnrouter-admission/src/setups/verdict.rs
+++ b/crates/fawnrouter-admission/src/setups/verdict.rs
@@ -8,7 +8,7 @@
     /// Its client's rate.
     Rate,
     /// The rate of all strangers together.
-    Strangers,
+    UnknownClientsRate,
     /// Its client has as many without an answer as it may.
     Pending,
     /// Its client has as many calls as it may.
@@ -16,7 +16,7 @@
     /// As many wait as may, and others hold less than its client.
     Full,
     /// It waited as long as one may.
-    Waited,
+    WaitExpired,
 }
 
 impl SetUpRefusal {
@@ -25,27 +25,27 @@
     pub const fn text(self) -> &'static str {
         match self {
             Self::Rate => "too many set-ups of this client",
-            Self::Strangers => "too many set-ups of unknown clients",
+            Self::UnknownClientsRate => "too many set-ups of unknown clients",
             Self::Pending => "too many calls of this client in set-up",
             Self::Calls => "too many calls of this client",
             Self::Full => "too many set-ups wait, and this client holds most",
-            Self::Waited => "no turn came in time",
+            Self::WaitExpired => "no turn came in time",
         }
     }
 }
 
 /// The decision on a set-up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum SetUpDecision {
     /// It goes on to the decisions on routes.
-    Go,
-    /// It waits here until [`SetUps::next`](super::SetUps::next) names it, for
-    /// [`SetUpSettings::wait`](super::SetUpSettings::wait) at the most.
+    Proceed,
+    /// It waits here until [`SetUpAdmission::next_ready`](super::SetUpAdmission::next_ready) names it, for
+    /// [`SetUpSettings::max_wait`](super::SetUpSettings::max_wait) at the most.
     Wait,
     /// It is refused.
     Refuse {
         /// Why.
-        why: SetUpRefusal,
+        reason: SetUpRefusal,
         /// How long its caller should stay away.
         retry_after: Duration,
     },
--- a/crates/fawnrouter-admission/src/spread.rs
+++ b/crates/fawnrouter-admission/src/spread.rs
@@ -4,12 +4,12 @@
 
 /// A low-discrepancy sequence (golden ratio) over the second half of the time to stay away.
 #[derive(Clone, Copy, Debug)]
-pub struct Spread {
+pub struct RetryAfterSpread {
     at: u64,
     seed: u64,
 }
 
-impl Spread {
+impl RetryAfterSpread {
     /// `seed` shifts the sequence, so that gateways that were started together differ.
     #[must_use]
     pub const fn new(seed: u64) -> Self {
@@ -30,7 +30,7 @@
 
     #[test]
     fn a_hundred_refused_together_come_back_in_each_tenth_of_the_span() {
-        let mut spread = Spread::new(77);
+        let mut spread = RetryAfterSpread::new(77);
         let base = Duration::from_secs(10);
         let mut tenths = [0; 10];
         for _ in 0..100 {
--- a/crates/fawnrouter-admission/tests/floods.rs
+++ b/crates/fawnrouter-admission/tests/floods.rs
@@ -17,18 +17,18 @@
         total: 100,
         per_address: 10,
         per_prefix: 40,
-        prefixes: Prefixes { v4: 24, v6: 64 },
+        prefixes: PrefixLengths { v4: 24, v6: 64 },
         exceptions: vec![(IpAddr::V4(Ipv4Addr::new(10, 9, 0, 0)), 16, 60)],
         rate: Rate::per_second(20.0, 10),
-        addresses: 1000,
+        tracked_addresses: 1000,
         handshakes: 30,
         handshakes_per_address: 5,
         forwarders: vec![(IpAddr::V4(Ipv4Addr::new(192, 0, 2, 7)), 32)],
-        prove: Duration::ZERO,
-        idle: Duration::ZERO,
-        slow: Duration::ZERO,
-        pace: (Rate::per_second(100.0, 50), Rate::per_second(1000.0, 500)),
-        reserve: ReserveSettings { least: 20, most: 60, headroom: 0.25, half_life: ms(60_000) },
+        probation_time: Duration::ZERO,
+        idle_timeout: Duration::ZERO,
+        slow_reader_timeout: Duration::ZERO,
+        message_rates: (Rate::per_second(100.0, 50), Rate::per_second(1000.0, 500)),
+        reserve: ReserveSettings { min: 20, max: 60, headroom: 0.25, half_life: ms(60_000) },
         per_client: 8,
         retry_after: ms(1000),
         seed: 5,
@@ -50,32 +50,32 @@
         Self { admission: Admission::new(settings).expect("sound settings"), now: ms(1000), next: 0 }
     }
 
-    fn arrive(&mut self, address: IpAddr) -> (Conn, Verdict) {
+    fn arrive(&mut self, address: IpAddr) -> (ConnectionId, ConnectionDecision) {
         self.next += 1;
-        let conn = Conn(self.next);
+        let conn = ConnectionId(self.next);
         (conn, self.admission.arrive(self.now, Arrival { conn, address }))
     }
 
     /// A stranger through its handshake.
-    fn stranger(&mut self, address: IpAddr) -> Result<Conn, Reason> {
+    fn stranger(&mut self, address: IpAddr) -> Result<ConnectionId, RefusalReason> {
         let (conn, verdict) = self.arrive(address);
         reason(verdict)?;
-        reason(self.admission.shaken(self.now, conn))?;
+        reason(self.admission.handshake_done(self.now, conn))?;
         Ok(conn)
     }
 
-    fn known(&mut self, address: IpAddr, client: &str) -> Result<Conn, Reason> {
+    fn known(&mut self, address: IpAddr, client: &str) -> Result<ConnectionId, RefusalReason> {
         let (conn, verdict) = self.arrive(address);
         reason(verdict)?;
-        reason(self.admission.known(self.now, conn, &Arc::from(client)))?;
+        reason(self.admission.authenticated(self.now, conn, &Arc::from(client)))?;
         Ok(conn)
     }
 }
 
-fn reason(verdict: Verdict) -> Result<(), Reason> {
+fn reason(verdict: ConnectionDecision) -> Result<(), RefusalReason> {
     match verdict {
-        Verdict::Accept | Verdict::Replace(_) | Verdict::Probation => Ok(()),
-        Verdict::Refuse { reason, .. } => Err(reason),
+        ConnectionDecision::Accept | ConnectionDecision::Replace(_) | ConnectionDecision::Probation => Ok(()),
+        ConnectionDecision::Refuse { reason, .. } => Err(reason),
     }
 }
 
@@ -92,7 +92,7 @@
     }
     assert_eq!((let_in, known), (10, 20));
     let refused = door.admission.snapshot(3).refused;
-    assert!(refused[&Reason::Address] > 4900, "{refused:?}");
+    assert!(refused[&RefusalReason::Address] > 4900, "{refused:?}");
 }
 
 #[test]
@@ -119,13 +119,13 @@
     for _ in 0..5 {
         assert_eq!(reason(door.arrive(ip(1)).1), Ok(()));
     }
-    assert_eq!(reason(door.arrive(ip(1)).1), Err(Reason::Handshakes));
+    assert_eq!(reason(door.arrive(ip(1)).1), Err(RefusalReason::Handshakes));
     for n in 2..27 {
         assert_eq!(reason(door.arrive(ip(n * 256)).1), Ok(()));
     }
-    assert_eq!(reason(door.arrive(ip(0x0500_0000)).1), Err(Reason::Handshakes));
+    assert_eq!(reason(door.arrive(ip(0x0500_0000)).1), Err(RefusalReason::Handshakes));
     // One that is closed for its slowness makes room.
-    door.admission.closed(door.now, Conn(1));
+    door.admission.connection_closed(door.now, ConnectionId(1));
     assert_eq!(reason(door.arrive(ip(0x0500_0000)).1), Ok(()));
 }
 
@@ -170,23 +170,23 @@
 fn a_full_house_gives_the_place_of_the_stranger_idle_for_longest_but_never_one_with_a_call() {
     let mut door = Door::new(AdmissionSettings {
         total: 6,
-        reserve: ReserveSettings { least: 0, most: 0, ..settings().reserve },
+        reserve: ReserveSettings { min: 0, max: 0, ..settings().reserve },
         ..settings()
     });
-    let conns: Vec<Conn> = (0..6)
+    let conns: Vec<ConnectionId> = (0..6)
         .map(|n| {
             door.now += ms(10);
             door.stranger(ip(n * 256)).expect("room")
         })
         .collect();
-    door.admission.active(door.now, conns[0], 1);
-    door.admission.active(door.now + ms(5), conns[1], 0);
+    door.admission.record_activity(door.now, conns[0], 1);
+    door.admission.record_activity(door.now + ms(5), conns[1], 0);
     door.now += ms(100);
     let (conn, verdict) = door.arrive(ip(0x0900_0000));
-    assert_eq!(verdict, Verdict::Accept, "a handshake has a place of its own");
-    assert_eq!(door.admission.shaken(door.now, conn), Verdict::Replace(conns[2]));
-    conns.iter().chain([&conn]).for_each(|c| door.admission.active(door.now, *c, 1));
-    assert_eq!(door.stranger(ip(0x0901_0000)), Err(Reason::Full));
+    assert_eq!(verdict, ConnectionDecision::Accept, "a handshake has a place of its own");
+    assert_eq!(door.admission.handshake_done(door.now, conn), ConnectionDecision::Replace(conns[2]));
+    conns.iter().chain([&conn]).for_each(|c| door.admission.record_activity(door.now, *c, 1));
+    assert_eq!(door.stranger(ip(0x0901_0000)), Err(RefusalReason::Full));
 }
 
 #[test]
@@ -214,39 +214,45 @@
         first.push(conn);
     }
     // b0 holds eight; its oldest has a call, its second goes.
-    door.admission.active(door.now, first[0], 1);
+    door.admission.record_activity(door.now, first[0], 1);
     let (conn, _) = door.arrive(ip(0x0d00_0000));
-    assert_eq!(door.admission.known(door.now, conn, &Arc::from("late")), Verdict::Replace(first[1]));
+    assert_eq!(
+        door.admission.authenticated(door.now, conn, &Arc::from("late")),
+        ConnectionDecision::Replace(first[1])
+    );
     // Strangers find a full house and drive nobody out.
-    assert_eq!(door.stranger(ip(0x0e00_0000)), Err(Reason::Full));
+    assert_eq!(door.stranger(ip(0x0e00_0000)), Err(RefusalReason::Full));
     // With a call on each, nobody gives way.
-    first.iter().for_each(|c| door.admission.active(door.now, *c, 1));
-    door.admission.active(door.now, conn, 1);
-    assert_eq!(door.known(ip(0x0d01_0000), "later"), Err(Reason::Full));
+    first.iter().for_each(|c| door.admission.record_activity(door.now, *c, 1));
+    door.admission.record_activity(door.now, conn, 1);
+    assert_eq!(door.known(ip(0x0d01_0000), "later"), Err(RefusalReason::Full));
     let seen = door.admission.snapshot(9);
-    assert_eq!((seen.known, seen.open, seen.evicted[&Eviction::MadeRoom]), (61, 61, 1));
+    assert_eq!((seen.known, seen.open, seen.evicted[&EvictionReason::PlaceNeeded]), (61, 61, 1));
 }
 
 #[test]
 fn where_strangers_have_no_place_left_a_known_client_has_time_to_show_who_it_is() {
-    let mut door = Door::new(AdmissionSettings { prove: ms(1000), ..settings() });
+    let mut door = Door::new(AdmissionSettings { probation_time: ms(1000), ..settings() });
     // Strangers with calls take the 80 places that they may have, from addresses of their own.
     for n in 0..80u32 {
         door.now += ms(10);
         let conn = door.stranger(ip(0x0a00_0000 + n * 256)).expect("room");
-        door.admission.active(door.now, conn, 1);
+        door.admission.record_activity(door.now, conn, 1);
     }
     let (conn, _) = door.arrive(ip(0x0b00_0000));
-    assert_eq!(door.admission.shaken(door.now, conn), Verdict::Probation);
-    assert_eq!(door.admission.known(door.now, conn, &Arc::from("branch")), Verdict::Accept);
+    assert_eq!(door.admission.handshake_done(door.now, conn), ConnectionDecision::Probation);
+    assert_eq!(
+        door.admission.authenticated(door.now, conn, &Arc::from("branch")),
+        ConnectionDecision::Accept
+    );
     // One that does not show it goes when its time is up, and calls that it claims to have do not save it.
     let (conn, _) = door.arrive(ip(0x0b01_0000));
-    assert_eq!(door.admission.shaken(door.now, conn), Verdict::Probation);
-    door.admission.active(door.now, conn, 7);
+    assert_eq!(door.admission.handshake_done(door.now, conn), ConnectionDecision::Probation);
+    door.admission.record_activity(door.now, conn, 7);
     door.now += ms(999);
-    assert_eq!(door.admission.sweep(door.now), []);
+    assert_eq!(door.admission.evict_overdue(door.now), []);
     door.now += ms(1);
-    assert_eq!(door.admission.sweep(door.now), [(conn, Eviction::Unproven)]);
+    assert_eq!(door.admission.evict_overdue(door.now), [(conn, EvictionReason::ProbationExpired)]);
     let seen = door.admission.snapshot(3);
     assert_eq!((seen.open, seen.known, seen.handshakes), (81, 1, 0));
 }
@@ -281,49 +287,59 @@
         door.now += ms(60);
         let (conn, verdict) = door.arrive(proxy);
         reason(verdict)?;
-        reason(door.admission.forwarded(door.now, conn, ip(real)))?;
-        reason(door.admission.shaken(door.now, conn)).map(|()| conn)
+        reason(door.admission.set_forwarded_source(door.now, conn, ip(real)))?;
+        reason(door.admission.handshake_done(door.now, conn)).map(|()| conn)
     };
     let stood = (0..40).filter(|_| from(&mut door, 0x0a00_0001).is_ok()).count();
     assert_eq!(stood, 10, "the cap of the address that is named");
     assert!((0..30).all(|n| from(&mut door, 0x0a01_0000 + n * 256).is_ok()));
     let blocked = ip(0x0a02_0000);
     assert!(door.admission.block(door.now, blocked, ms(60_000)));
-    assert_eq!(from(&mut door, 0x0a02_0000), Err(Reason::Blocked));
+    assert_eq!(from(&mut door, 0x0a02_0000), Err(RefusalReason::Blocked));
     // Of a chain, the nearest that is no forwarder counts, and nothing beyond a hop that hides itself.
     let chain = [Some(ip(1)), Some(ip(2)), Some(proxy)];
-    assert_eq!(door.admission.believed(&chain), Some(ip(2)));
-    assert_eq!(door.admission.believed(&[Some(ip(1)), None, Some(proxy)]), None);
-    assert_eq!(door.admission.believed(&[]), None);
+    assert_eq!(door.admission.source_address(&chain), Some(ip(2)));
+    assert_eq!(door.admission.source_address(&[Some(ip(1)), None, Some(proxy)]), None);
+    assert_eq!(door.admission.source_address(&[]), None);
     // A stranger that names another address is taken for what it is.
     let (conn, _) = door.arrive(ip(0x0a03_0000));
-    assert_eq!(door.admission.forwarded(door.now, conn, ip(0x0a04_0000)), Verdict::Accept);
+    assert_eq!(
+        door.admission.set_forwarded_source(door.now, conn, ip(0x0a04_0000)),
+        ConnectionDecision::Accept
+    );
     let seen = door.admission.snapshot(1000);
     assert!(
-        seen.addresses.iter().any(|h| h.who == "10.3.0.0")
-            && !seen.addresses.iter().any(|h| h.who == "10.4.0.0")
+        seen.addresses.iter().any(|h| h.holder == "10.3.0.0")
+            && !seen.addresses.iter().any(|h| h.holder == "10.4.0.0")
     );
 }
 
 #[test]
 fn those_that_do_not_read_or_do_nothing_go_unless_they_have_a_call() {
-    let mut door = Door::new(AdmissionSettings { idle: ms(5000), slow: ms(1000), ..settings() });
-    let conns: Vec<Conn> = (0..4).map(|n| door.stranger(ip(n * 256)).expect("room")).collect();
+    let mut door =
+        Door::new(AdmissionSettings { idle_timeout: ms(5000), slow_reader_timeout: ms(1000), ..settings() });
+    let conns: Vec<ConnectionId> = (0..4).map(|n| door.stranger(ip(n * 256)).expect("room")).collect();
     let known = door.known(ip(0x0b00_0000), "branch").expect("room");
-    door.admission.active(door.now, conns[1], 1);
+    door.admission.record_activity(door.now, conns[1], 1);
     for _ in 0..9 {
         door.now += ms(100);
-        conns[..3].iter().chain([&known]).for_each(|c| door.admission.reads(door.now, *c, 500, 7));
-        door.admission.reads(door.now, conns[3], 500, door.now.as_millis() as u64);
-        assert_eq!(door.admission.sweep(door.now), []);
+        conns[..3]
+            .iter()
+            .chain([&known])
+            .for_each(|c| door.admission.record_write_progress(door.now, *c, 500, 7));
+        door.admission.record_write_progress(door.now, conns[3], 500, door.now.as_millis() as u64);
+        assert_eq!(door.admission.evict_overdue(door.now), []);
     }
     // The third reads at last; the second has a call.
-    door.admission.reads(door.now, conns[2], 0, 507);
+    door.admission.record_write_progress(door.now, conns[2], 0, 507);
     door.now += ms(200);
-    let gone = door.admission.sweep(door.now);
-    assert_eq!(gone, [(conns[0], Eviction::Slow), (known, Eviction::Slow)]);
+    let gone = door.admission.evict_overdue(door.now);
+    assert_eq!(gone, [(conns[0], EvictionReason::SlowReader), (known, EvictionReason::SlowReader)]);
     door.now += ms(5000);
-    assert_eq!(door.admission.sweep(door.now), [(conns[2], Eviction::Idle), (conns[3], Eviction::Idle)]);
+    assert_eq!(
+        door.admission.evict_overdue(door.now),
+        [(conns[2], EvictionReason::Idle), (conns[3], EvictionReason::Idle)]
+    );
     assert_eq!(door.admission.snapshot(9).open, 1);
 }
 
@@ -337,29 +353,30 @@
         while door.now < end {
             // Twenty messages a turn.
             read += 20;
-            door.now += door.admission.pace(door.now, conn, 20).max(Duration::from_micros(1));
+            door.now += door.admission.charge_messages(door.now, conn, 20).max(Duration::from_micros(1));
         }
         assert!((least..=most).contains(&read), "{read} in ten seconds");
     }
-    assert!(door.admission.turn(stranger) < door.admission.turn(known));
-    assert_eq!(door.admission.pace(door.now, Conn(99), 1000), Duration::ZERO);
+    assert!(door.admission.read_budget(stranger) < door.admission.read_budget(known));
+    assert_eq!(door.admission.charge_messages(door.now, ConnectionId(99), 1000), Duration::ZERO);
 }
 
 #[test]
 fn a_clock_that_stands_still_or_steps_back_lets_nobody_off_and_closes_nobody() {
-    let mut door = Door::new(AdmissionSettings { idle: ms(5000), slow: ms(1000), ..settings() });
+    let mut door =
+        Door::new(AdmissionSettings { idle_timeout: ms(5000), slow_reader_timeout: ms(1000), ..settings() });
     let conn = door.stranger(ip(1)).expect("room");
-    door.admission.reads(door.now, conn, 10, 0);
+    door.admission.record_write_progress(door.now, conn, 10, 0);
     door.now = ms(10);
-    assert_eq!(door.admission.sweep(door.now), []);
+    assert_eq!(door.admission.evict_overdue(door.now), []);
     assert!((0..50).filter(|_| door.stranger(ip(1)).is_ok()).count() <= 9, "burst and cap");
     // A second that passes for the limiter a hundred times as fast lets in a hundred times as much, and no more.
     let mut fast = Door::new(settings());
     let stood = (0..1000).filter(|_| {
         fast.now += ms(100);
         match fast.arrive(ip(7)) {
-            (conn, Verdict::Accept) => {
-                fast.admission.closed(fast.now, conn);
+            (conn, ConnectionDecision::Accept) => {
+                fast.admission.connection_closed(fast.now, conn);
                 true
             }
             _ => false,
@@ -374,7 +391,7 @@
     (0..10).for_each(|_| assert!(door.stranger(ip(1)).is_ok()));
     let mut times: Vec<Duration> = (0..100)
         .map(|_| match door.arrive(ip(1)).1 {
-            Verdict::Refuse { retry_after, .. } => retry_after,
+            ConnectionDecision::Refuse { retry_after, .. } => retry_after,
             other => panic!("{other:?}"),
         })
         .collect();
@@ -388,8 +405,8 @@
 fn an_operator_blocks_and_frees() {
     let mut door = Door::new(settings());
     assert!(door.admission.block(door.now, ip(1), ms(500)));
-    assert_eq!(reason(door.arrive(ip(1)).1), Err(Reason::Blocked));
-    door.admission.free(ip(1));
+    assert_eq!(reason(door.arrive(ip(1)).1), Err(RefusalReason::Blocked));
+    door.admission.unblock(ip(1));
     assert_eq!(reason(door.arrive(ip(1)).1), Ok(()));
     assert!(door.admission.block(door.now, ip(1), ms(500)));
     door.now += ms(501);
@@ -402,12 +419,12 @@
         Admission::new(AdmissionSettings { per_prefix: 0, ..settings() }),
         Err(SettingsError::Zero("per_prefix"))
     ));
-    let all = ReserveSettings { least: 100, ..settings().reserve };
+    let all = ReserveSettings { min: 100, ..settings().reserve };
     assert!(matches!(
         Admission::new(AdmissionSettings { reserve: all, ..settings() }),
         Err(SettingsError::Reserve)
     ));
-    let prefixes = Prefixes { v4: 33, v6: 64 };
+    let prefixes = PrefixLengths { v4: 33, v6: 64 };
     assert!(matches!(
         Admission::new(AdmissionSettings { prefixes, ..settings() }),
         Err(SettingsError::Prefix)
@@ -443,36 +460,36 @@
     #[test]
     fn caps_hold_in_any_order_of_things(ops in proptest::collection::vec(op(), 1..400)) {
         let (prove, idle) = (ms(300), ms(2000));
-        let mut door = Door::new(AdmissionSettings { prove, idle, slow: ms(500), ..settings() });
-        let (mut calls, mut placed) = (BTreeMap::<Conn, u32>::new(), BTreeSet::<Conn>::new());
-        let mut open: BTreeMap<Conn, (IpAddr, bool)> = BTreeMap::new();
-        let pick = |open: &BTreeMap<Conn, (IpAddr, bool)>, n: usize| open.keys().nth(n % open.len().max(1)).copied();
+        let mut door = Door::new(AdmissionSettings { probation_time: prove, idle_timeout: idle, slow_reader_timeout: ms(500), ..settings() });
+        let (mut calls, mut placed) = (BTreeMap::<ConnectionId, u32>::new(), BTreeSet::<ConnectionId>::new());
+        let mut open: BTreeMap<ConnectionId, (IpAddr, bool)> = BTreeMap::new();
+        let pick = |open: &BTreeMap<ConnectionId, (IpAddr, bool)>, n: usize| open.keys().nth(n % open.len().max(1)).copied();
         for op in ops {
             match op {
                 Op::Arrive(n) => {
                     let address = ip(n * 64);
                     let (conn, verdict) = door.arrive(address);
                     match verdict {
-                        Verdict::Accept => drop(open.insert(conn, (address, false))),
-                        Verdict::Replace(old) => {
+                        ConnectionDecision::Accept => drop(open.insert(conn, (address, false))),
+                        ConnectionDecision::Replace(old) => {
                             prop_assert!(open.remove(&old).is_some());
                             open.insert(conn, (address, false));
                         }
-                        Verdict::Refuse { .. } | Verdict::Probation => {}
+                        ConnectionDecision::Refuse { .. } | ConnectionDecision::Probation => {}
                     }
                 }
                 Op::Shaken(n) => if let Some(conn) = pick(&open, n) {
-                    let verdict = door.admission.shaken(door.now, conn);
-                    if matches!(verdict, Verdict::Accept | Verdict::Replace(_)) { placed.insert(conn); }
+                    let verdict = door.admission.handshake_done(door.now, conn);
+                    if matches!(verdict, ConnectionDecision::Accept | ConnectionDecision::Replace(_)) { placed.insert(conn); }
                     match verdict {
-                        Verdict::Refuse { .. } => drop(open.remove(&conn)),
-                        Verdict::Replace(old) => prop_assert!(open.remove(&old).is_some()),
-                        Verdict::Accept | Verdict::Probation => {}
+                        ConnectionDecision::Refuse { .. } => drop(open.remove(&conn)),
+                        ConnectionDecision::Replace(old) => prop_assert!(open.remove(&old).is_some()),
+                        ConnectionDecision::Accept | ConnectionDecision::Probation => {}
                     }
                 },
                 Op::Known(n, c) => if let Some(conn) = pick(&open, n) {
-                    let verdict = door.admission.known(door.now, conn, &Arc::from(format!("c{c}")));
-                    if let Verdict::Replace(old) = verdict {
+                    let verdict = door.admission.authenticated(door.now, conn, &Arc::from(format!("c{c}")));
+                    if let ConnectionDecision::Replace(old) = verdict {
                         prop_assert!(open.remove(&old).is_some());
                     }
                     match reason(verdict) {
@@ -483,28 +500,28 @@
                         Err(_) => drop(open.remove(&conn)),
                     }
                 },
-                Op::Sweep => for (conn, _) in door.admission.sweep(door.now) {
+                Op::Sweep => for (conn, _) in door.admission.evict_overdue(door.now) {
                     prop_assert!(open.remove(&conn).is_some());
                     prop_assert!(calls.get(&conn).is_none_or(|n| *n == 0));
                 },
                 Op::Active(n, has) => if let Some(conn) = pick(&open, n) {
                     let stage = door.admission.snapshot(0).handshakes;
-                    door.admission.active(door.now, conn, has);
+                    door.admission.record_activity(door.now, conn, has);
                     prop_assert_eq!(stage, door.admission.snapshot(0).handshakes);
                     // What a connection says that has yet to show what it is counts for nothing.
                     if placed.contains(&conn) { calls.insert(conn, has); }
                 },
                 Op::Close(n) => if let Some(conn) = pick(&open, n) {
                     open.remove(&conn);
-                    door.admission.closed(door.now, conn);
+                    door.admission.connection_closed(door.now, conn);
                 },
                 Op::Pass(span) => door.now += ms(span),
             }
             let seen = door.admission.snapshot(1000);
             prop_assert_eq!(seen.open, open.len());
-            prop_assert!(open.len() <= 100 + seen.handshakes && seen.handshakes <= 30 && door.admission.addresses_held() <= 1000);
+            prop_assert!(open.len() <= 100 + seen.handshakes && seen.handshakes <= 30 && door.admission.tracked_addresses() <= 1000);
             prop_assert_eq!(seen.known, open.values().filter(|e| e.1).count());
-            prop_assert!(seen.clients.iter().all(|h| h.open <= 8));
+            prop_assert!(seen.clients.iter().all(|h| h.connections <= 8));
             let mut by_address = BTreeMap::<IpAddr, usize>::new();
             open.values().filter(|e| !e.1).for_each(|e| *by_address.entry(e.0).or_default() += 1);
             prop_assert!(by_address.values().all(|n| *n <= 10));
--- a/crates/fawnrouter-config/src/settings/admission.rs
+++ b/crates/fawnrouter-config/src/settings/admission.rs
@@ -3,7 +3,9 @@
 use std::net::IpAddr;
 use std::sync::Arc;
 
-use fawnrouter_admission::{AdmissionSettings, ClientLimits, Prefixes, Rate, ReserveSettings, SetUpSettings};
+use fawnrouter_admission::{
+    AdmissionSettings, ClientLimits, PrefixLengths, Rate, ReserveSettings, SetUpSettings,
+};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
@@ -278,7 +280,7 @@
             fault("/admission/reserve/least_share".into(), "is beyond most_share; lower it");
         }
         let reserve = self.reserve_settings(limits, clients);
-        if reserve.most.max(reserve.least) >= limits.connections {
+        if reserve.max.max(reserve.min) >= limits.connections {
             fault("/admission/reserve".into(), "takes all of limits.connections; lower its shares");
         }
     }
@@ -291,8 +293,8 @@
             None => (0, 0),
         };
         ReserveSettings {
-            least,
-            most,
+            min: least,
+            max: most,
             headroom: self.reserve.headroom,
             half_life: ms(self.reserve.half_life_ms),
         }
@@ -308,18 +310,18 @@
             total: self.limits.connections,
             per_address: a.per_address,
             per_prefix: a.per_network,
-            prefixes: Prefixes { v4: a.network_bits_v4, v6: a.network_bits_v6 },
+            prefixes: PrefixLengths { v4: a.network_bits_v4, v6: a.network_bits_v6 },
             exceptions: a.exceptions.iter().map(|e| (e.address, e.bits, e.connections)).collect(),
             rate: Rate::per_second(a.rate_per_s, a.burst),
-            addresses: a.addresses,
+            tracked_addresses: a.addresses,
             handshakes: a.handshakes,
             handshakes_per_address: a.handshakes_per_address,
             forwarders: a.forwarders.iter().map(|n| (n.address, n.bits())).collect(),
-            prove: ms(self.clients.as_ref().map_or(0, |c| c.prove_ms)),
-            idle: ms(a.idle_ms),
-            slow: ms(a.slow_reader_ms),
+            probation_time: ms(self.clients.as_ref().map_or(0, |c| c.prove_ms)),
+            idle_timeout: ms(a.idle_ms),
+            slow_reader_timeout: ms(a.slow_reader_ms),
             // A second's worth may come at once.
-            pace: (
+            message_rates: (
                 Rate::per_second(a.messages_per_s, a.messages_per_s as u32),
                 Rate::per_second(a.known_messages_per_s, a.known_messages_per_s as u32),
             ),
@@ -337,22 +339,22 @@
         let (plan, strangers) = (&a.set_ups, &a.set_ups.strangers);
         Some(SetUpSettings {
             known: plan.known.limits(None),
-            stranger: ClientLimits {
+            unknown: ClientLimits {
                 weight: 1,
                 rate: Rate::per_second(strangers.rate_per_s, strangers.burst),
                 pending: strangers.pending,
                 calls: strangers.calls,
             },
-            strangers_weight: strangers.weight,
+            unknown_weight: strangers.weight,
             // A second's worth may come at once.
-            strangers_rate: strangers.all_per_s.map(|rate| Rate::per_second(rate, rate as u32)),
+            unknown_rate: strangers.all_per_s.map(|rate| Rate::per_second(rate, rate as u32)),
             // Where nobody is known, strangers have all there is.
-            strangers_share: if self.clients.is_some() { strangers.held_share } else { 1.0 },
-            held_least: plan.held_least,
-            held_span: ms(plan.held_ms),
-            waiting: plan.waiting,
-            wait: ms(plan.wait_ms),
-            addresses: a.addresses,
+            unknown_share: if self.clients.is_some() { strangers.held_share } else { 1.0 },
+            min_routing: plan.held_least,
+            routing_span: ms(plan.held_ms),
+            max_waiting: plan.waiting,
+            max_wait: ms(plan.wait_ms),
+            tracked_addresses: a.addresses,
             retry_after: ms(self.limits.retry_after_ms),
             seed,
         })
--- a/crates/fawnrouter-engine/src/caller.rs
+++ b/crates/fawnrouter-engine/src/caller.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use fawnrouter::{CallId, NewCall, Outcome};
-use fawnrouter_admission::{SetUps, Stay, Turn};
+use fawnrouter_admission::{CallState, SetUpAdmission, SetUpDecision};
 use fawnrouter_sip::transaction::{ACK_WAIT, InviteServer, ServerStep};
 use fawnrouter_sip::{Address, Dialog, Draft, Message, Method, Name, Start, Uri, UriError};
 use rand_core::RngCore;
@@ -130,8 +130,8 @@
         let class_name = class.map(|c| c.name.clone()).unwrap_or_default();
         let id = self.new_call_id();
         let turn = self.judge_set_up(client, id);
-        if let Turn::Refuse { why, retry_after } = turn {
-            return self.not_taken(client, &invite, why.text(), retry_after);
+        if let SetUpDecision::Refuse { reason, retry_after } = turn {
+            return self.not_taken(client, &invite, reason.text(), retry_after);
         }
         let session = session_of(&invite)
             .unwrap_or_else(|| format!("{:016x}{:016x}", self.rng.next_u64(), self.rng.next_u64()));
@@ -173,8 +173,8 @@
             transit: false,
             destination: seen.destination,
         };
-        if turn == Turn::Wait {
-            let wait = self.set_ups().map_or(left, SetUps::wait).min(left);
+        if turn == SetUpDecision::Wait {
+            let wait = self.set_ups().map_or(left, SetUpAdmission::max_wait).min(left);
             self.table.due.set(Key::Call(id), self.now.plus(wait));
             if let Some(call) = self.table.calls.get_mut(&id) {
                 call.waits = Some(new);
@@ -273,7 +273,7 @@
             call.out = None;
             call.invite = None;
         }
-        self.set_up_moved(id, Stay::Standing);
+        self.set_up_moved(id, CallState::Established);
         self.pending -= 1;
         self.counters.stood += 1;
         self.table.due.set(Key::Call(id), self.now.plus(ACK_WAIT));
--- a/crates/fawnrouter-engine/src/engine.rs
+++ b/crates/fawnrouter-engine/src/engine.rs
@@ -7,7 +7,7 @@
     Action, AttemptNo, CallId, Controller, Event, ListKind, Note, Outcome, Report, ServerId, ServerState,
     SettingsError, Time,
 };
-use fawnrouter_admission::Stay;
+use fawnrouter_admission::CallState;
 use fawnrouter_sip::transaction::{ACK_WAIT, CancelStep};
 use fawnrouter_zones::{BudgetError, Shared, Zones};
 use rand_chacha::ChaCha8Rng;
@@ -216,7 +216,7 @@
         while let Some(event) = self.events.pop_front() {
             // An attempt that ended without a standing call leaves the call with the controller.
             if let Event::Closed { call, done: false, .. } = &event {
-                self.set_up_moved(*call, Stay::Held);
+                self.set_up_moved(*call, CallState::Routing);
             }
             self.controller.handle(self.now, event, &mut actions);
             for action in actions.drain(..) {
--- a/crates/fawnrouter-engine/src/gate.rs
+++ b/crates/fawnrouter-engine/src/gate.rs
@@ -1,7 +1,7 @@
 //! The decisions that stand before the controller: who a client is, and whether its set-up's turn has come. Both are
 //! made elsewhere (`fawnrouter_digest`, `fawnrouter_admission`); `identify` and `set_up_admission` bring them about.
 
-use fawnrouter_admission::{SetUpSettings, SetUps};
+use fawnrouter_admission::{SetUpAdmission, SetUpSettings};
 use fawnrouter_digest::Guard;
 
 use crate::identity::{AuthSettings, Strangers};
@@ -10,12 +10,12 @@
 #[derive(Debug)]
 pub(crate) struct Gate {
     pub guard: Option<(Guard, Strangers)>,
-    pub set_ups: Option<SetUps>,
+    pub set_ups: Option<SetUpAdmission>,
 }
 
 impl Gate {
     pub fn new(auth: Option<AuthSettings>, set_ups: Option<SetUpSettings>) -> Self {
         let guard = auth.map(|a| (Guard::new(a.guard, a.key), a.strangers));
-        Self { guard, set_ups: set_ups.map(SetUps::new) }
+        Self { guard, set_ups: set_ups.map(SetUpAdmission::new) }
     }
 }
--- a/crates/fawnrouter-engine/src/identity.rs
+++ b/crates/fawnrouter-engine/src/identity.rs
@@ -3,7 +3,7 @@
 use std::net::IpAddr;
 use std::sync::Arc;
 
-use fawnrouter_admission::{ClientLimits, Who};
+use fawnrouter_admission::{ClientIdentity, ClientLimits};
 use fawnrouter_digest::{GuardSettings, Proof, Secret};
 
 /// What clients may do that have not shown who they are.
@@ -53,10 +53,10 @@
         Self { origin, known: None, must_prove, proof: Proof::default() }
     }
 
-    pub(crate) fn who(&self) -> Who {
+    pub(crate) fn who(&self) -> ClientIdentity {
         match &self.known {
-            Some(name) => Who::Known(name.clone()),
-            None => Who::Stranger(self.origin),
+            Some(name) => ClientIdentity::Known(name.clone()),
+            None => ClientIdentity::Unknown(self.origin),
         }
     }
 }
--- a/crates/fawnrouter-engine/src/set_up_admission.rs
+++ b/crates/fawnrouter-engine/src/set_up_admission.rs
@@ -2,7 +2,7 @@
 //! are the answers and timers that follow.
 
 use fawnrouter::{CallId, Event, NewCall};
-use fawnrouter_admission::{SetUps, Stay, Turn};
+use fawnrouter_admission::{CallState, SetUpAdmission, SetUpDecision};
 
 use crate::due::Key;
 use crate::engine::Engine;
@@ -11,9 +11,9 @@
 
 impl Engine {
     /// Whether a new set-up may go on, wait, or not.
-    pub(crate) fn judge_set_up(&mut self, client: ClientId, id: CallId) -> Turn {
+    pub(crate) fn judge_set_up(&mut self, client: ClientId, id: CallId) -> SetUpDecision {
         let (Some(set_ups), Some(known)) = (&mut self.gate.set_ups, self.table.clients.get(&client)) else {
-            return Turn::Go;
+            return SetUpDecision::Proceed;
         };
         let (turn, pushed) = set_ups.offer(self.now.0, known.identity.who(), id.0);
         if let Some((other, turn)) = pushed {
@@ -23,18 +23,18 @@
     }
 
     /// The final answer of a call that waited in vain.
-    fn refuse_set_up(&mut self, id: CallId, turn: Turn) {
-        if let Turn::Refuse { why, retry_after } = turn {
+    fn refuse_set_up(&mut self, id: CallId, turn: SetUpDecision) {
+        if let SetUpDecision::Refuse { reason, retry_after } = turn {
             self.counters.refused += 1;
             let retry_after_s = Some(whole_seconds(retry_after).max(1));
-            self.answer_final(id, Answer { status: 503, retry_after_s, text: why.text() });
+            self.answer_final(id, Answer { status: 503, retry_after_s, text: reason.text() });
         }
     }
 
     /// A call that may wait has waited for as long as it may; `false` if it does not wait.
     pub(crate) fn wait_expired(&mut self, id: CallId) -> bool {
         let now = self.now.0;
-        let turn = self.gate.set_ups.as_mut().and_then(|s| s.waited(now, id.0));
+        let turn = self.gate.set_ups.as_mut().and_then(|s| s.wait_expired(now, id.0));
         match turn {
             Some(turn) => {
                 self.refuse_set_up(id, turn);
@@ -56,7 +56,7 @@
     /// Hands over the calls whose turn has come.
     pub(crate) fn hand_over_next(&mut self) {
         let now = self.now.0;
-        while let Some(id) = self.gate.set_ups.as_mut().and_then(|s| s.next(now)) {
+        while let Some(id) = self.gate.set_ups.as_mut().and_then(|s| s.next_ready(now)) {
             let waiting = self.table.calls.get_mut(&CallId(id)).and_then(|c| c.waits.take());
             if let Some(call) = waiting {
                 self.hand_over(call);
@@ -66,10 +66,10 @@
     }
 
     /// Tells the decisions on set-ups where a call is now.
-    pub(crate) fn set_up_moved(&mut self, id: CallId, stay: Stay) {
+    pub(crate) fn set_up_moved(&mut self, id: CallId, stay: CallState) {
         let now = self.now.0;
         if let Some(set_ups) = &mut self.gate.set_ups {
-            set_ups.moved(now, id.0, stay);
+            set_ups.set_state(now, id.0, stay);
         }
     }
 
@@ -77,13 +77,13 @@
     pub(crate) fn set_up_over(&mut self, id: CallId) {
         let now = self.now.0;
         if let Some(set_ups) = &mut self.gate.set_ups {
-            set_ups.over(now, id.0);
+            set_ups.call_ended(now, id.0);
         }
     }
 
     /// The decisions on set-ups, for operators, if they are on.
     #[must_use]
-    pub fn set_ups(&self) -> Option<&SetUps> {
+    pub fn set_ups(&self) -> Option<&SetUpAdmission> {
         self.gate.set_ups.as_ref()
     }
 }
--- a/crates/fawnrouter-engine/src/trunk.rs
+++ b/crates/fawnrouter-engine/src/trunk.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use fawnrouter::{AttemptNo, CallId, Event, Note, Outcome, Report, ServerId};
-use fawnrouter_admission::Stay;
+use fawnrouter_admission::CallState;
 use fawnrouter_sip::transaction::{ACK_WAIT, ClientStep, InviteClient};
 use fawnrouter_sip::{Address, Dialog, Draft, Message, Method, Name, Uri};
 use rand_core::RngCore;
@@ -120,7 +120,7 @@
         }
         let bytes = draft.finish_with_body_of(invite);
         call.out = Some(leg_id);
-        self.set_up_moved(id, Stay::Out);
+        self.set_up_moved(id, CallState::AttemptSent);
         let leg = Leg {
             call: id,
             attempt,
--- a/crates/fawnrouter-engine/tests/gate.rs
+++ b/crates/fawnrouter-engine/tests/gate.rs
@@ -32,15 +32,15 @@
 fn queued(held: usize) -> SetUpSettings {
     SetUpSettings {
         known: limits(100),
-        stranger: limits(100),
-        strangers_weight: 1,
-        strangers_rate: None,
-        strangers_share: 1.0,
-        held_least: held,
-        held_span: ms(0),
-        waiting: 100,
-        wait: ms(500),
-        addresses: 100,
+        unknown: limits(100),
+        unknown_weight: 1,
+        unknown_rate: None,
+        unknown_share: 1.0,
+        min_routing: held,
+        routing_span: ms(0),
+        max_waiting: 100,
+        max_wait: ms(500),
+        tracked_addresses: 100,
         retry_after: ms(1000),
         seed: 1,
     }
@@ -254,7 +254,7 @@
     let one = rig.invite(Some(9), &[]);
     rig.says(calm, &one);
     let seen = rig.engine.set_ups().expect("on");
-    assert_eq!((seen.held(), seen.waiting()), (2, 19));
+    assert_eq!((seen.routing(), seen.waiting()), (2, 19));
     assert!(burst.iter().all(|i| rig.statuses(i) == [100]), "each is told that it is worked on");
     // Three go out: the two that were held, and the first of the burst that waited. Then it is the other's turn.
     (0..4).for_each(|_| let_go(&mut rig));
@@ -340,7 +340,7 @@
         rig.pass(ms(40_000));
         format!("{:?}", rig.sent)
     };
-    let wide = SetUpSettings { held_least: 100_000, stranger: limits(10_000), ..queued(1) };
+    let wide = SetUpSettings { min_routing: 100_000, unknown: limits(10_000), ..queued(1) };
     let off = outputs(settings());
     assert!(off.len() > 100_000, "something happened");
     assert!(off == outputs(EngineSettings { set_ups: Some(wide), ..settings() }));
--- a/crates/fawnrouter-engine/tests/property.rs
+++ b/crates/fawnrouter-engine/tests/property.rs
@@ -205,7 +205,7 @@
     rig.pass(ms(70_000));
     assert_eq!((rig.engine.live_calls(), rig.engine.legs()), (0, 0));
     if let Some(set_ups) = rig.engine.set_ups() {
-        assert_eq!((set_ups.waiting(), set_ups.held(), set_ups.largest(9).len()), (0, 0, 0));
+        assert_eq!((set_ups.waiting(), set_ups.routing(), set_ups.largest(9).len()), (0, 0, 0));
     }
     assert!(rig.engine.timers() <= 4, "{}", rig.engine.timers());
 }
@@ -222,8 +222,8 @@
     fn the_rules_hold_with_a_queue_of_set_ups_before_the_controller(ops in proptest::collection::vec(op(), 1..120)) {
         let limits = ClientLimits { weight: 1, rate: Rate::per_second(20.0, 15), pending: 12, calls: 20 };
         let set_ups = SetUpSettings {
-            known: limits, stranger: limits, strangers_weight: 1, strangers_rate: None, strangers_share: 0.5, held_least: 1, held_span: ms(50), waiting: 6,
-            wait: ms(700), addresses: 16, retry_after: ms(500), seed: 1,
+            known: limits, unknown: limits, unknown_weight: 1, unknown_rate: None, unknown_share: 0.5, min_routing: 1, routing_span: ms(50), max_waiting: 6,
+            max_wait: ms(700), tracked_addresses: 16, retry_after: ms(500), seed: 1,
         };
         run(ops, EngineSettings { set_ups: Some(set_ups), ..settings() });
     }
--- a/crates/fawnrouterd/src/accept.rs
+++ b/crates/fawnrouterd/src/accept.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use async_io::{Async, Timer};
-use fawnrouter_admission::Step;
+use fawnrouter_admission::ExhaustionAction;
 use rustix::io::Errno;
 
 use crate::client;
@@ -51,7 +51,7 @@
                 let entry = {
                     let mut connection_admission = core.connection_admission.borrow_mut();
                     connection_admission.accepted(now);
-                    let outbox = || core.outbox(fawnrouter_admission::For::Client);
+                    let outbox = || core.outbox(fawnrouter_admission::BufferOwner::Client);
                     connection_admission.arrive(now, &mut core.connections.borrow_mut(), peer.ip(), outbox)
                 };
                 match entry {
@@ -70,8 +70,8 @@
                     .borrow_mut()
                     .exhausted(core.clock().now(), !matches!(spare, Spare::Lost));
                 match step {
-                    Step::UseSpare => spare = refuse_one(&core, spare, listener.get_ref()),
-                    Step::Pause(pause) => {
+                    ExhaustionAction::UseSpare => spare = refuse_one(&core, spare, listener.get_ref()),
+                    ExhaustionAction::Pause(pause) => {
                         Timer::after(pause).await;
                         spare = Spare::take();
                     }
--- a/crates/fawnrouterd/src/client.rs
+++ b/crates/fawnrouterd/src/client.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use async_io::{Async, Timer};
-use fawnrouter_admission::{Conn, For, Reason};
+use fawnrouter_admission::{BufferOwner, ConnectionId, RefusalReason};
 use fawnrouter_engine::{Input, whole_seconds};
 use fawnrouter_sip::Message;
 use fawnrouter_ws::{
@@ -67,7 +67,7 @@
 /// Serves one connection to its end.
 pub async fn drive(
     core: Rc<Core>,
-    (conn, outbox): (Conn, Rc<Outbox>),
+    (conn, outbox): (ConnectionId, Rc<Outbox>),
     stream: Async<TcpStream>,
     peer: SocketAddr,
     terms: Rc<Terms>,
@@ -78,7 +78,7 @@
 }
 
 /// The answer to a connection that does not get in.
-pub fn refusal(reason: Reason, wait: Duration) -> Vec<u8> {
+pub fn refusal(reason: RefusalReason, wait: Duration) -> Vec<u8> {
     refuse(503, reason.text(), Some(whole_seconds(wait)))
 }
 
@@ -88,7 +88,7 @@
     core: Rc<Core>,
     outbox: Rc<Outbox>,
     stream: Async<TcpStream>,
-    reason: Reason,
+    reason: RefusalReason,
     wait: Duration,
 ) {
     let answer = refusal(reason, wait);
@@ -109,7 +109,7 @@
 
 async fn serve(
     core: &Rc<Core>,
-    conn: Conn,
+    conn: ConnectionId,
     outbox: &Rc<Outbox>,
     stream: Async<TcpStream>,
     peer: SocketAddr,
@@ -156,7 +156,7 @@
     let reading = async {
         let limits = &core.settings.limits;
         let mut decoder = Decoder::new(Role::Server, limits.head_bytes + limits.body_bytes);
-        let held = Share::of(&core.buffer_budget, For::Client);
+        let held = Share::of(&core.buffer_budget, BufferOwner::Client);
         let mut session = Session { core, client, outbox, held: &held, bad_in_a_row: 0, messages: 0 };
         let mut goes_on = session.take_all(&mut decoder, &rest);
         drop(rest);
@@ -210,13 +210,13 @@
 /// Agrees with the client. `Ok(None)` if it went away, an error is the answer to one that does not get in.
 async fn handshake(
     core: &Core,
-    conn: Conn,
+    conn: ConnectionId,
     stream: &Async<TcpStream>,
     peer: SocketAddr,
     terms: &Terms,
 ) -> Result<Option<Shaken>, Vec<u8>> {
     let mut bytes = Vec::new();
-    let held = Share::of(&core.buffer_budget, For::Client);
+    let held = Share::of(&core.buffer_budget, BufferOwner::Client);
     let accepted = loop {
         let more = read_some(core, stream, |b| bytes.extend_from_slice(b)).await;
         if !matches!(more, Ok(Some(()))) {
--- a/crates/fawnrouterd/src/connection_admission.rs
+++ b/crates/fawnrouterd/src/connection_admission.rs
@@ -7,8 +7,9 @@
 use std::time::Duration;
 
 use fawnrouter_admission::{
-    Admission, Alarms, Arrival, Change, Conn, Descriptors, Eviction, Line, Place, Reason, SetUpRefusal,
-    Snapshot, Spread, Step, Verdict,
+    AcceptDecision, Admission, AlarmEvent, Alarms, Arrival, ConnectionDecision, ConnectionId, Descriptors,
+    EvictionReason, ExhaustionAction, ExhaustionEvent, RefusalReason, RetryAfterSpread, SetUpRefusal,
+    Snapshot,
 };
 use fawnrouter_engine::fawnrouter::Time;
 use fawnrouter_ws::CloseCode;
@@ -19,8 +20,8 @@
 /// What lasts and is told in the log when it begins and ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Cause {
-    Refused(Reason),
-    Evicted(Eviction),
+    Refused(RefusalReason),
+    Evicted(EvictionReason),
     SetUp(SetUpRefusal),
 }
 
@@ -42,13 +43,13 @@
 /// Whether a connection gets in, and on what terms.
 pub enum Entry {
     /// It is served.
-    In(Conn, Rc<Outbox>),
+    In(ConnectionId, Rc<Outbox>),
     /// It is told why not and when to come back; the outbox ends it when another needs its descriptor.
-    Out(Reason, Duration, Rc<Outbox>),
+    Out(RefusalReason, Duration, Rc<Outbox>),
 }
 
 /// Why a connection does not get in, and how long it should stay away.
-pub type Refusal = (Reason, Duration);
+pub type Refusal = (RefusalReason, Duration);
 
 /// The decisions and what they go by.
 pub struct ConnectionAdmission {
@@ -59,8 +60,8 @@
     /// Without admission: connections in all, and the time to stay away.
     connection_limit: usize,
     retry_after: Duration,
-    spread: Spread,
-    refused: BTreeMap<Reason, u64>,
+    spread: RetryAfterSpread,
+    refused: BTreeMap<RefusalReason, u64>,
     alarms: Alarms<Cause>,
     told: BTreeMap<Cause, u64>,
 }
@@ -78,7 +79,7 @@
             descriptors,
             refusing: VecDeque::new(),
             retry_after,
-            spread: Spread::new(0),
+            spread: RetryAfterSpread::new(0),
             refused: BTreeMap::new(),
             alarms: Alarms::new(CALM, AGAIN),
             told: BTreeMap::new(),
@@ -86,9 +87,9 @@
     }
 
     /// Refuses for a reason that admission did not give.
-    fn refuse(&mut self, now: Time, reason: Reason) -> Refusal {
+    fn refuse(&mut self, now: Time, reason: RefusalReason) -> Refusal {
         let wait = match &mut self.admission {
-            Some(admission) => admission.refuse_for(now.0, reason),
+            Some(admission) => admission.count_refusal(now.0, reason),
             None => {
                 *self.refused.entry(reason).or_default() += 1;
                 self.spread.next(Duration::ZERO, self.retry_after)
@@ -107,15 +108,15 @@
     ) -> Entry {
         let outbox = Rc::new(outbox());
         let place = self.descriptors.arrive(connections.open(), self.refusing.len());
-        let verdict = if place != Place::Serve {
-            Err(self.refuse(now, Reason::Descriptors))
+        let verdict = if place != AcceptDecision::Serve {
+            Err(self.refuse(now, RefusalReason::Descriptors))
         } else {
             let conn = connections.number();
             let verdict = self.admission.as_mut().map(|a| a.arrive(now.0, Arrival { conn, address }));
             match verdict {
-                Some(Verdict::Refuse { reason, retry_after }) => Err((reason, retry_after)),
-                Some(Verdict::Replace(victim)) => {
-                    connections.close(victim, CloseCode::LATER, Eviction::MadeRoom.text());
+                Some(ConnectionDecision::Refuse { reason, retry_after }) => Err((reason, retry_after)),
+                Some(ConnectionDecision::Replace(victim)) => {
+                    connections.close(victim, CloseCode::LATER, EvictionReason::PlaceNeeded.text());
                     Ok(conn)
                 }
                 _ => Ok(conn),
@@ -127,7 +128,7 @@
                 Entry::In(conn, outbox)
             }
             Err((reason, wait)) => {
-                if self.descriptors.refuse(self.refusing.len()) == Place::RefuseAfterOldest
+                if self.descriptors.refuse(self.refusing.len()) == AcceptDecision::RefuseClosingOldest
                     && let Some(oldest) = self.refusing.pop_front()
                 {
                     oldest.kill();
@@ -152,30 +153,35 @@
     pub fn forwarded(
         &mut self,
         now: Time,
-        conn: Conn,
+        conn: ConnectionId,
         hops: &[Option<IpAddr>],
     ) -> Result<Option<IpAddr>, Refusal> {
         let Some(admission) = &mut self.admission else { return Ok(None) };
-        let Some(address) = admission.believed(hops) else { return Ok(None) };
-        match admission.forwarded(now.0, conn, address) {
-            Verdict::Refuse { reason, retry_after } => Err((reason, retry_after)),
+        let Some(address) = admission.source_address(hops) else { return Ok(None) };
+        match admission.set_forwarded_source(now.0, conn, address) {
+            ConnectionDecision::Refuse { reason, retry_after } => Err((reason, retry_after)),
             _ => Ok(Some(address)),
         }
     }
 
     /// A handshake is done: whether the connection stays, and if so, whether it has to show who it is.
-    pub fn shaken(&mut self, now: Time, connections: &mut Connections, conn: Conn) -> Result<bool, Refusal> {
+    pub fn shaken(
+        &mut self,
+        now: Time,
+        connections: &mut Connections,
+        conn: ConnectionId,
+    ) -> Result<bool, Refusal> {
         let full = connections.clients() >= self.connection_limit;
-        match self.admission.as_mut().map(|a| a.shaken(now.0, conn)) {
-            Some(Verdict::Refuse { reason, retry_after }) => Err((reason, retry_after)),
-            Some(Verdict::Probation) => Ok(true),
-            Some(Verdict::Replace(victim)) => {
-                connections.close(victim, CloseCode::LATER, Eviction::MadeRoom.text());
+        match self.admission.as_mut().map(|a| a.handshake_done(now.0, conn)) {
+            Some(ConnectionDecision::Refuse { reason, retry_after }) => Err((reason, retry_after)),
+            Some(ConnectionDecision::Probation) => Ok(true),
+            Some(ConnectionDecision::Replace(victim)) => {
+                connections.close(victim, CloseCode::LATER, EvictionReason::PlaceNeeded.text());
                 Ok(false)
             }
-            Some(Verdict::Accept) => Ok(false),
+            Some(ConnectionDecision::Accept) => Ok(false),
             // Without admission the limit on connections is all there is.
-            None if full => Err(self.refuse(now, Reason::Full)),
+            None if full => Err(self.refuse(now, RefusalReason::Full)),
             None => Ok(false),
         }
     }
@@ -185,13 +191,13 @@
         &mut self,
         now: Time,
         connections: &mut Connections,
-        conn: Conn,
+        conn: ConnectionId,
         client: &Arc<str>,
-    ) -> Result<(), Reason> {
-        match self.admission.as_mut().map(|a| a.known(now.0, conn, client)) {
-            Some(Verdict::Refuse { reason, .. }) => Err(reason),
-            Some(Verdict::Replace(victim)) => {
-                connections.close(victim, CloseCode::LATER, Eviction::MadeRoom.text());
+    ) -> Result<(), RefusalReason> {
+        match self.admission.as_mut().map(|a| a.authenticated(now.0, conn, client)) {
+            Some(ConnectionDecision::Refuse { reason, .. }) => Err(reason),
+            Some(ConnectionDecision::Replace(victim)) => {
+                connections.close(victim, CloseCode::LATER, EvictionReason::PlaceNeeded.text());
                 Ok(())
             }
             _ => Ok(()),
@@ -199,33 +205,33 @@
     }
 
     /// A connection does something, with so many calls.
-    pub fn active(&mut self, now: Time, conn: Conn, calls: usize) {
+    pub fn active(&mut self, now: Time, conn: ConnectionId, calls: usize) {
         if let Some(admission) = &mut self.admission {
-            admission.active(now.0, conn, u32::try_from(calls).unwrap_or(u32::MAX));
+            admission.record_activity(now.0, conn, u32::try_from(calls).unwrap_or(u32::MAX));
         }
     }
 
     /// A connection has sent so many messages: how long it is not to be read.
-    pub fn pace(&mut self, now: Time, conn: Conn, messages: u32) -> Duration {
-        self.admission.as_mut().map_or(Duration::ZERO, |a| a.pace(now.0, conn, messages))
+    pub fn pace(&mut self, now: Time, conn: ConnectionId, messages: u32) -> Duration {
+        self.admission.as_mut().map_or(Duration::ZERO, |a| a.charge_messages(now.0, conn, messages))
     }
 
     /// Bytes that a connection may have worked on in one turn.
-    pub fn turn(&self, conn: Conn) -> usize {
-        self.admission.as_ref().map_or(usize::MAX, |a| a.turn(conn))
+    pub fn turn(&self, conn: ConnectionId) -> usize {
+        self.admission.as_ref().map_or(usize::MAX, |a| a.read_budget(conn))
     }
 
     /// A connection is gone, at whatever stage.
-    pub fn gone(&mut self, now: Time, conn: Conn) {
+    pub fn gone(&mut self, now: Time, conn: ConnectionId) {
         if let Some(admission) = &mut self.admission {
-            admission.closed(now.0, conn);
+            admission.connection_closed(now.0, conn);
         }
     }
 
     /// The kernel had no descriptor for a connection.
-    pub fn exhausted(&mut self, now: Time, spare: bool) -> Step {
-        let (step, change) = self.descriptors.exhausted(now.0, spare);
-        if change == Some(Change::Began) {
+    pub fn exhausted(&mut self, now: Time, spare: bool) -> ExhaustionAction {
+        let (step, change) = self.descriptors.descriptor_missing(now.0, spare);
+        if change == Some(ExhaustionEvent::Began) {
             tracing::warn!(
                 "no descriptor is left: newcomers are refused one by one, those that are in go on"
             );
@@ -235,12 +241,12 @@
 
     /// A newcomer that is refused with the spare descriptor: how long it should stay away.
     pub fn refuse_with_spare(&mut self, now: Time) -> Refusal {
-        self.refuse(now, Reason::Descriptors)
+        self.refuse(now, RefusalReason::Descriptors)
     }
 
     /// The kernel had a descriptor for a connection.
     pub fn accepted(&mut self, now: Time) {
-        if let Some(Change::Ended(lasted)) = self.descriptors.accepted(now.0) {
+        if let Some(ExhaustionEvent::Ended(lasted)) = self.descriptors.accepted(now.0) {
             tracing::info!(lasted_ms = lasted.as_secs_f64() * 1e3, "descriptors are there again");
         }
     }
@@ -250,12 +256,17 @@
         let Some(admission) = &mut self.admission else { return };
         for (conn, connection) in connections.iter() {
             if connection.client.is_some() {
-                admission.reads(now.0, conn, connection.outbox.backlog(), connection.outbox.taken());
+                admission.record_write_progress(
+                    now.0,
+                    conn,
+                    connection.outbox.backlog(),
+                    connection.outbox.taken(),
+                );
             }
         }
-        for (conn, why) in admission.sweep(now.0) {
+        for (conn, why) in admission.evict_overdue(now.0) {
             // One that does not read takes no goodbye either.
-            if why == Eviction::Slow
+            if why == EvictionReason::SlowReader
                 && let Some((_, connection)) = connections.iter().find(|(c, _)| *c == conn)
             {
                 connection.outbox.kill();
@@ -284,17 +295,17 @@
             let told = self.told.entry(cause).or_default();
             let more = count - std::mem::replace(told, count);
             if more > 0 {
-                lines.extend(self.alarms.note(now.0, cause, more));
+                lines.extend(self.alarms.record(now.0, cause, more));
             }
         }
-        lines.extend(self.alarms.pass(now.0));
+        lines.extend(self.alarms.poll(now.0));
         for line in lines {
             match line {
-                Line::Began(cause) => tracing::warn!("{}: {}", cause.text().0, cause.text().1),
-                Line::GoesOn(cause, count) => {
+                AlarmEvent::Raised(cause) => tracing::warn!("{}: {}", cause.text().0, cause.text().1),
+                AlarmEvent::Ongoing(cause, count) => {
                     tracing::warn!(count, "still {}: {}", cause.text().0, cause.text().1);
                 }
-                Line::Over(cause, lasted, count) => {
+                AlarmEvent::Cleared(cause, lasted, count) => {
                     let lasted_s = lasted.as_secs_f64();
                     tracing::info!(count, lasted_s, "no more {}: {}", cause.text().0, cause.text().1);
                 }
@@ -344,7 +355,7 @@
             panic!("room")
         };
         assert_eq!(connection_admission.shaken(now, &mut connections, second).ok(), Some(false));
-        assert_eq!(future::block_on(outbox.ended()), Some(Eviction::MadeRoom.text()));
+        assert_eq!(future::block_on(outbox.ended()), Some(EvictionReason::PlaceNeeded.text()));
         assert!(other.is_open() && connections.open() == 1);
     }
 
@@ -355,13 +366,13 @@
         let mut refused = Vec::new();
         for n in 0..40 {
             if let Entry::Out(reason, wait, outbox) = arrive(&mut connection_admission, &mut connections, n) {
-                assert!(reason == Reason::Descriptors && wait >= Duration::from_secs(2));
+                assert!(reason == RefusalReason::Descriptors && wait >= Duration::from_secs(2));
                 refused.push(outbox);
             }
         }
         // 40 less the spare, two to refuse with and eight for what was forgotten.
         assert_eq!((connections.open(), refused.len()), (29, 11));
         assert!(refused[..9].iter().all(|o| !o.is_open()) && refused[9..].iter().all(|o| o.is_open()));
-        assert_eq!(connection_admission.snapshot(0).refused[&Reason::Descriptors], 11);
+        assert_eq!(connection_admission.snapshot(0).refused[&RefusalReason::Descriptors], 11);
     }
 }
--- a/crates/fawnrouterd/src/connections.rs
+++ b/crates/fawnrouterd/src/connections.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use fawnrouter_admission::Conn;
+use fawnrouter_admission::ConnectionId;
 use fawnrouter_engine::ClientId;
 use fawnrouter_engine::fawnrouter::ServerId;
 use fawnrouter_ws::{CloseCode, Opcode, close_payload, encode};
@@ -21,9 +21,9 @@
 #[derive(Default)]
 pub struct Connections {
     /// Clients' connections from their arrival on.
-    accepted: BTreeMap<Conn, ClientConnection>,
+    accepted: BTreeMap<ConnectionId, ClientConnection>,
     /// Of these, those whose handshake is done.
-    clients: BTreeMap<ClientId, (Conn, Rc<Outbox>)>,
+    clients: BTreeMap<ClientId, (ConnectionId, Rc<Outbox>)>,
     /// Connections to switches.
     trunks: BTreeMap<ServerId, Rc<Outbox>>,
     next_conn: u64,
@@ -32,17 +32,17 @@
 
 impl Connections {
     /// A number for a connection, never used again.
-    pub fn number(&mut self) -> Conn {
+    pub fn number(&mut self) -> ConnectionId {
         self.next_conn += 1;
-        Conn(self.next_conn)
+        ConnectionId(self.next_conn)
     }
 
-    pub fn arrived(&mut self, conn: Conn, outbox: Rc<Outbox>) {
+    pub fn arrived(&mut self, conn: ConnectionId, outbox: Rc<Outbox>) {
         self.accepted.insert(conn, ClientConnection { outbox, client: None });
     }
 
     /// Its handshake is done. A connection that had to make room meanwhile was told so already.
-    pub fn shaken(&mut self, conn: Conn, outbox: Rc<Outbox>) -> ClientId {
+    pub fn shaken(&mut self, conn: ConnectionId, outbox: Rc<Outbox>) -> ClientId {
         self.next_client += 1;
         let id = ClientId(self.next_client);
         if let Some(connection) = self.accepted.get_mut(&conn) {
@@ -52,7 +52,7 @@
         id
     }
 
-    pub fn gone(&mut self, conn: Conn) {
+    pub fn gone(&mut self, conn: ConnectionId) {
         self.accepted.remove(&conn);
     }
 
@@ -66,11 +66,11 @@
         self.clients.len()
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (Conn, &ClientConnection)> {
+    pub fn iter(&self) -> impl Iterator<Item = (ConnectionId, &ClientConnection)> {
         self.accepted.iter().map(|(conn, connection)| (*conn, connection))
     }
 
-    pub fn client(&self, client: ClientId) -> Option<(Conn, &Rc<Outbox>)> {
+    pub fn client(&self, client: ClientId) -> Option<(ConnectionId, &Rc<Outbox>)> {
         self.clients.get(&client).map(|(conn, outbox)| (*conn, outbox))
     }
 
@@ -96,7 +96,7 @@
     }
 
     /// Closes a connection at whatever stage; it is told why.
-    pub fn close(&mut self, conn: Conn, code: CloseCode, reason: &'static str) {
+    pub fn close(&mut self, conn: ConnectionId, code: CloseCode, reason: &'static str) {
         let Some(connection) = self.accepted.remove(&conn) else { return };
         match connection.client {
             Some(_) => goodbye(&connection.outbox, code, reason),
--- a/crates/fawnrouterd/src/control.rs
+++ b/crates/fawnrouterd/src/control.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use async_io::{Async, Timer};
-use fawnrouter_admission::{Snapshot, Who};
+use fawnrouter_admission::{ClientIdentity, Snapshot};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use serde::{Deserialize, Serialize};
 
@@ -222,7 +222,7 @@
             tracing::warn!(%address, for_s, "address blocked by an operator");
         }
         Command::Free { address } => {
-            admission.free(*address);
+            admission.unblock(*address);
             tracing::warn!(%address, "address freed by an operator");
         }
         Command::Show | Command::Zones => {}
@@ -261,7 +261,7 @@
         (core.connection_admission.borrow(), core.buffer_budget.borrow());
     let Snapshot { open, handshakes, known, reserve, refused, evicted, addresses, clients, blocked } =
         connection_admission.snapshot(MOST_LISTED);
-    let holder = |h: fawnrouter_admission::Holding| Holder { who: h.who, count: h.open };
+    let holder = |h: fawnrouter_admission::HolderCount| Holder { who: h.holder, count: h.connections };
     let mut shown = Shown {
         admission: connection_admission.admission.is_some(),
         open: open.max(core.connections.borrow().open()),
@@ -269,7 +269,7 @@
         known,
         reserve,
         room: connection_admission.descriptors.clients(),
-        famine: connection_admission.descriptors.in_famine(),
+        famine: connection_admission.descriptors.is_exhausted(),
         buffered_bytes: buffer_budget.used(),
         over_budget: buffer_budget.refused(),
         refused: refused.into_iter().map(|(r, n)| (r.text().to_owned(), n)).collect(),
@@ -283,12 +283,12 @@
         let c = engine.counters();
         shown.proofs = (c.proofs, c.challenged, c.impostors);
         let Some(set_ups) = engine.set_ups() else { return };
-        shown.set_ups = (set_ups.waiting(), set_ups.held());
-        shown.set_up_room = set_ups.room();
+        shown.set_ups = (set_ups.waiting(), set_ups.routing());
+        shown.set_up_room = set_ups.routing_limit();
         shown.set_ups_refused = set_ups.refused().iter().map(|(r, n)| (r.text().to_owned(), *n)).collect();
-        let name = |who: Who| match who {
-            Who::Known(name) => name.to_string(),
-            Who::Stranger(address) => address.to_string(),
+        let name = |who: ClientIdentity| match who {
+            ClientIdentity::Known(name) => name.to_string(),
+            ClientIdentity::Unknown(address) => address.to_string(),
         };
         let largest = set_ups.largest(MOST_LISTED).into_iter();
         shown.callers = largest.map(|(who, _, calls)| Holder { who: name(who), count: calls }).collect();
--- a/crates/fawnrouterd/src/core.rs
+++ b/crates/fawnrouterd/src/core.rs
@@ -7,7 +7,7 @@
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use fawnrouter_admission::{ByteSettings, For};
+use fawnrouter_admission::{BufferLimits, BufferOwner};
 use fawnrouter_config::Settings;
 use fawnrouter_engine::fawnrouter::ServerId;
 use fawnrouter_engine::{Engine, Input, Output};
@@ -51,11 +51,11 @@
         executor: &Rc<LocalExecutor<'static>>,
     ) -> Rc<Self> {
         let limits = &settings.limits;
-        let bytes = ByteSettings {
+        let bytes = BufferLimits {
             total: limits.buffer_bytes,
-            most: limits.write_backlog_bytes.max(limits.head_bytes + limits.body_bytes),
+            max_per_connection: limits.write_backlog_bytes.max(limits.head_bytes + limits.body_bytes),
             // A message of the usual size passes whatever the others hold.
-            floor: limits.head_bytes.min(4096),
+            min_per_connection: limits.head_bytes.min(4096),
         };
         Rc::new(Self {
             pump: Pump::new(engine),
@@ -86,7 +86,7 @@
     }
 
     /// A fresh outbox.
-    pub fn outbox(&self, whose: For) -> Outbox {
+    pub fn outbox(&self, whose: BufferOwner) -> Outbox {
         Outbox::sharing(self.settings.limits.write_backlog_bytes, Share::of(&self.buffer_budget, whose))
     }
 
@@ -110,7 +110,7 @@
                 }
             }
             Output::OpenTrunk { server, address } => {
-                let outbox = Rc::new(self.outbox(For::Trunk));
+                let outbox = Rc::new(self.outbox(BufferOwner::Trunk));
                 connections_now.insert_trunk(server, outbox.clone());
                 opened.push((server, address, outbox));
             }
--- a/crates/fawnrouterd/src/run_error.rs
+++ b/crates/fawnrouterd/src/run_error.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use fawnrouter_admission::TooFew;
+use fawnrouter_admission::TooFewDescriptors;
 use fawnrouter_engine::EngineError;
 
 /// Why the gateway cannot run.
@@ -23,7 +23,7 @@
     Signals(io::Error),
     /// The limit of descriptors is too low.
     #[error(transparent)]
-    Descriptors(#[from] TooFew),
+    Descriptors(#[from] TooFewDescriptors),
     /// The system has no random bytes.
     #[error("the system gives no random bytes: {0}")]
     Random(String),
--- a/crates/fawnrouterd/src/serve.rs
+++ b/crates/fawnrouterd/src/serve.rs
@@ -9,7 +9,7 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use async_signal::{Signal, Signals};
-use fawnrouter_admission::{Admission, DescriptorSettings, Descriptors, TooFew};
+use fawnrouter_admission::{Admission, DescriptorSettings, Descriptors, TooFewDescriptors};
 use fawnrouter_config::Settings;
 use fawnrouter_engine::{Engine, EngineError, EngineSettings, Input};
 use fawnrouter_ws::CloseCode;
@@ -172,7 +172,7 @@
 }
 
 /// What may go wrong at the start, with the descriptors that are there.
-fn descriptors(settings: &Settings) -> Result<Descriptors, TooFew> {
+fn descriptors(settings: &Settings) -> Result<Descriptors, TooFewDescriptors> {
     let limit = rustix::process::getrlimit(Resource::Nofile).current;
     let limit = limit.and_then(|n| usize::try_from(n).ok()).unwrap_or(usize::MAX / 2);
     // Without a proc file system the usual number: the standard streams, the reactor's, the listener.
--- a/crates/fawnrouterd/src/share.rs
+++ b/crates/fawnrouterd/src/share.rs
@@ -1,35 +1,35 @@
 //! A connection's share of the memory for bytes that wait. How much it may be is decided by
-//! [`fawnrouter_admission::Bytes`].
+//! [`fawnrouter_admission::DynamicThreshold`].
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-use fawnrouter_admission::{ByteSettings, Bytes, For};
+use fawnrouter_admission::{BufferLimits, BufferOwner, DynamicThreshold};
 
 /// The memory for bytes that wait, shared by all connections.
-pub type BufferBudget = Rc<RefCell<Bytes>>;
+pub type BufferBudget = Rc<RefCell<DynamicThreshold>>;
 
 /// A budget that nobody holds anything of.
-pub fn buffer_budget(settings: ByteSettings) -> BufferBudget {
-    Rc::new(RefCell::new(Bytes::new(settings)))
+pub fn buffer_budget(settings: BufferLimits) -> BufferBudget {
+    Rc::new(RefCell::new(DynamicThreshold::new(settings)))
 }
 
 /// One share; given back when it is dropped.
 pub struct Share {
     budget: Option<BufferBudget>,
-    whose: For,
+    whose: BufferOwner,
     held: Cell<usize>,
 }
 
 impl Share {
     /// A share of this budget.
-    pub fn of(budget: &BufferBudget, whose: For) -> Self {
+    pub fn of(budget: &BufferBudget, whose: BufferOwner) -> Self {
         Self { budget: Some(budget.clone()), whose, held: Cell::new(0) }
     }
 
     /// A share that is of no budget and may be any size.
     pub fn unbound() -> Self {
-        Self { budget: None, whose: For::Client, held: Cell::new(0) }
+        Self { budget: None, whose: BufferOwner::Client, held: Cell::new(0) }
     }
 
     /// It is so large now; `false` if that is more than it may be.
@@ -37,7 +37,7 @@
         let before = self.held.replace(now);
         // Most messages leave nothing behind.
         before == now
-            || self.budget.as_ref().is_none_or(|budget| budget.borrow_mut().change(self.whose, before, now))
+            || self.budget.as_ref().is_none_or(|budget| budget.borrow_mut().resize(self.whose, before, now))
     }
 }
 
--- a/crates/fawnrouterd/src/trunk.rs
+++ b/crates/fawnrouterd/src/trunk.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use async_io::{Async, Timer};
-use fawnrouter_admission::For;
+use fawnrouter_admission::BufferOwner;
 use fawnrouter_engine::Input;
 use fawnrouter_engine::fawnrouter::ServerId;
 use fawnrouter_sip::{Chunk, StreamDecoder};
@@ -47,7 +47,7 @@
 }
 
 async fn read(core: &Rc<Core>, server: ServerId, stream: &Async<TcpStream>, outbox: &Rc<Outbox>) {
-    let held = Share::of(&core.buffer_budget, For::Trunk);
+    let held = Share::of(&core.buffer_budget, BufferOwner::Trunk);
     let mut decoder = StreamDecoder::new(core.sip_limits());
     loop {
         let n = stream.read_with(|mut s| s.read(&mut core.scratch.borrow_mut())).await;
