--- a/crates/fawnrouter-config/src/settings/clients.rs
+++ b/crates/fawnrouter-config/src/settings/clients.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 
-use fawnrouter_engine::digest::{Algorithm, GuardSettings, Ha1, Secret};
+use fawnrouter_engine::digest::{Algorithm, AuthenticatorSettings, Ha1, Secret};
 use fawnrouter_engine::{AuthSettings, KnownClient, Strangers};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -166,11 +166,11 @@
     #[must_use]
     pub fn auth(&self, key: [u8; 32]) -> Option<AuthSettings> {
         let clients = self.clients.as_ref()?;
-        let guard = GuardSettings {
+        let guard = AuthenticatorSettings {
             realm: clients.realm.clone(),
             md5: clients.md5,
-            nonce_life: ms(clients.nonce_life_ms),
-            attempts: clients.attempts,
+            nonce_lifetime: ms(clients.nonce_life_ms),
+            max_failures: clients.attempts,
         };
         let strangers = match clients.strangers {
             StrangersMay::Call => Strangers::Allowed,
--- a/crates/fawnrouter-digest/src/credentials.rs
+++ b/crates/fawnrouter-digest/src/credentials.rs
@@ -24,7 +24,7 @@
     TooLarge,
     /// A parameter stands twice, which two readers might read in two ways.
     #[error("a parameter stands twice")]
-    Twice,
+    Duplicate,
     /// A parameter that must be there is not.
     #[error("{0} is missing")]
     Missing(&'static str),
@@ -36,7 +36,7 @@
     Qop,
     /// The count of uses is not eight hex digits.
     #[error("nc is not eight hex digits")]
-    Count,
+    NonceCount,
 }
 
 /// What a client says to show who it is.
@@ -77,7 +77,7 @@
         let username = must("username")?;
         let (realm, nonce) = (must("realm")?, must("nonce")?);
         let algorithm =
-            Algorithm::of(get("algorithm").map(AsRef::as_ref)).ok_or(CredentialsError::Algorithm)?;
+            Algorithm::from_token(get("algorithm").map(AsRef::as_ref)).ok_or(CredentialsError::Algorithm)?;
         let empty = || Cow::Borrowed("");
         if nonce.is_empty() {
             let nc = (empty(), 0);
@@ -90,7 +90,7 @@
         let nc = must("nc")?;
         let count = u32::from_str_radix(&nc, 16).ok();
         let count = count.filter(|_| nc.len() == 8 && nc.bytes().all(|b| b.is_ascii_hexdigit()));
-        let nc = (nc, count.ok_or(CredentialsError::Count)?);
+        let nc = (nc, count.ok_or(CredentialsError::NonceCount)?);
         let (uri, response, cnonce) = (must("uri")?, must("response")?, must("cnonce")?);
         if cnonce.is_empty() {
             return Err(CredentialsError::Missing("cnonce"));
@@ -154,7 +154,7 @@
             return Err(CredentialsError::TooLarge);
         }
         if out.iter().any(|(n, _)| n.eq_ignore_ascii_case(name)) {
-            return Err(CredentialsError::Twice);
+            return Err(CredentialsError::Duplicate);
         }
         out.push((name, value));
         rest = match next.trim_start() {
--- a/crates/fawnrouter-digest/src/hash.rs
+++ b/crates/fawnrouter-digest/src/hash.rs
@@ -26,7 +26,7 @@
 
     /// Reads it; a field without one means MD5 (RFC 7616 §3.3).
     #[must_use]
-    pub fn of(text: Option<&str>) -> Option<Self> {
+    pub fn from_token(text: Option<&str>) -> Option<Self> {
         match text {
             None => Some(Self::Md5),
             Some(t) if t.eq_ignore_ascii_case("SHA-256") => Some(Self::Sha256),
@@ -46,7 +46,7 @@
 
     /// Hex digits of one of its hashes.
     #[must_use]
-    pub const fn digits(self) -> usize {
+    pub const fn hex_length(self) -> usize {
         match self {
             Self::Sha256 => 64,
             Self::Md5 => 32,
@@ -64,7 +64,7 @@
 
 /// A text that is no hash of its algorithm.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a hash of {} has {} hex digits", .0.text(), .0.digits())]
+#[error("a hash of {} has {} hex digits", .0.text(), .0.hex_length())]
 pub struct HashError(pub Algorithm);
 
 /// H(A1): the hash of name, realm and password. It is as good as the password within its realm, so that it never
@@ -78,13 +78,13 @@
     /// # Errors
     /// Where it is no hash of that algorithm.
     pub fn parse(algorithm: Algorithm, text: &str) -> Result<Self, HashError> {
-        let sound = text.len() == algorithm.digits() && text.bytes().all(|b| b.is_ascii_hexdigit());
+        let sound = text.len() == algorithm.hex_length() && text.bytes().all(|b| b.is_ascii_hexdigit());
         if sound { Ok(Self(text.to_ascii_lowercase())) } else { Err(HashError(algorithm)) }
     }
 
     /// The hex digits, to be written into the file of clients.
     #[must_use]
-    pub fn digits(&self) -> &str {
+    pub fn as_hex(&self) -> &str {
         &self.0
     }
 }
@@ -109,7 +109,7 @@
 
 /// The client's answer to a challenge with qop "auth" (§3.4.1).
 #[must_use]
-pub fn answer(
+pub fn client_response(
     algorithm: Algorithm,
     ha1: &Ha1,
     (method, uri): (&str, &str),
@@ -122,7 +122,7 @@
 
 /// The server's proof that it knows the secret too: `rspauth` (§3.5).
 #[must_use]
-pub fn proof_of_server(
+pub fn server_response(
     algorithm: Algorithm,
     ha1: &Ha1,
     uri: &str,
@@ -148,9 +148,9 @@
         ];
         for (algorithm, wanted) in rows {
             let ha1 = ha1(algorithm, "Mufasa", "http-auth@example.org", "Circle of Life");
-            let got = answer(algorithm, &ha1, ("GET", "/dir/index.html"), nonce, "00000001", cnonce);
+            let got = client_response(algorithm, &ha1, ("GET", "/dir/index.html"), nonce, "00000001", cnonce);
             assert_eq!(got, wanted, "{algorithm:?}");
-            assert_eq!(Ha1::parse(algorithm, &ha1.digits().to_uppercase()), Ok(ha1.clone()));
+            assert_eq!(Ha1::parse(algorithm, &ha1.as_hex().to_uppercase()), Ok(ha1.clone()));
             assert_eq!(format!("{ha1:?}"), "Ha1(hidden)");
         }
         assert_eq!(Ha1::parse(Algorithm::Sha256, "12ab"), Err(HashError(Algorithm::Sha256)));
--- a/crates/fawnrouter-digest/src/lib.rs
+++ b/crates/fawnrouter-digest/src/lib.rs
@@ -15,6 +15,8 @@
 mod nonce;
 
 pub use credentials::{Credentials, CredentialsError};
-pub use guard::{Checked, Guard, GuardSettings, Proof, Request, Secret, Why};
-pub use hash::{Algorithm, Ha1, HashError, answer, ha1, proof_of_server};
-pub use nonce::{NonceError, Nonces};
+pub use guard::{
+    AuthOutcome, AuthState, Authenticator, AuthenticatorSettings, ChallengeReason, Request, Secret,
+};
+pub use hash::{Algorithm, Ha1, HashError, client_response, ha1, server_response};
+pub use nonce::{NonceError, NonceIssuer};
--- a/crates/fawnrouter-digest/src/nonce.rs
+++ b/crates/fawnrouter-digest/src/nonce.rs
@@ -14,10 +14,10 @@
 pub enum NonceError {
     /// Not one of ours, or of another connection, or of a time to come.
     #[error("the nonce is not ours")]
-    Foreign,
+    Invalid,
     /// Ours, and too old.
     #[error("the nonce is too old")]
-    Old,
+    Expired,
 }
 
 /// Bytes of the keyed hash that go into a nonce.
@@ -25,18 +25,18 @@
 
 /// Makes nonces and knows them again.
 #[derive(Clone)]
-pub struct Nonces {
+pub struct NonceIssuer {
     key: [u8; 32],
     life: Duration,
 }
 
-impl std::fmt::Debug for Nonces {
+impl std::fmt::Debug for NonceIssuer {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Nonces").field("life", &self.life).finish_non_exhaustive()
+        f.debug_struct("NonceIssuer").field("life", &self.life).finish_non_exhaustive()
     }
 }
 
-impl Nonces {
+impl NonceIssuer {
     /// Nonces under this key, which is to be secret and fresh at each start.
     #[must_use]
     pub const fn new(key: [u8; 32], life: Duration) -> Self {
@@ -45,7 +45,7 @@
 
     /// How long a nonce is good for.
     #[must_use]
-    pub const fn life(&self) -> Duration {
+    pub const fn lifetime(&self) -> Duration {
         self.life
     }
 
@@ -62,7 +62,7 @@
 
     /// A nonce for a connection.
     #[must_use]
-    pub fn make(&self, now: Duration, connection: u64) -> String {
+    pub fn issue(&self, now: Duration, connection: u64) -> String {
         let at_ms = u64::try_from(now.as_millis()).unwrap_or(u64::MAX);
         let mut bytes = at_ms.to_be_bytes().to_vec();
         bytes.extend(self.mac(at_ms, connection));
@@ -76,18 +76,18 @@
     pub fn check(&self, now: Duration, connection: u64, nonce: &str) -> Result<u64, NonceError> {
         // A text of another length is not worth decoding.
         if nonce.len() != (8 + MAC_BYTES).div_ceil(3) * 4 {
-            return Err(NonceError::Foreign);
+            return Err(NonceError::Invalid);
         }
-        let bytes = URL_SAFE_NO_PAD.decode(nonce).map_err(|_| NonceError::Foreign)?;
-        let (time, mac) = bytes.split_at_checked(8).ok_or(NonceError::Foreign)?;
-        let at_ms = u64::from_be_bytes(time.try_into().map_err(|_| NonceError::Foreign)?);
+        let bytes = URL_SAFE_NO_PAD.decode(nonce).map_err(|_| NonceError::Invalid)?;
+        let (time, mac) = bytes.split_at_checked(8).ok_or(NonceError::Invalid)?;
+        let at_ms = u64::from_be_bytes(time.try_into().map_err(|_| NonceError::Invalid)?);
         let same = subtle::ConstantTimeEq::ct_eq(mac, &self.mac(at_ms, connection)[..]);
         let now_ms = u64::try_from(now.as_millis()).unwrap_or(u64::MAX);
         if !bool::from(same) || at_ms > now_ms {
-            return Err(NonceError::Foreign);
+            return Err(NonceError::Invalid);
         }
         let life = u64::try_from(self.life.as_millis()).unwrap_or(u64::MAX);
-        if now_ms - at_ms > life { Err(NonceError::Old) } else { Ok(at_ms) }
+        if now_ms - at_ms > life { Err(NonceError::Expired) } else { Ok(at_ms) }
     }
 }
 
@@ -98,20 +98,20 @@
     #[test]
     fn a_nonce_is_good_for_its_time_on_its_connection_under_its_key() {
         let s = Duration::from_secs;
-        let nonces = Nonces::new([7; 32], s(300));
-        let nonce = nonces.make(s(1000), 5);
+        let nonces = NonceIssuer::new([7; 32], s(300));
+        let nonce = nonces.issue(s(1000), 5);
         assert_eq!(nonces.check(s(1000), 5, &nonce), Ok(1_000_000));
         assert_eq!(nonces.check(s(1300), 5, &nonce), Ok(1_000_000));
-        assert_eq!(nonces.check(s(1301), 5, &nonce), Err(NonceError::Old));
-        assert_eq!(nonces.check(s(1000), 6, &nonce), Err(NonceError::Foreign));
-        assert_eq!(nonces.check(s(999), 5, &nonce), Err(NonceError::Foreign), "of a time to come");
-        assert_eq!(Nonces::new([8; 32], s(300)).check(s(1000), 5, &nonce), Err(NonceError::Foreign));
+        assert_eq!(nonces.check(s(1301), 5, &nonce), Err(NonceError::Expired));
+        assert_eq!(nonces.check(s(1000), 6, &nonce), Err(NonceError::Invalid));
+        assert_eq!(nonces.check(s(999), 5, &nonce), Err(NonceError::Invalid), "of a time to come");
+        assert_eq!(NonceIssuer::new([8; 32], s(300)).check(s(1000), 5, &nonce), Err(NonceError::Invalid));
         for at in 0..nonce.len() {
             let mut bytes = nonce.clone().into_bytes();
             bytes[at] = if bytes[at] == b'A' { b'B' } else { b'A' };
             let forged = String::from_utf8(bytes).expect("ASCII");
             assert!(nonces.check(s(1000), 5, &forged).is_err(), "{at}");
         }
-        assert_eq!(nonces.check(s(1000), 5, ""), Err(NonceError::Foreign));
+        assert_eq!(nonces.check(s(1000), 5, ""), Err(NonceError::Invalid));
     }
 }
--- a/crates/fawnrouter-digest/tests/clients.rs
+++ b/crates/fawnrouter-digest/tests/clients.rs
@@ -21,9 +21,10 @@
     (name.into(), Secret { sha256: hash(Algorithm::Sha256), md5 })
 }
 
-fn guard(md5: bool) -> Guard {
-    let settings = GuardSettings { realm: REALM.into(), md5, nonce_life: s(300), attempts: 3 };
-    let mut guard = Guard::new(settings, [9; 32]);
+fn guard(md5: bool) -> Authenticator {
+    let settings =
+        AuthenticatorSettings { realm: REALM.into(), md5, nonce_lifetime: s(300), max_failures: 3 };
+    let mut guard = Authenticator::new(settings, [9; 32]);
     let secrets = [secret("branch", "tellers", false), secret("old \"desk\"", "x", true)];
     assert!(guard.set_secrets(BTreeMap::from(secrets)).is_empty());
     guard
@@ -40,18 +41,18 @@
     password: &'static str,
     algorithm: Algorithm,
     connection: u64,
-    proof: Proof,
+    proof: AuthState,
 }
 
 impl Client {
     fn new(name: &'static str, password: &'static str) -> Self {
-        Self { name, password, algorithm: Algorithm::Sha256, connection: 1, proof: Proof::default() }
+        Self { name, password, algorithm: Algorithm::Sha256, connection: 1, proof: AuthState::default() }
     }
 
     fn credentials<'a>(&self, nonce: &'a str, nc: u32) -> Credentials<'a> {
         let nc_text = format!("{nc:08x}");
         let ha1 = ha1(self.algorithm, self.name, REALM, self.password);
-        let response = answer(self.algorithm, &ha1, ("OPTIONS", URI), nonce, &nc_text, "c0");
+        let response = client_response(self.algorithm, &ha1, ("OPTIONS", URI), nonce, &nc_text, "c0");
         Credentials {
             username: self.name.into(),
             realm: REALM.into(),
@@ -64,32 +65,32 @@
         }
     }
 
-    fn say(&mut self, guard: &Guard, now: Duration, field: &str) -> Checked {
+    fn say(&mut self, guard: &Authenticator, now: Duration, field: &str) -> AuthOutcome {
         let request = Request { method: "OPTIONS", uri: URI };
         guard.check(now, self.connection, &mut self.proof, request, [field].into_iter())
     }
 
-    fn nonce(&self, guard: &Guard, now: Duration) -> String {
+    fn nonce(&self, guard: &Authenticator, now: Duration) -> String {
         let challenge = guard.challenge(now, self.connection, false);
         quoted(&challenge[0], "nonce").to_owned()
     }
 
-    fn prove(&mut self, guard: &Guard, now: Duration, nonce: &str, nc: u32) -> Checked {
+    fn prove(&mut self, guard: &Authenticator, now: Duration, nonce: &str, nc: u32) -> AuthOutcome {
         let field = self.credentials(nonce, nc).write();
         self.say(guard, now, &field)
     }
 }
 
-fn known(checked: &Checked) -> Option<&str> {
+fn known(checked: &AuthOutcome) -> Option<&str> {
     match checked {
-        Checked::Known { client, .. } => Some(client),
+        AuthOutcome::Known { client, .. } => Some(client),
         _ => None,
     }
 }
 
-fn why(checked: &Checked) -> Option<Why> {
+fn why(checked: &AuthOutcome) -> Option<ChallengeReason> {
     match checked {
-        Checked::Ask { why, .. } => Some(*why),
+        AuthOutcome::Challenge { reason, .. } => Some(*reason),
         _ => None,
     }
 }
@@ -100,20 +101,20 @@
     let mut client = Client::new("branch", "tellers");
     let empty =
         format!("Digest username=\"branch\", realm=\"{REALM}\", nonce=\"\", uri=\"{URI}\", response=\"\"");
-    assert_eq!(why(&client.say(&guard, s(10), &empty)), Some(Why::Nothing));
+    assert_eq!(why(&client.say(&guard, s(10), &empty)), Some(ChallengeReason::NoCredentials));
     let nonce = client.nonce(&guard, s(10));
     let checked = client.prove(&guard, s(11), &nonce, 1);
-    let Checked::Known { client: name, info } = checked else { panic!("{checked:?}") };
+    let AuthOutcome::Known { client: name, info } = checked else { panic!("{checked:?}") };
     assert_eq!(&*name, "branch");
     let ha1 = ha1(Algorithm::Sha256, "branch", REALM, "tellers");
     assert_eq!(
         quoted(&info, "rspauth"),
-        proof_of_server(Algorithm::Sha256, &ha1, URI, &nonce, "00000001", "c0")
+        server_response(Algorithm::Sha256, &ha1, URI, &nonce, "00000001", "c0")
     );
     assert!(!info.contains("nextnonce"));
     // Past half of its life the nonce is replaced ahead of time.
     let later = client.prove(&guard, s(200), &nonce, 2);
-    assert!(matches!(&later, Checked::Known { info, .. } if info.contains("nextnonce=")), "{later:?}");
+    assert!(matches!(&later, AuthOutcome::Known { info, .. } if info.contains("nextnonce=")), "{later:?}");
 }
 
 #[test]
@@ -122,21 +123,21 @@
     let mut client = Client::new("branch", "tellers");
     let nonce = client.nonce(&guard, s(10));
     assert_eq!(known(&client.prove(&guard, s(10), &nonce, 3)), Some("branch"));
-    assert_eq!(why(&client.prove(&guard, s(10), &nonce, 3)), Some(Why::Replay));
-    assert_eq!(why(&client.prove(&guard, s(10), &nonce, 2)), Some(Why::Replay));
+    assert_eq!(why(&client.prove(&guard, s(10), &nonce, 3)), Some(ChallengeReason::Replay));
+    assert_eq!(why(&client.prove(&guard, s(10), &nonce, 2)), Some(ChallengeReason::Replay));
     assert_eq!(known(&client.prove(&guard, s(10), &nonce, 4)), Some("branch"));
     let old = client.prove(&guard, s(400), &nonce, 5);
-    assert_eq!(old, Checked::Ask { stale: true, why: Why::Stale });
+    assert_eq!(old, AuthOutcome::Challenge { stale: true, reason: ChallengeReason::Stale });
     let fresh = client.nonce(&guard, s(400));
     assert_eq!(known(&client.prove(&guard, s(400), &fresh, 1)), Some("branch"));
     // An earlier nonce of the same connection, still within its life, is a replay after a later one was used.
     let (first, second) = (client.nonce(&guard, s(401)), client.nonce(&guard, s(402)));
     assert_eq!(known(&client.prove(&guard, s(402), &second, 1)), Some("branch"));
-    assert_eq!(why(&client.prove(&guard, s(402), &first, 9)), Some(Why::Replay));
+    assert_eq!(why(&client.prove(&guard, s(402), &first, 9)), Some(ChallengeReason::Replay));
     // Whoever records it and plays it on another connection gets a challenge.
     let mut thief = Client::new("branch", "tellers");
     thief.connection = 2;
-    assert_eq!(why(&thief.prove(&guard, s(402), &second, 2)), Some(Why::Stale));
+    assert_eq!(why(&thief.prove(&guard, s(402), &second, 2)), Some(ChallengeReason::Stale));
 }
 
 #[test]
@@ -145,11 +146,11 @@
     for (name, password) in [("branch", "guess"), ("nobody", "tellers")] {
         let mut client = Client::new(name, password);
         let nonce = client.nonce(&guard, s(10));
-        assert_eq!(why(&client.prove(&guard, s(10), &nonce, 1)), Some(Why::Wrong));
-        assert_eq!(why(&client.prove(&guard, s(10), &nonce, 2)), Some(Why::Wrong));
-        assert_eq!(client.prove(&guard, s(10), &nonce, 3), Checked::Refuse);
+        assert_eq!(why(&client.prove(&guard, s(10), &nonce, 1)), Some(ChallengeReason::WrongCredentials));
+        assert_eq!(why(&client.prove(&guard, s(10), &nonce, 2)), Some(ChallengeReason::WrongCredentials));
+        assert_eq!(client.prove(&guard, s(10), &nonce, 3), AuthOutcome::Refuse);
         client.password = "tellers";
-        assert_eq!(client.prove(&guard, s(10), &nonce, 4), Checked::Refuse, "even with the right one");
+        assert_eq!(client.prove(&guard, s(10), &nonce, 4), AuthOutcome::Refuse, "even with the right one");
     }
 }
 
@@ -160,10 +161,14 @@
     assert!(lax.challenge(s(1), 1, false)[0].contains("SHA-256"), "the best comes first");
     let mut old = Client { algorithm: Algorithm::Md5, ..Client::new("old \"desk\"", "x") };
     let nonce = old.nonce(&strict, s(1));
-    assert_eq!(why(&old.prove(&strict, s(1), &nonce, 1)), Some(Why::Weak));
+    assert_eq!(why(&old.prove(&strict, s(1), &nonce, 1)), Some(ChallengeReason::WeakAlgorithm));
     assert_eq!(known(&old.prove(&lax, s(1), &nonce, 1)), Some("old \"desk\""));
     let mut branch = Client { algorithm: Algorithm::Md5, ..Client::new("branch", "tellers") };
-    assert_eq!(why(&branch.prove(&lax, s(1), &nonce, 1)), Some(Why::Wrong), "it has no hash by MD5");
+    assert_eq!(
+        why(&branch.prove(&lax, s(1), &nonce, 1)),
+        Some(ChallengeReason::WrongCredentials),
+        "it has no hash by MD5"
+    );
 }
 
 #[test]
@@ -173,10 +178,10 @@
     let nonce = client.nonce(&guard, s(1));
     let sound = client.credentials(&nonce, 1);
     let other = Credentials { uri: Cow::Borrowed("sip:elsewhere"), ..sound.clone() };
-    assert_eq!(why(&client.say(&guard, s(1), &other.write())), Some(Why::Unsound));
+    assert_eq!(why(&client.say(&guard, s(1), &other.write())), Some(ChallengeReason::Unusable));
     let other = Credentials { realm: Cow::Borrowed("elsewhere"), ..sound.clone() };
-    assert_eq!(why(&client.say(&guard, s(1), &other.write())), Some(Why::Nothing));
-    assert_eq!(why(&client.say(&guard, s(1), "Basic YTpi")), Some(Why::Nothing));
+    assert_eq!(why(&client.say(&guard, s(1), &other.write())), Some(ChallengeReason::NoCredentials));
+    assert_eq!(why(&client.say(&guard, s(1), "Basic YTpi")), Some(ChallengeReason::NoCredentials));
     assert_eq!(known(&client.say(&guard, s(1), &sound.write())), Some("branch"));
     let request = Request { method: "OPTIONS", uri: URI };
     let fields = ["Basic YTpi".to_owned(), client.credentials(&nonce, 2).write()];
@@ -192,7 +197,7 @@
     let secrets = [secret("branch", "new", false), secret("fresh", "y", false)];
     let gone = guard.set_secrets(BTreeMap::from(secrets.clone()));
     assert_eq!(gone.iter().map(|n| &**n).collect::<Vec<_>>(), ["branch", "old \"desk\""]);
-    assert_eq!(why(&client.prove(&guard, s(1), &nonce, 1)), Some(Why::Wrong));
+    assert_eq!(why(&client.prove(&guard, s(1), &nonce, 1)), Some(ChallengeReason::WrongCredentials));
     assert!(guard.set_secrets(BTreeMap::from(secrets)).is_empty());
 }
 
@@ -203,11 +208,14 @@
         ("Digest username=\"a\", realm=\"b\"", CredentialsError::Missing("nonce")),
         ("Digest username=\"a, realm=\"b\", nonce=\"\"", CredentialsError::Syntax),
         ("Digest username=\"a\" realm=\"b\"", CredentialsError::Syntax),
-        ("Digest username=\"a\", username=\"b\", realm=\"\", nonce=\"\"", CredentialsError::Twice),
+        ("Digest username=\"a\", username=\"b\", realm=\"\", nonce=\"\"", CredentialsError::Duplicate),
         ("Digest username=\"a\", realm=\"\", nonce=\"n\", algorithm=SHA-1", CredentialsError::Algorithm),
         ("Digest username=\"a\", realm=\"\", nonce=\"n\", qop=auth-int", CredentialsError::Qop),
-        ("Digest username=\"a\", realm=\"\", nonce=\"n\", qop=auth, nc=+0000001", CredentialsError::Count),
-        ("Digest username=\"a\", realm=\"\", nonce=\"n\", qop=auth, nc=1", CredentialsError::Count),
+        (
+            "Digest username=\"a\", realm=\"\", nonce=\"n\", qop=auth, nc=+0000001",
+            CredentialsError::NonceCount,
+        ),
+        ("Digest username=\"a\", realm=\"\", nonce=\"n\", qop=auth, nc=1", CredentialsError::NonceCount),
         ("Bearer x", CredentialsError::Scheme),
     ];
     for (text, wanted) in rows {
--- a/crates/fawnrouter-engine/src/gate.rs
+++ b/crates/fawnrouter-engine/src/gate.rs
@@ -2,20 +2,20 @@
 //! made elsewhere (`fawnrouter_digest`, `fawnrouter_admission`); `identify` and `set_up_admission` bring them about.
 
 use fawnrouter_admission::{SetUpAdmission, SetUpSettings};
-use fawnrouter_digest::Guard;
+use fawnrouter_digest::Authenticator;
 
 use crate::identity::{AuthSettings, Strangers};
 
 /// The decisions that stand before the controller; each may be off.
 #[derive(Debug)]
 pub(crate) struct Gate {
-    pub guard: Option<(Guard, Strangers)>,
+    pub guard: Option<(Authenticator, Strangers)>,
     pub set_ups: Option<SetUpAdmission>,
 }
 
 impl Gate {
     pub fn new(auth: Option<AuthSettings>, set_ups: Option<SetUpSettings>) -> Self {
-        let guard = auth.map(|a| (Guard::new(a.guard, a.key), a.strangers));
+        let guard = auth.map(|a| (Authenticator::new(a.guard, a.key), a.strangers));
         Self { guard, set_ups: set_ups.map(SetUpAdmission::new) }
     }
 }
--- a/crates/fawnrouter-engine/src/identify.rs
+++ b/crates/fawnrouter-engine/src/identify.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use fawnrouter_digest::{Checked, Request};
+use fawnrouter_digest::{AuthOutcome, Request};
 use fawnrouter_sip::{Message, Method, Name};
 
 use crate::engine::Engine;
@@ -61,7 +61,7 @@
         let asked = Request { method: request.method_text(), uri };
         let checked = guard.check(now, client.0, &mut identity.proof, asked, fields);
         match checked {
-            Checked::Known { client: name, info } => {
+            AuthOutcome::Known { client: name, info } => {
                 // A connection is one client's. It guards against a client that lends its connection to another and
                 // so goes past the other's limits.
                 if identity.known.as_ref().is_some_and(|known| *known != name) {
@@ -76,14 +76,14 @@
                 }
                 Passage::Go(Some(info))
             }
-            Checked::Ask { stale, .. } => {
+            AuthOutcome::Challenge { stale, .. } => {
                 self.counters.challenged += 1;
                 let challenge = guard.challenge(now, client.0, stale);
                 let extra: Vec<_> = challenge.iter().map(|c| (Name::WwwAuthenticate, c.as_str())).collect();
                 self.respond(client, request, 401, None, &extra);
                 Passage::Answered
             }
-            Checked::Refuse => {
+            AuthOutcome::Refuse => {
                 self.counters.impostors += 1;
                 self.respond(client, request, 403, None, &[]);
                 self.out.push(Output::CloseClient { client, reason: "too many wrong answers" });
--- a/crates/fawnrouter-engine/src/identity.rs
+++ b/crates/fawnrouter-engine/src/identity.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use fawnrouter_admission::{ClientIdentity, ClientLimits};
-use fawnrouter_digest::{GuardSettings, Proof, Secret};
+use fawnrouter_digest::{AuthState, AuthenticatorSettings, Secret};
 
 /// What clients may do that have not shown who they are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AuthSettings {
     /// Realm, algorithms, nonces.
-    pub guard: GuardSettings,
+    pub guard: AuthenticatorSettings,
     /// Secret, and fresh at each start: keys the nonces.
     pub key: [u8; 32],
     /// Who need not.
@@ -45,12 +45,12 @@
     pub known: Option<Arc<str>>,
     /// It gets nothing before it has shown who it is.
     pub must_prove: bool,
-    pub proof: Proof,
+    pub proof: AuthState,
 }
 
 impl Identity {
     pub fn new(origin: IpAddr, must_prove: bool) -> Self {
-        Self { origin, known: None, must_prove, proof: Proof::default() }
+        Self { origin, known: None, must_prove, proof: AuthState::default() }
     }
 
     pub(crate) fn who(&self) -> ClientIdentity {
--- a/crates/fawnrouter-engine/tests/gate.rs
+++ b/crates/fawnrouter-engine/tests/gate.rs
@@ -6,7 +6,9 @@
 
 use common::*;
 use fawnrouter_engine::admission::{ClientLimits, Rate, SetUpSettings};
-use fawnrouter_engine::digest::{Algorithm, Credentials, GuardSettings, Secret, answer, ha1};
+use fawnrouter_engine::digest::{
+    Algorithm, AuthenticatorSettings, Credentials, Secret, client_response, ha1,
+};
 use fawnrouter_engine::fawnrouter::{Action, CallId, Event, ListKind, ServerId, Time};
 use fawnrouter_engine::sip::{Draft, Message, Method, Name, Start};
 use fawnrouter_engine::{
@@ -25,7 +27,12 @@
 }
 
 fn guarded(strangers: Strangers) -> EngineSettings {
-    let guard = GuardSettings { realm: REALM.into(), md5: false, nonce_life: ms(60_000), attempts: 3 };
+    let guard = AuthenticatorSettings {
+        realm: REALM.into(),
+        md5: false,
+        nonce_lifetime: ms(60_000),
+        max_failures: 3,
+    };
     EngineSettings { auth: Some(AuthSettings { guard, key: [3; 32], strangers }), ..settings() }
 }
 
@@ -68,7 +75,7 @@
 fn with_credentials(request: &Message, name: &str, password: &str, nonce: &str, nc: u32) -> Message {
     let Start::Request { name: method, uri, .. } = request.start() else { panic!("a request") };
     let (nc_text, hash) = (format!("{nc:08x}"), ha1(Algorithm::Sha256, name, REALM, password));
-    let response = answer(Algorithm::Sha256, &hash, (method, uri), nonce, &nc_text, "c");
+    let response = client_response(Algorithm::Sha256, &hash, (method, uri), nonce, &nc_text, "c");
     let credentials = Credentials {
         username: name.into(),
         realm: REALM.into(),
--- a/crates/fawnrouter-lab/src/callers.rs
+++ b/crates/fawnrouter-lab/src/callers.rs
@@ -13,7 +13,7 @@
 use fawnrouter_sip::{Dialog, Draft, Limits, Message, Method, Name};
 use fawnrouter_ws::{ClientHandshake, Decoder, Event, HttpLimits, Opcode, Role, encode};
 use fawnrouterd::Outbox;
-use fawnrouterd::engine::digest::{Algorithm, Credentials, answer, ha1};
+use fawnrouterd::engine::digest::{Algorithm, Credentials, client_response, ha1};
 use futures_lite::{AsyncWriteExt, future};
 use rand::rngs::StdRng;
 use rand::{Rng, RngCore, SeedableRng};
@@ -186,7 +186,7 @@
                 String::new()
             } else {
                 let hash = ha1(Algorithm::Sha256, name, REALM, password);
-                answer(Algorithm::Sha256, &hash, ("OPTIONS", URI), &nonce, "00000001", "lab")
+                client_response(Algorithm::Sha256, &hash, ("OPTIONS", URI), &nonce, "00000001", "lab")
             };
             let credentials = Credentials {
                 username: name.into(),
--- a/crates/fawnrouter-lab/src/fleet.rs
+++ b/crates/fawnrouter-lab/src/fleet.rs
@@ -207,7 +207,7 @@
 pub fn write_clients(folder: &Path, count: u32) -> io::Result<()> {
     let line = |n| {
         let (name, password) = client(n);
-        let sha256 = ha1(Algorithm::Sha256, &name, REALM, &password).digits().to_owned();
+        let sha256 = ha1(Algorithm::Sha256, &name, REALM, &password).as_hex().to_owned();
         serde_json::json!({ "name": name, "sha256": sha256 })
     };
     let lines: Vec<_> = (0..count).map(line).collect();
--- a/crates/fawnrouter-lab/tests/admission.rs
+++ b/crates/fawnrouter-lab/tests/admission.rs
@@ -10,7 +10,7 @@
 use fawnrouter_sip::{Draft, Method, Name};
 use fawnrouter_ws::{ClientHandshake, CloseCode, Opcode, encode};
 use fawnrouterd::control::{Command, Reply, Shown, ask};
-use fawnrouterd::engine::digest::{Algorithm, Credentials, answer, ha1};
+use fawnrouterd::engine::digest::{Algorithm, Credentials, client_response, ha1};
 use rustix::process::{Pid, Resource, Rlimit, getrlimit, prlimit};
 
 const REALM: &str = "calls.example";
@@ -70,7 +70,7 @@
 
 /// A known client's line.
 fn line(name: &str, password: &str, more: &str) -> String {
-    let sha256 = ha1(Algorithm::Sha256, name, REALM, password).digits().to_owned();
+    let sha256 = ha1(Algorithm::Sha256, name, REALM, password).as_hex().to_owned();
     format!("  - {{ name: {name}, sha256: '{sha256}'{more} }}\n")
 }
 
@@ -103,7 +103,8 @@
     let mut nonce = String::new();
     for attempt in 1..=2 {
         let hash = ha1(Algorithm::Sha256, name, REALM, password);
-        let response = answer(Algorithm::Sha256, &hash, (method.name(), &uri), &nonce, "00000001", "c");
+        let response =
+            client_response(Algorithm::Sha256, &hash, (method.name(), &uri), &nonce, "00000001", "c");
         let credentials = Credentials {
             username: name.into(),
             realm: REALM.into(),
--- a/crates/fawnrouterd/src/cli.rs
+++ b/crates/fawnrouterd/src/cli.rs
@@ -300,7 +300,7 @@
     if password.is_empty() {
         return wrong(&"the password is empty; give it as one line on standard input");
     }
-    let hash = |algorithm| ha1(algorithm, name, realm, password).digits().to_owned();
+    let hash = |algorithm| ha1(algorithm, name, realm, password).as_hex().to_owned();
     let mut line = serde_json::json!({ "name": name, "sha256": hash(Algorithm::Sha256) });
     if md5 {
         line["md5"] = hash(Algorithm::Md5).into();
