--- a/crates/fawnrouter-lease/src/countdown.rs
+++ b/crates/fawnrouter-lease/src/countdown.rs
@@ -4,7 +4,7 @@
 
 use fawnrouter::Time;
 
-use crate::{Command, LeaseName, Stamp, Table};
+use crate::{Command, LeaseName, LeaseTable, Stamp};
 
 /// Counts the terms of the held leases by the clock of one voter, while it leads. Any voter could count safely, as each
 /// applies a grant after its request was sent; one is enough.
@@ -13,15 +13,15 @@
 /// other, so each counts every term whole, from when it itself began to lead or saw the last renewal, whichever is later.
 /// Costs up to one term more after a change of leader.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Countdown {
+pub struct ExpiryTimer {
     since: BTreeMap<LeaseName, (Stamp, Time)>,
     quiet: Option<(Stamp, Time)>,
     leads: bool,
 }
 
-impl Countdown {
+impl ExpiryTimer {
     /// Sees the table as it stands now; `leads` tells whether this voter leads. To be called after each change of either.
-    pub fn observe(&mut self, now: Time, leads: bool, table: &Table) {
+    pub fn observe(&mut self, now: Time, leads: bool, table: &LeaseTable) {
         if !leads || !self.leads {
             self.since.clear();
             self.quiet = None;
@@ -32,7 +32,7 @@
         }
         self.since.retain(|lease, (stamp, _)| table.get(lease).is_some_and(|entry| entry.stamp == *stamp));
         self.quiet = table
-            .quiet()
+            .quiet_period()
             .map(|(stamp, _)| self.quiet.filter(|(seen, _)| *seen == stamp).unwrap_or((stamp, now)));
         for (lease, entry) in table.iter() {
             if !self.since.contains_key(lease) {
@@ -44,24 +44,26 @@
     /// The expiries to propose now. Each is returned anew until the table has taken one, as a proposal may be lost with
     /// the leader's log; the caller paces itself.
     #[must_use]
-    pub fn due(&self, now: Time, table: &Table) -> Vec<Command> {
+    pub fn due(&self, now: Time, table: &LeaseTable) -> Vec<Command> {
         let past =
             |lease: &LeaseName, since: Time| table.get(lease).is_some_and(|e| now >= since.plus(e.term));
         let due = self.since.iter().filter(|(lease, (_, since))| past(lease, *since));
         let expiries = due.map(|(lease, (stamp, _))| Command::Expire { lease: lease.clone(), stamp: *stamp });
-        let settled =
-            self.settles(table).filter(|(_, at)| now >= *at).map(|(stamp, _)| Command::Settle { stamp });
+        let settled = self
+            .settles(table)
+            .filter(|(_, at)| now >= *at)
+            .map(|(stamp, _)| Command::EndQuietPeriod { stamp });
         settled.into_iter().chain(expiries).collect()
     }
 
-    fn settles(&self, table: &Table) -> Option<(Stamp, Time)> {
+    fn settles(&self, table: &LeaseTable) -> Option<(Stamp, Time)> {
         let (stamp, since) = self.quiet?;
-        table.quiet().filter(|(of, _)| *of == stamp).map(|(_, quiet)| (stamp, since.plus(quiet)))
+        table.quiet_period().filter(|(of, _)| *of == stamp).map(|(_, quiet)| (stamp, since.plus(quiet)))
     }
 
     /// When the first term ends.
     #[must_use]
-    pub fn next(&self, table: &Table) -> Option<Time> {
+    pub fn next_expiry(&self, table: &LeaseTable) -> Option<Time> {
         let ends =
             |(lease, (_, since)): (&LeaseName, &(Stamp, Time))| table.get(lease).map(|e| since.plus(e.term));
         self.since.iter().filter_map(ends).chain(self.settles(table).map(|(_, at)| at)).min()
--- a/crates/fawnrouter-lease/src/holder.rs
+++ b/crates/fawnrouter-lease/src/holder.rs
@@ -5,7 +5,7 @@
 
 use fawnrouter::Time;
 
-use crate::{LeaseName, Member, Number, Refusal, Reply};
+use crate::{FencingNumber, LeaseName, Member, Refusal, Reply};
 
 /// How a gateway holds its leases.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -29,26 +29,26 @@
 
 /// Something to ask of the voters. Answers name the request: when it was sent is what counts.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum LeaseRequest {
     /// To have the lease, or to go on having it.
-    Take {
+    Acquire {
         /// For how long.
         term: Duration,
     },
     /// To go on under this number.
     Renew {
         /// The number.
-        number: Number,
+        number: FencingNumber,
     },
     /// To give it back.
     Release {
         /// The number.
-        number: Number,
+        number: FencingNumber,
     },
     /// To give it to another.
-    HandOn {
+    Transfer {
         /// The number.
-        number: Number,
+        number: FencingNumber,
         /// The other.
         to: Member,
     },
@@ -58,24 +58,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permit {
     /// What each act carries.
-    pub number: Number,
+    pub number: FencingNumber,
     /// When it ends by this gateway's clock.
     pub until: Time,
 }
 
 /// How this gateway stands to a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum LeaseStatus {
     /// It doesn't want it.
     Idle,
     /// It asks for it.
-    Wanting,
+    Acquiring,
     /// It may act.
-    Holding(Permit),
+    Held(Permit),
     /// It held it and cannot tell whether it still does, as no renewal was answered in time. It must not act.
-    Unsure(Number),
+    Uncertain(FencingNumber),
     /// It has stopped acting and tells the voters so.
-    Leaving(Number),
+    Releasing(FencingNumber),
 }
 
 /// Requests of one lease whose sending times are kept; the answer to an older one counts as none. With the longest pause
@@ -92,18 +92,18 @@
     request: u64,
     at: Time,
     /// What it was about; none for one to take a lease.
-    number: Option<Number>,
+    number: Option<FencingNumber>,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Lease {
     wanted: bool,
     /// The number it is held under, as far as known.
-    number: Option<Number>,
+    number: Option<FencingNumber>,
     /// Until when this gateway may act.
     until: Time,
     /// What it is giving back, and to whom.
-    leaving: Option<(Number, Option<Member>)>,
+    leaving: Option<(FencingNumber, Option<Member>)>,
     sent: VecDeque<Sent>,
     ask_at: Option<Time>,
     tries: u32,
@@ -128,13 +128,13 @@
 
     /// Who asks.
     #[must_use]
-    pub fn me(&self) -> Member {
+    pub fn member(&self) -> Member {
         self.me
     }
 
     /// Wants the lease from now on, and asks until it has it. False where it wants as many as a table holds already.
-    pub fn want(&mut self, now: Time, lease: &LeaseName) -> bool {
-        if !self.leases.contains_key(lease) && self.leases.len() >= crate::Table::MOST {
+    pub fn acquire(&mut self, now: Time, lease: &LeaseName) -> bool {
+        if !self.leases.contains_key(lease) && self.leases.len() >= crate::LeaseTable::MAX_LEASES {
             return false;
         }
         let l = self.leases.entry(lease.clone()).or_default();
@@ -148,12 +148,12 @@
     }
 
     /// Does not want the lease any more. The caller has stopped acting: from now on there is no permit.
-    pub fn leave(&mut self, now: Time, lease: &LeaseName) {
+    pub fn release(&mut self, now: Time, lease: &LeaseName) {
         self.part(now, lease, None);
     }
 
-    /// Gives the lease to another gateway, which has it once it has accepted it. As [`Holder::leave`] where it isn't held.
-    pub fn hand_on(&mut self, now: Time, lease: &LeaseName, to: Member) {
+    /// Gives the lease to another gateway, which has it once it has accepted it. As [`Holder::release`] where it isn't held.
+    pub fn transfer(&mut self, now: Time, lease: &LeaseName, to: Member) {
         self.part(now, lease, Some(to));
     }
 
@@ -170,7 +170,7 @@
     }
 
     /// The table shows that the lease is this gateway's, by number: one handed on to it, or one whose grant got lost.
-    pub fn offered(&mut self, now: Time, lease: &LeaseName, number: Number) {
+    pub fn lease_assigned(&mut self, now: Time, lease: &LeaseName, number: FencingNumber) {
         let l = self.leases.entry(lease.clone()).or_default();
         if l.number.is_some() || l.leaving.is_some() {
             return;
@@ -183,7 +183,7 @@
     }
 
     /// The lease is free, as far as is known: asks soon instead of at the next turn.
-    pub fn freed(&mut self, now: Time, lease: &LeaseName) {
+    pub fn lease_freed(&mut self, now: Time, lease: &LeaseName) {
         let pause = self.spread(self.settings.retry.0);
         if let Some(l) =
             self.leases.get_mut(lease).filter(|l| l.wanted && l.number.is_none() && l.leaving.is_none())
@@ -202,14 +202,14 @@
 
     /// How this gateway stands to the lease.
     #[must_use]
-    pub fn standing(&self, now: Time, lease: &LeaseName) -> Standing {
-        let Some(l) = self.leases.get(lease) else { return Standing::Idle };
+    pub fn status(&self, now: Time, lease: &LeaseName) -> LeaseStatus {
+        let Some(l) = self.leases.get(lease) else { return LeaseStatus::Idle };
         match (self.permit(now, lease), l.number, l.leaving) {
-            (Some(permit), _, _) => Standing::Holding(permit),
-            (None, Some(number), _) => Standing::Unsure(number),
-            (None, None, Some((number, _))) => Standing::Leaving(number),
-            (None, None, None) if l.wanted => Standing::Wanting,
-            (None, None, None) => Standing::Idle,
+            (Some(permit), _, _) => LeaseStatus::Held(permit),
+            (None, Some(number), _) => LeaseStatus::Uncertain(number),
+            (None, None, Some((number, _))) => LeaseStatus::Releasing(number),
+            (None, None, None) if l.wanted => LeaseStatus::Acquiring,
+            (None, None, None) => LeaseStatus::Idle,
         }
     }
 
@@ -218,7 +218,7 @@
         self.leases.keys()
     }
 
-    /// When [`Holder::asks`] has something to send.
+    /// When [`Holder::poll_requests`] has something to send.
     #[must_use]
     pub fn next_wake(&self) -> Option<Time> {
         self.leases.values().filter_map(|l| l.ask_at).min()
@@ -226,7 +226,7 @@
 
     /// What is to be sent now, with the numbers of the requests. `now` is taken for the time of sending, so it has to be
     /// read before the bytes go out.
-    pub fn asks(&mut self, now: Time) -> Vec<(u64, LeaseName, Ask)> {
+    pub fn poll_requests(&mut self, now: Time) -> Vec<(u64, LeaseName, LeaseRequest)> {
         let mut asks = Vec::new();
         let (first, most) = self.settings.retry;
         let term = self.settings.term;
@@ -242,10 +242,10 @@
                     l.tries = 0;
                     continue;
                 }
-                (Some((number, Some(to))), _) => Ask::HandOn { number, to },
-                (Some((number, None)), _) => Ask::Release { number },
-                (None, Some(number)) => Ask::Renew { number },
-                (None, None) if l.wanted => Ask::Take { term },
+                (Some((number, Some(to))), _) => LeaseRequest::Transfer { number, to },
+                (Some((number, None)), _) => LeaseRequest::Release { number },
+                (None, Some(number)) => LeaseRequest::Renew { number },
+                (None, None) if l.wanted => LeaseRequest::Acquire { term },
                 (None, None) => {
                     l.ask_at = None;
                     continue;
@@ -267,7 +267,7 @@
 
     /// The voters' answer to a request. An answer to one that isn't known (doubled, or long overtaken) changes nothing:
     /// without the time of its sending nothing can be said about how long it holds.
-    pub fn answer(&mut self, now: Time, lease: &LeaseName, request: u64, reply: &Reply) {
+    pub fn handle_reply(&mut self, now: Time, lease: &LeaseName, request: u64, reply: &Reply) {
         let pause = self.spread(self.settings.retry.1);
         let drift = self.settings.drift;
         let Some(l) = self.leases.get_mut(lease) else { return };
--- a/crates/fawnrouter-lease/src/lib.rs
+++ b/crates/fawnrouter-lease/src/lib.rs
@@ -22,8 +22,8 @@
 mod names;
 mod table;
 
-pub use countdown::Countdown;
+pub use countdown::ExpiryTimer;
 pub use fence::{Fence, FenceError};
-pub use holder::{Ask, Holder, HolderSettings, Permit, Standing};
-pub use names::{Epoch, GatewayId, Incarnation, LeaseName, Member, NameError, Number, Stamp};
-pub use table::{Command, Entry, Refusal, Reply, Table};
+pub use holder::{Holder, HolderSettings, LeaseRequest, LeaseStatus, Permit};
+pub use names::{Epoch, FencingNumber, GatewayId, Incarnation, LeaseName, Member, NameError, Stamp};
+pub use table::{Command, LeaseEntry, LeaseTable, Refusal, Reply};
--- a/crates/fawnrouter-lease/src/names.rs
+++ b/crates/fawnrouter-lease/src/names.rs
@@ -105,14 +105,14 @@
 /// A fencing number: given with each lease that is newly taken, higher each time over all leases, by epoch and then by
 /// count. Each act carries it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Number {
+pub struct FencingNumber {
     /// The epoch of the table that gave it.
     pub epoch: Epoch,
     /// Its place in that epoch, from 1.
     pub count: u64,
 }
 
-impl fmt::Display for Number {
+impl fmt::Display for FencingNumber {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}.{}", self.epoch.0, self.count)
     }
@@ -121,15 +121,15 @@
 /// Why a text is not a fencing number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a fencing number is EPOCH.COUNT, both whole numbers, for example 0.17")]
-pub struct NumberError;
+pub struct FencingNumberError;
 
-impl FromStr for Number {
-    type Err = NumberError;
+impl FromStr for FencingNumber {
+    type Err = FencingNumberError;
 
-    fn from_str(text: &str) -> Result<Self, NumberError> {
-        let (epoch, count) = text.split_once('.').ok_or(NumberError)?;
-        let epoch = Epoch(epoch.parse().map_err(|_| NumberError)?);
-        Ok(Self { epoch, count: count.parse().map_err(|_| NumberError)? })
+    fn from_str(text: &str) -> Result<Self, FencingNumberError> {
+        let (epoch, count) = text.split_once('.').ok_or(FencingNumberError)?;
+        let epoch = Epoch(epoch.parse().map_err(|_| FencingNumberError)?);
+        Ok(Self { epoch, count: count.parse().map_err(|_| FencingNumberError)? })
     }
 }
 
--- a/crates/fawnrouter-lease/src/table.rs
+++ b/crates/fawnrouter-lease/src/table.rs
@@ -6,13 +6,14 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Epoch, LeaseName, Member, Number, Stamp};
+use crate::{Epoch, FencingNumber, LeaseName, Member, Stamp};
 
 /// A command of the agreed log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
     /// `by` wants the lease. Asked again by its holder it is a renewal, so that a lost answer costs nothing.
-    Take {
+    #[serde(rename = "Take")]
+    Acquire {
         /// Which lease.
         lease: LeaseName,
         /// Who wants it.
@@ -27,7 +28,7 @@
         /// Who holds it.
         by: Member,
         /// Under which number.
-        number: Number,
+        number: FencingNumber,
     },
     /// The holder has stopped acting and gives the lease back.
     Release {
@@ -36,16 +37,17 @@
         /// Who holds it.
         by: Member,
         /// Under which number.
-        number: Number,
+        number: FencingNumber,
     },
     /// The holder has stopped acting and gives the lease to another, which has it once it has renewed it.
-    HandOn {
+    #[serde(rename = "HandOn")]
+    Transfer {
         /// Which lease.
         lease: LeaseName,
         /// Who holds it.
         by: Member,
         /// Under which number.
-        number: Number,
+        number: FencingNumber,
         /// Who is to have it.
         to: Member,
     },
@@ -62,10 +64,11 @@
         /// Which lease.
         lease: LeaseName,
         /// Under which number it is held.
-        number: Number,
+        number: FencingNumber,
     },
     /// The voters were set up anew after a majority was lost for good.
-    Raise {
+    #[serde(rename = "Raise")]
+    BeginEpoch {
         /// Above all earlier ones.
         epoch: Epoch,
         /// How long nothing is granted or renewed, the longest term in this table at the least: the longest that the lost
@@ -73,8 +76,9 @@
         quiet: Duration,
     },
     /// That time has passed by the clock of the voter that proposes this.
-    Settle {
-        /// Of the [`Command::Raise`] that is meant.
+    #[serde(rename = "Settle")]
+    EndQuietPeriod {
+        /// Of the [`Command::BeginEpoch`] that is meant.
         stamp: Stamp,
     },
 }
@@ -85,7 +89,7 @@
     /// The lease is `by`'s.
     Granted {
         /// Under this number.
-        number: Number,
+        number: FencingNumber,
         /// For this long from when the request was *sent*.
         term: Duration,
     },
@@ -94,7 +98,7 @@
     /// It waits for the one that it was handed to.
     Offered {
         /// Its new number.
-        number: Number,
+        number: FencingNumber,
     },
     /// Done; nobody waits for an answer.
     Done,
@@ -111,23 +115,25 @@
         /// Who.
         holder: Member,
         /// Under which number.
-        number: Number,
+        number: FencingNumber,
     },
     /// Not held by the one who says so, or not under that number.
     #[error("it is not held by that gateway under that number")]
     NotHeld,
     /// The term is outside of what the table takes.
-    #[error("a term lies between {} ms and {} ms", Table::TERM.0.as_millis(), Table::TERM.1.as_millis())]
-    Term,
+    #[serde(rename = "Term")]
+    #[error("a term lies between {} ms and {} ms", LeaseTable::TERM_RANGE.0.as_millis(), LeaseTable::TERM_RANGE.1.as_millis())]
+    TermOutOfRange,
     /// No room for another lease.
-    #[error("the table is full: {} leases at most", Table::MOST)]
+    #[error("the table is full: {} leases at most", LeaseTable::MAX_LEASES)]
     Full,
     /// An expiry of a grant that has been renewed since.
     #[error("it has been renewed since")]
     Renewed,
     /// The voters were set up anew; grants of the lost ones may still run.
+    #[serde(rename = "Quiet")]
     #[error("the voters were set up anew, and nothing is granted until earlier grants have run out")]
-    Quiet,
+    QuietPeriod,
     /// An epoch that does not lie above the present one.
     #[error("the epoch is {0:?} already")]
     EpochPassed(Epoch),
@@ -135,11 +141,11 @@
 
 /// A lease that somebody has.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Entry {
+pub struct LeaseEntry {
     /// Who has it.
     pub holder: Member,
     /// Under which number.
-    pub number: Number,
+    pub number: FencingNumber,
     /// Its last grant or renewal.
     pub stamp: Stamp,
     /// How long a grant holds.
@@ -150,29 +156,29 @@
 
 /// Who has which lease. What is not in it is free.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Table {
+pub struct LeaseTable {
     epoch: Epoch,
     count: u64,
     stamps: u64,
     quiet: Option<(Stamp, Duration)>,
-    leases: BTreeMap<LeaseName, Entry>,
+    leases: BTreeMap<LeaseName, LeaseEntry>,
 }
 
-impl Table {
+impl LeaseTable {
     /// Leases held at once, at the most; another is refused. A fleet has a handful of kinds of such work.
-    pub const MOST: usize = 64;
+    pub const MAX_LEASES: usize = 64;
     /// The shortest and the longest term. Below, a lease would not outlast a few lost messages; above, a dead holder
     /// blocks its work for too long.
-    pub const TERM: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(600));
+    pub const TERM_RANGE: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(600));
 
     /// The lease, if somebody has it.
     #[must_use]
-    pub fn get(&self, lease: &LeaseName) -> Option<&Entry> {
+    pub fn get(&self, lease: &LeaseName) -> Option<&LeaseEntry> {
         self.leases.get(lease)
     }
 
     /// All that are held, by name.
-    pub fn iter(&self) -> impl Iterator<Item = (&LeaseName, &Entry)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&LeaseName, &LeaseEntry)> {
         self.leases.iter()
     }
 
@@ -184,13 +190,13 @@
 
     /// The highest number given so far.
     #[must_use]
-    pub fn highest(&self) -> Number {
-        Number { epoch: self.epoch, count: self.count }
+    pub fn highest(&self) -> FencingNumber {
+        FencingNumber { epoch: self.epoch, count: self.count }
     }
 
     /// Since which command, and for how long, nothing is granted.
     #[must_use]
-    pub fn quiet(&self) -> Option<(Stamp, Duration)> {
+    pub fn quiet_period(&self) -> Option<(Stamp, Duration)> {
         self.quiet
     }
 
@@ -204,7 +210,7 @@
 
     fn try_apply(&mut self, command: &Command) -> Result<Reply, Refusal> {
         match command {
-            Command::Take { lease, by, term } => self.take(lease, *by, *term),
+            Command::Acquire { lease, by, term } => self.take(lease, *by, *term),
             Command::Renew { lease, by, number } => {
                 self.held(lease, *by, *number)?;
                 Ok(self.renew(lease))
@@ -214,7 +220,7 @@
                 self.leases.remove(lease);
                 Ok(Reply::Free)
             }
-            Command::HandOn { lease, by, number, to } => {
+            Command::Transfer { lease, by, number, to } => {
                 let term = self.held(lease, *by, *number)?.term;
                 let number = self.grant(lease, *to, term, true);
                 Ok(Reply::Offered { number })
@@ -232,7 +238,7 @@
                 self.leases.remove(lease);
                 Ok(Reply::Free)
             }
-            Command::Raise { epoch, quiet } if *epoch > self.epoch => {
+            Command::BeginEpoch { epoch, quiet } if *epoch > self.epoch => {
                 // Guards against grants of the lost voters that are not known here, and against renewals of those that
                 // are: this table may be older than the lost one, in which another has the lease by now. Could do harm
                 // where the time is given too short: then the fencing number alone tells the two apart.
@@ -243,20 +249,20 @@
                 (self.epoch, self.count, self.quiet) = (*epoch, 0, Some(quiet));
                 Ok(Reply::Done)
             }
-            Command::Settle { stamp } => {
+            Command::EndQuietPeriod { stamp } => {
                 self.quiet.filter(|(since, _)| since == stamp).ok_or(Refusal::Renewed)?;
                 self.quiet = None;
                 Ok(Reply::Done)
             }
-            Command::Raise { .. } => Err(Refusal::EpochPassed(self.epoch)),
+            Command::BeginEpoch { .. } => Err(Refusal::EpochPassed(self.epoch)),
         }
     }
 
     fn take(&mut self, lease: &LeaseName, by: Member, term: Duration) -> Result<Reply, Refusal> {
-        if term < Self::TERM.0 || term > Self::TERM.1 {
-            return Err(Refusal::Term);
+        if term < Self::TERM_RANGE.0 || term > Self::TERM_RANGE.1 {
+            return Err(Refusal::TermOutOfRange);
         }
-        let full = self.leases.len() >= Self::MOST;
+        let full = self.leases.len() >= Self::MAX_LEASES;
         match self.leases.get_mut(lease) {
             Some(entry) if entry.holder == by => {
                 // A shorter term would let the table give the lease on before an earlier grant of it has run out.
@@ -264,7 +270,7 @@
                 Ok(self.renew(lease))
             }
             Some(entry) => Err(Refusal::Taken { holder: entry.holder, number: entry.number }),
-            None if self.quiet.is_some() => Err(Refusal::Quiet),
+            None if self.quiet.is_some() => Err(Refusal::QuietPeriod),
             None if full => Err(Refusal::Full),
             None => {
                 let number = self.grant(lease, by, term, false);
@@ -275,7 +281,7 @@
 
     /// The lease as held by that gateway under that number. Guards against renewals and releases that are late or come
     /// twice, from an earlier hold of the same gateway.
-    fn held(&self, lease: &LeaseName, by: Member, number: Number) -> Result<&Entry, Refusal> {
+    fn held(&self, lease: &LeaseName, by: Member, number: FencingNumber) -> Result<&LeaseEntry, Refusal> {
         let entry = self.leases.get(lease).ok_or(Refusal::NotHeld)?;
         if entry.holder == by && entry.number == number { Ok(entry) } else { Err(Refusal::NotHeld) }
     }
@@ -291,11 +297,11 @@
         }
     }
 
-    fn grant(&mut self, lease: &LeaseName, holder: Member, term: Duration, offered: bool) -> Number {
+    fn grant(&mut self, lease: &LeaseName, holder: Member, term: Duration, offered: bool) -> FencingNumber {
         self.count += 1;
         self.stamps += 1;
         let (number, stamp) = (self.highest(), Stamp(self.stamps));
-        self.leases.insert(lease.clone(), Entry { holder, number, stamp, term, offered });
+        self.leases.insert(lease.clone(), LeaseEntry { holder, number, stamp, term, offered });
         number
     }
 }
--- a/crates/fawnrouter-lease/tests/model.rs
+++ b/crates/fawnrouter-lease/tests/model.rs
@@ -8,7 +8,7 @@
 
 use fawnrouter::Time;
 use fawnrouter_lease::{
-    Command, Countdown, Fence, GatewayId, Incarnation, LeaseName, Member, Number, Reply, Table,
+    Command, ExpiryTimer, Fence, FencingNumber, GatewayId, Incarnation, LeaseName, LeaseTable, Member, Reply,
 };
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
@@ -46,7 +46,7 @@
     Granted {
         taker: usize,
         life: u64,
-        number: Number,
+        number: FencingNumber,
         at: u8,
     },
 }
@@ -59,26 +59,26 @@
     lost: Option<u8>,
     asks: u8,
     /// Number, and until when by its clock.
-    held: Option<(Number, u8)>,
+    held: Option<(FencingNumber, u8)>,
     /// It looked and found that it may act; steps left. It may stand still from here on.
-    acting: Option<(Number, u8)>,
+    acting: Option<(FencingNumber, u8)>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     now: u8,
-    table: Table,
+    table: LeaseTable,
     /// The table before the last decision, for a voter that forgets it.
-    before: Table,
+    before: LeaseTable,
     /// The clock of whoever leads.
     clock: u8,
-    countdown: Countdown,
+    countdown: ExpiryTimer,
     changes: u8,
     takers: [Taker; 2],
     wire: BTreeSet<Message>,
     /// The number of the act that the resource took last, the highest it knows, and whether one went backwards.
-    last_act: Option<Number>,
-    highest: Option<Number>,
+    last_act: Option<FencingNumber>,
+    highest: Option<FencingNumber>,
     backwards: bool,
 }
 
@@ -134,7 +134,7 @@
         reply
     }
 
-    fn may_act(taker: &Taker) -> Option<Number> {
+    fn may_act(taker: &Taker) -> Option<FencingNumber> {
         taker.held.filter(|(_, until)| taker.clock < *until).map(|(number, _)| number)
     }
 }
@@ -144,12 +144,12 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let mut countdown = Countdown::default();
-        countdown.observe(time(0), true, &Table::default());
+        let mut countdown = ExpiryTimer::default();
+        countdown.observe(time(0), true, &LeaseTable::default());
         vec![State {
             now: 0,
-            table: Table::default(),
-            before: Table::default(),
+            table: LeaseTable::default(),
+            before: LeaseTable::default(),
             clock: 0,
             countdown,
             changes: 0,
@@ -215,7 +215,7 @@
             }
             Action::Deliver(Message::Ask { taker, life, at }) => {
                 let term = Duration::from_secs(TERM.into());
-                let take = Command::Take { lease: lease(), by: member(taker, life), term };
+                let take = Command::Acquire { lease: lease(), by: member(taker, life), term };
                 // What would be refused needs no place in the log.
                 if state.table.get(&lease()).is_some_and(|entry| entry.holder != member(taker, life)) {
                     return None;
@@ -250,7 +250,7 @@
                     // The other's machine started earlier: its clock shows more.
                     state.clock += TERM;
                 } else {
-                    state.countdown = Countdown::default();
+                    state.countdown = ExpiryTimer::default();
                     state.countdown.observe(clock, true, &state.table);
                 }
             }
@@ -262,9 +262,9 @@
                 let (number, left) = state.takers[i].acting?;
                 let mut fence = Fence::default();
                 if let Some(highest) = state.highest {
-                    fence.pass(&lease(), highest).ok()?;
+                    fence.admit(&lease(), highest).ok()?;
                 }
-                let passes = self.mistake == Mistake::NoFencing || fence.pass(&lease(), number).is_ok();
+                let passes = self.mistake == Mistake::NoFencing || fence.admit(&lease(), number).is_ok();
                 if passes {
                     state.highest = state.highest.max(Some(number));
                     state.backwards |= state.last_act > Some(number);
--- a/crates/fawnrouter-lease/tests/table.rs
+++ b/crates/fawnrouter-lease/tests/table.rs
@@ -4,8 +4,8 @@
 
 use fawnrouter::Time;
 use fawnrouter_lease::{
-    Command, Countdown, Epoch, Fence, FenceError, GatewayId, Incarnation, LeaseName, Member, Number, Refusal,
-    Reply, Table,
+    Command, Epoch, ExpiryTimer, Fence, FenceError, FencingNumber, GatewayId, Incarnation, LeaseName,
+    LeaseTable, Member, Refusal, Reply,
 };
 
 const TERM: Duration = Duration::from_secs(10);
@@ -22,11 +22,11 @@
     Time(Duration::from_secs_f64(seconds))
 }
 
-fn take(table: &mut Table, name: &str, by: Member) -> Reply {
-    table.apply(&Command::Take { lease: lease(name), by, term: TERM })
+fn take(table: &mut LeaseTable, name: &str, by: Member) -> Reply {
+    table.apply(&Command::Acquire { lease: lease(name), by, term: TERM })
 }
 
-fn number(reply: &Reply) -> Number {
+fn number(reply: &Reply) -> FencingNumber {
     match reply {
         Reply::Granted { number, .. } | Reply::Offered { number } => *number,
         other => panic!("no number in {other:?}"),
@@ -35,7 +35,7 @@
 
 #[test]
 fn a_lease_that_is_held_is_refused_to_others_and_renewed_for_its_holder() {
-    let mut table = Table::default();
+    let mut table = LeaseTable::default();
     let first = number(&take(&mut table, "report", gateway(1)));
     let refused = Reply::Refused(Refusal::Taken { holder: gateway(1), number: first });
     assert_eq!(take(&mut table, "report", gateway(2)), refused);
@@ -46,7 +46,7 @@
 
 #[test]
 fn another_life_of_the_same_gateway_is_another_holder() {
-    let mut table = Table::default();
+    let mut table = LeaseTable::default();
     take(&mut table, "report", gateway(1));
     let reborn = Member { incarnation: Incarnation(2), ..gateway(1) };
     assert!(matches!(take(&mut table, "report", reborn), Reply::Refused(Refusal::Taken { .. })));
@@ -54,7 +54,7 @@
 
 #[test]
 fn numbers_rise_over_release_expiry_handing_on_and_an_epoch() {
-    let mut table = Table::default();
+    let mut table = LeaseTable::default();
     let mut last = number(&take(&mut table, "report", gateway(1)));
     assert_eq!(
         table.apply(&Command::Release { lease: lease("report"), by: gateway(1), number: last }),
@@ -70,22 +70,22 @@
     let stamp = table.get(&lease("report")).unwrap().stamp;
     assert_eq!(table.apply(&Command::Expire { lease: lease("report"), stamp }), Reply::Done);
     let third = next(&take(&mut table, "report", gateway(3)));
-    let hand_on = Command::HandOn { lease: lease("report"), by: gateway(3), number: third, to: gateway(4) };
+    let hand_on = Command::Transfer { lease: lease("report"), by: gateway(3), number: third, to: gateway(4) };
     let fourth = next(&table.apply(&hand_on));
     assert!(table.get(&lease("report")).unwrap().offered);
     let accepted = table.apply(&Command::Renew { lease: lease("report"), by: gateway(4), number: fourth });
     assert_eq!(accepted, Reply::Granted { number: fourth, term: TERM });
     assert!(!table.get(&lease("report")).unwrap().offered);
-    assert_eq!(table.apply(&Command::Raise { epoch: Epoch(1), quiet: TERM }), Reply::Done);
-    assert_eq!(take(&mut table, "return", gateway(1)), Reply::Refused(Refusal::Quiet));
-    let (stamp, _) = table.quiet().unwrap();
-    assert_eq!(table.apply(&Command::Settle { stamp }), Reply::Done);
+    assert_eq!(table.apply(&Command::BeginEpoch { epoch: Epoch(1), quiet: TERM }), Reply::Done);
+    assert_eq!(take(&mut table, "return", gateway(1)), Reply::Refused(Refusal::QuietPeriod));
+    let (stamp, _) = table.quiet_period().unwrap();
+    assert_eq!(table.apply(&Command::EndQuietPeriod { stamp }), Reply::Done);
     next(&take(&mut table, "return", gateway(1)));
 }
 
 #[test]
 fn an_expiry_is_void_once_the_lease_has_been_renewed() {
-    let mut table = Table::default();
+    let mut table = LeaseTable::default();
     let held = number(&take(&mut table, "report", gateway(1)));
     let stamp = table.get(&lease("report")).unwrap().stamp;
     table.apply(&Command::Renew { lease: lease("report"), by: gateway(1), number: held });
@@ -98,7 +98,7 @@
 
 #[test]
 fn late_and_doubled_requests_of_an_earlier_hold_change_nothing() {
-    let mut table = Table::default();
+    let mut table = LeaseTable::default();
     let old = number(&take(&mut table, "report", gateway(1)));
     let release = Command::Release { lease: lease("report"), by: gateway(1), number: old };
     table.apply(&release);
@@ -106,7 +106,7 @@
     for late in [
         release,
         Command::Renew { lease: lease("report"), by: gateway(1), number: old },
-        Command::HandOn { lease: lease("report"), by: gateway(1), number: old, to: gateway(2) },
+        Command::Transfer { lease: lease("report"), by: gateway(1), number: old, to: gateway(2) },
         Command::Revoke { lease: lease("report"), number: old },
     ] {
         assert_eq!(table.apply(&late), Reply::Refused(Refusal::NotHeld));
@@ -116,30 +116,30 @@
 
 #[test]
 fn a_table_refuses_what_it_has_no_room_for_and_terms_out_of_range() {
-    let mut table = Table::default();
-    for i in 0..Table::MOST {
+    let mut table = LeaseTable::default();
+    for i in 0..LeaseTable::MAX_LEASES {
         assert!(matches!(take(&mut table, &format!("l{i}"), gateway(1)), Reply::Granted { .. }));
     }
     assert_eq!(take(&mut table, "more", gateway(1)), Reply::Refused(Refusal::Full));
     assert!(matches!(take(&mut table, "l0", gateway(1)), Reply::Granted { .. }));
-    let short = Command::Take { lease: lease("l0"), by: gateway(1), term: Duration::from_millis(1) };
-    assert_eq!(table.apply(&short), Reply::Refused(Refusal::Term));
+    let short = Command::Acquire { lease: lease("l0"), by: gateway(1), term: Duration::from_millis(1) };
+    assert_eq!(table.apply(&short), Reply::Refused(Refusal::TermOutOfRange));
 }
 
 #[test]
 fn a_term_asked_for_anew_and_shorter_does_not_shorten_the_grant_that_runs() {
-    let mut table = Table::default();
+    let mut table = LeaseTable::default();
     take(&mut table, "report", gateway(1));
-    table.apply(&Command::Take { lease: lease("report"), by: gateway(1), term: Duration::from_secs(1) });
+    table.apply(&Command::Acquire { lease: lease("report"), by: gateway(1), term: Duration::from_secs(1) });
     assert_eq!(table.get(&lease("report")).unwrap().term, TERM);
 }
 
 #[test]
 fn a_leader_counts_the_whole_term_from_the_last_renewal_that_it_saw() {
-    let (mut table, mut countdown) = (Table::default(), Countdown::default());
+    let (mut table, mut countdown) = (LeaseTable::default(), ExpiryTimer::default());
     let held = number(&take(&mut table, "report", gateway(1)));
     countdown.observe(at(1.0), true, &table);
-    assert_eq!(countdown.next(&table), Some(at(11.0)));
+    assert_eq!(countdown.next_expiry(&table), Some(at(11.0)));
     table.apply(&Command::Renew { lease: lease("report"), by: gateway(1), number: held });
     countdown.observe(at(5.0), true, &table);
     assert!(countdown.due(at(14.9), &table).is_empty());
@@ -147,12 +147,12 @@
     assert_eq!(due.len(), 1);
     assert_eq!(table.apply(&due[0]), Reply::Done);
     countdown.observe(at(15.0), true, &table);
-    assert_eq!(countdown.next(&table), None);
+    assert_eq!(countdown.next_expiry(&table), None);
 }
 
 #[test]
 fn a_new_leader_counts_anew() {
-    let (mut table, mut countdown) = (Table::default(), Countdown::default());
+    let (mut table, mut countdown) = (LeaseTable::default(), ExpiryTimer::default());
     take(&mut table, "report", gateway(1));
     countdown.observe(at(0.0), true, &table);
     countdown.observe(at(8.0), false, &table);
@@ -164,49 +164,49 @@
 
 #[test]
 fn after_an_epoch_nothing_is_granted_until_the_longest_term_has_been_counted() {
-    let (mut table, mut countdown) = (Table::default(), Countdown::default());
-    table.apply(&Command::Raise { epoch: Epoch(1), quiet: Duration::from_secs(60) });
+    let (mut table, mut countdown) = (LeaseTable::default(), ExpiryTimer::default());
+    table.apply(&Command::BeginEpoch { epoch: Epoch(1), quiet: Duration::from_secs(60) });
     countdown.observe(at(100.0), true, &table);
-    assert_eq!(take(&mut table, "report", gateway(2)), Reply::Refused(Refusal::Quiet));
+    assert_eq!(take(&mut table, "report", gateway(2)), Reply::Refused(Refusal::QuietPeriod));
     assert!(countdown.due(at(159.0), &table).is_empty());
     for due in countdown.due(at(160.0), &table) {
         table.apply(&due);
     }
-    assert_eq!(number(&take(&mut table, "report", gateway(2))), Number { epoch: Epoch(1), count: 1 });
+    assert_eq!(number(&take(&mut table, "report", gateway(2))), FencingNumber { epoch: Epoch(1), count: 1 });
     assert_eq!(
-        table.apply(&Command::Raise { epoch: Epoch(1), quiet: TERM }),
+        table.apply(&Command::BeginEpoch { epoch: Epoch(1), quiet: TERM }),
         Reply::Refused(Refusal::EpochPassed(Epoch(1)))
     );
 }
 
 #[test]
 fn after_an_epoch_a_holder_of_an_older_table_is_not_renewed_beside_the_lost_tables_holder() {
-    let mut table = Table::default();
+    let mut table = LeaseTable::default();
     let old = number(&take(&mut table, "report", gateway(1)));
-    table.apply(&Command::Raise { epoch: Epoch(1), quiet: Duration::from_secs(1) });
+    table.apply(&Command::BeginEpoch { epoch: Epoch(1), quiet: Duration::from_secs(1) });
     let renew = Command::Renew { lease: lease("report"), by: gateway(1), number: old };
     assert_eq!(table.apply(&renew), Reply::Refused(Refusal::NotHeld));
-    assert_eq!(take(&mut table, "report", gateway(1)), Reply::Refused(Refusal::Quiet));
-    assert_eq!(table.quiet().unwrap().1, TERM);
+    assert_eq!(take(&mut table, "report", gateway(1)), Reply::Refused(Refusal::QuietPeriod));
+    assert_eq!(table.quiet_period().unwrap().1, TERM);
 }
 
 #[test]
 fn the_fence_refuses_numbers_below_the_highest_and_leases_beyond_its_room() {
     let mut fence = Fence::default();
-    let number = |epoch, count| Number { epoch: Epoch(epoch), count };
-    fence.pass(&lease("report"), number(0, 7)).unwrap();
-    fence.pass(&lease("report"), number(0, 7)).unwrap();
-    fence.pass(&lease("report"), number(1, 1)).unwrap();
-    let behind = fence.pass(&lease("report"), number(0, 9)).unwrap_err();
-    assert!(matches!(behind, FenceError::Behind { .. }));
+    let number = |epoch, count| FencingNumber { epoch: Epoch(epoch), count };
+    fence.admit(&lease("report"), number(0, 7)).unwrap();
+    fence.admit(&lease("report"), number(0, 7)).unwrap();
+    fence.admit(&lease("report"), number(1, 1)).unwrap();
+    let behind = fence.admit(&lease("report"), number(0, 9)).unwrap_err();
+    assert!(matches!(behind, FenceError::StaleNumber { .. }));
     assert_eq!(
         behind.to_string(),
         "number 0.9 of lease report is behind 1.1: another gateway has the lease now"
     );
-    for i in 1..Fence::MOST {
-        fence.pass(&lease(&format!("l{i}")), number(0, 1)).unwrap();
+    for i in 1..Fence::MAX_LEASES {
+        fence.admit(&lease(&format!("l{i}")), number(0, 1)).unwrap();
     }
-    assert_eq!(fence.pass(&lease("more"), number(0, 1)), Err(FenceError::Full(Fence::MOST)));
+    assert_eq!(fence.admit(&lease("more"), number(0, 1)), Err(FenceError::Full(Fence::MAX_LEASES)));
 }
 
 #[test]
@@ -215,7 +215,7 @@
     for wrong in ["", "Report", "2report", "-", "a b", &"a".repeat(33)] {
         assert!(wrong.parse::<LeaseName>().is_err(), "{wrong:?}");
     }
-    let number = Number { epoch: Epoch(2), count: 41 };
+    let number = FencingNumber { epoch: Epoch(2), count: 41 };
     assert_eq!(number.to_string().parse(), Ok(number));
-    assert!("2".parse::<Number>().is_err());
+    assert!("2".parse::<FencingNumber>().is_err());
 }
