--- a/crates/fawnrouter-admission/src/admission/places.rs
+++ b/crates/fawnrouter-admission/src/admission/accounting.rs
@@ -5,8 +5,8 @@
 
 use super::Admission;
 use super::connection::{Entry, Stage};
-use super::verdict::{ConnectionId, EvictionReason};
-use crate::limiter::Gcra;
+use super::decision::{ConnectionId, EvictionReason};
+use crate::rate_limiter::Gcra;
 
 impl Admission {
     /// Places taken by those who have shown what they are.
--- a/crates/fawnrouter-admission/src/admission/activity.rs
+++ b/crates/fawnrouter-admission/src/admission/activity.rs
@@ -4,7 +4,7 @@
 
 use super::Admission;
 use super::connection::Stage;
-use super::verdict::ConnectionId;
+use super::decision::ConnectionId;
 
 /// Bytes of one turn: a few messages of a stranger, as many of a known client as the driver reads at once.
 const STRANGER_TURN: usize = 4 * 1024;
--- a/crates/fawnrouter-admission/src/admission/arrival.rs
+++ b/crates/fawnrouter-admission/src/admission/arrival.rs
@@ -5,7 +5,7 @@
 
 use super::Admission;
 use super::connection::{Entry, Stage};
-use super::verdict::{Arrival, ConnectionDecision, ConnectionId, EvictionReason, RefusalReason};
+use super::decision::{Arrival, ConnectionDecision, ConnectionId, EvictionReason, RefusalReason};
 
 /// A handshake this old gives way to a newcomer when all places for handshakes are taken: an honest one takes a few
 /// round trips, and those that are drawn out on purpose are the oldest. Harms honest clients whose round trip is
--- a/crates/fawnrouter-admission/src/admission/known.rs
+++ b/crates/fawnrouter-admission/src/admission/authentication.rs
@@ -5,7 +5,7 @@
 
 use super::Admission;
 use super::connection::Stage;
-use super::verdict::{ConnectionDecision, ConnectionId, EvictionReason, RefusalReason};
+use super::decision::{ConnectionDecision, ConnectionId, EvictionReason, RefusalReason};
 
 impl Admission {
     /// A connection has shown that it is a known client's. It no longer counts against its address and prefix, so
--- a/crates/fawnrouter-admission/src/admission/connection.rs
+++ b/crates/fawnrouter-admission/src/admission/connection.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::limiter::Gcra;
+use crate::rate_limiter::Gcra;
 
 /// What a connection has shown of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/fawnrouter-admission/src/admission/sweep.rs
+++ b/crates/fawnrouter-admission/src/admission/eviction.rs
@@ -4,7 +4,7 @@
 
 use super::Admission;
 use super::connection::{Entry, Stage};
-use super::verdict::{ConnectionId, EvictionReason};
+use super::decision::{ConnectionId, EvictionReason};
 
 impl Admission {
     /// Who is to be closed now: strangers that were idle for too long, those that do not read, and those whose time
--- a/crates/fawnrouter-admission/src/admission/handshake.rs
+++ b/crates/fawnrouter-admission/src/admission/handshake.rs
@@ -4,7 +4,7 @@
 
 use super::Admission;
 use super::connection::Stage;
-use super::verdict::{ConnectionDecision, ConnectionId, EvictionReason, RefusalReason};
+use super::decision::{ConnectionDecision, ConnectionId, EvictionReason, RefusalReason};
 
 impl Admission {
     /// A handshake is done without saying who it is. A stranger may use what is not kept for known clients; where
--- a/crates/fawnrouter-admission/src/admission/mod.rs
+++ b/crates/fawnrouter-admission/src/admission/mod.rs
@@ -3,38 +3,38 @@
 //! | module | what it does |
 //! | --- | --- |
 //! | `settings` | what the decision goes by, and whether it makes sense |
-//! | `verdict` | the decision and its reasons |
+//! | `decision` | the decision and its reasons |
 //! | `arrival` | a connection comes, directly or through a forwarder |
 //! | `handshake` | a handshake is done: a stranger gets a place, probation or none |
-//! | `known` | a connection has shown that it is a known client's |
+//! | `authentication` | a connection has shown that it is a known client's |
 //! | `activity` | calls, messages and unread bytes of a connection |
-//! | `sweep` | who is closed as time passes |
-//! | `places` | the counts and orders that each connection stands in while it is open |
+//! | `eviction` | who is closed as time passes |
+//! | `accounting` | the counts and orders that each connection stands in while it is open |
 //! | `snapshot` | what operators are shown |
 //! | `connection`, `counter`, `network`, `blocked` | what these are made of |
 
+mod accounting;
 mod activity;
 mod arrival;
+mod authentication;
 mod blocked;
 mod connection;
 mod counter;
+mod decision;
+mod eviction;
 mod handshake;
-mod known;
 mod network;
-mod places;
 mod settings;
 mod snapshot;
-mod sweep;
-mod verdict;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::limiter::AddressRateLimiter;
+use crate::rate_limiter::AddressRateLimiter;
 use crate::reserve::Reserve;
-use crate::spread::RetryAfterSpread;
+use crate::retry_after_spread::RetryAfterSpread;
 
 use blocked::BlockedAddresses;
 use connection::Entry;
@@ -42,9 +42,9 @@
 use network::Network;
 use snapshot::largest;
 
+pub use decision::{Arrival, ConnectionDecision, ConnectionId, EvictionReason, RefusalReason};
 pub use settings::{AdmissionSettings, PrefixLengths, SettingsError};
 pub use snapshot::{HolderCount, Snapshot};
-pub use verdict::{Arrival, ConnectionDecision, ConnectionId, EvictionReason, RefusalReason};
 
 /// The decisions of one gateway.
 #[derive(Debug)]
--- a/crates/fawnrouter-admission/src/admission/settings.rs
+++ b/crates/fawnrouter-admission/src/admission/settings.rs
@@ -5,7 +5,7 @@
 
 use super::network::{Network, bits_of};
 use crate::descriptors::Descriptors;
-use crate::limiter::Rate;
+use crate::rate_limiter::Rate;
 use crate::reserve::ReserveSettings;
 
 /// Bits of an address that make its prefix.
--- a/crates/fawnrouter-admission/src/admission/snapshot.rs
+++ b/crates/fawnrouter-admission/src/admission/snapshot.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::counter::Counter;
-use super::verdict::{EvictionReason, RefusalReason};
+use super::decision::{EvictionReason, RefusalReason};
 
 /// What one address or client holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/fawnrouter-admission/src/lib.rs
+++ b/crates/fawnrouter-admission/src/lib.rs
@@ -5,37 +5,37 @@
 //! | module | what it decides |
 //! | --- | --- |
 //! | `admission` | accepts, or refuses with a reason and a time to stay away; who is closed to make room |
-//! | `setups` | which set-up reaches the decisions on routes, and when |
+//! | `set_ups` | which set-up reaches the decisions on routes, and when |
 //! | `descriptors` | what the descriptors of the process are for, and what to do without any |
-//! | `bytes` | how much may wait for one connection |
-//! | `alarm` | when a line goes to the log |
-//! | `limiter` | rates by address in bounded memory, which forgets nobody who is over the rate |
-//! | `fair` | whose set-up is next, so that one client's burst does not hold up the others |
+//! | `dynamic_threshold` | how much may wait for one connection |
+//! | `alarms` | when a line goes to the log |
+//! | `rate_limiter` | rates by address in bounded memory, which forgets nobody who is over the rate |
+//! | `fair_queue` | whose set-up is next, so that one client's burst does not hold up the others |
 //! | `reserve` | how much of the room only known clients may use |
 
 mod admission;
-mod alarm;
-mod bytes;
+mod alarms;
 mod descriptors;
-mod fair;
-mod limiter;
+mod dynamic_threshold;
+mod fair_queue;
+mod rate_limiter;
 mod reserve;
-mod setups;
-mod spread;
+mod retry_after_spread;
+mod set_ups;
 
 pub use admission::{
     Admission, AdmissionSettings, Arrival, ConnectionDecision, ConnectionId, EvictionReason, HolderCount,
     PrefixLengths, RefusalReason, SettingsError, Snapshot,
 };
-pub use alarm::{AlarmEvent, Alarms};
-pub use bytes::{BufferLimits, BufferOwner, DynamicThreshold};
+pub use alarms::{AlarmEvent, Alarms};
 pub use descriptors::{
     AcceptDecision, DescriptorSettings, Descriptors, ExhaustionAction, ExhaustionEvent, TooFewDescriptors,
 };
-pub use fair::{FairQueue, FairQueueSettings, QueueRejection};
-pub use limiter::{AddressRateLimiter, Gcra, Rate};
+pub use dynamic_threshold::{BufferLimits, BufferOwner, DynamicThreshold};
+pub use fair_queue::{FairQueue, FairQueueSettings, QueueRejection};
+pub use rate_limiter::{AddressRateLimiter, Gcra, Rate};
 pub use reserve::{Reserve, ReserveSettings};
-pub use setups::{
+pub use retry_after_spread::RetryAfterSpread;
+pub use set_ups::{
     CallState, ClientIdentity, ClientLimits, SetUpAdmission, SetUpDecision, SetUpRefusal, SetUpSettings,
 };
-pub use spread::RetryAfterSpread;
--- a/crates/fawnrouter-admission/src/setups/mod.rs
+++ b/crates/fawnrouter-admission/src/set_ups/mod.rs
@@ -5,38 +5,38 @@
 //! | module | what it does |
 //! | --- | --- |
 //! | `settings` | what the decision goes by |
-//! | `verdict` | the decision and its reasons |
+//! | `decision` | the decision and its reasons |
 //! | `call` | whose a call is, and where |
-//! | `calls` | counts of calls by client and in all |
+//! | `call_counts` | counts of calls by client and in all |
 //! | `rates` | set-ups a second, by client and of all strangers |
 //! | `queue` | whose turn it is among those that wait |
 //! | `send_rate` | how many set-ups are sent a second |
 
 mod call;
-mod calls;
+mod call_counts;
+mod decision;
 mod queue;
 mod rates;
 mod send_rate;
 mod settings;
 #[cfg(test)]
 mod tests;
-mod verdict;
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::fair::{FairQueue, FairQueueSettings};
-use crate::spread::RetryAfterSpread;
+use crate::fair_queue::{FairQueue, FairQueueSettings};
+use crate::retry_after_spread::RetryAfterSpread;
 
 use call::{Entry, Holder, Lane};
 use rates::Rates;
 use send_rate::SendRate;
 
 pub use call::{CallState, ClientIdentity};
+pub use decision::{SetUpDecision, SetUpRefusal};
 pub use settings::{ClientLimits, SetUpSettings};
-pub use verdict::{SetUpDecision, SetUpRefusal};
 
 /// The decisions on set-ups of one gateway. Calls go by the embedder's numbers `u64`.
 #[derive(Debug)]
--- a/crates/fawnrouter-admission/src/setups/queue.rs
+++ b/crates/fawnrouter-admission/src/set_ups/queue.rs
@@ -5,7 +5,7 @@
 
 use super::SetUpAdmission;
 use super::call::{CallState, ClientIdentity, Lane};
-use crate::fair::QueueRejection;
+use crate::fair_queue::QueueRejection;
 
 impl SetUpAdmission {
     /// Puts a call into its queue. `Ok` with the call that had to make room.
--- a/crates/fawnrouter-admission/src/setups/rates.rs
+++ b/crates/fawnrouter-admission/src/set_ups/rates.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use super::call::ClientIdentity;
+use super::decision::SetUpRefusal;
 use super::settings::SetUpSettings;
-use super::verdict::SetUpRefusal;
-use crate::limiter::{AddressRateLimiter, Gcra, Rate};
+use crate::rate_limiter::{AddressRateLimiter, Gcra, Rate};
 
 /// Who may send a set-up now.
 #[derive(Debug)]
--- a/crates/fawnrouter-admission/src/setups/settings.rs
+++ b/crates/fawnrouter-admission/src/set_ups/settings.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::limiter::Rate;
+use crate::rate_limiter::Rate;
 
 /// What one client may do.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/fawnrouter-admission/src/setups/tests.rs
+++ b/crates/fawnrouter-admission/src/set_ups/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the decision on set-ups.
 
 use super::*;
-use crate::limiter::Rate;
+use crate::rate_limiter::Rate;
 
 const fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
--- a/crates/fawnrouter-digest/src/lib.rs
+++ b/crates/fawnrouter-digest/src/lib.rs
@@ -7,16 +7,16 @@
 //! | `credentials` | the Authorization field, with limits |
 //! | `hash` | the algorithms, and what they make of a password |
 //! | `nonce` | nonces that nobody has to remember |
-//! | `guard` | the decision: known, challenged, refused |
+//! | `authenticator` | the decision: known, challenged, refused |
 
+mod authenticator;
 mod credentials;
-mod guard;
 mod hash;
 mod nonce;
 
-pub use credentials::{Credentials, CredentialsError};
-pub use guard::{
+pub use authenticator::{
     AuthOutcome, AuthState, Authenticator, AuthenticatorSettings, ChallengeReason, Request, Secret,
 };
+pub use credentials::{Credentials, CredentialsError};
 pub use hash::{Algorithm, Ha1, HashError, client_response, ha1, server_response};
 pub use nonce::{NonceError, NonceIssuer};
--- a/crates/fawnrouter-lease/src/lib.rs
+++ b/crates/fawnrouter-lease/src/lib.rs
@@ -4,7 +4,7 @@
 //! | module | what it decides or keeps | who runs it |
 //! | --- | --- | --- |
 //! | `table` | who has which lease, under which number: a state machine over agreed commands | every voter, alike |
-//! | `countdown` | when a lease that nobody renewed may be given on | whoever leads the voters |
+//! | `expiry_timer` | when a lease that nobody renewed may be given on | whoever leads the voters |
 //! | `holder` | whether *this* gateway may act now, by its own clock; what to ask and when | every gateway that wants a lease |
 //! | `fence` | the last guard: an act with a number below the highest seen is refused | whoever is acted upon |
 //!
@@ -16,13 +16,13 @@
 //! the greatest ratio by which two gateways' clocks run apart, the holder has stopped before the table gives the lease on.
 //! A gateway that stands still between looking at its clock and acting is caught by the [`Fence`] alone.
 
-mod countdown;
+mod expiry_timer;
 mod fence;
 mod holder;
 mod names;
 mod table;
 
-pub use countdown::ExpiryTimer;
+pub use expiry_timer::ExpiryTimer;
 pub use fence::{Fence, FenceError};
 pub use holder::{Holder, HolderSettings, LeaseRequest, LeaseStatus, Permit};
 pub use names::{Epoch, FencingNumber, GatewayId, Incarnation, LeaseName, Member, NameError, Stamp};
