--- a/crates/fawnrouter-admission/src/admission/connection.rs
+++ b/crates/fawnrouter-admission/src/admission/connection.rs
@@ -4,14 +4,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::limiter::Gcra;
+use crate::rate_limiter::Gcra;
 
 /// What a connection has shown of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
     Handshake,
     Probation,
-    Stranger,
+    Unknown,
     Known,
 }
 
--- a/crates/fawnrouter-engine/tests/gate.rs
+++ b/crates/fawnrouter-engine/tests/gate.rs
@@ -6,7 +6,9 @@
 
 use common::*;
 use fawnrouter_engine::admission::{ClientLimits, Rate, SetUpSettings};
-use fawnrouter_engine::digest::{Algorithm, Credentials, GuardSettings, Secret, answer, ha1};
+use fawnrouter_engine::digest::{
+    Algorithm, AuthenticatorSettings, Credentials, Secret, client_response, ha1,
+};
 use fawnrouter_engine::fawnrouter::{Action, CallId, Event, ListKind, ServerId, Time};
 use fawnrouter_engine::sip::{Draft, Message, Method, Name, Start};
 use fawnrouter_engine::{
@@ -24,26 +26,28 @@
     KnownClient { name: name.into(), secret, limits: limits(pending) }
 }
 
-fn guarded(strangers: UnknownClients) -> EngineSettings {
-    let guard = GuardSettings { realm: REALM.into(), md5: false, nonce_life: ms(60_000), attempts: 3 };
-    EngineSettings {
-        auth: Some(AuthSettings { guard, key: [3; 32], unknown_clients: strangers }),
-        ..settings()
-    }
+fn guarded(strangers: Strangers) -> EngineSettings {
+    let guard = AuthenticatorSettings {
+        realm: REALM.into(),
+        md5: false,
+        nonce_lifetime: ms(60_000),
+        max_failures: 3,
+    };
+    EngineSettings { auth: Some(AuthSettings { guard, key: [3; 32], strangers }), ..settings() }
 }
 
 fn queued(held: usize) -> SetUpSettings {
     SetUpSettings {
         known: limits(100),
-        stranger: limits(100),
-        strangers_weight: 1,
-        strangers_rate: None,
-        strangers_share: 1.0,
-        held_least: held,
-        held_span: ms(0),
-        waiting: 100,
-        wait: ms(500),
-        addresses: 100,
+        unknown: limits(100),
+        unknown_weight: 1,
+        unknown_rate: None,
+        unknown_share: 1.0,
+        min_routing: held,
+        routing_span: ms(0),
+        max_waiting: 100,
+        max_wait: ms(500),
+        tracked_addresses: 100,
         retry_after: ms(1000),
         seed: 1,
     }
@@ -71,7 +75,7 @@
 fn with_credentials(request: &Message, name: &str, password: &str, nonce: &str, nc: u32) -> Message {
     let Start::Request { name: method, uri, .. } = request.start() else { panic!("a request") };
     let (nc_text, hash) = (format!("{nc:08x}"), ha1(Algorithm::Sha256, name, REALM, password));
-    let response = answer(Algorithm::Sha256, &hash, (method, uri), nonce, &nc_text, "c");
+    let response = client_response(Algorithm::Sha256, &hash, (method, uri), nonce, &nc_text, "c");
     let credentials = Credentials {
         username: name.into(),
         realm: REALM.into(),
@@ -256,8 +260,8 @@
     let burst: Vec<Message> = (0..20).map(|_| rig.call(9)).collect();
     let one = rig.invite(Some(9), &[]);
     rig.says(calm, &one);
-    let seen = rig.engine.set_up_admission().expect("on");
-    assert_eq!((seen.held(), seen.waiting()), (2, 19));
+    let seen = rig.engine.set_ups().expect("on");
+    assert_eq!((seen.routing(), seen.waiting()), (2, 19));
     assert!(burst.iter().all(|i| rig.statuses(i) == [100]), "each is told that it is worked on");
     // Three go out: the two that were held, and the first of the burst that waited. Then it is the other's turn.
     (0..4).for_each(|_| let_go(&mut rig));
@@ -347,7 +351,7 @@
         rig.pass(ms(40_000));
         format!("{:?}", rig.sent)
     };
-    let wide = SetUpSettings { held_least: 100_000, stranger: limits(10_000), ..queued(1) };
+    let wide = SetUpSettings { min_routing: 100_000, unknown: limits(10_000), ..queued(1) };
     let off = outputs(settings());
     assert!(off.len() > 100_000, "something happened");
     assert!(off == outputs(EngineSettings { set_ups: Some(wide), ..settings() }));
