--- a/crates/fawnrouter-config/src/document.rs
+++ b/crates/fawnrouter-config/src/document.rs
@@ -9,14 +9,14 @@
 
 /// One thing that is wrong.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct FieldError {
     /// The field, as a JSON pointer (RFC 6901): `/classes/0/points`.
     pub pointer: String,
     /// What is wrong and what to do.
     pub text: String,
 }
 
-impl Fault {
+impl FieldError {
     /// A fault at a field.
     #[must_use]
     pub fn new(pointer: impl Into<String>, text: impl Into<String>) -> Self {
@@ -125,20 +125,21 @@
     ///
     /// # Errors
     /// All that the schema finds wrong.
-    pub fn read<T: DeserializeOwned + schemars::JsonSchema>(&self) -> Result<T, ConfigError> {
+    pub fn deserialize<T: DeserializeOwned + schemars::JsonSchema>(&self) -> Result<T, ConfigError> {
         let schema = schemars::schema_for!(T).to_value();
-        let validator = jsonschema::validator_for(&schema)
-            .map_err(|e| self.errors(vec![Fault::new("", format!("the schema itself is wrong: {e}"))]))?;
-        let faults: Vec<Fault> = validator.iter_errors(&self.value).flat_map(|e| explain(&e)).collect();
+        let validator = jsonschema::validator_for(&schema).map_err(|e| {
+            self.locate_errors(vec![FieldError::new("", format!("the schema itself is wrong: {e}"))])
+        })?;
+        let faults: Vec<FieldError> = validator.iter_errors(&self.value).flat_map(|e| explain(&e)).collect();
         if !faults.is_empty() {
-            return Err(self.errors(faults));
+            return Err(self.locate_errors(faults));
         }
-        T::deserialize(&self.value).map_err(|e| self.errors(vec![Fault::new("", e.to_string())]))
+        T::deserialize(&self.value).map_err(|e| self.locate_errors(vec![FieldError::new("", e.to_string())]))
     }
 
     /// Gives faults their lines.
     #[must_use]
-    pub fn errors(&self, mut faults: Vec<Fault>) -> ConfigError {
+    pub fn locate_errors(&self, mut faults: Vec<FieldError>) -> ConfigError {
         faults.dedup();
         let mut lines: Vec<(usize, String)> = faults
             .into_iter()
@@ -170,14 +171,16 @@
     }
 }
 
-fn explain(error: &jsonschema::ValidationError<'_>) -> Vec<Fault> {
+fn explain(error: &jsonschema::ValidationError<'_>) -> Vec<FieldError> {
     let at = error.instance_path().to_string();
     let seen = error.instance();
-    let one = |text: String| vec![Fault::new(at.clone(), text)];
+    let one = |text: String| vec![FieldError::new(at.clone(), text)];
     match error.kind() {
         Kind::AdditionalProperties { unexpected } | Kind::UnevaluatedProperties { unexpected } => unexpected
             .iter()
-            .map(|name| Fault::new(format!("{at}/{name}"), "no such field; remove it or correct its name"))
+            .map(|name| {
+                FieldError::new(format!("{at}/{name}"), "no such field; remove it or correct its name")
+            })
             .collect(),
         Kind::Required { property } => {
             one(format!("{} is missing; add it", property.as_str().unwrap_or("a field")))
--- a/crates/fawnrouter-config/src/lib.rs
+++ b/crates/fawnrouter-config/src/lib.rs
@@ -6,9 +6,9 @@
 mod settings;
 mod switches;
 
-pub use document::{ConfigError, Document, Fault};
+pub use document::{ConfigError, Document, FieldError};
 pub use settings::*;
-pub use switches::{SwitchFile, SwitchLine, SwitchState, read_switches};
+pub use switches::{SwitchEntry, SwitchFile, SwitchState, read_switches};
 
 use std::path::Path;
 
@@ -28,9 +28,9 @@
 /// As [`load`].
 pub fn parse(name: &str, text: &str) -> Result<Settings, ConfigError> {
     let document = Document::parse(name, text)?;
-    let settings: Settings = document.read()?;
-    let faults = settings.faults();
-    if faults.is_empty() { Ok(settings) } else { Err(document.errors(faults)) }
+    let settings: Settings = document.deserialize()?;
+    let faults = settings.field_errors();
+    if faults.is_empty() { Ok(settings) } else { Err(document.locate_errors(faults)) }
 }
 
 /// The JSON schema of the settings.
--- a/crates/fawnrouter-config/src/settings/admission.rs
+++ b/crates/fawnrouter-config/src/settings/admission.rs
@@ -7,8 +7,8 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-use super::{ClientLine, Clients, Limits, Settings, ms};
-use crate::document::Fault;
+use super::{ClientEntry, Clients, Limits, Settings, ms};
+use crate::document::FieldError;
 
 /// Who gets in when too many connect. `limits.connections` is the number of places.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
@@ -62,7 +62,7 @@
     /// Places that only known clients may use; without a section `clients` there are none.
     pub reserve: Reserve,
     /// Whose set-up is next.
-    pub set_ups: SetUpsPlan,
+    pub set_ups: SetUpScheduling,
 }
 
 impl Default for Admission {
@@ -84,7 +84,7 @@
             messages_per_s: 200.0,
             known_messages_per_s: 5000.0,
             reserve: Reserve::default(),
-            set_ups: SetUpsPlan::default(),
+            set_ups: SetUpScheduling::default(),
         }
     }
 }
@@ -148,7 +148,8 @@
 /// What one known client may do, where its own line does not say otherwise.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
-pub struct ClientPlan {
+#[schemars(rename = "ClientPlan")]
+pub struct KnownClientDefaults {
     /// Connections.
     #[schemars(range(min = 1, max = 1_000_000))]
     pub connections: usize,
@@ -169,15 +170,15 @@
     pub calls: usize,
 }
 
-impl Default for ClientPlan {
+impl Default for KnownClientDefaults {
     fn default() -> Self {
         Self { connections: 100, weight: 1, rate_per_s: 500.0, burst: 500, pending: 2000, calls: 10_000 }
     }
 }
 
-impl ClientPlan {
+impl KnownClientDefaults {
     /// A client's limits: its own where its line has them.
-    pub(super) fn limits(&self, own: Option<&ClientLine>) -> ClientLimits {
+    pub(super) fn limits(&self, own: Option<&ClientEntry>) -> ClientLimits {
         let rate_per_s = own.and_then(|o| o.rate_per_s).unwrap_or(self.rate_per_s);
         let burst = own.and_then(|o| o.burst).unwrap_or(self.burst);
         ClientLimits {
@@ -192,7 +193,8 @@
 /// What one address of strangers may do, and all of them together.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
-pub struct StrangerPlan {
+#[schemars(rename = "StrangerPlan")]
+pub struct UnknownClientLimits {
     /// Set-ups of all strangers in one turn, against one known client's.
     #[schemars(range(min = 1, max = 1000))]
     pub weight: u32,
@@ -216,7 +218,7 @@
     pub calls: usize,
 }
 
-impl Default for StrangerPlan {
+impl Default for UnknownClientLimits {
     fn default() -> Self {
         let (rate_per_s, burst, pending, calls) = (100.0, 200, 500, 5000);
         Self { weight: 1, all_per_s: None, held_share: 0.25, rate_per_s, burst, pending, calls }
@@ -226,11 +228,12 @@
 /// Whose set-up is next, when more come than are sent.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
-pub struct SetUpsPlan {
+#[schemars(rename = "SetUpsPlan")]
+pub struct SetUpScheduling {
     /// Known clients, where their own lines do not say otherwise.
-    pub known: ClientPlan,
+    pub known: KnownClientDefaults,
     /// Strangers.
-    pub strangers: StrangerPlan,
+    pub strangers: UnknownClientLimits,
     /// Set-ups that the decisions on routes may hold, whatever is sent.
     #[schemars(range(min = 1, max = 1_000_000))]
     pub held_least: usize,
@@ -245,11 +248,11 @@
     pub wait_ms: u64,
 }
 
-impl Default for SetUpsPlan {
+impl Default for SetUpScheduling {
     fn default() -> Self {
         Self {
-            known: ClientPlan::default(),
-            strangers: StrangerPlan::default(),
+            known: KnownClientDefaults::default(),
+            strangers: UnknownClientLimits::default(),
             held_least: 32,
             held_ms: 500,
             waiting: 10_000,
@@ -260,8 +263,8 @@
 
 impl Admission {
     /// What the schema can't see.
-    pub(super) fn faults(&self, limits: &Limits, clients: Option<&Clients>, faults: &mut Vec<Fault>) {
-        let mut fault = |pointer: String, text: &str| faults.push(Fault::new(pointer, text));
+    pub(super) fn faults(&self, limits: &Limits, clients: Option<&Clients>, faults: &mut Vec<FieldError>) {
+        let mut fault = |pointer: String, text: &str| faults.push(FieldError::new(pointer, text));
         for (n, cap) in self.exceptions.iter().enumerate() {
             if cap.address.is_ipv4() && cap.bits > 32 {
                 let pointer = format!("/admission/exceptions/{n}/bits");
@@ -302,7 +305,7 @@
 impl Settings {
     /// The settings of the admission of connections, if it is on.
     #[must_use]
-    pub fn admission(&self, seed: u64) -> Option<AdmissionSettings> {
+    pub fn admission_settings(&self, seed: u64) -> Option<AdmissionSettings> {
         let a = self.admission.as_ref()?;
         Some(AdmissionSettings {
             total: self.limits.connections,
@@ -332,7 +335,7 @@
 
     /// The settings of the queue of set-ups, if admission is on.
     #[must_use]
-    pub fn set_ups(&self, seed: u64) -> Option<SetUpSettings> {
+    pub fn set_up_settings(&self, seed: u64) -> Option<SetUpSettings> {
         let a = self.admission.as_ref()?;
         let (plan, strangers) = (&a.set_ups, &a.set_ups.strangers);
         Some(SetUpSettings {
@@ -360,12 +363,12 @@
 
     /// Connections of each known client that has a limit of its own.
     #[must_use]
-    pub fn client_connections(&self, clients: &[ClientLine]) -> Vec<(Arc<str>, usize)> {
+    pub fn client_connection_limits(&self, clients: &[ClientEntry]) -> Vec<(Arc<str>, usize)> {
         clients.iter().filter_map(|c| c.connections.map(|n| (c.name.as_str().into(), n))).collect()
     }
 
     /// A known client's limits on set-ups.
-    pub(super) fn client_limits(&self, client: &ClientLine) -> ClientLimits {
+    pub(super) fn client_limits(&self, client: &ClientEntry) -> ClientLimits {
         let plan = self.admission.as_ref().map(|a| a.set_ups.known.clone()).unwrap_or_default();
         plan.limits(Some(client))
     }
--- a/crates/fawnrouter-config/src/settings/clients.rs
+++ b/crates/fawnrouter-config/src/settings/clients.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{Settings, ms};
-use crate::document::{ConfigError, Document, Fault};
+use crate::document::{ConfigError, Document, FieldError};
 
 /// How clients show who they are (RFC 8760).
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
@@ -23,7 +23,7 @@
     pub realm: String,
     /// What others may do.
     #[serde(default)]
-    pub strangers: StrangersMay,
+    pub strangers: UnknownClientPolicy,
     /// Takes MD5 too, from clients that have such a hash.
     #[serde(default)]
     pub md5: bool,
@@ -44,7 +44,8 @@
 /// What clients may do that have not shown who they are.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
-pub enum StrangersMay {
+#[schemars(rename = "StrangersMay")]
+pub enum UnknownClientPolicy {
     /// They may call, within their limits.
     #[default]
     Call,
@@ -78,13 +79,13 @@
 pub struct ClientFile {
     /// The clients.
     #[schemars(length(max = 100_000))]
-    pub clients: Vec<ClientLine>,
+    pub clients: Vec<ClientEntry>,
 }
 
 /// A known client.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct ClientLine {
+pub struct ClientEntry {
     /// Its name, as it gives it in its credentials.
     #[schemars(length(min = 1, max = 128))]
     pub name: String,
@@ -119,10 +120,10 @@
     pub calls: Option<usize>,
 }
 
-impl ClientLine {
-    fn secret(&self) -> Result<Secret, Fault> {
+impl ClientEntry {
+    fn secret(&self) -> Result<Secret, FieldError> {
         let read = |algorithm, field: &str, text: &str| {
-            let remedy = |e| Fault::new(field, format!("{e}; make it with `fawnrouter secret`"));
+            let remedy = |e| FieldError::new(field, format!("{e}; make it with `fawnrouter secret`"));
             Ha1::parse(algorithm, text).map_err(remedy)
         };
         let md5 = self.md5.as_deref().map(|text| read(Algorithm::Md5, "md5", text)).transpose()?;
@@ -134,29 +135,29 @@
 ///
 /// # Errors
 /// All faults found, each with its line, field and remedy.
-pub fn read_clients(name: &str, text: &str) -> Result<Vec<ClientLine>, ConfigError> {
+pub fn read_clients(name: &str, text: &str) -> Result<Vec<ClientEntry>, ConfigError> {
     let document = Document::parse(name, text)?;
-    let file: ClientFile = document.read()?;
+    let file: ClientFile = document.deserialize()?;
     let mut faults = Vec::new();
     let mut seen = BTreeSet::new();
     for (n, client) in file.clients.iter().enumerate() {
         if !seen.insert(client.name.as_str()) {
             let text = format!("{} stands twice; remove one", client.name);
-            faults.push(Fault::new(format!("/clients/{n}/name"), text));
+            faults.push(FieldError::new(format!("/clients/{n}/name"), text));
         }
         if let Err(fault) = client.secret() {
-            faults.push(Fault::new(format!("/clients/{n}/{}", fault.pointer), fault.text));
+            faults.push(FieldError::new(format!("/clients/{n}/{}", fault.pointer), fault.text));
         }
     }
-    if faults.is_empty() { Ok(file.clients) } else { Err(document.errors(faults)) }
+    if faults.is_empty() { Ok(file.clients) } else { Err(document.locate_errors(faults)) }
 }
 
 impl Clients {
     /// What the schema can't see.
-    pub(super) fn faults(&self, faults: &mut Vec<Fault>) {
+    pub(super) fn faults(&self, faults: &mut Vec<FieldError>) {
         if self.realm.chars().any(char::is_control) {
             let text = "holds a control character; write a name such as calls.example";
-            faults.push(Fault::new("/clients/realm", text));
+            faults.push(FieldError::new("/clients/realm", text));
         }
     }
 }
@@ -164,7 +165,7 @@
 impl Settings {
     /// How clients show who they are, if they do; `key` is to be secret and fresh at each start.
     #[must_use]
-    pub fn auth(&self, key: [u8; 32]) -> Option<AuthSettings> {
+    pub fn auth_settings(&self, key: [u8; 32]) -> Option<AuthSettings> {
         let clients = self.clients.as_ref()?;
         let guard = GuardSettings {
             realm: clients.realm.clone(),
@@ -173,16 +174,16 @@
             attempts: clients.attempts,
         };
         let strangers = match clients.strangers {
-            StrangersMay::Call => Strangers::Allowed,
-            StrangersMay::Nothing => Strangers::Asked,
+            UnknownClientPolicy::Call => Strangers::Allowed,
+            UnknownClientPolicy::Nothing => Strangers::Asked,
         };
         Some(AuthSettings { guard, key, strangers })
     }
 
     /// The known clients of a file as the engine takes them.
     #[must_use]
-    pub fn known_clients(&self, clients: &[ClientLine]) -> Vec<KnownClient> {
-        let known = |line: &ClientLine| {
+    pub fn known_clients(&self, clients: &[ClientEntry]) -> Vec<KnownClient> {
+        let known = |line: &ClientEntry| {
             let (name, limits) = (line.name.as_str().into(), self.client_limits(line));
             // A line with a hash that is none was refused when the file was read.
             line.secret().ok().map(|secret| KnownClient { name, secret, limits })
--- a/crates/fawnrouter-config/src/settings/mod.rs
+++ b/crates/fawnrouter-config/src/settings/mod.rs
@@ -16,11 +16,13 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-pub use admission::{Admission, ClientPlan, Network, NetworkCap, Reserve, SetUpsPlan, StrangerPlan};
-pub use clients::{ClientFile, ClientLine, Clients, Control, StrangersMay, read_clients};
-pub use zones::{BudgetPlan, PairCost, Window, ZonesPlan};
+pub use admission::{
+    Admission, KnownClientDefaults, Network, NetworkCap, Reserve, SetUpScheduling, UnknownClientLimits,
+};
+pub use clients::{ClientEntry, ClientFile, Clients, Control, UnknownClientPolicy, read_clients};
+pub use zones::{CrossZoneBudget, CrossZoneRouting, Window, ZonePairCost};
 
-use crate::document::Fault;
+use crate::document::FieldError;
 
 /// All settings of a gateway.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
@@ -45,10 +47,10 @@
     pub over_share_worth: f64,
     /// How calls are told apart.
     #[serde(default)]
-    pub calls: Calls,
+    pub calls: CallClassification,
     /// The figures of the rules.
     #[serde(default)]
-    pub rules: Rules,
+    pub rules: RoutingRules,
     /// Limits on what is held at once.
     #[serde(default)]
     pub limits: Limits,
@@ -60,7 +62,7 @@
     pub clients: Option<Clients>,
     /// Traffic across zones; left out, every switch is as near as any other.
     #[serde(default)]
-    pub zones: Option<ZonesPlan>,
+    pub zones: Option<CrossZoneRouting>,
     /// Where operators' commands reach the running gateway; left out, they do not.
     #[serde(default)]
     pub control: Option<Control>,
@@ -172,7 +174,8 @@
 /// How calls are told apart. In each list the first rule that fits decides.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Calls {
+#[schemars(rename = "Calls")]
+pub struct CallClassification {
     /// Rules for the class; calls that none fits get the first class.
     #[serde(default)]
     #[schemars(length(max = 10_000))]
@@ -194,7 +197,8 @@
 /// Which calls a rule fits: all parts that are given must.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct When {
+#[schemars(rename = "When")]
+pub struct CallCondition {
     /// The number called begins with this.
     #[serde(default)]
     pub number_prefix: Option<String>,
@@ -232,7 +236,7 @@
 pub struct ClassRule {
     /// Which calls.
     #[serde(default)]
-    pub when: When,
+    pub when: CallCondition,
     /// A name under `classes`.
     pub class: String,
 }
@@ -243,7 +247,7 @@
 pub struct TenantRule {
     /// Which calls.
     #[serde(default)]
-    pub when: When,
+    pub when: CallCondition,
     /// A name under `tenants`.
     pub tenant: String,
 }
@@ -254,7 +258,7 @@
 pub struct PoolRule {
     /// Which calls.
     #[serde(default)]
-    pub when: When,
+    pub when: CallCondition,
     /// The pool.
     pub pool: u32,
 }
@@ -262,7 +266,8 @@
 /// The figures of the rules.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
-pub struct Rules {
+#[schemars(rename = "Rules")]
+pub struct RoutingRules {
     /// Sends to a draining or gone switch end within this time.
     #[schemars(range(max = 600_000))]
     pub drain_grace_ms: u64,
@@ -289,7 +294,7 @@
     pub max_retry_after_ms: u64,
 }
 
-impl Default for Rules {
+impl Default for RoutingRules {
     fn default() -> Self {
         Self {
             drain_grace_ms: 1000,
@@ -485,9 +490,9 @@
 impl Settings {
     /// What the schema can't see: names that nothing bears, and figures that don't go together.
     #[must_use]
-    pub fn faults(&self) -> Vec<Fault> {
+    pub fn field_errors(&self) -> Vec<FieldError> {
         let mut faults = Vec::new();
-        let mut fault = |pointer: String, text: String| faults.push(Fault::new(pointer, text));
+        let mut fault = |pointer: String, text: String| faults.push(FieldError::new(pointer, text));
         if self.gateway.number >= self.gateway.count {
             let text = format!("is not below count ({}); numbers go from 0 to count - 1", self.gateway.count);
             fault("/gateway/number".into(), text);
@@ -549,7 +554,7 @@
     /// The engine's settings. `seed` is used where the settings name none; `words` asks for a word on each step of
     /// each call.
     #[must_use]
-    pub fn engine(&self, seed: u64, words: bool) -> EngineSettings {
+    pub fn engine_settings(&self, seed: u64, words: bool) -> EngineSettings {
         let class_of = |name: &str| self.classes.iter().position(|c| c.name == name).map(ClassId);
         let tenant_of = |name: &str| self.tenants.iter().position(|t| t.name == name).map(TenantId);
         let mut class: Vec<Rule<ClassId>> = (self.calls.class.iter())
@@ -565,7 +570,7 @@
         let spread = Destination::Spread(self.calls.spread.iter().copied().map(Cell).collect());
         destination.push(Rule { when: Match::default(), gets: spread });
         EngineSettings {
-            decisions: self.decisions(),
+            decisions: self.decision_settings(),
             seed: self.gateway.seed.unwrap_or(seed),
             host: self.gateway.host.clone(),
             rules: CallRules { class, tenant, destination },
@@ -583,14 +588,14 @@
             longest_try: ms(self.limits.longest_try_ms),
             auth: None,
             zones: self.zone_settings(),
-            set_ups: self.set_ups(seed),
+            set_ups: self.set_up_settings(seed),
             words,
         }
     }
 
     /// The decision module's settings.
     #[must_use]
-    pub fn decisions(&self) -> module::Settings {
+    pub fn decision_settings(&self) -> module::Settings {
         let classes = self.classes.iter().map(|c| module::ClassSettings {
             name: c.name.clone(),
             aim: ms(c.aim_ms),
@@ -635,7 +640,7 @@
     }
 }
 
-impl When {
+impl CallCondition {
     fn to_match(&self) -> Match {
         let pair = |p: &Option<NameValue>| p.as_ref().map(|p| (p.name.clone(), p.value.clone()));
         Match {
--- a/crates/fawnrouter-config/src/settings/zones.rs
+++ b/crates/fawnrouter-config/src/settings/zones.rs
@@ -8,12 +8,13 @@
 use serde::{Deserialize, Serialize};
 
 use super::Settings;
-use crate::document::Fault;
+use crate::document::FieldError;
 
 /// Traffic across zones. Costs and budgets may be the same text for all gateways: each takes what begins in its own zone.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct ZonesPlan {
+#[schemars(rename = "ZonesPlan")]
+pub struct CrossZoneRouting {
     /// This gateway's zone, as in the list of switches.
     #[schemars(length(min = 1, max = 128))]
     pub own: String,
@@ -27,7 +28,7 @@
     /// What a call costs, by pair of zones.
     #[serde(default)]
     #[schemars(length(max = 10_000))]
-    pub costs: Vec<PairCost>,
+    pub costs: Vec<ZonePairCost>,
     /// What a call costs between zones that are not named under `costs`.
     #[serde(default = "one")]
     #[schemars(range(min = 0.0, max = 1e9))]
@@ -39,7 +40,7 @@
     /// Budgets; a call counts in each that covers it. Without any, only its worth holds a call back.
     #[serde(default)]
     #[schemars(length(max = 1000))]
-    pub budgets: Vec<BudgetPlan>,
+    pub budgets: Vec<CrossZoneBudget>,
     /// Where the account is kept over a restart. Relative paths count from the settings' folder.
     pub account: PathBuf,
 }
@@ -47,7 +48,8 @@
 /// The cost of a call from one zone to another.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct PairCost {
+#[schemars(rename = "PairCost")]
+pub struct ZonePairCost {
     /// Where it comes from.
     pub from: String,
     /// Where it goes.
@@ -76,7 +78,8 @@
 /// What may be spent in a window by all gateways of a zone.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct BudgetPlan {
+#[schemars(rename = "BudgetPlan")]
+pub struct CrossZoneBudget {
     /// Calls of this zone; left out: of each zone by itself.
     #[serde(default)]
     pub from: Option<String>,
@@ -114,10 +117,10 @@
     0.2
 }
 
-impl ZonesPlan {
+impl CrossZoneRouting {
     /// What the schema can't see.
-    pub(super) fn faults(&self, faults: &mut Vec<Fault>) {
-        let mut fault = |pointer: String, text: String| faults.push(Fault::new(pointer, text));
+    pub(super) fn faults(&self, faults: &mut Vec<FieldError>) {
+        let mut fault = |pointer: String, text: String| faults.push(FieldError::new(pointer, text));
         if self.number >= self.gateways {
             let text =
                 format!("is not below gateways ({}); numbers go from 0 to gateways - 1", self.gateways);
@@ -131,7 +134,7 @@
             if cost.from == cost.to {
                 fault(format!("/zones/costs/{n}/to"), "is the zone itself; remove the entry".into());
             }
-            let earlier = |c: &&PairCost| c.from == cost.from && c.to == cost.to;
+            let earlier = |c: &&ZonePairCost| c.from == cost.from && c.to == cost.to;
             if self.costs[..n].iter().any(|c| earlier(&c)) {
                 fault(format!("/zones/costs/{n}"), "this pair stands twice; remove one".into());
             }
@@ -149,13 +152,13 @@
     #[must_use]
     pub fn zone_settings(&self) -> Option<ZoneSettings> {
         let plan = self.zones.as_ref()?;
-        let cost = |c: &PairCost| match c.per_call {
+        let cost = |c: &ZonePairCost| match c.per_call {
             Some(units) if !c.forbidden => Cost::Money(Money::units(units)),
             _ => Cost::Forbidden,
         };
         let own = plan.costs.iter().filter(|c| c.from == plan.own);
         let costs: BTreeMap<_, _> = own.map(|c| (c.to.as_str().into(), cost(c))).collect();
-        let budget = |b: &BudgetPlan| Budget {
+        let budget = |b: &CrossZoneBudget| Budget {
             from: Some(plan.own.as_str().into()),
             to: b.to.as_deref().map(Into::into),
             span: match b.window {
--- a/crates/fawnrouter-config/src/switches.rs
+++ b/crates/fawnrouter-config/src/switches.rs
@@ -9,7 +9,7 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-use crate::document::{ConfigError, Document, Fault};
+use crate::document::{ConfigError, Document, FieldError};
 
 /// The whole file.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, JsonSchema)]
@@ -17,13 +17,13 @@
 pub struct SwitchFile {
     /// All switches in service. One that is missing is gone.
     #[schemars(length(max = 10_000))]
-    pub switches: Vec<SwitchLine>,
+    pub switches: Vec<SwitchEntry>,
 }
 
 /// A switch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct SwitchLine {
+pub struct SwitchEntry {
     /// Its number. It keeps it over a restart; a machine that replaces it has another.
     pub id: u32,
     /// Its SIP listener, TCP.
@@ -59,21 +59,21 @@
 /// All faults found, each with its line, field and remedy.
 pub fn read_switches(name: &str, text: &str) -> Result<Vec<Switch>, ConfigError> {
     let document = Document::parse(name, text)?;
-    let file: SwitchFile = document.read()?;
+    let file: SwitchFile = document.deserialize()?;
     let mut seen = BTreeSet::new();
     let twice = file.switches.iter().enumerate().filter(|(_, s)| !seen.insert(s.id));
-    let faults: Vec<Fault> = twice
+    let faults: Vec<FieldError> = twice
         .map(|(n, s)| {
-            Fault::new(format!("/switches/{n}/id"), format!("{} stands twice; ids are unique", s.id))
+            FieldError::new(format!("/switches/{n}/id"), format!("{} stands twice; ids are unique", s.id))
         })
         .collect();
     if !faults.is_empty() {
-        return Err(document.errors(faults));
+        return Err(document.locate_errors(faults));
     }
-    Ok(file.switches.iter().map(SwitchLine::to_switch).collect())
+    Ok(file.switches.iter().map(SwitchEntry::to_switch).collect())
 }
 
-impl SwitchLine {
+impl SwitchEntry {
     fn to_switch(&self) -> Switch {
         let state = match self.state {
             SwitchState::Ready => ServerState::Ready,
--- a/crates/fawnrouter-config/tests/errors.rs
+++ b/crates/fawnrouter-config/tests/errors.rs
@@ -16,7 +16,7 @@
 #[test]
 fn the_example_settings_start() {
     let settings = parse("g.yaml", GOOD).expect("the example is sound");
-    let engine = settings.engine(1, false);
+    let engine = settings.engine_settings(1, false);
     assert!(fawnrouter_engine::Engine::new(engine).is_ok());
     assert_eq!(
         read_switches("s.yaml", include_str!("../../../examples/switches.yaml")).map(|s| s.len()),
@@ -75,9 +75,9 @@
 
 #[test]
 fn admission_is_off_unless_it_is_written_and_its_networks_are_checked() {
-    assert!(parse("g.yaml", GOOD).unwrap().admission(1).is_none());
+    assert!(parse("g.yaml", GOOD).unwrap().admission_settings(1).is_none());
     let on = parse("g.yaml", &format!("{GOOD}admission: {{}}\n")).unwrap();
-    assert_eq!(on.admission(1).map(|a| (a.total, a.per_address)), Some((1000, 200)));
+    assert_eq!(on.admission_settings(1).map(|a| (a.total, a.per_address)), Some((1000, 200)));
     let text =
         format!("{GOOD}admission: {{ exceptions: [{{ address: 127.0.0.1, bits: 40, connections: 9 }}] }}\n");
     let error = parse("g.yaml", &text).unwrap_err();
--- a/crates/fawnrouter-lab/src/day.rs
+++ b/crates/fawnrouter-lab/src/day.rs
@@ -12,7 +12,7 @@
 use async_io::Timer;
 use async_lock::Mutex;
 use fawnrouter_audit::{Figures, Listed, Seen, Verdict};
-use fawnrouter_config::{SwitchFile, SwitchLine, SwitchState};
+use fawnrouter_config::{SwitchEntry, SwitchFile, SwitchState};
 use fawnrouterd::engine::zones::Cause;
 
 use crate::callers::{Callers, Kind};
@@ -50,8 +50,8 @@
 /// The registry's truth and what it has published of it.
 struct Registry {
     folder: tempfile::TempDir,
-    truth: BTreeMap<u32, SwitchLine>,
-    published: BTreeMap<u32, SwitchLine>,
+    truth: BTreeMap<u32, SwitchEntry>,
+    published: BTreeMap<u32, SwitchEntry>,
     version: u64,
     shown: u64,
     empty: bool,
@@ -177,7 +177,7 @@
 
     /// The truth names a switch that takes calls.
     fn list_ready(&self, stand_in: &StandIn, pool: u32, plan: &SwitchPlan, cold: bool) {
-        let line = SwitchLine {
+        let line = SwitchEntry {
             id: stand_in.id,
             address: stand_in.address,
             zone: plan.zone.clone(),
@@ -229,7 +229,7 @@
     }
 
     /// Writes the list unless a newer one is out, and tells the auditor what it said once it is in place.
-    async fn publish_as(&self, version: u64, truth: BTreeMap<u32, SwitchLine>) -> io::Result<()> {
+    async fn publish_as(&self, version: u64, truth: BTreeMap<u32, SwitchEntry>) -> io::Result<()> {
         // Two lists of the same instant: what the older one lacks must be told neither after the newer one nor written
         // over it.
         let _one = self.writing.lock().await;
@@ -248,7 +248,7 @@
         };
         // A gateway may read the file before this task goes on: what it permits counts from before the writing, what
         // it ends from after it.
-        let ready = |line: &SwitchLine| line.state == SwitchState::Ready;
+        let ready = |line: &SwitchEntry| line.state == SwitchState::Ready;
         for (id, _) in shown.iter().filter(|(_, line)| ready(line)) {
             self.tap.fact(Seen::Told { switch: *id, listed: Listed::Ready });
         }
--- a/crates/fawnrouter-lab/src/fleet.rs
+++ b/crates/fawnrouter-lab/src/fleet.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use fawnrouter_config::{
-    Calls, Clients, Drain, Gateway, Listen, Log, LogFormat, LogLevel, Settings, StrangersMay, SwitchFile,
-    Switches, Trunk, ZonesPlan, load,
+    CallClassification, Clients, CrossZoneRouting, Drain, Gateway, Listen, Log, LogFormat, LogLevel,
+    Settings, SwitchFile, Switches, Trunk, UnknownClientPolicy, load,
 };
 use fawnrouterd::engine::Engine;
 use fawnrouterd::engine::digest::{Algorithm, ha1};
@@ -130,7 +130,7 @@
     let rule = |plan: &ClassPlan| {
         let name = plan.class.name.clone();
         let header = fawnrouter_config::NameValue { name: "X-Class".into(), value: name.clone() };
-        let when = fawnrouter_config::When { header: Some(header), ..Default::default() };
+        let when = fawnrouter_config::CallCondition { header: Some(header), ..Default::default() };
         fawnrouter_config::ClassRule { when, class: name }
     };
     Settings {
@@ -151,10 +151,10 @@
         classes: script.classes.iter().map(|c| c.class.clone()).collect(),
         tenants: Vec::new(),
         over_share_worth: 1.0,
-        calls: Calls {
+        calls: CallClassification {
             class: script.classes.iter().map(rule).collect(),
             spread: pools.collect(),
-            ..Calls::default()
+            ..CallClassification::default()
         },
         rules: script.rules.clone(),
         limits: script.limits.clone(),
@@ -162,7 +162,7 @@
         clients: (script.clients > 0).then(|| Clients {
             file: "clients.yaml".into(),
             realm: REALM.into(),
-            strangers: StrangersMay::Call,
+            strangers: UnknownClientPolicy::Call,
             md5: false,
             nonce_life_ms: 300_000,
             attempts: 5,
@@ -172,7 +172,7 @@
         zones: script.zones.as_ref().map(|zones| {
             let zone = |n: u32| &zones.gateways[n as usize % zones.gateways.len()];
             let own = zone(number);
-            ZonesPlan {
+            CrossZoneRouting {
                 own: own.clone(),
                 number: (0..number).filter(|n| zone(*n) == own).count() as u32,
                 gateways: (0..script.gateways).filter(|n| zone(*n) == own).count() as u32,
--- a/crates/fawnrouter-lab/src/load.rs
+++ b/crates/fawnrouter-lab/src/load.rs
@@ -11,7 +11,7 @@
 
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use fawnrouter_config::{Settings, SwitchFile, SwitchLine, SwitchState};
+use fawnrouter_config::{Settings, SwitchEntry, SwitchFile, SwitchState};
 use fawnrouter_sip::{Chunk, Dialog, Draft, Limits, Message, Method, Name, StreamDecoder};
 use fawnrouter_ws::{ClientHandshake, Decoder, Event, HttpLimits, Opcode, Role, Terms, accept, encode};
 use fawnrouterd::Outbox;
@@ -355,7 +355,7 @@
 }
 
 fn bench_list(far: &[SocketAddr]) -> SwitchFile {
-    let line = |(n, address): (usize, &SocketAddr)| SwitchLine {
+    let line = |(n, address): (usize, &SocketAddr)| SwitchEntry {
         id: 70 + n as u32,
         address: *address,
         zone: String::new(),
--- a/crates/fawnrouter-lab/src/script.rs
+++ b/crates/fawnrouter-lab/src/script.rs
@@ -1,6 +1,8 @@
 //! The script of a day: who calls what, which switches there are, and what goes wrong when.
 
-use fawnrouter_config::{Admission, BudgetPlan, Class, ConfigError, Document, Fault, Limits, Rules};
+use fawnrouter_config::{
+    Admission, Class, ConfigError, CrossZoneBudget, Document, FieldError, Limits, RoutingRules,
+};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
@@ -38,7 +40,7 @@
     pub list_delay_ms: u64,
     /// The figures of the rules.
     #[serde(default)]
-    pub rules: Rules,
+    pub rules: RoutingRules,
     /// Zones of gateways, and what may go across; left out, gateways know no zones.
     #[serde(default)]
     pub zones: Option<ZoneScript>,
@@ -76,7 +78,7 @@
     /// Budgets.
     #[serde(default)]
     #[schemars(length(max = 100))]
-    pub budgets: Vec<BudgetPlan>,
+    pub budgets: Vec<CrossZoneBudget>,
 }
 
 /// A stand-in switch.
@@ -276,22 +278,22 @@
     /// All faults found, each with its line, field and remedy.
     pub fn parse(name: &str, text: &str) -> Result<Self, ConfigError> {
         let document = Document::parse(name, text)?;
-        let script: Self = document.read()?;
+        let script: Self = document.deserialize()?;
         let known = FIRST_SWITCH..FIRST_SWITCH + script.switches.len() as u32;
         let mut faults = Vec::new();
         for (n, trouble) in script.troubles.iter().enumerate() {
             for id in trouble.switches().iter().filter(|id| !known.contains(id)) {
                 let text = format!("there is no switch {id}; they are {} to {}", known.start, known.end - 1);
-                faults.push(Fault::new(format!("/troubles/{n}/switches"), text));
+                faults.push(FieldError::new(format!("/troubles/{n}/switches"), text));
             }
             if let Trouble::RestartZone { zone, .. } = trouble
                 && !script.switches.iter().any(|s| s.zone == *zone)
             {
                 let text = format!("no switch is in zone {zone}; name one that is");
-                faults.push(Fault::new(format!("/troubles/{n}/zone"), text));
+                faults.push(FieldError::new(format!("/troubles/{n}/zone"), text));
             }
         }
-        if faults.is_empty() { Ok(script) } else { Err(document.errors(faults)) }
+        if faults.is_empty() { Ok(script) } else { Err(document.locate_errors(faults)) }
     }
 }
 
--- a/crates/fawnrouterd/src/connection_admission.rs
+++ b/crates/fawnrouterd/src/connection_admission.rs
@@ -316,7 +316,7 @@
              limits: {{ connections: {connection_limit} }}\nadmission: {{}}\n"
         );
         let settings = fawnrouter_config::parse("t.yaml", &text).expect("sound settings");
-        let admission = settings.admission(1).map(|a| Admission::new(a).expect("sound settings"));
+        let admission = settings.admission_settings(1).map(|a| Admission::new(a).expect("sound settings"));
         let descriptors = DescriptorSettings { limit, in_use: 0, trunks: 0, files: 0, control: 0 };
         let descriptors = Descriptors::new(descriptors).expect("room");
         ConnectionAdmission::new(admission, descriptors, connection_limit, Duration::from_secs(2))
--- a/crates/fawnrouterd/src/list.rs
+++ b/crates/fawnrouterd/src/list.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, SystemTime};
 
 use async_io::Timer;
-use fawnrouter_config::{ClientLine, ConfigError, read_clients, read_switches};
+use fawnrouter_config::{ClientEntry, ConfigError, read_clients, read_switches};
 use fawnrouter_engine::Input;
 use fawnrouter_engine::fawnrouter::ListKind;
 
@@ -73,9 +73,9 @@
 
 /// The list of known clients, with their limits.
 pub async fn clients(core: Rc<Core>, path: PathBuf) {
-    let take = |core: &Rc<Core>, clients: Vec<ClientLine>| {
+    let take = |core: &Rc<Core>, clients: Vec<ClientEntry>| {
         if let Some(admission) = &mut core.connection_admission.borrow_mut().admission {
-            admission.set_client_limits(core.settings.client_connections(&clients));
+            admission.set_client_limits(core.settings.client_connection_limits(&clients));
         }
         core.input(Input::Clients(core.settings.known_clients(&clients)));
     };
--- a/crates/fawnrouterd/src/serve.rs
+++ b/crates/fawnrouterd/src/serve.rs
@@ -58,11 +58,12 @@
     let words = settings.log.level >= fawnrouter_config::LogLevel::Debug;
     let key = secret()?;
     let seed = u64::from_le_bytes(key[..8].try_into().unwrap_or_default());
-    let mut engine_settings = settings.engine(seed, words);
-    engine_settings.auth = settings.auth(key);
+    let mut engine_settings = settings.engine_settings(seed, words);
+    engine_settings.auth = settings.auth_settings(key);
     let engine = engine(engine_settings)?;
     let descriptors = descriptors(&settings)?;
-    let admission = settings.admission(seed).map(|a| Admission::new(a.within(&descriptors))).transpose()?;
+    let admission =
+        settings.admission_settings(seed).map(|a| Admission::new(a.within(&descriptors))).transpose()?;
     let limits = &settings.limits;
     if descriptors.clients() < limits.connections {
         let room = descriptors.clients();
