--- a/crates/fawnrouter-lab/src/callers.rs
+++ b/crates/fawnrouter-lab/src/callers.rs
@@ -279,7 +279,7 @@
         let writing = async {
             let _ = outbox.write_to(&stream).await;
         };
-        future::or(future::or(reading, writing), outbox.killed()).await;
+        future::or(future::or(reading, writing), outbox.aborted()).await;
         self.tap.closed(conn);
         self.line_lost(line, conn);
     }
@@ -508,7 +508,7 @@
             let crowd = &mut *self.crowd.borrow_mut();
             let line = crowd.rng.random_range(0..crowd.lines.len().max(1));
             let Some((_, outbox)) = crowd.lines.get(line).and_then(|l| l.outbox.clone()) else { return };
-            outbox.kill();
+            outbox.abort();
             line
         };
         let callers = self.clone();
--- a/crates/fawnrouter-lab/src/fleet.rs
+++ b/crates/fawnrouter-lab/src/fleet.rs
@@ -107,7 +107,7 @@
     fawnrouterd::start_log(&settings.log);
     let folder = config.parent().map(PathBuf::from).unwrap_or_default();
     let ready = |address, path: &str| println!("ready ws://{address}{path}");
-    let ended = fawnrouterd::run_with(settings, folder, ready, |engine| {
+    let ended = fawnrouterd::run_with_engine(settings, folder, ready, |engine| {
         if !baseline {
             return Engine::new(engine);
         }
--- a/crates/fawnrouter-lab/src/stand_in.rs
+++ b/crates/fawnrouter-lab/src/stand_in.rs
@@ -117,7 +117,7 @@
         self.accepting.borrow_mut().take();
         for (conn, outbox) in std::mem::take(&mut *self.conns.borrow_mut()) {
             self.tap.closed(conn);
-            outbox.kill();
+            outbox.abort();
         }
         self.coming.borrow_mut().clear();
         self.going.borrow_mut().clear();
@@ -233,7 +233,7 @@
     let writing = async {
         let _ = outbox.write_to(&stream).await;
     };
-    future::or(future::or(reading, writing), outbox.killed()).await;
+    future::or(future::or(reading, writing), outbox.aborted()).await;
     if stand_in.conns.borrow_mut().remove(&conn).is_some() {
         stand_in.tap.closed(conn);
     }
--- a/crates/fawnrouter-lab/tests/admission.rs
+++ b/crates/fawnrouter-lab/tests/admission.rs
@@ -9,7 +9,7 @@
 use common::*;
 use fawnrouter_sip::{Draft, Method, Name};
 use fawnrouter_ws::{ClientHandshake, CloseCode, Opcode, encode};
-use fawnrouterd::control::{Command, Reply, Shown, ask};
+use fawnrouterd::control::{AdmissionStatus, Command, Reply, send_command};
 use fawnrouterd::engine::digest::{Algorithm, Credentials, answer, ha1};
 use rustix::process::{Pid, Resource, Rlimit, getrlimit, prlimit};
 
@@ -89,9 +89,9 @@
     std::fs::rename(gateway.folder().join("new"), file).expect("a list is put in place");
 }
 
-fn shown(gateway: &Gateway) -> Shown {
-    match ask(&gateway.folder().join("control"), &Command::Show) {
-        Ok(Reply::Shown(shown)) => *shown,
+fn shown(gateway: &Gateway) -> AdmissionStatus {
+    match send_command(&gateway.folder().join("control"), &Command::Show) {
+        Ok(Reply::Admission(shown)) => *shown,
         other => panic!("{other:?}"),
     }
 }
@@ -238,11 +238,14 @@
     assert!(seen.admission && seen.open == 1 && seen.addresses[0].who == "127.0.0.9", "{seen:?}");
     let socket = gateway.folder().join("control");
     let address = "127.0.0.9".parse().expect("an address");
-    assert_eq!(ask(&socket, &Command::Block { address, for_s: 60 }).expect("an answer"), Reply::Done);
+    assert_eq!(
+        send_command(&socket, &Command::Block { address, for_s: 60 }).expect("an answer"),
+        Reply::Done
+    );
     assert_eq!(Client::from(&gateway, [127, 0, 0, 9]).err(), Some(503));
     assert!(Client::from(&gateway, [127, 0, 0, 8]).is_ok());
     assert_eq!(shown(&gateway).blocked[0].0, address);
-    assert_eq!(ask(&socket, &Command::Free { address }).expect("an answer"), Reply::Done);
+    assert_eq!(send_command(&socket, &Command::Free { address }).expect("an answer"), Reply::Done);
     assert!(Client::from(&gateway, [127, 0, 0, 9]).is_ok());
     use std::os::unix::fs::PermissionsExt;
     let mode = std::fs::metadata(&socket).expect("the socket").permissions().mode();
@@ -523,7 +526,7 @@
         std::fs::write(folder.join("new"), text).expect("a list is written");
         std::fs::rename(folder.join("new"), folder.join("switches.yaml")).expect("a list is put in place");
     };
-    let budget = |gateway: &Gateway| match ask(&gateway.folder().join("control"), &Command::Zones) {
+    let budget = |gateway: &Gateway| match send_command(&gateway.folder().join("control"), &Command::Zones) {
         Ok(Reply::Zones(zones)) => zones.budgets[0].calls,
         other => panic!("{other:?}"),
     };
--- a/crates/fawnrouterd/src/cli.rs
+++ b/crates/fawnrouterd/src/cli.rs
@@ -57,13 +57,13 @@
         json: bool,
         /// What to ask; `show` if nothing is given.
         #[command(subcommand)]
-        ask: Option<Ask>,
+        ask: Option<AdmissionCommand>,
     },
     /// Report on what a gateway did.
     Report {
         /// What on.
         #[command(subcommand)]
-        on: Report,
+        on: ReportCommand,
     },
     /// Read a password, one line on standard input, and print a known client's line for the file of clients.
     Secret {
@@ -80,15 +80,15 @@
 
 /// Reports.
 #[derive(Clone, Debug, Subcommand)]
-pub enum Report {
+pub enum ReportCommand {
     /// Calls that went to other zones, by class, zones and cause, from the account that the settings name.
     Spill {
         /// The gateway's settings, YAML.
         #[arg(long)]
         config: PathBuf,
         /// In what form.
-        #[arg(long, value_enum, default_value_t = Form::Table)]
-        form: Form,
+        #[arg(long, value_enum, default_value_t = ReportFormat::Table)]
+        form: ReportFormat,
         /// The table's last minutes.
         #[arg(long, default_value_t = 1440)]
         minutes: u64,
@@ -97,7 +97,7 @@
 
 /// The form of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
-pub enum Form {
+pub enum ReportFormat {
     /// For people.
     Table,
     /// For programs: a record a minute, class, zone and cause.
@@ -108,7 +108,7 @@
 
 /// What a running gateway is asked.
 #[derive(Clone, Debug, Subcommand)]
-pub enum Ask {
+pub enum AdmissionCommand {
     /// Who holds what, who is refused and why.
     Show,
     /// How the own zone fares, and what is left of the budgets across zones.
@@ -130,7 +130,7 @@
 
 /// Does what was asked for. Exit codes: 0 done, 1 it failed or was cut short, 2 the settings are wrong.
 #[must_use]
-pub fn main_with(cli: Cli) -> ExitCode {
+pub fn run_command(cli: Cli) -> ExitCode {
     match cli.command {
         Command::Run { config } => match fawnrouter_config::load(&config) {
             Err(error) => wrong(&error),
@@ -179,10 +179,14 @@
                         config.display()
                     ));
                 };
-                admission(&folder_of(&config).join(wanted.socket), ask.unwrap_or(Ask::Show), json)
+                admission(
+                    &folder_of(&config).join(wanted.socket),
+                    ask.unwrap_or(AdmissionCommand::Show),
+                    json,
+                )
             }
         },
-        Command::Report { on: Report::Spill { config, form, minutes } } => {
+        Command::Report { on: ReportCommand::Spill { config, form, minutes } } => {
             match fawnrouter_config::load(&config) {
                 Err(error) => wrong(&error),
                 Ok(settings) => spill(&config, &settings, form, minutes),
@@ -229,14 +233,14 @@
     ExitCode::SUCCESS
 }
 
-fn admission(socket: &Path, wanted: Ask, json: bool) -> ExitCode {
+fn admission(socket: &Path, wanted: AdmissionCommand, json: bool) -> ExitCode {
     let command = match wanted {
-        Ask::Show => control::Command::Show,
-        Ask::Zones => control::Command::Zones,
-        Ask::Block { address, for_s } => control::Command::Block { address, for_s },
-        Ask::Free { address } => control::Command::Free { address },
+        AdmissionCommand::Show => control::Command::Show,
+        AdmissionCommand::Zones => control::Command::Zones,
+        AdmissionCommand::Block { address, for_s } => control::Command::Block { address, for_s },
+        AdmissionCommand::Free { address } => control::Command::Free { address },
     };
-    match control::ask(socket, &command) {
+    match control::send_command(socket, &command) {
         Err(error) => {
             eprintln!("{}: no gateway answers: {error}; is it running with this setting?", socket.display());
             ExitCode::FAILURE
@@ -245,8 +249,8 @@
             eprintln!("{why}");
             ExitCode::FAILURE
         }
-        Ok(Reply::Shown(shown)) if json => print_json(&shown),
-        Ok(Reply::Shown(shown)) => {
+        Ok(Reply::Admission(shown)) if json => print_json(&shown),
+        Ok(Reply::Admission(shown)) => {
             print!("{shown}");
             ExitCode::SUCCESS
         }
@@ -262,7 +266,7 @@
     }
 }
 
-fn spill(config: &Path, settings: &Settings, form: Form, minutes: u64) -> ExitCode {
+fn spill(config: &Path, settings: &Settings, form: ReportFormat, minutes: u64) -> ExitCode {
     let Some(zones) = &settings.zones else {
         let name = config.display();
         return wrong(&format!("{name}: zones: is missing; without it no traffic across zones is counted"));
@@ -276,9 +280,9 @@
         }
     };
     match form {
-        Form::Table => print!("{}", report::table(&ledger, minutes)),
-        Form::Csv => print!("{}", report::csv(&ledger)),
-        Form::Svg => match report::svg(&ledger) {
+        ReportFormat::Table => print!("{}", report::table(&ledger, minutes)),
+        ReportFormat::Csv => print!("{}", report::csv(&ledger)),
+        ReportFormat::Svg => match report::svg(&ledger) {
             Ok(text) => println!("{text}"),
             Err(error) => {
                 eprintln!("{error}");
--- a/crates/fawnrouterd/src/client.rs
+++ b/crates/fawnrouterd/src/client.rs
@@ -95,7 +95,7 @@
     let told = future::or(tell_and_end(&core, &stream, &answer), async {
         Timer::after(LAST_WORDS).await;
     });
-    future::or(told, outbox.killed()).await;
+    future::or(told, outbox.aborted()).await;
     core.connection_admission.borrow_mut().refused(&outbox);
 }
 
@@ -123,7 +123,7 @@
     };
     // It may have to make room for another before it is done.
     let made_room = async {
-        let why = outbox.ended().await.unwrap_or("the gateway ends");
+        let why = outbox.finished().await.unwrap_or("the gateway ends");
         Err(refuse(503, why, Some(whole_seconds(Duration::from_millis(core.settings.limits.retry_after_ms)))))
     };
     let shaken =
@@ -167,7 +167,7 @@
             let read = read_at_most(core, &stream, turn, |bytes| session.take_all(&mut decoder, bytes));
             match read.await {
                 Ok(Some(more)) => goes_on = more,
-                _ => return outbox.kill(),
+                _ => return outbox.abort(),
             }
             heard.set(Instant::now());
             let messages = std::mem::take(&mut session.messages);
@@ -181,7 +181,7 @@
     let writing = async {
         let _ = outbox.write_to(&stream).await;
     };
-    let watching = future::or(outbox.killed(), keep_alive(core, outbox, &heard));
+    let watching = future::or(outbox.aborted(), keep_alive(core, outbox, &heard));
     future::or(future::or(reading, writing), watching).await;
     core.connections.borrow_mut().remove_client(client);
     core.input(Input::ClientDown { client });
@@ -258,7 +258,7 @@
     loop {
         let silent = heard.get().elapsed();
         if silent >= pause * 2 {
-            return outbox.kill();
+            return outbox.abort();
         }
         if silent >= pause {
             outbox.push(|out| encode(Opcode::Ping, b"", None, out));
--- a/crates/fawnrouterd/src/connection_admission.rs
+++ b/crates/fawnrouterd/src/connection_admission.rs
@@ -130,7 +130,7 @@
                 if self.descriptors.refuse(self.refusing.len()) == Place::RefuseAfterOldest
                     && let Some(oldest) = self.refusing.pop_front()
                 {
-                    oldest.kill();
+                    oldest.abort();
                 }
                 self.refusing.push_back(outbox.clone());
                 Entry::Out(reason, wait, outbox)
@@ -250,7 +250,7 @@
         let Some(admission) = &mut self.admission else { return };
         for (conn, connection) in connections.iter() {
             if connection.client.is_some() {
-                admission.reads(now.0, conn, connection.outbox.backlog(), connection.outbox.taken());
+                admission.reads(now.0, conn, connection.outbox.backlog(), connection.outbox.written_bytes());
             }
         }
         for (conn, why) in admission.sweep(now.0) {
@@ -258,7 +258,7 @@
             if why == Eviction::Slow
                 && let Some((_, connection)) = connections.iter().find(|(c, _)| *c == conn)
             {
-                connection.outbox.kill();
+                connection.outbox.abort();
             }
             connections.close(conn, CloseCode::LATER, why.text());
         }
@@ -344,7 +344,7 @@
             panic!("room")
         };
         assert_eq!(connection_admission.shaken(now, &mut connections, second).ok(), Some(false));
-        assert_eq!(future::block_on(outbox.ended()), Some(Eviction::MadeRoom.text()));
+        assert_eq!(future::block_on(outbox.finished()), Some(Eviction::MadeRoom.text()));
         assert!(other.is_open() && connections.open() == 1);
     }
 
--- a/crates/fawnrouterd/src/connections.rs
+++ b/crates/fawnrouterd/src/connections.rs
@@ -101,7 +101,7 @@
         match connection.client {
             Some(_) => goodbye(&connection.outbox, code, reason),
             // Still in its handshake, which tells it by HTTP.
-            None => connection.outbox.finish_for(reason),
+            None => connection.outbox.finish_with_reason(reason),
         }
     }
 
@@ -111,7 +111,7 @@
             goodbye(outbox, code, reason);
         }
         for connection in self.accepted.values().filter(|c| c.client.is_none()) {
-            connection.outbox.finish_for(reason);
+            connection.outbox.finish_with_reason(reason);
         }
     }
 
--- a/crates/fawnrouterd/src/control.rs
+++ b/crates/fawnrouterd/src/control.rs
@@ -18,7 +18,7 @@
 use crate::core::Core;
 
 /// Operators that are served at once; others wait in the kernel.
-pub const MOST_OPERATORS: usize = 4;
+pub const MAX_OPERATOR_CONNECTIONS: usize = 4;
 /// Bytes of a command.
 const LONGEST: usize = 4096;
 /// An operator's command takes no longer than this.
@@ -50,7 +50,7 @@
 
 /// Somebody who holds something.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Holder {
+pub struct ResourceHolder {
     /// The address, or the client's name.
     pub who: String,
     /// Open connections, or calls.
@@ -59,7 +59,7 @@
 
 /// Who holds what, who is refused and why.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Shown {
+pub struct AdmissionStatus {
     /// Whether admission is on.
     pub admission: bool,
     /// Open connections.
@@ -91,18 +91,18 @@
     /// Proofs taken, challenges sent, connections given up for wrong answers.
     pub proofs: (u64, u64, u64),
     /// Strangers' addresses with most connections.
-    pub addresses: Vec<Holder>,
+    pub addresses: Vec<ResourceHolder>,
     /// Known clients with most connections.
-    pub clients: Vec<Holder>,
+    pub clients: Vec<ResourceHolder>,
     /// Clients with most calls.
-    pub callers: Vec<Holder>,
+    pub callers: Vec<ResourceHolder>,
     /// Blocked addresses, with the seconds that are left.
     pub blocked: Vec<(IpAddr, u64)>,
 }
 
 /// A budget as this gateway has it now.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct BudgetShown {
+pub struct BudgetStatus {
     /// Where calls go; none: all other zones.
     pub to: Option<String>,
     /// `Minute`, `Hour` or `Day`.
@@ -115,13 +115,13 @@
 
 /// Traffic across zones now.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct ZonesShown {
+pub struct ZoneStatus {
     /// The own zone.
     pub own: String,
     /// `Calm`, `Pressed` or `Down`.
     pub state: String,
     /// The budgets.
-    pub budgets: Vec<BudgetShown>,
+    pub budgets: Vec<BudgetStatus>,
     /// Calls since the start by zone and cause, with their cost.
     pub went: Vec<(String, String, u64, f64)>,
 }
@@ -131,9 +131,10 @@
 #[serde(rename_all = "lowercase")]
 pub enum Reply {
     /// What was asked to be shown.
-    Shown(Box<Shown>),
+    #[serde(rename = "shown")]
+    Admission(Box<AdmissionStatus>),
     /// Traffic across zones.
-    Zones(Box<ZonesShown>),
+    Zones(Box<ZoneStatus>),
     /// It is done.
     Done,
     /// It cannot be done, and why.
@@ -160,7 +161,7 @@
 pub async fn serve(core: Rc<Core>, listener: Async<UnixListener>) {
     let served = Rc::new(Cell::new(0usize));
     loop {
-        while served.get() >= MOST_OPERATORS {
+        while served.get() >= MAX_OPERATOR_CONNECTIONS {
             Timer::after(Duration::from_millis(20)).await;
         }
         let Ok((stream, _)) = listener.accept().await else {
@@ -202,7 +203,7 @@
 fn carry_out(core: &Core, command: &Command) -> Reply {
     let now = core.clock().now().0;
     if matches!(command, Command::Show) {
-        return Reply::Shown(Box::new(show(core)));
+        return Reply::Admission(Box::new(show(core)));
     }
     if matches!(command, Command::Zones) {
         return match zones(core) {
@@ -230,10 +231,10 @@
     Reply::Done
 }
 
-fn zones(core: &Core) -> Option<ZonesShown> {
+fn zones(core: &Core) -> Option<ZoneStatus> {
     let own = core.settings.zones.as_ref()?.own.clone();
     let look = |z: &mut fawnrouter_engine::zones::Zones| {
-        let budgets = z.account().lines().into_iter().map(|(budget, state, (calls, money))| BudgetShown {
+        let budgets = z.account().lines().into_iter().map(|(budget, state, (calls, money))| BudgetStatus {
             to: budget.to.as_deref().map(str::to_owned),
             window: format!("{:?}", budget.span),
             calls: (state.spent.0, calls),
@@ -246,7 +247,7 @@
             *sum = (sum.0 + cell.calls, sum.1 + cell.money.in_units());
         }
         let went = went.into_iter().map(|((to, cause), (calls, cost))| (to, cause, calls, cost));
-        ZonesShown {
+        ZoneStatus {
             own,
             state: format!("{:?}", z.state()),
             budgets: budgets.collect(),
@@ -256,13 +257,13 @@
     core.with_engine(|engine| engine.zones().map(|zones| zones.with(look)))
 }
 
-fn show(core: &Core) -> Shown {
+fn show(core: &Core) -> AdmissionStatus {
     let (connection_admission, buffer_budget) =
         (core.connection_admission.borrow(), core.buffer_budget.borrow());
     let Snapshot { open, handshakes, known, reserve, refused, evicted, addresses, clients, blocked } =
         connection_admission.snapshot(MOST_LISTED);
-    let holder = |h: fawnrouter_admission::Holding| Holder { who: h.who, count: h.open };
-    let mut shown = Shown {
+    let holder = |h: fawnrouter_admission::Holding| ResourceHolder { who: h.who, count: h.open };
+    let mut shown = AdmissionStatus {
         admission: connection_admission.admission.is_some(),
         open: open.max(core.connections.borrow().open()),
         handshakes,
@@ -277,7 +278,7 @@
         addresses: addresses.into_iter().map(holder).collect(),
         clients: clients.into_iter().map(holder).collect(),
         blocked: blocked.into_iter().map(|(a, left)| (a, left.as_secs())).collect(),
-        ..Shown::default()
+        ..AdmissionStatus::default()
     };
     core.with_engine(|engine| {
         let c = engine.counters();
@@ -291,7 +292,8 @@
             Who::Stranger(address) => address.to_string(),
         };
         let largest = set_ups.largest(MOST_LISTED).into_iter();
-        shown.callers = largest.map(|(who, _, calls)| Holder { who: name(who), count: calls }).collect();
+        shown.callers =
+            largest.map(|(who, _, calls)| ResourceHolder { who: name(who), count: calls }).collect();
     });
     shown
 }
@@ -300,7 +302,7 @@
 ///
 /// # Errors
 /// Where no gateway answers.
-pub fn ask(path: &Path, command: &Command) -> io::Result<Reply> {
+pub fn send_command(path: &Path, command: &Command) -> io::Result<Reply> {
     let mut stream = UnixStream::connect(path)?;
     stream.set_read_timeout(Some(PATIENCE))?;
     let mut text = serde_json::to_vec(command).map_err(io::Error::other)?;
@@ -311,7 +313,7 @@
     serde_json::from_slice(&reply).map_err(io::Error::other)
 }
 
-impl std::fmt::Display for Shown {
+impl std::fmt::Display for AdmissionStatus {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let state = if self.admission { "on" } else { "off" };
         writeln!(f, "admission          {state}")?;
@@ -354,7 +356,7 @@
     }
 }
 
-impl std::fmt::Display for ZonesShown {
+impl std::fmt::Display for ZoneStatus {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         writeln!(f, "zone {}: {}", self.own, self.state.to_lowercase())?;
         for b in &self.budgets {
--- a/crates/fawnrouterd/src/core.rs
+++ b/crates/fawnrouterd/src/core.rs
@@ -87,7 +87,10 @@
 
     /// A fresh outbox.
     pub fn outbox(&self, whose: For) -> Outbox {
-        Outbox::sharing(self.settings.limits.write_backlog_bytes, Share::of(&self.buffer_budget, whose))
+        Outbox::with_budget_share(
+            self.settings.limits.write_backlog_bytes,
+            Share::of(&self.buffer_budget, whose),
+        )
     }
 
     /// Gives the engine an input and carries out what it says.
--- a/crates/fawnrouterd/src/ledger.rs
+++ b/crates/fawnrouterd/src/ledger.rs
@@ -66,7 +66,7 @@
 
 /// Takes up the account of before a restart. One that is not there means a first start; one that is damaged means that
 /// this window's share counts as spent.
-pub async fn take_up(core: &Rc<Core>, file: &Path) {
+pub async fn restore(core: &Rc<Core>, file: &Path) {
     let path = file.to_owned();
     match blocking::unblock(move || read(&path)).await {
         Ok(ledger) => {
@@ -110,7 +110,7 @@
 }
 
 /// Saves the account whenever something was spent, for ever.
-pub async fn keep(core: Rc<Core>, file: PathBuf) {
+pub async fn save_periodically(core: Rc<Core>, file: PathBuf) {
     let mut last = None;
     loop {
         Timer::after(PAUSE).await;
--- a/crates/fawnrouterd/src/lib.rs
+++ b/crates/fawnrouterd/src/lib.rs
@@ -25,11 +25,11 @@
 mod share;
 mod trunk;
 
-pub use cli::{Cli, Command, main_with};
+pub use cli::{Cli, Command, run_command};
 pub use fawnrouter_config as config;
 pub use fawnrouter_engine as engine;
 pub use log::start as start_log;
 pub use node::{ConfigError as NodeConfigError, NodeError, run as run_node};
 pub use outbox::Outbox;
 pub use run_error::RunError;
-pub use serve::{run, run_with};
+pub use serve::{run, run_with_engine};
--- a/crates/fawnrouterd/src/main.rs
+++ b/crates/fawnrouterd/src/main.rs
@@ -6,5 +6,5 @@
 use clap::Parser;
 
 fn main() -> ExitCode {
-    fawnrouterd::main_with(fawnrouterd::Cli::parse())
+    fawnrouterd::run_command(fawnrouterd::Cli::parse())
 }
--- a/crates/fawnrouterd/src/node/client.rs
+++ b/crates/fawnrouterd/src/node/client.rs
@@ -46,12 +46,12 @@
         false
     };
     let late = async {
-        outbox.ended().await;
+        outbox.finished().await;
         Timer::after(LAST_WORDS).await;
         false
     };
     let killed = async {
-        outbox.killed().await;
+        outbox.aborted().await;
         false
     };
     // Reading goes first: what is said to a caller that has ended is known to be unheard, and is not lost with it.
--- a/crates/fawnrouterd/src/node/gate.rs
+++ b/crates/fawnrouterd/src/node/gate.rs
@@ -132,7 +132,7 @@
 
     fn forget(&self, client: ClientId) -> Vec<Input> {
         let peer = self.clients.borrow_mut().remove(&client);
-        let unheard = peer.into_iter().flat_map(|peer| peer.outbox.unwritten());
+        let unheard = peer.into_iter().flat_map(|peer| peer.outbox.unwritten_marks());
         let unheard = unheard.map(|tag| Input::Unheard { tag: Tag(tag) });
         std::iter::once(Input::ClientEnded { client }).chain(unheard).collect()
     }
@@ -217,13 +217,13 @@
             }
             Output::GiveUp { link, tag, line } => {
                 if let Some(outbox) = self.links.borrow().get(&link)
-                    && !outbox.take_back(tag.0)
+                    && !outbox.remove_unwritten(tag.0)
                 {
                     outbox.push(|out| out.extend_from_slice(&line));
                 }
             }
             Output::Recall { link } => {
-                let back = self.links.borrow().get(&link).map(|outbox| outbox.take_back_all());
+                let back = self.links.borrow().get(&link).map(|outbox| outbox.remove_all_unwritten());
                 let back = back.into_iter().flatten();
                 next.extend(back.map(|mark| Next::Input(Input::Recalled { link, tag: Tag(mark) })));
             }
@@ -242,7 +242,7 @@
     /// calls may go elsewhere. What gives up or releases others is written.
     pub fn drop_link(&self, link: LinkId) {
         if let Some(outbox) = self.links.borrow_mut().remove(&link) {
-            outbox.take_back_all();
+            outbox.remove_all_unwritten();
             outbox.finish();
         }
     }
--- a/crates/fawnrouterd/src/node/mod.rs
+++ b/crates/fawnrouterd/src/node/mod.rs
@@ -76,7 +76,7 @@
     let all = async {
         let tasks = [
             executor.spawn(wake(gate.clone())),
-            executor.spawn(names::ask(gate.clone())),
+            executor.spawn(names::poll_nameserver(gate.clone())),
             executor.spawn(signals::heed(gate.clone(), signals, source)),
         ];
         let listening = executor.spawn(listener::accept(gate.clone(), listener.clone(), client::serve));
--- a/crates/fawnrouterd/src/node/names.rs
+++ b/crates/fawnrouterd/src/node/names.rs
@@ -19,7 +19,7 @@
 
 /// Asks for ever. A new address is asked through a new socket, which is had before the old one is let go; a socket that
 /// fails is replaced.
-pub async fn ask(gate: Rc<Gate>) {
+pub async fn poll_nameserver(gate: Rc<Gate>) {
     let mut held = None;
     loop {
         let server = gate.nameserver.get();
--- a/crates/fawnrouterd/src/node/trunk.rs
+++ b/crates/fawnrouterd/src/node/trunk.rs
@@ -29,7 +29,7 @@
     };
     // The node may drop it before it is up.
     let dropped = async {
-        outbox.ended().await;
+        outbox.finished().await;
         Err(ErrorKind::Interrupted)
     };
     let end = match future::or(future::or(connecting, late), dropped).await {
@@ -53,10 +53,10 @@
         let _ = outbox.write_to(stream).await;
     };
     let late = async {
-        outbox.ended().await;
+        outbox.finished().await;
         Timer::after(LAST_WORDS).await;
     };
-    let ends = future::or(late, outbox.killed());
+    let ends = future::or(late, outbox.aborted());
     future::or(future::or(writing, read(gate, link, stream)), ends).await;
 }
 
--- a/crates/fawnrouterd/src/outbox.rs
+++ b/crates/fawnrouterd/src/outbox.rs
@@ -51,11 +51,11 @@
 impl Outbox {
     /// An empty one that holds `limit` bytes.
     pub fn new(limit: usize) -> Self {
-        Self::sharing(limit, Share::unbound())
+        Self::with_budget_share(limit, Share::unbound())
     }
 
     /// One whose bytes count against a budget.
-    pub fn sharing(limit: usize, share: Share) -> Self {
+    pub fn with_budget_share(limit: usize, share: Share) -> Self {
         Self {
             waiting: RefCell::default(),
             writing: RefCell::default(),
@@ -81,7 +81,7 @@
         write(&mut self.waiting.borrow_mut());
         let backlog = self.backlog();
         if !self.share.set(backlog) || backlog > self.limit {
-            self.kill();
+            self.abort();
         }
         if let Some(waker) = self.waker.take() {
             waker.wake();
@@ -103,7 +103,7 @@
     }
 
     /// Takes back what was added last under this mark; `false` if a byte of it is written, or it is not there.
-    pub fn take_back(&self, mark: u64) -> bool {
+    pub fn remove_unwritten(&self, mark: u64) -> bool {
         if self.state.get() == State::Dead {
             return false;
         }
@@ -129,13 +129,13 @@
     }
 
     /// Takes back all that has a mark and of which not a byte is written; the marks, in order.
-    pub fn take_back_all(&self) -> Vec<u64> {
+    pub fn remove_all_unwritten(&self) -> Vec<u64> {
         let marks: Vec<u64> = self.marked.borrow().iter().map(|m| m.mark).collect();
-        marks.into_iter().filter(|mark| self.take_back(*mark)).collect()
+        marks.into_iter().filter(|mark| self.remove_unwritten(*mark)).collect()
     }
 
     /// The marks of which not a byte is written, in order; those of a connection that was given up among them.
-    pub fn unwritten(&self) -> Vec<u64> {
+    pub fn unwritten_marks(&self) -> Vec<u64> {
         let taken = self.taken.get();
         self.marked.borrow().iter().filter(|m| m.from >= taken).map(|m| m.mark).collect()
     }
@@ -146,7 +146,7 @@
     }
 
     /// Bytes written since the start.
-    pub fn taken(&self) -> u64 {
+    pub fn written_bytes(&self) -> u64 {
         self.taken.get()
     }
 
@@ -166,13 +166,13 @@
     }
 
     /// As [`Outbox::finish`], for a reason.
-    pub fn finish_for(&self, why: &'static str) {
+    pub fn finish_with_reason(&self, why: &'static str) {
         self.why.set(Some(why));
         self.finish();
     }
 
     /// Ends when nothing more is taken; with the reason, if there was one.
-    pub async fn ended(&self) -> Option<&'static str> {
+    pub async fn finished(&self) -> Option<&'static str> {
         poll_fn(|cx| {
             if self.state.get() != State::Open {
                 return Poll::Ready(());
@@ -185,7 +185,7 @@
     }
 
     /// Drops what waits and ends the connection.
-    pub fn kill(&self) {
+    pub fn abort(&self) {
         self.state.set(State::Dead);
         self.waiting.borrow_mut().clear();
         self.share.set(0);
@@ -195,7 +195,7 @@
     }
 
     /// Ends when the connection is given up.
-    pub async fn killed(&self) {
+    pub async fn aborted(&self) {
         poll_fn(|cx| {
             if self.state.get() == State::Dead {
                 return Poll::Ready(());
--- a/crates/fawnrouterd/src/outbox_tests.rs
+++ b/crates/fawnrouterd/src/outbox_tests.rs
@@ -8,7 +8,7 @@
     assert_eq!(outbox.backlog(), 10);
     outbox.push(|b| b.push(1));
     assert_eq!(outbox.backlog(), 0);
-    future::block_on(outbox.killed());
+    future::block_on(outbox.aborted());
     outbox.push(|b| b.push(1));
     assert_eq!(outbox.backlog(), 0, "a dead connection takes nothing");
 }
@@ -31,13 +31,13 @@
     outbox.push_marked(3, b"three,");
     outbox.push_marked(4, b"four,");
     outbox.push(|b| b.extend(b"end"));
-    assert!(!outbox.take_back(1), "its first byte is written");
-    assert!(outbox.take_back(3) && !outbox.take_back(3));
+    assert!(!outbox.remove_unwritten(1), "its first byte is written");
+    assert!(outbox.remove_unwritten(3) && !outbox.remove_unwritten(3));
     assert_eq!(rest(&outbox), b"ne,said,two,four,end");
-    assert!(outbox.take_back(2));
+    assert!(outbox.remove_unwritten(2));
     assert_eq!(rest(&outbox), b"ne,said,four,end");
     outbox.push_marked(2, b"again,");
-    assert_eq!(outbox.take_back_all(), [4, 2]);
+    assert_eq!(outbox.remove_all_unwritten(), [4, 2]);
     assert_eq!((rest(&outbox).as_slice(), outbox.backlog()), (&b"ne,said,end"[..], 11));
 }
 
@@ -56,7 +56,7 @@
     outbox.push_marked(7, b"never");
     let mut writing = Box::pin(outbox.write_to(&stream));
     assert!(future::block_on(future::poll_once(&mut writing)).is_none(), "held up");
-    assert!(outbox.take_back(7));
+    assert!(outbox.remove_unwritten(7));
     outbox.push(|b| b.extend(b"last"));
     outbox.finish();
     let reading = std::thread::spawn(move || {
--- a/crates/fawnrouterd/src/serve.rs
+++ b/crates/fawnrouterd/src/serve.rs
@@ -37,14 +37,14 @@
     folder: PathBuf,
     ready: impl FnOnce(SocketAddr, &str),
 ) -> Result<bool, RunError> {
-    run_with(settings, folder, ready, Engine::new)
+    run_with_engine(settings, folder, ready, Engine::new)
 }
 
 /// As [`run`], with an engine of the caller's making.
 ///
 /// # Errors
 /// As [`run`].
-pub fn run_with(
+pub fn run_with_engine(
     settings: Settings,
     folder: PathBuf,
     ready: impl FnOnce(SocketAddr, &str),
@@ -95,8 +95,8 @@
         tasks.extend(clients.map(|file| executor.spawn(list::clients(core.clone(), file))));
         tasks.extend(operators.map(|socket| executor.spawn(control::serve(core.clone(), socket))));
         if let Some(file) = &account {
-            ledger::take_up(&core, file).await;
-            tasks.push(executor.spawn(ledger::keep(core.clone(), file.clone())));
+            ledger::restore(&core, file).await;
+            tasks.push(executor.spawn(ledger::save_periodically(core.clone(), file.clone())));
         }
         let accepting = executor.spawn(accept::accept(core.clone(), listener));
         tracing::info!(%bound, "gateway ready");
@@ -178,7 +178,7 @@
     let limit = limit.and_then(|n| usize::try_from(n).ok()).unwrap_or(usize::MAX / 2);
     // Without a proc file system the usual number: the standard streams, the reactor's, the listener.
     let in_use = std::fs::read_dir("/proc/self/fd").map_or(16, Iterator::count);
-    let control = if settings.control.is_some() { control::MOST_OPERATORS + 1 } else { 0 };
+    let control = if settings.control.is_some() { control::MAX_OPERATOR_CONNECTIONS + 1 } else { 0 };
     let files = 4;
     Descriptors::new(DescriptorSettings { limit, in_use, trunks: settings.trunk.descriptors, files, control })
 }
--- a/crates/fawnrouterd/src/trunk.rs
+++ b/crates/fawnrouterd/src/trunk.rs
@@ -38,7 +38,7 @@
             let _ = outbox.write_to(&stream).await;
         };
         let reading = read(&core, server, &stream, &outbox);
-        future::or(future::or(reading, writing), outbox.killed()).await;
+        future::or(future::or(reading, writing), outbox.aborted()).await;
     }
     if core.connections.borrow().is_current(server, &outbox) {
         core.connections.borrow_mut().remove_trunk(server);
