--- a/crates/fawnrouter-config/src/document.rs
+++ b/crates/fawnrouter-config/src/document.rs
@@ -13,14 +13,14 @@
     /// The field, as a JSON pointer (RFC 6901): `/classes/0/points`.
     pub pointer: String,
     /// What is wrong and what to do.
-    pub text: String,
+    pub message: String,
 }
 
 impl FieldError {
     /// A fault at a field.
     #[must_use]
     pub fn new(pointer: impl Into<String>, text: impl Into<String>) -> Self {
-        Self { pointer: pointer.into(), text: text.into() }
+        Self { pointer: pointer.into(), message: text.into() }
     }
 }
 
@@ -149,7 +149,7 @@
                     path => path.replace('/', "."),
                 };
                 let line = self.line_of(&fault.pointer);
-                (line, format!("{}:{line}: {field}: {}", self.name, fault.text))
+                (line, format!("{}:{line}: {field}: {}", self.name, fault.message))
             })
             .collect();
         lines.sort();
--- a/crates/fawnrouter-config/src/settings/clients.rs
+++ b/crates/fawnrouter-config/src/settings/clients.rs
@@ -146,7 +146,7 @@
             faults.push(FieldError::new(format!("/clients/{n}/name"), text));
         }
         if let Err(fault) = client.secret() {
-            faults.push(FieldError::new(format!("/clients/{n}/{}", fault.pointer), fault.text));
+            faults.push(FieldError::new(format!("/clients/{n}/{}", fault.pointer), fault.message));
         }
     }
     if faults.is_empty() { Ok(file.clients) } else { Err(document.locate_errors(faults)) }
