--- a/crates/fawnrouterd/src/serve.rs
+++ b/crates/fawnrouterd/src/serve.rs
@@ -37,14 +37,14 @@
     folder: PathBuf,
     ready: impl FnOnce(SocketAddr, &str),
 ) -> Result<bool, RunError> {
-    run_with(settings, folder, ready, Engine::new)
+    run_with_engine(settings, folder, ready, Engine::new)
 }
 
 /// As [`run`], with an engine of the caller's making.
 ///
 /// # Errors
 /// As [`run`].
-pub fn run_with(
+pub fn run_with_engine(
     settings: Settings,
     folder: PathBuf,
     ready: impl FnOnce(SocketAddr, &str),
@@ -58,11 +58,12 @@
     let words = settings.log.level >= fawnrouter_config::LogLevel::Debug;
     let key = secret()?;
     let seed = u64::from_le_bytes(key[..8].try_into().unwrap_or_default());
-    let mut engine_settings = settings.engine(seed, words);
-    engine_settings.auth = settings.auth(key);
+    let mut engine_settings = settings.engine_settings(seed, words);
+    engine_settings.auth = settings.auth_settings(key);
     let engine = engine(engine_settings)?;
     let descriptors = descriptors(&settings)?;
-    let admission = settings.admission(seed).map(|a| Admission::new(a.within(&descriptors))).transpose()?;
+    let admission =
+        settings.admission_settings(seed).map(|a| Admission::new(a.within(&descriptors))).transpose()?;
     let limits = &settings.limits;
     if descriptors.clients() < limits.connections {
         let room = descriptors.clients();
@@ -94,8 +95,8 @@
         tasks.extend(clients.map(|file| executor.spawn(list::clients(core.clone(), file))));
         tasks.extend(operators.map(|socket| executor.spawn(control::serve(core.clone(), socket))));
         if let Some(file) = &account {
-            ledger::take_up(&core, file).await;
-            tasks.push(executor.spawn(ledger::keep(core.clone(), file.clone())));
+            ledger::restore(&core, file).await;
+            tasks.push(executor.spawn(ledger::save_periodically(core.clone(), file.clone())));
         }
         let accepting = executor.spawn(accept::accept(core.clone(), listener));
         tracing::info!(%bound, "gateway ready");
@@ -177,7 +178,7 @@
     let limit = limit.and_then(|n| usize::try_from(n).ok()).unwrap_or(usize::MAX / 2);
     // Without a proc file system the usual number: the standard streams, the reactor's, the listener.
     let in_use = std::fs::read_dir("/proc/self/fd").map_or(16, Iterator::count);
-    let control = if settings.control.is_some() { control::MOST_OPERATORS + 1 } else { 0 };
+    let control = if settings.control.is_some() { control::MAX_OPERATOR_CONNECTIONS + 1 } else { 0 };
     let files = 4;
     Descriptors::new(DescriptorSettings { limit, in_use, trunks: settings.trunk.descriptors, files, control })
 }
