--- a/crates/fawnrouter-bootinfo/src/lib.rs
+++ b/crates/fawnrouter-bootinfo/src/lib.rs
@@ -41,8 +41,8 @@
 
     /// A load report: pairs of name and value, or the values in the order of the settings' names.
     #[must_use]
-    pub fn report_from_json(&self, load: &Value) -> Report {
-        let mut report = Report::default();
+    pub fn report_from_json(&self, load: &Value) -> LoadReport {
+        let mut report = LoadReport::default();
         match load {
             Value::Object(pairs) => {
                 pairs.iter().for_each(|(name, value)| note(&mut report, name, value.as_f64()))
@@ -60,8 +60,8 @@
 
 /// A load report as the platform's lines have it: `free:87;size:87`. What is no figure is left out.
 #[must_use]
-pub fn parse_report(text: &str) -> Report {
-    let mut report = Report::default();
+pub fn parse_report(text: &str) -> LoadReport {
+    let mut report = LoadReport::default();
     for (name, value) in text.split(';').filter_map(|pair| pair.split_once(':')) {
         note(&mut report, name, value.parse().ok());
     }
--- a/crates/fawnrouter-config/src/settings/clients.rs
+++ b/crates/fawnrouter-config/src/settings/clients.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 
 use fawnrouter_engine::digest::{Algorithm, AuthenticatorSettings, Ha1, Secret};
-use fawnrouter_engine::{AuthSettings, KnownClient, Strangers};
+use fawnrouter_engine::{AuthSettings, KnownClient, UnknownClients};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
@@ -174,8 +174,8 @@
             max_failures: clients.attempts,
         };
         let strangers = match clients.strangers {
-            UnknownClientPolicy::Call => Strangers::Allowed,
-            UnknownClientPolicy::Nothing => Strangers::Asked,
+            UnknownClientPolicy::Call => UnknownClients::Allowed,
+            UnknownClientPolicy::Nothing => UnknownClients::Challenged,
         };
         Some(AuthSettings { guard, key, unknown_clients: strangers })
     }
--- a/crates/fawnrouter-config/src/settings/mod.rs
+++ b/crates/fawnrouter-config/src/settings/mod.rs
@@ -574,7 +574,7 @@
         let spread = PoolChoice::Spread(self.calls.spread.iter().copied().map(Cell).collect());
         destination.push(CallRule { when: CallMatch::default(), value: spread });
         EngineSettings {
-            decisions: self.decision_settings(),
+            controller: self.decision_settings(),
             seed: self.gateway.seed.unwrap_or(seed),
             host: self.gateway.host.clone(),
             rules: CallRules { class, tenant, destination },
@@ -593,7 +593,7 @@
             auth: None,
             zones: self.zone_settings(),
             set_ups: self.set_up_settings(seed),
-            words,
+            call_events: words,
         }
     }
 
@@ -645,7 +645,7 @@
 }
 
 impl CallCondition {
-    fn to_match(&self) -> Match {
+    fn to_match(&self) -> CallMatch {
         let pair = |p: &Option<NameValue>| p.as_ref().map(|p| (p.name.clone(), p.value.clone()));
         CallMatch {
             number_prefix: self.number_prefix.clone(),
--- a/crates/fawnrouter-config/src/settings/zones.rs
+++ b/crates/fawnrouter-config/src/settings/zones.rs
@@ -153,8 +153,8 @@
     pub fn zone_settings(&self) -> Option<ZoneSettings> {
         let plan = self.zones.as_ref()?;
         let cost = |c: &ZonePairCost| match c.per_call {
-            Some(units) if !c.forbidden => Cost::Money(Money::units(units)),
-            _ => Cost::Forbidden,
+            Some(units) if !c.forbidden => ZoneCost::Money(Money::from_units(units)),
+            _ => ZoneCost::Forbidden,
         };
         let own = plan.costs.iter().filter(|c| c.from == plan.own);
         let costs: BTreeMap<_, _> = own.map(|c| (c.to.as_str().into(), cost(c))).collect();
--- a/crates/fawnrouter-engine/src/caller.rs
+++ b/crates/fawnrouter-engine/src/caller.rs
@@ -178,7 +178,7 @@
             destination: seen.destination,
         };
         if turn == SetUpDecision::Wait {
-            let wait = self.set_ups().map_or(left, SetUpAdmission::max_wait).min(left);
+            let wait = self.set_up_admission().map_or(left, SetUpAdmission::max_wait).min(left);
             self.table.due.set(Key::Call(id), self.now.plus(wait));
             if let Some(call) = self.table.calls.get_mut(&id) {
                 call.waits = Some(new);
--- a/crates/fawnrouter-engine/src/engine.rs
+++ b/crates/fawnrouter-engine/src/engine.rs
@@ -269,8 +269,17 @@
     pub(crate) fn close_leg(&mut self, id: LegId, outcome: Outcome, done: bool) {
         let Some(leg) = self.table.legs.get(&id).filter(|l| matches!(l.state, LegState::Out)) else { return };
         let (call, attempt, server, took) = (leg.call, leg.attempt, leg.server, self.now.since(leg.sent));
-        let (note, report) = (Note::None, Report::default());
-        self.events.push_back(Event::Closed { call, attempt, server, done, outcome, note, took, report });
+        let (note, report) = (OutcomeDetail::None, LoadReport::default());
+        self.events.push_back(Event::Closed {
+            call,
+            attempt,
+            server,
+            done,
+            outcome,
+            detail: note,
+            took,
+            report,
+        });
         self.word(call, || CallEvent::AttemptClosed { attempt, outcome });
         self.abandon_leg(id);
     }
--- a/crates/fawnrouter-engine/src/gate.rs
+++ b/crates/fawnrouter-engine/src/gate.rs
@@ -9,13 +9,13 @@
 /// The decisions that stand before the controller; each may be off.
 #[derive(Debug)]
 pub(crate) struct Gate {
-    pub guard: Option<(Authenticator, Strangers)>,
+    pub guard: Option<(Authenticator, UnknownClients)>,
     pub set_ups: Option<SetUpAdmission>,
 }
 
 impl Gate {
     pub fn new(auth: Option<AuthSettings>, set_ups: Option<SetUpSettings>) -> Self {
-        let guard = auth.map(|a| (Authenticator::new(a.guard, a.key), a.strangers));
+        let guard = auth.map(|a| (Authenticator::new(a.guard, a.key), a.unknown_clients));
         Self { guard, set_ups: set_ups.map(SetUpAdmission::new) }
     }
 }
--- a/crates/fawnrouter-engine/src/identify.rs
+++ b/crates/fawnrouter-engine/src/identify.rs
@@ -84,7 +84,7 @@
                 Passage::Answered
             }
             AuthOutcome::Refuse => {
-                self.counters.impostors += 1;
+                self.counters.auth_failures += 1;
                 self.respond(client, request, 403, None, &[]);
                 self.out.push(Output::CloseClient { client, reason: "too many wrong answers" });
                 Passage::Answered
--- a/crates/fawnrouter-engine/src/set_up_admission.rs
+++ b/crates/fawnrouter-engine/src/set_up_admission.rs
@@ -26,8 +26,8 @@
     fn refuse_set_up(&mut self, id: CallId, turn: SetUpDecision) {
         if let SetUpDecision::Refuse { reason, retry_after } = turn {
             self.counters.refused += 1;
-            let retry_after_s = Some(whole_seconds(retry_after).max(1));
-            self.answer_final(id, Answer { status: 503, retry_after_s, text: reason.text() });
+            let retry_after_s = Some(retry_after_seconds(retry_after).max(1));
+            self.answer_final(id, FinalAnswer { status: 503, retry_after_s, text: reason.text() });
         }
     }
 
@@ -83,7 +83,7 @@
 
     /// The decisions on set-ups, for operators, if they are on.
     #[must_use]
-    pub fn set_ups(&self) -> Option<&SetUpAdmission> {
+    pub fn set_up_admission(&self) -> Option<&SetUpAdmission> {
         self.gate.set_ups.as_ref()
     }
 }
--- a/crates/fawnrouter-engine/src/status.rs
+++ b/crates/fawnrouter-engine/src/status.rs
@@ -85,7 +85,8 @@
         _ => (Outcome::Error, OutcomeDetail::None),
     };
     let ends = matches!(status, 404 | 410 | 413 | 415 | 416 | 484 | 485 | 488 | 603 | 604 | 606);
-    let finality = if ends && note == Note::None { Retryability::Final } else { Retryability::Retryable };
+    let finality =
+        if ends && note == OutcomeDetail::None { Retryability::Final } else { Retryability::Retryable };
     ResponseMeaning { outcome, note, retryability: finality }
 }
 
@@ -103,9 +104,9 @@
 /// The table towards the caller. `refused` is the controller's refusal with its advice, `None` its failure;
 /// `last` is the last final response of a switch to this call.
 #[must_use]
-pub fn answer_to_caller(refused: Option<Duration>, last: Option<(u16, Note)>) -> FinalAnswer {
+pub fn answer_to_caller(refused: Option<Duration>, last: Option<(u16, OutcomeDetail)>) -> FinalAnswer {
     match (refused, last) {
-        (Some(wait), Some((status, Note::NumberBusy))) => {
+        (Some(wait), Some((status, OutcomeDetail::NumberBusy))) => {
             FinalAnswer { status, retry_after_s: seconds(wait), text: "all lines of the number are busy" }
         }
         (Some(wait), _) => {
@@ -133,7 +134,7 @@
 /// A switch's own overload control in the Via it sends back (RFC 7339 §4, RFC 7415 §3): a share of set-ups to hold
 /// back, or a rate. The rate is this gateway's part; the report wants what all senders may send.
 #[must_use]
-pub fn overload_report(via: &Via<'_>, gateways: u32) -> Option<Report> {
+pub fn overload_report(via: &Via<'_>, gateways: u32) -> Option<LoadReport> {
     let oc = via.params.get("oc").filter(|v| !v.is_empty())?.parse::<f64>().ok();
     let oc = oc.filter(|x| x.is_finite() && *x >= 0.0)?;
     // A validity of 0 ends overload control (RFC 7339 §4.3).
@@ -156,18 +157,18 @@
     fn every_row_of_the_table_from_a_switch_holds() {
         let wait = Some(Duration::from_secs(2));
         let rows = [
-            (503, None, None, Outcome::Full, Note::ProcessorFull(None), Retryability::Retryable),
-            (503, wait, None, Outcome::Full, Note::ProcessorFull(wait), Retryability::Retryable),
-            (503, wait, Some(34), Outcome::Full, Note::NoCircuit, Retryability::Retryable),
-            (500, None, Some(42), Outcome::Full, Note::ProcessorFull(None), Retryability::Retryable),
-            (500, None, None, Outcome::Error, Note::None, Retryability::Retryable),
-            (486, None, None, Outcome::Error, Note::NumberBusy, Retryability::Retryable),
-            (480, None, Some(17), Outcome::Error, Note::NumberBusy, Retryability::Retryable),
-            (408, None, None, Outcome::TimedOut, Note::None, Retryability::Retryable),
-            (487, None, None, Outcome::Cancelled, Note::None, Retryability::Retryable),
-            (404, None, None, Outcome::Error, Note::None, Retryability::Final),
-            (604, None, None, Outcome::Error, Note::None, Retryability::Final),
-            (302, None, None, Outcome::Error, Note::None, Retryability::Retryable),
+            (503, None, None, Outcome::Full, OutcomeDetail::ProcessorFull(None), Retryability::Retryable),
+            (503, wait, None, Outcome::Full, OutcomeDetail::ProcessorFull(wait), Retryability::Retryable),
+            (503, wait, Some(34), Outcome::Full, OutcomeDetail::NoCircuit, Retryability::Retryable),
+            (500, None, Some(42), Outcome::Full, OutcomeDetail::ProcessorFull(None), Retryability::Retryable),
+            (500, None, None, Outcome::Error, OutcomeDetail::None, Retryability::Retryable),
+            (486, None, None, Outcome::Error, OutcomeDetail::NumberBusy, Retryability::Retryable),
+            (480, None, Some(17), Outcome::Error, OutcomeDetail::NumberBusy, Retryability::Retryable),
+            (408, None, None, Outcome::TimedOut, OutcomeDetail::None, Retryability::Retryable),
+            (487, None, None, Outcome::Cancelled, OutcomeDetail::None, Retryability::Retryable),
+            (404, None, None, Outcome::Error, OutcomeDetail::None, Retryability::Final),
+            (604, None, None, Outcome::Error, OutcomeDetail::None, Retryability::Final),
+            (302, None, None, Outcome::Error, OutcomeDetail::None, Retryability::Retryable),
         ];
         for (status, retry_after, q850, outcome, note, finality) in rows {
             let expected = ResponseMeaning { outcome, note, retryability: finality };
--- a/crates/fawnrouter-engine/src/trunk.rs
+++ b/crates/fawnrouter-engine/src/trunk.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fawnrouter::{AttemptNo, CallId, Event, Note, Outcome, Report, ServerId};
+use fawnrouter::{AttemptNo, CallId, Event, LoadReport, Outcome, OutcomeDetail, ServerId};
 use fawnrouter_admission::CallState;
 use fawnrouter_sip::transaction::{ACK_WAIT, ClientStep, InviteClient};
 use fawnrouter_sip::{Address, Dialog, Draft, Message, Method, Name, Uri};
@@ -57,7 +57,7 @@
             .filter(|_| up)
         else {
             // No connection: the set-up certainly never ran.
-            let (outcome, detail, took) = (Outcome::ConnectFailed, OutcomeDetail::None, Duration::ZERO);
+            let (outcome, note, took) = (Outcome::ConnectFailed, OutcomeDetail::None, Duration::ZERO);
             let (done, report) = (false, LoadReport::default());
             self.events.push_back(Event::Closed {
                 call: id,
@@ -65,7 +65,7 @@
                 server,
                 done,
                 outcome,
-                detail,
+                detail: note,
                 took,
                 report,
             });
@@ -318,10 +318,19 @@
                 status::response_meaning(status, ResponseDetails::from_response(response));
             let done = finality == Retryability::Final;
             if let Some(call) = self.table.calls.get_mut(&call) {
-                call.last = Some((status, detail));
+                call.last = Some((status, note));
             }
             let report = report.unwrap_or_default();
-            self.events.push_back(Event::Closed { call, attempt, server, done, outcome, note, took, report });
+            self.events.push_back(Event::Closed {
+                call,
+                attempt,
+                server,
+                done,
+                outcome,
+                detail: note,
+                took,
+                report,
+            });
             self.word(call, || CallEvent::AttemptClosed { attempt, outcome });
             if done {
                 self.pass_final(call, status);
--- a/crates/fawnrouter-engine/tests/gate.rs
+++ b/crates/fawnrouter-engine/tests/gate.rs
@@ -26,14 +26,17 @@
     KnownClient { name: name.into(), secret, limits: limits(pending) }
 }
 
-fn guarded(strangers: Strangers) -> EngineSettings {
+fn guarded(strangers: UnknownClients) -> EngineSettings {
     let guard = AuthenticatorSettings {
         realm: REALM.into(),
         md5: false,
         nonce_lifetime: ms(60_000),
         max_failures: 3,
     };
-    EngineSettings { auth: Some(AuthSettings { guard, key: [3; 32], strangers }), ..settings() }
+    EngineSettings {
+        auth: Some(AuthSettings { guard, key: [3; 32], unknown_clients: strangers }),
+        ..settings()
+    }
 }
 
 fn queued(held: usize) -> SetUpSettings {
@@ -55,7 +58,7 @@
 
 fn rig(settings: EngineSettings) -> Rig {
     let mut rig = Rig::new(settings);
-    rig.list(ListKind::Whole, vec![switch(70)]);
+    rig.list(ListKind::Snapshot, vec![switch(70)]);
     rig.input(Input::KnownClients(vec![known("branch", "tellers", 100), known("app", "beans", 2)]));
     rig.take();
     rig
@@ -260,7 +263,7 @@
     let burst: Vec<Message> = (0..20).map(|_| rig.call(9)).collect();
     let one = rig.invite(Some(9), &[]);
     rig.says(calm, &one);
-    let seen = rig.engine.set_ups().expect("on");
+    let seen = rig.engine.set_up_admission().expect("on");
     assert_eq!((seen.routing(), seen.waiting()), (2, 19));
     assert!(burst.iter().all(|i| rig.statuses(i) == [100]), "each is told that it is worked on");
     // Three go out: the two that were held, and the first of the burst that waited. Then it is the other's turn.
--- a/crates/fawnrouter-lab/src/day.rs
+++ b/crates/fawnrouter-lab/src/day.rs
@@ -13,7 +13,7 @@
 use async_lock::Mutex;
 use fawnrouter_audit::{Figures, Listed, Seen, Verdict};
 use fawnrouter_config::{SwitchEntry, SwitchFile, SwitchState};
-use fawnrouterd::engine::zones::Cause;
+use fawnrouterd::engine::zones::SpillCause;
 
 use crate::callers::{Callers, Kind};
 use crate::fleet::{GatewayProcess, LIST_REACHES, account_of, settings, write_clients, write_list};
--- a/crates/fawnrouter-lab/tests/admission.rs
+++ b/crates/fawnrouter-lab/tests/admission.rs
@@ -10,7 +10,7 @@
 use fawnrouter_sip::{Draft, Method, Name};
 use fawnrouter_ws::{ClientHandshake, CloseCode, Opcode, encode};
 use fawnrouterd::control::{AdmissionStatus, Command, Reply, send_command};
-use fawnrouterd::engine::digest::{Algorithm, Credentials, answer, ha1};
+use fawnrouterd::engine::digest::{Algorithm, Credentials, client_response, ha1};
 use rustix::process::{Pid, Resource, Rlimit, getrlimit, prlimit};
 
 const REALM: &str = "calls.example";
--- a/crates/fawnrouter-node/src/node.rs
+++ b/crates/fawnrouter-node/src/node.rs
@@ -328,7 +328,7 @@
                 if self.now < open.deadline {
                     // The decisions end each call before this; only a process that stood still comes here.
                     self.counters.failed += 1;
-                    self.events.push_back(Event::Lapsed(CallId(tag.0)));
+                    self.events.push_back(Event::Abandoned(CallId(tag.0)));
                     self.answer(tag, Message::new(Verb::Finish, tag).with_cause(cause::TEMPORARY_FAILURE));
                 } else {
                     self.lapse(tag);
--- a/crates/fawnrouter-node/src/node/callers.rs
+++ b/crates/fawnrouter-node/src/node/callers.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use fawnrouter::{CallId, Event, Note, Outcome};
+use fawnrouter::{CallId, Event, Outcome, OutcomeDetail};
 use fawnrouter_jsonl::{DecodeError, Message, Tag, Verb};
 
 use super::attempts::written;
@@ -259,8 +259,8 @@
             return self.tell_client(client, &refusal);
         }
         self.counters.accepted += 1;
-        let deadline = self.now.plus(new.left);
-        self.due.set(Key::Call(tag), deadline.minus(LAST_CALL.min(new.left / 4)));
+        let deadline = self.now.plus(new.time_left);
+        self.due.set(Key::Call(tag), deadline.minus(LAST_CALL.min(new.time_left / 4)));
         let text =
             |name: &str| message.opts.get(name).and_then(|v| v.as_str()).unwrap_or_default().to_owned();
         let (class, key) = (text("class"), text("key"));
--- a/crates/fawnrouter-node/src/node/switch_links.rs
+++ b/crates/fawnrouter-node/src/node/switch_links.rs
@@ -147,10 +147,10 @@
                 let Some(rc) = message.rc else { return self.link_fault(link, "a release without a cause") };
                 if here.is_some() {
                     let note = match message.opts.get("note").and_then(|n| n.as_str()) {
-                        Some("group_full") => Note::NoCircuit,
-                        Some("processor_full") => Note::ProcessorFull(None),
-                        Some("user_busy") => Note::NumberBusy,
-                        _ => Note::None,
+                        Some("group_full") => OutcomeDetail::NoCircuit,
+                        Some("processor_full") => OutcomeDetail::ProcessorFull(None),
+                        Some("user_busy") => OutcomeDetail::NumberBusy,
+                        _ => OutcomeDetail::None,
                     };
                     let outcome = match rc {
                         34 => Outcome::Full,
--- a/crates/fawnrouter-zones/src/policy.rs
+++ b/crates/fawnrouter-zones/src/policy.rs
@@ -156,16 +156,16 @@
     }
 }
 
-fn kind(wanted: &Wanted, server: &ServerEntry, cause: SpillCause) -> SpillKey {
+fn kind(wanted: &RoutingRequest, server: &ServerEntry, cause: SpillCause) -> SpillKey {
     let class = wanted.class.and_then(|c| u32::try_from(c.0).ok()).unwrap_or(u32::MAX);
     SpillKey { class, to: server.zone.clone(), trunk_group: server.cell.0, cause }
 }
 
-impl Voice for ZonePolicy {
-    fn observe(&mut self, now: Time, servers: &mut dyn Iterator<Item = Seen<'_>>) {
+impl RoutingPolicy for ZonePolicy {
+    fn observe(&mut self, now: Time, servers: &mut dyn Iterator<Item = ServerView<'_>>) {
         self.now = self.now.max(now);
         let own = self.settings.own_zone.clone();
-        let ours = |s: &Seen<'_>| own.is_empty() || s.entry.zone.is_empty() || s.entry.zone == own;
+        let ours = |s: &ServerView<'_>| own.is_empty() || s.entry.zone.is_empty() || s.entry.zone == own;
         self.health.observe(now.0, servers.filter(ours));
     }
 
@@ -253,8 +253,8 @@
     }
 }
 
-impl Voice for SharedZonePolicy {
-    fn observe(&mut self, now: Time, servers: &mut dyn Iterator<Item = Seen<'_>>) {
+impl RoutingPolicy for SharedZonePolicy {
+    fn observe(&mut self, now: Time, servers: &mut dyn Iterator<Item = ServerView<'_>>) {
         self.with(|z| z.observe(now, servers));
     }
 
--- a/crates/fawnrouter-zones/tests/common/mod.rs
+++ b/crates/fawnrouter-zones/tests/common/mod.rs
@@ -216,7 +216,7 @@
     }
 }
 
-fn voice(plan: &Plan, me: u32, shared: &mut Vec<SharedZonePolicy>) -> Option<Box<dyn Voice>> {
+fn voice(plan: &Plan, me: u32, shared: &mut Vec<SharedZonePolicy>) -> Option<Box<dyn RoutingPolicy>> {
     match plan.policy {
         Policy::Unvoiced => None,
         Policy::Preference => Some(Box::new(Preference(ZONES[zone_of(me)].into()))),
--- a/crates/fawnrouter-zones/tests/policy.rs
+++ b/crates/fawnrouter-zones/tests/policy.rs
@@ -71,8 +71,8 @@
     zones
 }
 
-fn says(zones: &mut ZonePolicy, now: u64, wanted: Wanted, zone: &str) -> bool {
-    zones.weigh(t(now), &wanted, &server(9, zone)) > 0.0
+fn says(zones: &mut ZonePolicy, now: u64, wanted: RoutingRequest, zone: &str) -> bool {
+    zones.server_weight(t(now), &wanted, &server(9, zone)) > 0.0
 }
 
 #[test]
@@ -124,7 +124,7 @@
     assert!(!says(&mut alone, 4000, wanted(1, 1.0, 2000), "north"), "nothing has been looked at yet");
     alone.observe(t(4500), &mut std::iter::empty());
     assert!(says(&mut alone, 5000, wanted(1, 1.0, 2000), "north"));
-    alone.sent(t(5000), &wanted(1, 1.0, 2000), &server(9, "north"));
+    alone.attempt_sent(t(5000), &wanted(1, 1.0, 2000), &server(9, "north"));
     assert_eq!(alone.record().total().keys().next().map(|k| k.cause), Some(SpillCause::NoSwitch));
 }
 
@@ -181,7 +181,7 @@
     let mut seen =
         std::iter::once(ServerView { entry: &moved, ready: true, healthy: true, allowed_fraction: 1.0 });
     z.observe(t(5100), &mut seen);
-    z.ended(call.call, false);
+    z.attempt_resolved(call.call, false);
     assert_eq!(z.account().budget_views()[0].1.spent.0, 0);
-    assert_eq!(z.weigh(t(5200), &wanted(2, 1.0, 2000), &moved), 1.0);
+    assert_eq!(z.server_weight(t(5200), &wanted(2, 1.0, 2000), &moved), 1.0);
 }
--- a/crates/fawnrouterd/src/client.rs
+++ b/crates/fawnrouterd/src/client.rs
@@ -8,7 +8,7 @@
 
 use async_io::{Async, Timer};
 use fawnrouter_admission::{BufferOwner, ConnectionId, RefusalReason};
-use fawnrouter_engine::{Input, whole_seconds};
+use fawnrouter_engine::{Input, retry_after_seconds};
 use fawnrouter_sip::Message;
 use fawnrouter_ws::{
     CloseCode, Decoder, Event, HttpLimits, Opcode, Origins, Role, Terms, accept, close_payload, encode,
@@ -79,7 +79,7 @@
 
 /// The answer to a connection that does not get in.
 pub fn refusal(reason: RefusalReason, wait: Duration) -> Vec<u8> {
-    refuse(503, reason.text(), Some(whole_seconds(wait)))
+    refuse(503, reason.text(), Some(retry_after_seconds(wait)))
 }
 
 /// Tells a connection that does not get in when to come back. The answer goes out before its request is read, and
@@ -124,7 +124,11 @@
     // It may have to make room for another before it is done.
     let made_room = async {
         let why = outbox.finished().await.unwrap_or("the gateway ends");
-        Err(refuse(503, why, Some(whole_seconds(Duration::from_millis(core.settings.limits.retry_after_ms)))))
+        Err(refuse(
+            503,
+            why,
+            Some(retry_after_seconds(Duration::from_millis(core.settings.limits.retry_after_ms))),
+        ))
     };
     let shaken =
         future::or(handshake(core, conn, &stream, peer, terms), future::or(made_room, too_late)).await;
--- a/crates/fawnrouterd/src/connection_admission.rs
+++ b/crates/fawnrouterd/src/connection_admission.rs
@@ -256,7 +256,12 @@
         let Some(admission) = &mut self.admission else { return };
         for (conn, connection) in connections.iter() {
             if connection.client.is_some() {
-                admission.reads(now.0, conn, connection.outbox.backlog(), connection.outbox.written_bytes());
+                admission.record_write_progress(
+                    now.0,
+                    conn,
+                    connection.outbox.backlog(),
+                    connection.outbox.written_bytes(),
+                );
             }
         }
         for (conn, why) in admission.evict_overdue(now.0) {
@@ -350,7 +355,7 @@
             panic!("room")
         };
         assert_eq!(connection_admission.shaken(now, &mut connections, second).ok(), Some(false));
-        assert_eq!(future::block_on(outbox.finished()), Some(Eviction::MadeRoom.text()));
+        assert_eq!(future::block_on(outbox.finished()), Some(EvictionReason::PlaceNeeded.text()));
         assert!(other.is_open() && connections.open() == 1);
     }
 
--- a/crates/fawnrouterd/src/control.rs
+++ b/crates/fawnrouterd/src/control.rs
@@ -233,13 +233,14 @@
 
 fn zones(core: &Core) -> Option<ZoneStatus> {
     let own = core.settings.zones.as_ref()?.own.clone();
-    let look = |z: &mut fawnrouter_engine::zones::Zones| {
-        let budgets = z.account().lines().into_iter().map(|(budget, state, (calls, money))| BudgetStatus {
-            to: budget.to.as_deref().map(str::to_owned),
-            window: format!("{:?}", budget.span),
-            calls: (state.spent.0, calls),
-            cost: (state.spent.1.in_units(), money.map(|m| m.in_units())),
-        });
+    let look = |z: &mut fawnrouter_engine::zones::ZonePolicy| {
+        let budgets =
+            z.account().budget_views().into_iter().map(|(budget, state, (calls, money))| BudgetStatus {
+                to: budget.to.as_deref().map(str::to_owned),
+                window: format!("{:?}", budget.period),
+                calls: (state.spent.0, calls),
+                cost: (state.spent.1.to_units(), money.map(|m| m.to_units())),
+            });
         let mut went: BTreeMap<(String, String), (u64, f64)> = BTreeMap::new();
         for (kind, cell) in z.record().total() {
             let key = (kind.to.to_string(), crate::report::text(kind.cause).to_owned());
@@ -262,7 +263,8 @@
         (core.connection_admission.borrow(), core.buffer_budget.borrow());
     let Snapshot { open, handshakes, known, reserve, refused, evicted, addresses, clients, blocked } =
         connection_admission.snapshot(MOST_LISTED);
-    let holder = |h: fawnrouter_admission::Holding| ResourceHolder { who: h.who, count: h.open };
+    let holder =
+        |h: fawnrouter_admission::HolderCount| ResourceHolder { who: h.holder, count: h.connections };
     let mut shown = AdmissionStatus {
         admission: connection_admission.admission.is_some(),
         open: open.max(core.connections.borrow().open()),
@@ -282,8 +284,8 @@
     };
     core.with_engine(|engine| {
         let c = engine.counters();
-        shown.proofs = (c.proofs, c.challenged, c.impostors);
-        let Some(set_ups) = engine.set_ups() else { return };
+        shown.proofs = (c.authenticated, c.challenged, c.auth_failures);
+        let Some(set_ups) = engine.set_up_admission() else { return };
         shown.set_ups = (set_ups.waiting(), set_ups.routing());
         shown.set_up_room = set_ups.routing_limit();
         shown.set_ups_refused = set_ups.refused().iter().map(|(r, n)| (r.text().to_owned(), *n)).collect();
--- a/crates/fawnrouterd/src/core.rs
+++ b/crates/fawnrouterd/src/core.rs
@@ -86,7 +86,7 @@
     }
 
     /// A fresh outbox.
-    pub fn outbox(&self, whose: For) -> Outbox {
+    pub fn outbox(&self, whose: BufferOwner) -> Outbox {
         Outbox::with_budget_share(
             self.settings.limits.write_backlog_bytes,
             Share::of(&self.buffer_budget, whose),
--- a/crates/fawnrouterd/src/node/gate.rs
+++ b/crates/fawnrouterd/src/node/gate.rs
@@ -133,8 +133,8 @@
     fn forget(&self, client: ClientId) -> Vec<Input> {
         let peer = self.clients.borrow_mut().remove(&client);
         let unheard = peer.into_iter().flat_map(|peer| peer.outbox.unwritten_marks());
-        let unheard = unheard.map(|tag| Input::Unheard { tag: Tag(tag) });
-        std::iter::once(Input::ClientEnded { client }).chain(unheard).collect()
+        let unheard = unheard.map(|tag| Input::NotDelivered { tag: Tag(tag) });
+        std::iter::once(Input::ClientHalfClosed { client }).chain(unheard).collect()
     }
 
     /// A client's connection takes nothing more.
@@ -222,7 +222,7 @@
                     outbox.push(|out| out.extend_from_slice(&line));
                 }
             }
-            Output::Recall { link } => {
+            Output::RecallSetUps { link } => {
                 let back = self.links.borrow().get(&link).map(|outbox| outbox.remove_all_unwritten());
                 let back = back.into_iter().flatten();
                 next.extend(back.map(|mark| Next::Input(Input::SetUpRecalled { link, tag: Tag(mark) })));
