--- a/crates/fawnrouter-engine/src/interface.rs
+++ b/crates/fawnrouter-engine/src/interface.rs
@@ -45,7 +45,7 @@
     pub set_ups: Option<SetUpSettings>,
     /// Traffic across zones; `None`: every switch is as near as any other.
     pub zones: Option<ZoneSettings>,
-    /// Whether [`Output::Word`]s are wanted.
+    /// Whether [`Output::CallEvent`]s are wanted.
     pub call_events: bool,
 }
 
@@ -165,7 +165,7 @@
     },
     /// A line of the decisions for the operators.
     Log(String),
-    /// A word about a call, if [`EngineSettings::words`] asks for them.
+    /// A word about a call, if [`EngineSettings::call_events`] asks for them.
     CallEvent {
         /// The call.
         call: CallId,
--- a/crates/fawnrouter-node/src/node/interface.rs
+++ b/crates/fawnrouter-node/src/node/interface.rs
@@ -32,7 +32,7 @@
 }
 
 impl NodeSettings {
-    /// What a configuration says, with its descriptors divided as [`Shares`] has it.
+    /// What a configuration says, with its descriptors divided as [`DescriptorShares`] has it.
     #[must_use]
     pub fn new(boot: &Boot) -> Self {
         let shares = DescriptorShares::divide(boot.descriptors);
@@ -80,12 +80,12 @@
         /// The set-up.
         message: Message,
     },
-    /// A client ended its side; what it had sent before comes behind this, and then [`Input::ClientDown`].
+    /// A client ended its side; what it had sent before comes behind this, and then [`Input::ClientDisconnected`].
     ClientHalfClosed {
         /// Which.
         client: ClientId,
     },
-    /// A connection ended before a byte of this was written ([`Output::Tell`]).
+    /// A connection ended before a byte of this was written ([`Output::NotifyCaller`]).
     NotDelivered {
         /// Of which call.
         tag: Tag,
@@ -140,7 +140,7 @@
         /// How.
         end: LinkEnd,
     },
-    /// After [`Output::Recall`]: not a byte of this set-up had been written, and none will be.
+    /// After [`Output::RecallSetUps`]: not a byte of this set-up had been written, and none will be.
     SetUpRecalled {
         /// On which connection it lay.
         link: LinkId,
@@ -168,7 +168,7 @@
         line: Vec<u8>,
     },
     /// Write to a client what concerns a call that stands or stood; say so if its connection ends before a byte of it is
-    /// written ([`Input::Unheard`]).
+    /// written ([`Input::NotDelivered`]).
     NotifyCaller {
         /// Which client.
         client: ClientId,
@@ -177,7 +177,7 @@
         /// A line.
         line: Vec<u8>,
     },
-    /// Take what has come on a client's connection, say that it is read out ([`Input::ClientReadOut`]), write what waits,
+    /// Take what has come on a client's connection, say that it is read out ([`Input::ClientFullyRead`]), write what waits,
     /// then close it in order.
     CloseClient {
         /// Which.
@@ -220,7 +220,7 @@
         line: Vec<u8>,
     },
     /// Take back every set-up on this connection of which not a byte has been written, and say which they were
-    /// ([`Input::Recalled`]).
+    /// ([`Input::SetUpRecalled`]).
     RecallSetUps {
         /// Which connection.
         link: LinkId,
