--- a/crates/fawnrouter/src/brain.rs
+++ b/crates/fawnrouter/src/brain.rs
@@ -10,87 +10,87 @@
 
 // ---- Constants: unit, reason, source ------------------------------------------------------------------
 /// Probe interval. A gateway sees a few set-ups a second for a server: shorter ones hold none. Ours.
-const TICK: Duration = Duration::from_millis(200);
+const ASSESSMENT_INTERVAL: Duration = Duration::from_millis(200);
 /// Assessments average the last k ticks (paper 4.3).
-const K_SHORT: usize = 5;
+const SHORT_MEAN_TICKS: usize = 5;
 /// Ticks between two updates of µmax (paper 4.3: K >> k).
-const K_LONG: u32 = 10;
+const MU_MAX_UPDATE_TICKS: u32 = 10;
 /// Weight of a new µmax; the paper asks for a small one.
-const LEARN_WEIGHT: f64 = 0.15;
+const MU_MAX_WEIGHT: f64 = 0.15;
 /// ρtarg: by the delay reading, a mean set-up delay of 1 / (1 - ρtarg) times the smallest.
 const RHO_TARGET: f64 = 0.8;
 /// µmax is learned from this occupancy on (design page).
-const RHO_LEARN: f64 = 0.3;
+const MU_MAX_MIN_RHO: f64 = 0.3;
 /// φmax: the fraction allowed grows by this much a tick at the most.
 const PHI_MAX: f64 = 1.25;
 /// Without a reading f grows by φmax in this many usual set-ups of this gateway: what it heard last holds as
 /// long as it takes to hear again. Ours.
-const UNREAD_SETUPS: f64 = 0.4;
+const SET_UPS_PER_PHI_MAX_STEP: f64 = 0.4;
 /// The least share of φmax's exponent a tick, so that no server stays shut out.
-const UNREAD_LEAST: f64 = 0.25;
+const MIN_GROWTH_EXPONENT: f64 = 0.25;
 /// fmin keeps samples coming, so that no server stays shut out; the floors of all gateways add up, to this.
 const F_MIN_SUM: f64 = 0.5;
 /// Bounds of fmin: so that it means little at one gateway, and that f still comes back from it among many.
-const F_MIN: (f64, f64) = (0.005, 0.05);
+const F_MIN_BOUNDS: (f64, f64) = (0.005, 0.05);
 /// Growth of the smallest delay a second, so that one lucky sample does not stand for ever.
-const FLOOR_AGEING: f64 = 0.01;
+const MIN_DELAY_GROWTH_PER_S: f64 = 0.01;
 /// Between two looks at the calls held; deadlines are kept to within two of these.
-const SWEEP: Duration = Duration::from_millis(20);
+const SCAN_INTERVAL: Duration = Duration::from_millis(20);
 /// Final answers are given this long (and at most a quarter of the try) before they are due: the gateway's
 /// own process may stand still for a while. Milliseconds; ours, from a day with such stalls.
 const ANSWER_MARGIN: Duration = Duration::from_millis(600);
 /// Far queue: share of the aim that own unanswered set-ups may wait before no more are sent.
-const FAR_SHARE: f64 = 0.2;
+const QUEUE_WAIT_AIM_SHARE: f64 = 0.2;
 /// A mean far wait of this share of the shortest aim reads as ρtarg.
-const AIM_SHARE: f64 = 0.3;
+const RHO_TARGET_AIM_SHARE: f64 = 0.3;
 /// Share of the rule's cold budget that is used, for work other than set-ups and for chance.
-const COLD_SHARE: f64 = 0.7;
+const COLD_BUDGET_SHARE: f64 = 0.7;
 /// Times its estimated present capacity that a cold server is sent at the most: more would only queue.
-const COLD_MOST: f64 = 1.5;
+const MAX_COLD_LOAD: f64 = 1.5;
 /// A gap between calls of so many times the usual is a lull, if it is a tick at least: of gaps that come by
 /// chance one in 150 is as long (e^-5). Ours.
-const LULL: f64 = 5.0;
+const LULL_GAP_FACTOR: f64 = 5.0;
 /// Share of the way to full work that a starting processor is taken to go in the cold time.
-const COLD_RAMP: f64 = 0.8;
+const COLD_RAMP_SHARE: f64 = 0.8;
 /// Ticks in the long mean of the rate that is usual at a server (20 s): long enough for some set-ups. Ours.
-const USUAL_TICKS: u32 = 100;
+const USUAL_RATE_TICKS: u32 = 100;
 /// A trial is given this share of the aim: one that waits is sent again, which is work again.
-const TRIAL_CUT: f64 = 0.5;
+const TRIAL_TIMEOUT_AIM_SHARE: f64 = 0.5;
 /// A set-up answered though sent this share of the shortest aim later than another shows that the
 /// other's answer is lost. A share: what is late at one site's aims is nothing at another's.
-const OVERTAKE_SHARE: f64 = 0.05;
+const OVERTAKE_AIM_SHARE: f64 = 0.05;
 /// So many set-ups in a row that nobody answered, or that found its processor full, make a server suspect.
-const MISSES: u32 = 2;
+const SUSPECT_AFTER_MISSES: u32 = 2;
 /// A server whose lines were all taken is tried again after this time without news of a free one. Ours.
-const FREE_MEMORY: Duration = Duration::from_secs(2);
+const FREE_CIRCUITS_EXPIRY: Duration = Duration::from_secs(2);
 /// Times the free lines told that all gateways together may take in a second.
-const LINES_PACE: f64 = 4.0;
+const FREE_CIRCUITS_USES_PER_S: f64 = 4.0;
 /// Shortest pause between trials of a suspected server, and the longest told wait that is kept to.
 const TRIAL: (Duration, Duration) = (Duration::from_millis(300), Duration::from_secs(2));
 /// Trials as a share of the usual set-ups: from all gateways together too few to keep a server jammed.
-const TRIAL_PACE: f64 = 0.2;
+const TRIAL_RATE_SHARE: f64 = 0.2;
 /// Set-ups a second to one server, from all gateways together, that every pace allows.
-const LEAST_PACE: f64 = 2.0;
+const MIN_TOTAL_PACE_PER_S: f64 = 2.0;
 /// Set-ups that stood are counted over this long for a server's rate. Ours.
-const RATE_SPAN: Duration = Duration::from_secs(2);
+const ANSWER_RATE_WINDOW: Duration = Duration::from_secs(2);
 /// No set-ups to a number for this long after its lines were all busy. Ours.
-const BUSY_PAUSE: Duration = Duration::from_secs(2);
+const BUSY_NUMBER_PAUSE: Duration = Duration::from_secs(2);
 /// Draws a tick for the calls held, beside one: this many seconds' worth of the usual set-ups at a server.
-const DRAWS_S: f64 = 4.0;
+const HELD_ADMISSIONS_WINDOW_S: f64 = 4.0;
 /// Held calls looked through for one that a server is open to.
-const LOOK_THROUGH: usize = 8;
+const MAX_HELD_CANDIDATES: usize = 8;
 /// How long a number is remembered after its last call.
-const NUMBER_MEMORY: Duration = Duration::from_secs(10);
+const NUMBER_HISTORY_EXPIRY: Duration = Duration::from_secs(10);
 /// Seconds of its quota that a tenant may use at once.
 const QUOTA_BURST_S: f64 = 4.0;
 /// Between two questions for the list after a failure, as a share of the longest allowed.
-const ASK_SHARE: u32 = 8;
+const SUBSCRIBE_RETRY_DIVISOR: u32 = 8;
 /// Ticks between two messages to other gateways, and the receivers of each: many more samples than a gateway
 /// has itself, at a small price. Ours.
 const NEWS: (u32, u32) = (5, 4);
 /// The longest delay that news may tell, in milliseconds.
-const NEWS_MOST: u32 = 60_000;
-const TICK_TIMER: TimerId = TimerId(0);
+const MAX_REPORTED_DELAY_MS: u32 = 60_000;
+const SCAN_TIMER: TimerId = TimerId(0);
 
 // ---- The ARO throttle, one for each server -----------------------------------------------------------
 /// Fraction allowed from acceptance rate and occupancy, applied by the deterministic accumulator.
@@ -112,7 +112,7 @@
     }
 
     /// Determ.: r gains f; at 1 or more r loses 1 and the set-up goes.
-    pub(crate) fn draw(&mut self) -> bool {
+    pub(crate) fn admit(&mut self) -> bool {
         self.drawn = true;
         self.r += self.f;
         let passes = self.r >= 1.0;
@@ -125,7 +125,7 @@
     /// α̂: set-ups passed a second, mean of the last k ticks.
     pub(crate) fn acceptance(&self) -> f64 {
         let n = self.counts.len().max(1) as f64;
-        self.counts.iter().sum::<f64>() / (n * TICK.as_secs_f64())
+        self.counts.iter().sum::<f64>() / (n * ASSESSMENT_INTERVAL.as_secs_f64())
     }
 
     /// ρ̂: mean of the readings in the last k ticks, if there are any.
@@ -139,15 +139,18 @@
         self.counts.push_back(f64::from(self.passed));
         self.readings.push_back(reading);
         self.passed = 0;
-        if self.counts.len() > K_SHORT {
+        if self.counts.len() > SHORT_MEAN_TICKS {
             self.counts.pop_front();
             self.readings.pop_front();
         }
         let (alpha, rho) = (self.acceptance(), self.occupancy());
         self.ticks += 1;
-        if self.ticks.is_multiple_of(K_LONG) && rho.is_some_and(|x| x >= RHO_LEARN) && alpha > 0.0 {
+        if self.ticks.is_multiple_of(MU_MAX_UPDATE_TICKS)
+            && rho.is_some_and(|x| x >= MU_MAX_MIN_RHO)
+            && alpha > 0.0
+        {
             let seen = alpha / rho.unwrap_or(1.0);
-            self.mu_max = Some(self.mu_max.map_or(seen, |mu| mu + LEARN_WEIGHT * (seen - mu)));
+            self.mu_max = Some(self.mu_max.map_or(seen, |mu| mu + MU_MAX_WEIGHT * (seen - mu)));
         }
         // No reading at all (nothing sent, nothing unanswered) is no sign of load: f may grow, but only as
         // fast as it is asked for set-ups. One that comes every few seconds must not forget its last reading.
@@ -232,7 +235,7 @@
     /// Own set-ups that still wait in the server's line, oldest first. One that a clearly later one has
     /// overtaken does not: its answer is lost. Guards against lost messages holding up sends and readings.
     /// It could do harm at servers that do not work in order, as sends are then held back less.
-    fn in_line(&self) -> impl Iterator<Item = &(Time, CallId)> {
+    fn in_queue(&self) -> impl Iterator<Item = &(Time, CallId)> {
         self.waiting.iter().filter(|(sent, _)| sent.plus(self.overtake) >= self.answered_up_to)
     }
 
@@ -243,7 +246,7 @@
     }
 
     /// The set-up delay seen, as a reading of occupancy: 1 - smallest / mean.
-    fn note_delay(&mut self, delay: f64) {
+    fn record_delay(&mut self, delay: f64) {
         self.tick_delays.add(delay);
         self.samples += 1;
         self.floor = Some(self.floor.map_or(delay, |x| x.min(delay)).max(1e-4));
@@ -255,17 +258,17 @@
     fn tick(&mut self, now: Time, floor: Option<f64>, aim: f64, f_min: f64) {
         let mut delays = std::mem::take(&mut self.tick_delays);
         let usual = self.mean_delay.unwrap_or(0.0).max(2.0 * floor.unwrap_or(0.0));
-        let ages = self.in_line().map(|(sent, _)| now.since(*sent).as_secs_f64());
+        let ages = self.in_queue().map(|(sent, _)| now.since(*sent).as_secs_f64());
         ages.filter(|age| *age > usual).for_each(|age| delays.add(age));
         self.news.sum += delays.sum;
         self.news.n += delays.n;
         // News fills the gaps between own samples: where those are enough, late ones would only overdo it.
         self.unsampled = if delays.n > 0 { 0 } else { self.unsampled + 1 };
         let told = std::mem::take(&mut self.told_delays);
-        let mean = if self.unsampled >= K_SHORT { told.mean() } else { delays.mean() };
+        let mean = if self.unsampled >= SHORT_MEAN_TICKS { told.mean() } else { delays.mean() };
         let by_floor = mean.zip(floor).map(|(m, f)| (1.0 - f / m).clamp(0.0, 1.0));
         // A far wait beyond its share of the aim is too long at any smallest delay.
-        let by_aim = mean.map(|m| (RHO_TARGET * m / (aim * AIM_SHARE)).min(1.0));
+        let by_aim = mean.map(|m| (RHO_TARGET * m / (aim * RHO_TARGET_AIM_SHARE)).min(1.0));
         let by_delay = by_floor.zip(by_aim).map(|(a, b)| a.max(b));
         let reading = if self.tick_full { Some(1.0) } else { self.utilisation.or(by_delay) };
         if let Some(m) = mean {
@@ -274,16 +277,18 @@
             self.mean_delay = self.mean_delay.map(|x| x + 0.1 * (floor.unwrap_or(x) - x));
         }
         self.slow_reading += 0.1 * (reading.unwrap_or(0.0) - self.slow_reading);
-        let unread = (self.usual * TICK.as_secs_f64() / UNREAD_SETUPS).clamp(UNREAD_LEAST, 1.0);
+        let unread = (self.usual * ASSESSMENT_INTERVAL.as_secs_f64() / SET_UPS_PER_PHI_MAX_STEP)
+            .clamp(MIN_GROWTH_EXPONENT, 1.0);
         self.throttle.assess(reading, f_min, unread);
         self.tick_full = false;
         self.utilisation = None;
-        self.floor = self.floor.map(|x| x * (1.0 + FLOOR_AGEING * TICK.as_secs_f64()));
-        self.answered.retain(|t| now.since(*t) <= RATE_SPAN);
+        self.floor =
+            self.floor.map(|x| x * (1.0 + MIN_DELAY_GROWTH_PER_S * ASSESSMENT_INTERVAL.as_secs_f64()));
+        self.answered.retain(|t| now.since(*t) <= ANSWER_RATE_WINDOW);
         // A long mean: its noise over gateways cancels out in their sum. Trouble is no measure.
         if self.cold.is_none() && !self.suspect && self.entry.state == ServerState::Ready {
-            let seen = f64::from(self.stood) / TICK.as_secs_f64();
-            self.usual_ticks = (self.usual_ticks + 1).min(USUAL_TICKS);
+            let seen = f64::from(self.stood) / ASSESSMENT_INTERVAL.as_secs_f64();
+            self.usual_ticks = (self.usual_ticks + 1).min(USUAL_RATE_TICKS);
             self.usual += (seen - self.usual) / f64::from(self.usual_ticks);
         }
         self.stood = 0;
@@ -294,22 +299,22 @@
     /// than it answered lately in that time. Also holds back during stalls and hangs. It could do harm where
     /// the network alone takes that long; then one set-up at a time still goes. Once all of them have waited
     /// that long, one more goes at the pace of trials: its answer shows whether theirs are lost.
-    fn has_room(&self, now: Time, aim: Duration) -> bool {
-        let far = aim.mul_f64(FAR_SHARE);
-        let rate = self.answered.len() as f64 / RATE_SPAN.as_secs_f64();
+    fn has_queue_room(&self, now: Time, aim: Duration) -> bool {
+        let far = aim.mul_f64(QUEUE_WAIT_AIM_SHARE);
+        let rate = self.answered.len() as f64 / ANSWER_RATE_WINDOW.as_secs_f64();
         let quick = self.mean_delay.is_some_and(|d| d < far.as_secs_f64());
         let most = (rate * far.as_secs_f64() * 2.0).max(if quick { 2.0 } else { 1.0 });
         let age = |at: Option<&(Time, CallId)>| at.map_or(Duration::ZERO, |(sent, _)| now.since(*sent));
-        let newest = age(self.in_line().last());
-        let trial = newest >= far && newest.as_secs_f64() * TRIAL_PACE * self.usual >= 1.0;
-        trial || age(self.in_line().next()) < far && (self.in_line().count() as f64) < most
+        let newest = age(self.in_queue().last());
+        let trial = newest >= far && newest.as_secs_f64() * TRIAL_RATE_SHARE * self.usual >= 1.0;
+        trial || age(self.in_queue().next()) < far && (self.in_queue().count() as f64) < most
     }
 
     /// Leaves a server to single trials at a pace, until a set-up stands. Guards against hangs, dead machines
     /// that the list still names, and jams, whose refusals cost work. Could do harm where answers get lost.
-    fn miss(&mut self, now: Time, count: u32, out: &mut Vec<Action>) {
+    fn record_misses(&mut self, now: Time, count: u32, out: &mut Vec<Action>) {
         self.misses += count;
-        if self.misses < MISSES {
+        if self.misses < SUSPECT_AFTER_MISSES {
             return;
         }
         if !self.suspect {
@@ -326,39 +331,39 @@
     /// Could do harm where this gateway's calls grow fast: the server is then used too little.
     fn pace(&self, now: Time, settings: &Settings) -> Option<f64> {
         let (rules, gateways) = (&settings.rules, f64::from(settings.gateways));
-        let least = LEAST_PACE / gateways;
+        let least = MIN_TOTAL_PACE_PER_S / gateways;
         let cold = self.cold.filter(|(_, until)| now < *until).map(|(since, _)| {
             let done = now.since(since).as_secs_f64() / rules.cold_time.as_secs_f64().max(1e-3);
-            let part = rules.cold_from + (1.0 - rules.cold_from) * COLD_RAMP * done.min(1.0);
-            (rules.fall_multiple * COLD_SHARE).min(COLD_MOST) * part * self.usual.max(least)
+            let part = rules.cold_from + (1.0 - rules.cold_from) * COLD_RAMP_SHARE * done.min(1.0);
+            (rules.fall_multiple * COLD_BUDGET_SHARE).min(MAX_COLD_LOAD) * part * self.usual.max(least)
         });
         let shared = self.free.filter(|(free, _)| *free < gateways && settings.topology == Topology::Pools);
         let lines = shared.map(|(free, told)| {
-            let assumed = if now.since(told) > FREE_MEMORY { 1.0 } else { 0.0 };
-            LINES_PACE * free.max(assumed) / gateways
+            let assumed = if now.since(told) > FREE_CIRCUITS_EXPIRY { 1.0 } else { 0.0 };
+            FREE_CIRCUITS_USES_PER_S * free.max(assumed) / gateways
         });
-        let trials = self.suspect.then(|| (TRIAL_PACE * self.usual).max(least));
+        let trials = self.suspect.then(|| (TRIAL_RATE_SHARE * self.usual).max(least));
         cold.into_iter().chain(lines).chain(trials).reduce(f64::min)
     }
 
     /// Whether the pace allows a set-up now. Credit starts at a random phase: many gateways, each with less
     /// than one set-up in the time that counts, would otherwise all send it at once.
     fn has_credit(&mut self, now: Time, settings: &Settings) -> bool {
-        let (pace, grown) = self.grown(now, settings);
+        let (pace, grown) = self.pace_and_credit(now, settings);
         self.credit = (grown.min(1.0), now);
         pace.is_none() || self.credit.0 >= 1.0
     }
 
     /// Credit that grew in a lull lapses to its phase at a cold server. Guards against the first calls of all
     /// gateways after it: each would find a whole credit. Could do harm where calls come in bunches.
-    fn lapse(&mut self, now: Time, settings: &Settings) {
-        if let ((Some(_), grown), Some(_)) = (self.grown(now, settings), self.cold) {
+    fn reset_credit_after_lull(&mut self, now: Time, settings: &Settings) {
+        if let ((Some(_), grown), Some(_)) = (self.pace_and_credit(now, settings), self.cold) {
             self.credit = (grown.fract(), now);
         }
     }
 
     /// The pace now, and the credit that has grown at it.
-    fn grown(&self, now: Time, settings: &Settings) -> (Option<f64>, f64) {
+    fn pace_and_credit(&self, now: Time, settings: &Settings) -> (Option<f64>, f64) {
         let (pace, (credit, counted)) = (self.pace(now, settings), self.credit);
         (pace, credit + pace.unwrap_or(0.0) * now.since(counted).as_secs_f64())
     }
@@ -386,7 +391,7 @@
 }
 
 impl Call {
-    fn wanted(&self, now: Time) -> RoutingRequest {
+    fn routing_request(&self, now: Time) -> RoutingRequest {
         let (aim_left, left) = (self.aim_at.since(now), self.answer_by.since(now));
         let (call, class, worth, aim) = (self.new.id, self.new.class, self.worth, self.aim);
         RoutingRequest { call, class, worth, aim, aim_left, time_left: left }
@@ -394,11 +399,11 @@
 
     /// Whether the call can go nowhere any more: it has had its attempts, or may have run and must not run
     /// again. Guards against holding what nobody works at; such a call gets its answer at once.
-    fn is_hopeless(&self, now: Time, max_attempts: u32) -> bool {
+    fn has_no_attempt_left(&self, now: Time, max_attempts: u32) -> bool {
         let ran = match (self.effect, self.maybe_ran) {
             (Effect::Safe, _) | (_, None) => false,
             (Effect::Unsafe, Some(_)) => true,
-            (Effect::Keyed { window, .. }, Some((when, _))) => now.since(when) + SWEEP >= window,
+            (Effect::Keyed { window, .. }, Some((when, _))) => now.since(when) + SCAN_INTERVAL >= window,
         };
         self.out.is_none() && !self.standing && (ran || self.attempts >= max_attempts)
     }
@@ -412,7 +417,7 @@
 }
 
 #[derive(Debug)]
-struct NumberLog {
+struct NumberHistory {
     first: Time,
     last: Time,
     busy_until: Time,
@@ -427,7 +432,7 @@
     servers: BTreeMap<ServerId, Server>,
     calls: BTreeMap<CallId, Call>,
     held: BTreeSet<(u64, Time, CallId)>,
-    numbers: BTreeMap<Arc<str>, NumberLog>,
+    numbers: BTreeMap<Arc<str>, NumberHistory>,
     quota: Vec<(f64, Time)>,
     next_tick: Time,
     ticks: u32,
@@ -479,7 +484,7 @@
     /// Takes one event at the clock's reading `now` and appends what is to be done.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         if self.next_sweep == Time::default() {
-            let phase = TICK.mul_f64(self.unit());
+            let phase = ASSESSMENT_INTERVAL.mul_f64(self.random_unit());
             self.next_tick = now.plus(phase);
             self.next_sweep = now;
         }
@@ -492,37 +497,37 @@
                 if let Some(c) = known {
                     c.standing = true;
                     self.voice.iter_mut().for_each(|voice| voice.attempt_resolved(call, true));
-                    self.answered(now, server, call, Some(took));
+                    self.on_answer(now, server, call, Some(took));
                 }
             }
             Event::Closed { call, attempt, server, done, outcome, detail, report, .. } => {
                 self.on_closed(now, call, (attempt, server), (done, outcome, detail), report);
             }
-            Event::Abandoned(call) => self.forget(call),
+            Event::Abandoned(call) => self.forget_call(call),
             Event::Timer(_) => {}
             Event::Probed { server, report, .. } => {
                 if let Some(s) = self.servers.get_mut(&server) {
                     s.free = report.free_circuits.map(|x| (x, now)).or(s.free);
                 }
             }
-            Event::PeerMessage { from, text } => self.on_news(from, &text),
+            Event::PeerMessage { from, text } => self.on_peer_report(from, &text),
         }
         if now >= self.next_sweep {
-            self.sweep(now);
-            self.next_sweep = now.plus(SWEEP);
-            self.actions.push(Action::SetTimer { after: SWEEP, timer: TICK_TIMER });
+            self.scan(now);
+            self.next_sweep = now.plus(SCAN_INTERVAL);
+            self.actions.push(Action::SetTimer { after: SCAN_INTERVAL, timer: SCAN_TIMER });
         }
         actions.append(&mut self.actions);
     }
 
-    fn unit(&mut self) -> f64 {
+    fn random_unit(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
     fn on_call(&mut self, now: Time, new: NewCall) {
         let gap = now.since(std::mem::replace(&mut self.last_call, now));
-        if gap >= TICK && gap.as_secs_f64() * self.stands.0 > LULL {
-            self.servers.values_mut().for_each(|s| s.lapse(now, &self.settings));
+        if gap >= ASSESSMENT_INTERVAL && gap.as_secs_f64() * self.stands.0 > LULL_GAP_FACTOR {
+            self.servers.values_mut().for_each(|s| s.reset_credit_after_lull(now, &self.settings));
         }
         if self.calls.contains_key(&new.id) {
             return;
@@ -532,7 +537,7 @@
             return;
         };
         let log = self.numbers.entry(new.number.clone());
-        let log = log.or_insert(NumberLog { first: now, last: now, busy_until: Time::default() });
+        let log = log.or_insert(NumberHistory { first: now, last: now, busy_until: Time::default() });
         log.last = now;
         let busy = now < log.busy_until;
         let (mut worth, first) = (class.points, log.first);
@@ -540,7 +545,7 @@
             worth *= self.settings.over_share_worth;
         }
         let (id, left) = (new.id, new.time_left);
-        let margin = ANSWER_MARGIN.min(new.time_left / 4).max(SWEEP * 2);
+        let margin = ANSWER_MARGIN.min(new.time_left / 4).max(SCAN_INTERVAL * 2);
         let mut call = Call {
             answer_by: now.plus(new.time_left.saturating_sub(margin)),
             margin,
@@ -554,19 +559,19 @@
             ..Call::default()
         };
         call.discount_if_late(now);
-        self.held.insert(Self::place_in_line(&call));
+        self.held.insert(Self::queue_key(&call));
         self.calls.insert(id, call);
         // Guards against calls that come with next to no time left, as after this process stood still.
-        if margin + SWEEP > left {
-            return self.give_up(id);
+        if margin + SCAN_INTERVAL > left {
+            return self.refuse_or_fail(id);
         }
         // Guards against a flood to one number: sets up nothing while its lines were just seen busy. Could do
         // harm to a number with one short call after another.
         if busy {
-            return self.give_up(id);
+            return self.refuse_or_fail(id);
         }
-        if !self.offer_held(now) {
-            self.place(now, id);
+        if !self.route_held_call(now) {
+            self.route_call(now, id);
         }
     }
 
@@ -584,11 +589,11 @@
         within
     }
 
-    fn forget(&mut self, call: CallId) {
+    fn forget_call(&mut self, call: CallId) {
         self.voice.iter_mut().for_each(|voice| voice.attempt_resolved(call, false));
         let gone = self.calls.remove(&call);
         if let Some(c) = &gone {
-            self.held.remove(&Self::place_in_line(c));
+            self.held.remove(&Self::queue_key(c));
         }
         let server = gone.and_then(|c| c.out).map(|(_, server)| server);
         if let Some(s) = server.and_then(|server| self.servers.get_mut(&server)) {
@@ -597,7 +602,7 @@
     }
 
     /// The one final answer of a call that goes no further.
-    fn give_up(&mut self, call: CallId) {
+    fn refuse_or_fail(&mut self, call: CallId) {
         let Some(c) = self.calls.get(&call) else { return };
         let limits = &self.settings.limits;
         let retry_after = if limits.retry_after { limits.max_retry_after } else { Duration::ZERO };
@@ -611,17 +616,17 @@
         } else {
             self.actions.push(Action::Fail(call));
         }
-        self.forget(call);
+        self.forget_call(call);
     }
 
     /// A server gave a sign of life for one of its set-ups.
-    fn answered(&mut self, now: Time, id: ServerId, call: CallId, took: Option<Duration>) {
+    fn on_answer(&mut self, now: Time, id: ServerId, call: CallId, took: Option<Duration>) {
         let Some(s) = self.servers.get_mut(&id) else { return };
         s.waiting.retain(|(_, c)| *c != call);
         if let Some(took) = took {
             s.misses = 0;
             s.answered_up_to = s.answered_up_to.max(now.minus(took));
-            s.note_delay(took.as_secs_f64());
+            s.record_delay(took.as_secs_f64());
             s.answered.push_back(now);
             s.stood += 1;
         }
@@ -664,40 +669,43 @@
         match outcome {
             _ if stood => {}
             Outcome::Full | Outcome::Error | Outcome::Ended => {
-                self.answered(now, attempt.1, call, None);
+                self.on_answer(now, attempt.1, call, None);
                 match (self.servers.get_mut(&attempt.1), detail) {
                     (Some(s), OutcomeDetail::ProcessorFull(wait)) => {
                         s.tick_full = true;
-                        s.miss(now, 1, &mut self.actions);
+                        s.record_misses(now, 1, &mut self.actions);
                         s.not_before = now.plus(wait.unwrap_or_default().clamp(TRIAL.0, TRIAL.1));
                     }
                     (Some(s), OutcomeDetail::NoCircuit) => s.free = Some((0.0, now)),
                     _ => {}
                 }
             }
-            _ => self.unanswered(now, attempt.1, call, outcome),
+            _ => self.on_no_answer(now, attempt.1, call, outcome),
         }
         if detail == OutcomeDetail::NumberBusy
             && let Some(log) = self.calls.get(&call).and_then(|c| self.numbers.get_mut(&c.new.number))
         {
-            log.busy_until = now.plus(BUSY_PAUSE);
+            log.busy_until = now.plus(BUSY_NUMBER_PAUSE);
         }
         if done || stood {
-            self.forget(call);
+            self.forget_call(call);
         } else if detail == OutcomeDetail::NumberBusy
-            || self.calls.get(&call).is_some_and(|c| c.is_hopeless(now, self.settings.limits.max_attempts))
+            || self
+                .calls
+                .get(&call)
+                .is_some_and(|c| c.has_no_attempt_left(now, self.settings.limits.max_attempts))
         {
-            self.give_up(call);
+            self.refuse_or_fail(call);
         } else {
-            self.held.extend(self.calls.get(&call).map(Self::place_in_line));
+            self.held.extend(self.calls.get(&call).map(Self::queue_key));
         }
         if !stood {
-            self.offer_held(now);
+            self.route_held_call(now);
         }
     }
 
     /// A set-up ended with no word from the server.
-    fn unanswered(&mut self, now: Time, id: ServerId, call: CallId, outcome: Outcome) {
+    fn on_no_answer(&mut self, now: Time, id: ServerId, call: CallId, outcome: Outcome) {
         let Some(s) = self.servers.get_mut(&id) else { return };
         let sent = s.waiting.iter().find(|(_, c)| *c == call).map(|(t, _)| *t);
         s.waiting.retain(|(_, c)| *c != call);
@@ -705,45 +713,49 @@
         if outcome == Outcome::Moot || !(silent || s.suspect) {
             return;
         }
-        s.miss(now, if outcome == Outcome::ConnectFailed { MISSES } else { 1 }, &mut self.actions);
+        s.record_misses(
+            now,
+            if outcome == Outcome::ConnectFailed { SUSPECT_AFTER_MISSES } else { 1 },
+            &mut self.actions,
+        );
     }
 
     // ---- Routing -------------------------------------------------------------------------------------
     /// The call's place among those held: the most worth first, then the nearest aim.
-    fn place_in_line(c: &Call) -> (u64, Time, CallId) {
+    fn queue_key(c: &Call) -> (u64, Time, CallId) {
         (!c.worth.max(0.0).to_bits(), c.aim_at, c.new.id)
     }
 
     /// One draw, for an arrival or for room that has come up: the best call held makes it. One that no server
     /// is open to does not draw and stands in nobody's way.
-    fn offer_held(&mut self, now: Time) -> bool {
+    fn route_held_call(&mut self, now: Time) -> bool {
         let ready = |id: &CallId| self.calls.get(id).is_some_and(|c| c.out.is_none() && c.not_before < now);
         let ids = self.held.iter().map(|(_, _, id)| *id);
-        let best: Vec<CallId> = ids.filter(ready).take(LOOK_THROUGH).collect();
-        best.into_iter().any(|call| self.place(now, call))
+        let best: Vec<CallId> = ids.filter(ready).take(MAX_HELD_CANDIDATES).collect();
+        best.into_iter().any(|call| self.route_call(now, call))
     }
 
     /// First-choice server, else one load-weighted redraw among the rest; each passes its own throttle.
     /// Tells whether the call drew: no server may be open to it.
-    fn place(&mut self, now: Time, id: CallId) -> bool {
+    fn route_call(&mut self, now: Time, id: CallId) -> bool {
         let call = self.calls.get(&id).map(|c| (c.new.destination, c.failed));
         let Some((destination, failed)) = call else { return false };
         let mut open: Vec<ServerId> = self.servers.keys().copied().collect();
         open.retain(|server| self.may_issue(now, id, *server));
-        let say = self.hear(now, id, &mut open);
+        let say = self.apply_routing_policy(now, id, &mut open);
         // A further attempt goes elsewhere if it can: guards against servers that fail some or all set-ups.
         if let Some(failed) = failed.filter(|_| open.len() > 1) {
             open.retain(|s| *s != failed);
         }
         let first = open.iter().copied().find(|s| self.servers[s].entry.cell == destination);
         if let Some(first) = first {
-            if self.servers.get_mut(&first).is_some_and(|s| s.throttle.draw()) {
+            if self.servers.get_mut(&first).is_some_and(|s| s.throttle.admit()) {
                 self.issue(now, id, first);
                 return true;
             }
             open.retain(|s| *s != first);
         }
-        let unit = self.unit();
+        let unit = self.random_unit();
         let said = |id: &ServerId| say.get(id).copied().unwrap_or(1.0);
         let weight = |id: &ServerId| (1.0 - self.servers[id].slow_reading).max(0.05) * said(id);
         let total: f64 = open.iter().map(weight).sum();
@@ -753,7 +765,7 @@
             point < 0.0
         });
         let Some(choice) = choice.or(open.last().copied()) else { return first.is_some() };
-        if self.servers.get_mut(&choice).is_some_and(|s| s.throttle.draw()) {
+        if self.servers.get_mut(&choice).is_some_and(|s| s.throttle.admit()) {
             self.issue(now, id, choice);
         }
         true
@@ -762,10 +774,15 @@
     /// The voice's part in the choice (none: nothing changes): a server that it does not want now is not open
     /// to the call, which is held on. Guards against calls that cross into dear zones without need. Could do
     /// harm where it wants nobody for long: such calls are refused by their time.
-    fn hear(&mut self, now: Time, id: CallId, open: &mut Vec<ServerId>) -> BTreeMap<ServerId, f64> {
+    fn apply_routing_policy(
+        &mut self,
+        now: Time,
+        id: CallId,
+        open: &mut Vec<ServerId>,
+    ) -> BTreeMap<ServerId, f64> {
         let mut say = BTreeMap::new();
         let (Some(voice), Some(c)) = (&mut self.voice, self.calls.get(&id)) else { return say };
-        let wanted = c.wanted(now);
+        let wanted = c.routing_request(now);
         open.retain(|server| {
             let weight =
                 self.servers.get(server).map_or(0.0, |s| voice.server_weight(now, &wanted, &s.entry));
@@ -790,7 +807,7 @@
                     (RepeatGroup::Cell, Some((_, cell))) => cell == self.servers[&server].entry.cell,
                     (_, None) => false,
                 };
-                same && now.since(when) + SWEEP < window
+                same && now.since(when) + SCAN_INTERVAL < window
             }
         };
         let pools = c.new.class.and_then(|k| self.settings.classes[k.0].pools.as_ref());
@@ -808,14 +825,14 @@
             && same_group
             && route
             && s.entry.state == ServerState::Ready
-            && s.free.is_none_or(|(free, told)| free >= c.new.width || now.since(told) > FREE_MEMORY)
+            && s.free.is_none_or(|(free, told)| free >= c.new.width || now.since(told) > FREE_CIRCUITS_EXPIRY)
             && trial
-            && s.has_room(now, c.aim)
+            && s.has_queue_room(now, c.aim)
             && s.has_credit(now, &self.settings)
     }
 
     /// Own set-ups a second that stand at a server, in the long mean over all that were warm.
-    fn usual_rate(&self) -> f64 {
+    fn mean_usual_rate(&self) -> f64 {
         let mut rates = Samples::default();
         self.servers.values().filter(|s| s.usual_ticks > 0).for_each(|s| rates.add(s.usual));
         rates.mean().unwrap_or(0.0)
@@ -824,11 +841,12 @@
     /// Own set-ups a second that would stand at each server if all that are ready had as many. Guards against
     /// gateways that have just begun and know no usual rate: hundreds would leave the cold servers to the few
     /// others. Could do harm where load falls most unevenly on servers: a small one is then sent too much.
-    fn even_rate(&mut self) -> f64 {
+    fn update_even_rate(&mut self) -> f64 {
         let stood: u32 = self.servers.values().map(|s| s.stood).sum();
         let (rate, ticks) = self.stands;
-        let ticks = (ticks + 1).min(USUAL_TICKS);
-        self.stands = (rate + (f64::from(stood) / TICK.as_secs_f64() - rate) / f64::from(ticks), ticks);
+        let ticks = (ticks + 1).min(USUAL_RATE_TICKS);
+        self.stands =
+            (rate + (f64::from(stood) / ASSESSMENT_INTERVAL.as_secs_f64() - rate) / f64::from(ticks), ticks);
         let ready = self.servers.values().filter(|s| s.entry.state == ServerState::Ready).count();
         self.stands.0 / ready.max(1) as f64
     }
@@ -837,11 +855,13 @@
         let (Some(c), Some(s)) = (self.calls.get_mut(&id), self.servers.get_mut(&server)) else { return };
         let mut within = c.answer_by.since(now);
         if s.suspect
-            || s.in_line().next().is_some_and(|(sent, _)| now.since(*sent) >= c.aim.mul_f64(FAR_SHARE))
+            || s.in_queue()
+                .next()
+                .is_some_and(|(sent, _)| now.since(*sent) >= c.aim.mul_f64(QUEUE_WAIT_AIM_SHARE))
         {
-            within = within.min(c.aim.mul_f64(TRIAL_CUT));
+            within = within.min(c.aim.mul_f64(TRIAL_TIMEOUT_AIM_SHARE));
         }
-        self.voice.iter_mut().for_each(|voice| voice.attempt_sent(now, &c.wanted(now), &s.entry));
+        self.voice.iter_mut().for_each(|voice| voice.attempt_sent(now, &c.routing_request(now), &s.entry));
         c.out = Some((AttemptNo(c.attempts), server));
         c.called_off = false;
         c.attempts += 1;
@@ -850,36 +870,36 @@
         s.free = s.free.map(|(free, told)| (free - c.new.width, told));
         s.waiting.insert((now, id));
         s.credit.0 = (s.credit.0 - 1.0).max(0.0);
-        self.held.remove(&Self::place_in_line(c));
+        self.held.remove(&Self::queue_key(c));
         self.actions.push(Action::Issue { call: id, server, within });
     }
 
     // ---- Time ----------------------------------------------------------------------------------------
-    fn sweep(&mut self, now: Time) {
+    fn scan(&mut self, now: Time) {
         if now >= self.next_tick {
-            self.next_tick = now.plus(TICK);
-            self.tick(now);
+            self.next_tick = now.plus(ASSESSMENT_INTERVAL);
+            self.end_tick(now);
         }
         // Past its aim a call is worth less and takes a place further back.
         let turned = self.calls.values_mut().filter(|c| now > c.aim_at && c.late_share != 1.0 && !c.standing);
         for c in turned {
-            let held = self.held.remove(&Self::place_in_line(c));
+            let held = self.held.remove(&Self::queue_key(c));
             c.discount_if_late(now);
             if held {
-                self.held.insert(Self::place_in_line(c));
+                self.held.insert(Self::queue_key(c));
             }
         }
-        self.call_off(now);
+        self.cancel_overtaken(now);
         let most = self.settings.limits.max_attempts;
-        let ends = |c: &Call| c.answer_by <= now || c.is_hopeless(now, most);
+        let ends = |c: &Call| c.answer_by <= now || c.has_no_attempt_left(now, most);
         let due = self.calls.iter().filter(|(_, c)| !c.standing && ends(c));
         // An attempt that is out was timed to end a little before; its outcome gets a few sweeps to come in.
         let due = due.filter(|(_, c)| c.out.is_none() || c.answer_by.plus(c.margin / 2) <= now);
         for id in due.map(|(id, _)| *id).collect::<Vec<_>>() {
-            self.give_up(id);
+            self.refuse_or_fail(id);
         }
         if self.settings.discovery == Discovery::Subscribe {
-            let pause = self.settings.rules.subscribe_within / ASK_SHARE;
+            let pause = self.settings.rules.subscribe_within / SUBSCRIBE_RETRY_DIVISOR;
             if !self.subscribed && self.asked.is_none_or(|t| now.since(t) >= pause) {
                 self.asked = Some(now);
                 self.actions.push(Action::Subscribe);
@@ -890,8 +910,8 @@
     /// Calls off attempts whose answers are lost, so that their calls go again while there is time. Guards
     /// against lost and silent answers, which would cost the whole try. Could do harm at servers that do not
     /// work in order.
-    fn call_off(&mut self, now: Time) {
-        let again = now.plus(self.settings.rules.release_guard + SWEEP);
+    fn cancel_overtaken(&mut self, now: Time) {
+        let again = now.plus(self.settings.rules.release_guard + SCAN_INTERVAL);
         for id in self.servers.values().flat_map(Server::overtaken) {
             let Some(c) = self.calls.get_mut(&id).filter(|c| self.settings.limits.cancel && !c.called_off)
             else {
@@ -906,16 +926,16 @@
     }
 
     /// The shortest aim of all classes, in seconds.
-    fn aim(&self) -> f64 {
+    fn shortest_aim_s(&self) -> f64 {
         let aims = self.settings.classes.iter().map(|c| c.aim.as_secs_f64());
         aims.fold(f64::INFINITY, f64::min).max(1e-3)
     }
 
-    fn tick(&mut self, now: Time) {
+    fn end_tick(&mut self, now: Time) {
         let least = self.servers.values().filter_map(|s| s.floor).min_by(f64::total_cmp);
-        let f_min = (F_MIN_SUM / f64::from(self.settings.gateways)).clamp(F_MIN.0, F_MIN.1);
-        let aim = self.aim();
-        let even = self.even_rate();
+        let f_min = (F_MIN_SUM / f64::from(self.settings.gateways)).clamp(F_MIN_BOUNDS.0, F_MIN_BOUNDS.1);
+        let aim = self.shortest_aim_s();
+        let even = self.update_even_rate();
         for (id, s) in &mut self.servers {
             if s.cold.is_some() && s.usual_ticks == 0 {
                 s.usual = even;
@@ -937,18 +957,18 @@
             });
             voice.observe(now, &mut servers);
         }
-        self.numbers.retain(|_, log| now.since(log.last) < NUMBER_MEMORY);
-        self.forget_gone(now);
-        self.tell_news();
-        for _ in 0..1 + (self.usual_rate() * DRAWS_S) as u32 {
-            self.offer_held(now);
+        self.numbers.retain(|_, log| now.since(log.last) < NUMBER_HISTORY_EXPIRY);
+        self.forget_gone_servers(now);
+        self.report_delays_to_peers();
+        for _ in 0..1 + (self.mean_usual_rate() * HELD_ADMISSIONS_WINDOW_S) as u32 {
+            self.route_held_call(now);
         }
     }
 
     /// Forgets servers that are gone, once no call of theirs can matter (those out, and those that may have
     /// run there) and no replacement takes its pace from them. Guards against memory that grows with each
     /// release. Could do harm to one that comes back later under its old id: it starts anew, as cold.
-    fn forget_gone(&mut self, now: Time) {
+    fn forget_gone_servers(&mut self, now: Time) {
         let longest = self.settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
         let keep = self.settings.rules.cold_time.max(longest);
         let past = |s: &Server| s.gone.is_some_and(|since| now.since(since) > keep) && s.waiting.is_empty();
@@ -957,7 +977,7 @@
 
     /// Tells a few other gateways, drawn anew each time, what delays were seen here. Among hundreds of them
     /// each has too few samples of its own; messages may all be lost, then it goes by those alone.
-    fn tell_news(&mut self) {
+    fn report_delays_to_peers(&mut self) {
         self.ticks = (self.ticks + 1) % NEWS.0;
         let (me, gateways) = (self.settings.own_id.0, self.settings.gateways);
         if self.ticks != 0 || !self.settings.limits.peers || gateways < 2 {
@@ -980,13 +1000,13 @@
     }
 
     /// Delays told by another gateway are samples like the own ones. What cannot be read is left out.
-    fn on_news(&mut self, from: PeerId, text: &str) {
+    fn on_peer_report(&mut self, from: PeerId, text: &str) {
         let known =
             self.settings.limits.peers && from != self.settings.own_id && from.0 < self.settings.gateways;
         let Some(lines) = text.strip_prefix("1 ").filter(|_| known) else { return };
         for (id, ms) in lines.split(' ').filter_map(|line| line.split_once(':')) {
             let (Ok(id), Ok(ms)) = (id.parse().map(ServerId), ms.parse::<u32>()) else { continue };
-            if let Some(s) = self.servers.get_mut(&id).filter(|_| ms <= NEWS_MOST) {
+            if let Some(s) = self.servers.get_mut(&id).filter(|_| ms <= MAX_REPORTED_DELAY_MS) {
                 s.told_delays.add(f64::from(ms) / 1e3);
             }
         }
@@ -1005,14 +1025,14 @@
             }
         }
         let cold_time = self.settings.rules.cold_time;
-        let overtake = Duration::from_secs_f64(self.aim().min(1e6) * OVERTAKE_SHARE);
+        let overtake = Duration::from_secs_f64(self.shortest_aim_s().min(1e6) * OVERTAKE_AIM_SHARE);
         let known = self.servers.values().any(|s| s.usual_ticks > 0);
         for entry in entries {
             let id = entry.id;
             // A machine that replaces another in its pool is taken to be of its size.
-            let credit = self.unit();
+            let credit = self.random_unit();
             let same = self.servers.values().filter(|s| s.entry.cell == entry.cell && s.usual_ticks > 0);
-            let usual = same.map(|s| s.usual).reduce(f64::max).unwrap_or_else(|| self.usual_rate());
+            let usual = same.map(|s| s.usual).reduce(f64::max).unwrap_or_else(|| self.mean_usual_rate());
             let fresh = !self.servers.contains_key(&id);
             let s =
                 self.servers.entry(id).or_insert_with(|| Server::new(entry.clone(), now, credit, overtake));
@@ -1025,7 +1045,7 @@
                     let (free, waiting) = (s.free, std::mem::take(&mut s.waiting));
                     *s = Server::new(entry.clone(), now, credit, overtake);
                     (s.free, s.waiting, s.usual, s.usual_ticks) =
-                        (free, waiting, usual, if known { USUAL_TICKS } else { 0 });
+                        (free, waiting, usual, if known { USUAL_RATE_TICKS } else { 0 });
                     s.cold = Some((since, since.plus(cold_time)));
                     self.actions.push(Action::Log(format!("server {} starts cold", id.0)));
                 }
--- a/crates/fawnrouter/src/brain_tests.rs
+++ b/crates/fawnrouter/src/brain_tests.rs
@@ -8,13 +8,13 @@
 fn passes(f: f64, draws: usize) -> Vec<bool> {
     let mut throttle = Throttle::new();
     throttle.f = f;
-    (0..draws).map(|_| throttle.draw()).collect()
+    (0..draws).map(|_| throttle.admit()).collect()
 }
 
 fn ticks(throttle: &mut Throttle, count: usize, passed: u32, reading: Option<f64>) {
     for _ in 0..count {
         throttle.passed += passed;
-        throttle.assess(reading, F_MIN.1, 1.0);
+        throttle.assess(reading, F_MIN_BOUNDS.1, 1.0);
     }
 }
 
@@ -34,7 +34,7 @@
     ticks(&mut throttle, 1, 0, Some(1.0));
     assert!(close(throttle.f, 0.64));
     ticks(&mut throttle, 40, 0, Some(1.0));
-    assert!(close(throttle.f, F_MIN.1));
+    assert!(close(throttle.f, F_MIN_BOUNDS.1));
 }
 
 #[test]
@@ -46,7 +46,7 @@
     assert!(close(throttle.f, 0.8), "a mean at the target leaves f alone");
     ticks(&mut throttle, 1, 0, None);
     assert!(close(throttle.occupancy().unwrap(), 0.8), "a tick without reading does not count");
-    ticks(&mut throttle, K_SHORT, 0, Some(0.5));
+    ticks(&mut throttle, SHORT_MEAN_TICKS, 0, Some(0.5));
     assert!(close(throttle.occupancy().unwrap(), 0.5), "older readings are gone");
 }
 
@@ -57,19 +57,19 @@
     ticks(&mut throttle, 1, 0, Some(0.1));
     assert!(close(throttle.f, 0.5));
     let mut idle = Throttle::new();
-    idle.f = F_MIN.1;
+    idle.f = F_MIN_BOUNDS.1;
     ticks(&mut idle, 14, 0, None);
-    assert!(close(idle.f, F_MIN.1), "nobody asked: nothing is forgotten");
+    assert!(close(idle.f, F_MIN_BOUNDS.1), "nobody asked: nothing is forgotten");
     for _ in 0..14 {
-        idle.draw();
-        idle.assess(None, F_MIN.1, 1.0);
+        idle.admit();
+        idle.assess(None, F_MIN_BOUNDS.1, 1.0);
     }
     assert!(close(idle.f, 1.0), "0.05 x 1.25^14 is over 1: no lock-out for want of samples");
     let mut rare = Throttle::new();
     rare.f = 0.5;
-    rare.draw();
-    rare.assess(None, F_MIN.0, UNREAD_LEAST);
-    assert!(close(rare.f, 0.5 * PHI_MAX.powf(UNREAD_LEAST)), "few own samples: f comes back slowly");
+    rare.admit();
+    rare.assess(None, F_MIN_BOUNDS.0, MIN_GROWTH_EXPONENT);
+    assert!(close(rare.f, 0.5 * PHI_MAX.powf(MIN_GROWTH_EXPONENT)), "few own samples: f comes back slowly");
 }
 
 #[test]
@@ -101,7 +101,7 @@
     ticks(&mut throttle, 10, 1, Some(0.5));
     assert!(close(throttle.mu_max.unwrap(), 10.0), "5/s at half occupancy");
     ticks(&mut throttle, 10, 2, Some(0.5));
-    assert!(close(throttle.mu_max.unwrap(), 10.0 + LEARN_WEIGHT * 10.0), "then 20/s, with a small weight");
+    assert!(close(throttle.mu_max.unwrap(), 10.0 + MU_MAX_WEIGHT * 10.0), "then 20/s, with a small weight");
 }
 
 const OVERTAKE: Duration = Duration::from_millis(100);
@@ -124,10 +124,10 @@
 #[test]
 fn delays_read_as_one_less_smallest_by_mean() {
     let (mut s, now) = (server(), Time::from_nanos(2_000_000_000));
-    s.note_delay(0.05);
-    s.note_delay(0.15);
+    s.record_delay(0.05);
+    s.record_delay(0.15);
     let floor = s.floor;
-    s.tick(now, floor, 10.0, F_MIN.1);
+    s.tick(now, floor, 10.0, F_MIN_BOUNDS.1);
     assert!(close(reading(&s).unwrap(), 0.5));
 }
 
@@ -135,12 +135,12 @@
 fn a_full_processor_reads_as_one_and_a_reported_utilisation_as_itself() {
     let (mut s, now) = (server(), Time::from_nanos(2_000_000_000));
     s.utilisation = Some(0.42);
-    s.note_delay(0.05);
-    s.tick(now, Some(0.05), 10.0, F_MIN.1);
+    s.record_delay(0.05);
+    s.tick(now, Some(0.05), 10.0, F_MIN_BOUNDS.1);
     assert!(close(reading(&s).unwrap(), 0.42));
     s.tick_full = true;
     s.utilisation = Some(0.42);
-    s.tick(now, Some(0.05), 10.0, F_MIN.1);
+    s.tick(now, Some(0.05), 10.0, F_MIN_BOUNDS.1);
     assert!(close(reading(&s).unwrap(), 1.0));
 }
 
@@ -148,9 +148,9 @@
 fn an_unanswered_set_up_counts_by_its_age() {
     let (mut s, sent) = (server(), Time::from_nanos(2_000_000_000));
     s.waiting.insert((sent, CallId(1)));
-    s.tick(sent.plus(Duration::from_millis(60)), Some(0.05), 10.0, F_MIN.1);
+    s.tick(sent.plus(Duration::from_millis(60)), Some(0.05), 10.0, F_MIN_BOUNDS.1);
     assert_eq!(reading(&s), None, "too young to tell anything");
-    s.tick(sent.plus(Duration::from_millis(500)), Some(0.05), 10.0, F_MIN.1);
+    s.tick(sent.plus(Duration::from_millis(500)), Some(0.05), 10.0, F_MIN_BOUNDS.1);
     assert!(close(reading(&s).unwrap(), 0.9));
 }
 
@@ -159,9 +159,9 @@
     let (mut s, sent) = (server(), Time::from_nanos(2_000_000_000));
     s.waiting.insert((sent, CallId(1)));
     s.answered_up_to = sent.plus(OVERTAKE);
-    assert_eq!(s.in_line().count(), 1, "at the boundary it may still come");
+    assert_eq!(s.in_queue().count(), 1, "at the boundary it may still come");
     s.answered_up_to = sent.plus(OVERTAKE + Duration::from_nanos(1));
-    assert_eq!(s.in_line().count(), 0);
+    assert_eq!(s.in_queue().count(), 0);
 }
 
 #[test]
@@ -215,11 +215,11 @@
         let entries = vec![entry(0), entry(1 + n)];
         controller.handle(now, Event::List { kind: ListKind::Snapshot, entries }, &mut out);
         for _ in 0..20 {
-            now = now.plus(TICK);
-            controller.handle(now, Event::Timer(TICK_TIMER), &mut out);
+            now = now.plus(ASSESSMENT_INTERVAL);
+            controller.handle(now, Event::Timer(SCAN_TIMER), &mut out);
         }
     }
-    let recent = keep.as_secs_f64() / (20.0 * TICK.as_secs_f64());
+    let recent = keep.as_secs_f64() / (20.0 * ASSESSMENT_INTERVAL.as_secs_f64());
     assert!(controller.servers.len() <= 2 + recent.ceil() as usize, "{}", controller.servers.len());
     assert!(controller.servers.contains_key(&ServerId(0)) && controller.servers.contains_key(&ServerId(100)));
 }
