--- a/crates/fawnrouter/src/brain.rs
+++ b/crates/fawnrouter/src/brain.rs
@@ -97,11 +97,11 @@
 #[derive(Debug, Default)]
 pub(crate) struct Throttle {
     pub(crate) f: f64,
-    r: f64,
+    accumulator: f64,
     passed: u32,
     drawn: bool,
-    counts: VecDeque<f64>,
-    readings: VecDeque<Option<f64>>,
+    passed_per_tick: VecDeque<f64>,
+    occupancy_readings: VecDeque<Option<f64>>,
     pub(crate) mu_max: Option<f64>,
     ticks: u32,
 }
@@ -114,34 +114,34 @@
     /// Determ.: r gains f; at 1 or more r loses 1 and the set-up goes.
     pub(crate) fn admit(&mut self) -> bool {
         self.drawn = true;
-        self.r += self.f;
-        let passes = self.r >= 1.0;
+        self.accumulator += self.f;
+        let passes = self.accumulator >= 1.0;
         if passes {
-            self.r -= 1.0;
+            self.accumulator -= 1.0;
         }
         passes
     }
 
     /// α̂: set-ups passed a second, mean of the last k ticks.
     pub(crate) fn acceptance(&self) -> f64 {
-        let n = self.counts.len().max(1) as f64;
-        self.counts.iter().sum::<f64>() / (n * ASSESSMENT_INTERVAL.as_secs_f64())
+        let n = self.passed_per_tick.len().max(1) as f64;
+        self.passed_per_tick.iter().sum::<f64>() / (n * ASSESSMENT_INTERVAL.as_secs_f64())
     }
 
     /// ρ̂: mean of the readings in the last k ticks, if there are any.
     pub(crate) fn occupancy(&self) -> Option<f64> {
-        let n = self.readings.iter().flatten().count();
-        (n > 0).then(|| self.readings.iter().flatten().sum::<f64>() / n as f64)
+        let n = self.occupancy_readings.iter().flatten().count();
+        (n > 0).then(|| self.occupancy_readings.iter().flatten().sum::<f64>() / n as f64)
     }
 
     /// Ends a tick: f = min(fA, fO).
     pub(crate) fn assess(&mut self, reading: Option<f64>, f_min: f64, unread: f64) {
-        self.counts.push_back(f64::from(self.passed));
-        self.readings.push_back(reading);
+        self.passed_per_tick.push_back(f64::from(self.passed));
+        self.occupancy_readings.push_back(reading);
         self.passed = 0;
-        if self.counts.len() > SHORT_MEAN_TICKS {
-            self.counts.pop_front();
-            self.readings.pop_front();
+        if self.passed_per_tick.len() > SHORT_MEAN_TICKS {
+            self.passed_per_tick.pop_front();
+            self.occupancy_readings.pop_front();
         }
         let (alpha, rho) = (self.acceptance(), self.occupancy());
         self.ticks += 1;
@@ -158,7 +158,7 @@
         let phi = rho.map_or(unread, |x| (RHO_TARGET / x.max(1e-6)).min(PHI_MAX));
         self.drawn = false;
         let f_o = (phi * self.f).clamp(f_min, 1.0);
-        let armed = self.readings.iter().flatten().any(|x| *x > RHO_TARGET);
+        let armed = self.occupancy_readings.iter().flatten().any(|x| *x > RHO_TARGET);
         let f_a = match self.mu_max {
             Some(mu) if armed && alpha > 0.0 => (RHO_TARGET * mu / alpha * self.f).clamp(f_min, 1.0),
             _ => 1.0,
@@ -190,23 +190,23 @@
 struct Server {
     entry: ServerEntry,
     throttle: Throttle,
-    floor: Option<f64>,
-    samples: u32,
+    min_delay: Option<f64>,
+    delay_samples: u32,
     tick_delays: Samples,
     /// Own samples of the delay since the last message to other gateways.
-    news: Samples,
+    unreported_delays: Samples,
     /// Samples told by other gateways in this tick.
-    told_delays: Samples,
+    peer_delays: Samples,
     /// Ticks since the last own sample.
-    unsampled: usize,
-    tick_full: bool,
+    ticks_without_sample: usize,
+    full_this_tick: bool,
     mean_delay: Option<f64>,
-    slow_reading: f64,
-    answered: VecDeque<Time>,
+    smoothed_occupancy: f64,
+    answer_times: VecDeque<Time>,
     last_answer: Time,
-    answered_up_to: Time,
+    latest_answered_send: Time,
     misses: u32,
-    waiting: BTreeSet<(Time, CallId)>,
+    unanswered: BTreeSet<(Time, CallId)>,
     /// Nothing is sent there before this time: after a full answer, and between trials.
     not_before: Time,
     suspect: bool,
@@ -214,42 +214,52 @@
     cold: Option<(Time, Time)>,
     /// Set-ups that a pace allows now, and when that was counted.
     credit: (f64, Time),
-    usual: f64,
-    usual_ticks: u32,
-    stood: u32,
-    utilisation: Option<f64>,
+    usual_rate: f64,
+    usual_rate_ticks: u32,
+    established_this_tick: u32,
+    reported_utilisation: Option<f64>,
     free: Option<(f64, Time)>,
     pressed: bool,
     /// A set-up is overtaken by one sent this much later.
-    overtake: Duration,
+    overtake_after: Duration,
     /// Since when it is gone.
-    gone: Option<Time>,
+    gone_since: Option<Time>,
 }
 
 impl Server {
     fn new(entry: ServerEntry, now: Time, credit: f64, overtake: Duration) -> Self {
         let throttle = Throttle::new();
-        Self { entry, throttle, last_answer: now, credit: (credit, now), overtake, ..Self::default() }
+        Self {
+            entry,
+            throttle,
+            last_answer: now,
+            credit: (credit, now),
+            overtake_after: overtake,
+            ..Self::default()
+        }
     }
 
     /// Own set-ups that still wait in the server's line, oldest first. One that a clearly later one has
     /// overtaken does not: its answer is lost. Guards against lost messages holding up sends and readings.
     /// It could do harm at servers that do not work in order, as sends are then held back less.
     fn in_queue(&self) -> impl Iterator<Item = &(Time, CallId)> {
-        self.waiting.iter().filter(|(sent, _)| sent.plus(self.overtake) >= self.answered_up_to)
+        self.unanswered.iter().filter(|(sent, _)| sent.plus(self.overtake_after) >= self.latest_answered_send)
     }
 
     /// Own set-ups whose answers are lost.
     fn overtaken(&self) -> impl Iterator<Item = CallId> {
-        let lost = self.waiting.iter().filter(|(sent, _)| sent.plus(self.overtake) < self.answered_up_to);
+        let lost = self
+            .unanswered
+            .iter()
+            .filter(|(sent, _)| sent.plus(self.overtake_after) < self.latest_answered_send);
         lost.map(|(_, call)| *call)
     }
 
     /// The set-up delay seen, as a reading of occupancy: 1 - smallest / mean.
     fn record_delay(&mut self, delay: f64) {
         self.tick_delays.add(delay);
-        self.samples += 1;
-        self.floor = Some(self.floor.map_or(delay, |x| x.min(delay)).max(1e-4));
+        self.delay_samples += 1;
+        self.min_delay = Some(self.min_delay.map_or(delay, |x| x.min(delay)).max(1e-4));
     }
 
     /// Ends a tick. Guards against delays that nobody sees yet: the age of an unanswered set-up that already
@@ -260,38 +270,38 @@
         let usual = self.mean_delay.unwrap_or(0.0).max(2.0 * floor.unwrap_or(0.0));
         let ages = self.in_queue().map(|(sent, _)| now.since(*sent).as_secs_f64());
         ages.filter(|age| *age > usual).for_each(|age| delays.add(age));
-        self.news.sum += delays.sum;
-        self.news.n += delays.n;
+        self.unreported_delays.sum += delays.sum;
+        self.unreported_delays.n += delays.n;
         // News fills the gaps between own samples: where those are enough, late ones would only overdo it.
-        self.unsampled = if delays.n > 0 { 0 } else { self.unsampled + 1 };
-        let told = std::mem::take(&mut self.told_delays);
-        let mean = if self.unsampled >= SHORT_MEAN_TICKS { told.mean() } else { delays.mean() };
+        self.ticks_without_sample = if delays.n > 0 { 0 } else { self.ticks_without_sample + 1 };
+        let told = std::mem::take(&mut self.peer_delays);
+        let mean = if self.ticks_without_sample >= SHORT_MEAN_TICKS { told.mean() } else { delays.mean() };
         let by_floor = mean.zip(floor).map(|(m, f)| (1.0 - f / m).clamp(0.0, 1.0));
         // A far wait beyond its share of the aim is too long at any smallest delay.
         let by_aim = mean.map(|m| (RHO_TARGET * m / (aim * RHO_TARGET_AIM_SHARE)).min(1.0));
         let by_delay = by_floor.zip(by_aim).map(|(a, b)| a.max(b));
-        let reading = if self.tick_full { Some(1.0) } else { self.utilisation.or(by_delay) };
+        let reading = if self.full_this_tick { Some(1.0) } else { self.reported_utilisation.or(by_delay) };
         if let Some(m) = mean {
             self.mean_delay = Some(self.mean_delay.map_or(m, |x| x + 0.4 * (m - x)));
-        } else if self.waiting.is_empty() {
+        } else if self.unanswered.is_empty() {
             self.mean_delay = self.mean_delay.map(|x| x + 0.1 * (floor.unwrap_or(x) - x));
         }
-        self.slow_reading += 0.1 * (reading.unwrap_or(0.0) - self.slow_reading);
-        let unread = (self.usual * ASSESSMENT_INTERVAL.as_secs_f64() / SET_UPS_PER_PHI_MAX_STEP)
+        self.smoothed_occupancy += 0.1 * (reading.unwrap_or(0.0) - self.smoothed_occupancy);
+        let unread = (self.usual_rate * ASSESSMENT_INTERVAL.as_secs_f64() / SET_UPS_PER_PHI_MAX_STEP)
             .clamp(MIN_GROWTH_EXPONENT, 1.0);
         self.throttle.assess(reading, f_min, unread);
-        self.tick_full = false;
-        self.utilisation = None;
-        self.floor =
-            self.floor.map(|x| x * (1.0 + MIN_DELAY_GROWTH_PER_S * ASSESSMENT_INTERVAL.as_secs_f64()));
-        self.answered.retain(|t| now.since(*t) <= ANSWER_RATE_WINDOW);
+        self.full_this_tick = false;
+        self.reported_utilisation = None;
+        self.min_delay =
+            self.min_delay.map(|x| x * (1.0 + MIN_DELAY_GROWTH_PER_S * ASSESSMENT_INTERVAL.as_secs_f64()));
+        self.answer_times.retain(|t| now.since(*t) <= ANSWER_RATE_WINDOW);
         // A long mean: its noise over gateways cancels out in their sum. Trouble is no measure.
         if self.cold.is_none() && !self.suspect && self.entry.state == ServerState::Ready {
-            let seen = f64::from(self.stood) / ASSESSMENT_INTERVAL.as_secs_f64();
-            self.usual_ticks = (self.usual_ticks + 1).min(USUAL_RATE_TICKS);
-            self.usual += (seen - self.usual) / f64::from(self.usual_ticks);
+            let seen = f64::from(self.established_this_tick) / ASSESSMENT_INTERVAL.as_secs_f64();
+            self.usual_rate_ticks = (self.usual_rate_ticks + 1).min(USUAL_RATE_TICKS);
+            self.usual_rate += (seen - self.usual_rate) / f64::from(self.usual_rate_ticks);
         }
-        self.stood = 0;
+        self.established_this_tick = 0;
     }
 
     /// Guards against a far queue that feeds itself (repeats, work on given-up set-ups, answers behind
@@ -301,12 +311,12 @@
     /// that long, one more goes at the pace of trials: its answer shows whether theirs are lost.
     fn has_queue_room(&self, now: Time, aim: Duration) -> bool {
         let far = aim.mul_f64(QUEUE_WAIT_AIM_SHARE);
-        let rate = self.answered.len() as f64 / ANSWER_RATE_WINDOW.as_secs_f64();
+        let rate = self.answer_times.len() as f64 / ANSWER_RATE_WINDOW.as_secs_f64();
         let quick = self.mean_delay.is_some_and(|d| d < far.as_secs_f64());
         let most = (rate * far.as_secs_f64() * 2.0).max(if quick { 2.0 } else { 1.0 });
         let age = |at: Option<&(Time, CallId)>| at.map_or(Duration::ZERO, |(sent, _)| now.since(*sent));
         let newest = age(self.in_queue().last());
-        let trial = newest >= far && newest.as_secs_f64() * TRIAL_RATE_SHARE * self.usual >= 1.0;
+        let trial = newest >= far && newest.as_secs_f64() * TRIAL_RATE_SHARE * self.usual_rate >= 1.0;
         trial || age(self.in_queue().next()) < far && (self.in_queue().count() as f64) < most
     }
 
@@ -335,14 +345,14 @@
         let cold = self.cold.filter(|(_, until)| now < *until).map(|(since, _)| {
             let done = now.since(since).as_secs_f64() / rules.cold_time.as_secs_f64().max(1e-3);
             let part = rules.cold_from + (1.0 - rules.cold_from) * COLD_RAMP_SHARE * done.min(1.0);
-            (rules.fall_multiple * COLD_BUDGET_SHARE).min(MAX_COLD_LOAD) * part * self.usual.max(least)
+            (rules.fall_multiple * COLD_BUDGET_SHARE).min(MAX_COLD_LOAD) * part * self.usual_rate.max(least)
         });
         let shared = self.free.filter(|(free, _)| *free < gateways && settings.topology == Topology::Pools);
         let lines = shared.map(|(free, told)| {
             let assumed = if now.since(told) > FREE_CIRCUITS_EXPIRY { 1.0 } else { 0.0 };
             FREE_CIRCUITS_USES_PER_S * free.max(assumed) / gateways
         });
-        let trials = self.suspect.then(|| (TRIAL_RATE_SHARE * self.usual).max(least));
+        let trials = self.suspect.then(|| (TRIAL_RATE_SHARE * self.usual_rate).max(least));
         cold.into_iter().chain(lines).chain(trials).reduce(f64::min)
     }
 
@@ -372,45 +382,45 @@
 // ---- A call's life -----------------------------------------------------------------------------------
 #[derive(Debug, Default)]
 struct Call {
-    new: NewCall,
+    request: NewCall,
     answer_by: Time,
-    margin: Duration,
+    answer_margin: Duration,
     aim: Duration,
-    aim_at: Time,
+    aim_due: Time,
     worth: f64,
     late_share: f64,
     effect: Effect,
     attempts: u32,
-    out: Option<(AttemptNo, ServerId)>,
-    standing: bool,
+    outstanding: Option<(AttemptNo, ServerId)>,
+    established: bool,
     not_before: Time,
-    maybe_ran: Option<(Time, ServerId)>,
+    may_have_run: Option<(Time, ServerId)>,
     sent_at: Time,
-    failed: Option<ServerId>,
-    called_off: bool,
+    last_failed_server: Option<ServerId>,
+    cancel_sent: bool,
 }
 
 impl Call {
     fn routing_request(&self, now: Time) -> RoutingRequest {
-        let (aim_left, left) = (self.aim_at.since(now), self.answer_by.since(now));
-        let (call, class, worth, aim) = (self.new.id, self.new.class, self.worth, self.aim);
+        let (aim_left, left) = (self.aim_due.since(now), self.answer_by.since(now));
+        let (call, class, worth, aim) = (self.request.id, self.request.class, self.worth, self.aim);
         RoutingRequest { call, class, worth, aim, aim_left, time_left: left }
     }
 
     /// Whether the call can go nowhere any more: it has had its attempts, or may have run and must not run
     /// again. Guards against holding what nobody works at; such a call gets its answer at once.
     fn has_no_attempt_left(&self, now: Time, max_attempts: u32) -> bool {
-        let ran = match (self.effect, self.maybe_ran) {
+        let ran = match (self.effect, self.may_have_run) {
             (Effect::Safe, _) | (_, None) => false,
             (Effect::Unsafe, Some(_)) => true,
             (Effect::Keyed { window, .. }, Some((when, _))) => now.since(when) + SCAN_INTERVAL >= window,
         };
-        self.out.is_none() && !self.standing && (ran || self.attempts >= max_attempts)
+        self.outstanding.is_none() && !self.established && (ran || self.attempts >= max_attempts)
     }
 
     /// Past its aim a call is worth its late share, once.
     fn discount_if_late(&mut self, now: Time) {
-        if now > self.aim_at {
+        if now > self.aim_due {
             (self.worth, self.late_share) = (self.worth * self.late_share, 1.0);
         }
     }
@@ -418,8 +428,8 @@
 
 #[derive(Debug)]
 struct NumberHistory {
-    first: Time,
-    last: Time,
+    first_call: Time,
+    last_call: Time,
     busy_until: Time,
 }
 
@@ -427,21 +437,21 @@
 #[derive(Debug)]
 pub struct Controller {
     settings: Settings,
-    voice: Option<Box<dyn RoutingPolicy>>,
+    routing_policy: Option<Box<dyn RoutingPolicy>>,
     rng: ChaCha8Rng,
     servers: BTreeMap<ServerId, Server>,
     calls: BTreeMap<CallId, Call>,
     held: BTreeSet<(u64, Time, CallId)>,
     numbers: BTreeMap<Arc<str>, NumberHistory>,
-    quota: Vec<(f64, Time)>,
+    quota_levels: Vec<(f64, Time)>,
     next_tick: Time,
     ticks: u32,
     /// Own set-ups a second that stand, at all servers together, in the long mean, and the ticks it is of.
-    stands: (f64, u32),
-    next_sweep: Time,
+    established_rate: (f64, u32),
+    next_scan: Time,
     last_call: Time,
-    listed: bool,
-    asked: Option<Time>,
+    has_list: bool,
+    last_subscribe: Option<Time>,
     subscribed: bool,
     actions: Vec<Action>,
 }
@@ -454,9 +464,9 @@
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         Ok(Self {
-            quota: vec![(0.0, Time::default()); settings.tenants.len()],
+            quota_levels: vec![(0.0, Time::default()); settings.tenants.len()],
             settings,
-            voice: None,
+            routing_policy: None,
             rng: ChaCha8Rng::seed_from_u64(seed),
             servers: BTreeMap::new(),
             calls: BTreeMap::new(),
@@ -464,11 +474,11 @@
             numbers: BTreeMap::new(),
             next_tick: Time::default(),
             ticks: 0,
-            stands: (0.0, 0),
-            next_sweep: Time::default(),
+            established_rate: (0.0, 0),
+            next_scan: Time::default(),
             last_call: Time::default(),
-            listed: false,
-            asked: None,
+            has_list: false,
+            last_subscribe: None,
             subscribed: false,
             actions: Vec::new(),
         })
@@ -477,26 +487,28 @@
     /// The same with a further voice in the choice of server.
     #[must_use]
     pub fn with_routing_policy(mut self, voice: Box<dyn RoutingPolicy>) -> Self {
-        self.voice = Some(voice);
+        self.routing_policy = Some(voice);
         self
     }
 
     /// Takes one event at the clock's reading `now` and appends what is to be done.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
-        if self.next_sweep == Time::default() {
+        if self.next_scan == Time::default() {
             let phase = ASSESSMENT_INTERVAL.mul_f64(self.random_unit());
             self.next_tick = now.plus(phase);
-            self.next_sweep = now;
+            self.next_scan = now;
         }
         match event {
             Event::List { kind, entries } => self.on_list(now, kind, entries),
             Event::Call(new) => self.on_call(now, new),
             Event::Established { call, attempt, server, took } => {
-                let known =
-                    self.calls.get_mut(&call).filter(|c| c.out == Some((attempt, server)) && !c.standing);
+                let known = self
+                    .calls
+                    .get_mut(&call)
+                    .filter(|c| c.outstanding == Some((attempt, server)) && !c.established);
                 if let Some(c) = known {
-                    c.standing = true;
-                    self.voice.iter_mut().for_each(|voice| voice.attempt_resolved(call, true));
+                    c.established = true;
+                    self.routing_policy.iter_mut().for_each(|voice| voice.attempt_resolved(call, true));
                     self.on_answer(now, server, call, Some(took));
                 }
             }
@@ -512,9 +524,9 @@
             }
             Event::PeerMessage { from, text } => self.on_peer_report(from, &text),
         }
-        if now >= self.next_sweep {
+        if now >= self.next_scan {
             self.scan(now);
-            self.next_sweep = now.plus(SCAN_INTERVAL);
+            self.next_scan = now.plus(SCAN_INTERVAL);
             self.actions.push(Action::SetTimer { after: SCAN_INTERVAL, timer: SCAN_TIMER });
         }
         actions.append(&mut self.actions);
@@ -526,7 +538,7 @@
 
     fn on_call(&mut self, now: Time, new: NewCall) {
         let gap = now.since(std::mem::replace(&mut self.last_call, now));
-        if gap >= ASSESSMENT_INTERVAL && gap.as_secs_f64() * self.stands.0 > LULL_GAP_FACTOR {
+        if gap >= ASSESSMENT_INTERVAL && gap.as_secs_f64() * self.established_rate.0 > LULL_GAP_FACTOR {
             self.servers.values_mut().for_each(|s| s.reset_credit_after_lull(now, &self.settings));
         }
         if self.calls.contains_key(&new.id) {
@@ -537,10 +549,11 @@
             return;
         };
         let log = self.numbers.entry(new.number.clone());
-        let log = log.or_insert(NumberHistory { first: now, last: now, busy_until: Time::default() });
-        log.last = now;
+        let log =
+            log.or_insert(NumberHistory { first_call: now, last_call: now, busy_until: Time::default() });
+        log.last_call = now;
         let busy = now < log.busy_until;
-        let (mut worth, first) = (class.points, log.first);
+        let (mut worth, first) = (class.points, log.first_call);
         if new.tenant.is_some_and(|t| !self.within_quota(now, t)) {
             worth *= self.settings.over_share_worth;
         }
@@ -548,14 +561,14 @@
         let margin = ANSWER_MARGIN.min(new.time_left / 4).max(SCAN_INTERVAL * 2);
         let mut call = Call {
             answer_by: now.plus(new.time_left.saturating_sub(margin)),
-            margin,
+            answer_margin: margin,
             aim: class.aim,
-            aim_at: first.plus(class.aim),
+            aim_due: first.plus(class.aim),
             worth,
             late_share: class.late_share,
             effect: class.effect,
             sent_at: now,
-            new,
+            request: new,
             ..Call::default()
         };
         call.discount_if_late(now);
@@ -578,7 +591,9 @@
     /// Whether a call of this tenant lies inside this gateway's part of its quota.
     fn within_quota(&mut self, now: Time, tenant: TenantId) -> bool {
         let quota = self.settings.tenants.get(tenant.0).and_then(|t| t.quota_per_s);
-        let Some((quota, (level, last))) = quota.zip(self.quota.get_mut(tenant.0)) else { return true };
+        let Some((quota, (level, last))) = quota.zip(self.quota_levels.get_mut(tenant.0)) else {
+            return true;
+        };
         let rate = quota / f64::from(self.settings.gateways);
         *level = (*level - rate * now.since(*last).as_secs_f64()).max(0.0);
         *last = now;
@@ -590,14 +605,14 @@
     }
 
     fn forget_call(&mut self, call: CallId) {
-        self.voice.iter_mut().for_each(|voice| voice.attempt_resolved(call, false));
+        self.routing_policy.iter_mut().for_each(|voice| voice.attempt_resolved(call, false));
         let gone = self.calls.remove(&call);
         if let Some(c) = &gone {
             self.held.remove(&Self::queue_key(c));
         }
-        let server = gone.and_then(|c| c.out).map(|(_, server)| server);
+        let server = gone.and_then(|c| c.outstanding).map(|(_, server)| server);
         if let Some(s) = server.and_then(|server| self.servers.get_mut(&server)) {
-            s.waiting.retain(|(_, id)| *id != call);
+            s.unanswered.retain(|(_, id)| *id != call);
         }
     }
 
@@ -606,9 +621,9 @@
         let Some(c) = self.calls.get(&call) else { return };
         let limits = &self.settings.limits;
         let retry_after = if limits.retry_after { limits.max_retry_after } else { Duration::ZERO };
-        let refusable = match (c.effect, c.maybe_ran) {
-            (Effect::Safe, _) | (_, None) => c.out.is_none() || c.effect == Effect::Safe,
-            (Effect::Keyed { group, .. }, Some(_)) => group == RepeatGroup::All && c.out.is_none(),
+        let refusable = match (c.effect, c.may_have_run) {
+            (Effect::Safe, _) | (_, None) => c.outstanding.is_none() || c.effect == Effect::Safe,
+            (Effect::Keyed { group, .. }, Some(_)) => group == RepeatGroup::All && c.outstanding.is_none(),
             (Effect::Unsafe, Some(_)) => false,
         };
         if refusable {
@@ -622,13 +637,13 @@
     /// A server gave a sign of life for one of its set-ups.
     fn on_answer(&mut self, now: Time, id: ServerId, call: CallId, took: Option<Duration>) {
         let Some(s) = self.servers.get_mut(&id) else { return };
-        s.waiting.retain(|(_, c)| *c != call);
+        s.unanswered.retain(|(_, c)| *c != call);
         if let Some(took) = took {
             s.misses = 0;
-            s.answered_up_to = s.answered_up_to.max(now.minus(took));
+            s.latest_answered_send = s.latest_answered_send.max(now.minus(took));
             s.record_delay(took.as_secs_f64());
-            s.answered.push_back(now);
-            s.stood += 1;
+            s.answer_times.push_back(now);
+            s.established_this_tick += 1;
         }
         s.last_answer = now;
         if took.is_some() && std::mem::take(&mut s.suspect) {
@@ -646,25 +661,25 @@
     ) {
         if let Some(s) = self.servers.get_mut(&attempt.1) {
             s.free = report.free_circuits.map(|x| (x, now)).or(s.free);
-            s.utilisation = report.utilisation.or(s.utilisation);
+            s.reported_utilisation = report.utilisation.or(s.reported_utilisation);
             // A told wait is one more sample of the set-up delay.
-            if let (Some(wait), Some(floor)) = (report.queue_wait, s.floor) {
+            if let (Some(wait), Some(floor)) = (report.queue_wait, s.min_delay) {
                 s.tick_delays.add(floor + wait.as_secs_f64());
             }
         }
-        let Some(c) = self.calls.get_mut(&call).filter(|c| c.out == Some(attempt)) else { return };
-        let stood = c.standing;
-        self.voice.iter_mut().for_each(|voice| voice.attempt_resolved(call, stood));
-        c.out = None;
-        c.failed = Some(attempt.1);
-        if !outcome.never_ran() && c.maybe_ran.is_none() {
-            c.maybe_ran = Some((c.sent_at, attempt.1));
+        let Some(c) = self.calls.get_mut(&call).filter(|c| c.outstanding == Some(attempt)) else { return };
+        let stood = c.established;
+        self.routing_policy.iter_mut().for_each(|voice| voice.attempt_resolved(call, stood));
+        c.outstanding = None;
+        c.last_failed_server = Some(attempt.1);
+        if !outcome.never_ran() && c.may_have_run.is_none() {
+            c.may_have_run = Some((c.sent_at, attempt.1));
         }
         if outcome.needs_release() {
             c.not_before = now.plus(self.settings.rules.release_guard);
         }
         if let (true, Some(s)) = (stood, self.servers.get_mut(&attempt.1)) {
-            s.free = s.free.map(|(free, told)| (free.max(0.0) + c.new.width, told));
+            s.free = s.free.map(|(free, told)| (free.max(0.0) + c.request.width, told));
         }
         match outcome {
             _ if stood => {}
@@ -672,7 +687,7 @@
                 self.on_answer(now, attempt.1, call, None);
                 match (self.servers.get_mut(&attempt.1), detail) {
                     (Some(s), OutcomeDetail::ProcessorFull(wait)) => {
-                        s.tick_full = true;
+                        s.full_this_tick = true;
                         s.record_misses(now, 1, &mut self.actions);
                         s.not_before = now.plus(wait.unwrap_or_default().clamp(TRIAL.0, TRIAL.1));
                     }
@@ -683,7 +698,7 @@
             _ => self.on_no_answer(now, attempt.1, call, outcome),
         }
         if detail == OutcomeDetail::NumberBusy
-            && let Some(log) = self.calls.get(&call).and_then(|c| self.numbers.get_mut(&c.new.number))
+            && let Some(log) = self.calls.get(&call).and_then(|c| self.numbers.get_mut(&c.request.number))
         {
             log.busy_until = now.plus(BUSY_NUMBER_PAUSE);
         }
@@ -707,8 +722,8 @@
     /// A set-up ended with no word from the server.
     fn on_no_answer(&mut self, now: Time, id: ServerId, call: CallId, outcome: Outcome) {
         let Some(s) = self.servers.get_mut(&id) else { return };
-        let sent = s.waiting.iter().find(|(_, c)| *c == call).map(|(t, _)| *t);
-        s.waiting.retain(|(_, c)| *c != call);
+        let sent = s.unanswered.iter().find(|(_, c)| *c == call).map(|(t, _)| *t);
+        s.unanswered.retain(|(_, c)| *c != call);
         let silent = sent.is_some_and(|t| s.last_answer < t);
         if outcome == Outcome::Moot || !(silent || s.suspect) {
             return;
@@ -723,13 +738,14 @@
     // ---- Routing -------------------------------------------------------------------------------------
     /// The call's place among those held: the most worth first, then the nearest aim.
     fn queue_key(c: &Call) -> (u64, Time, CallId) {
-        (!c.worth.max(0.0).to_bits(), c.aim_at, c.new.id)
+        (!c.worth.max(0.0).to_bits(), c.aim_due, c.request.id)
     }
 
     /// One draw, for an arrival or for room that has come up: the best call held makes it. One that no server
     /// is open to does not draw and stands in nobody's way.
     fn route_held_call(&mut self, now: Time) -> bool {
-        let ready = |id: &CallId| self.calls.get(id).is_some_and(|c| c.out.is_none() && c.not_before < now);
+        let ready =
+            |id: &CallId| self.calls.get(id).is_some_and(|c| c.outstanding.is_none() && c.not_before < now);
         let ids = self.held.iter().map(|(_, _, id)| *id);
         let best: Vec<CallId> = ids.filter(ready).take(MAX_HELD_CANDIDATES).collect();
         best.into_iter().any(|call| self.route_call(now, call))
@@ -738,7 +754,7 @@
     /// First-choice server, else one load-weighted redraw among the rest; each passes its own throttle.
     /// Tells whether the call drew: no server may be open to it.
     fn route_call(&mut self, now: Time, id: CallId) -> bool {
-        let call = self.calls.get(&id).map(|c| (c.new.destination, c.failed));
+        let call = self.calls.get(&id).map(|c| (c.request.destination, c.last_failed_server));
         let Some((destination, failed)) = call else { return false };
         let mut open: Vec<ServerId> = self.servers.keys().copied().collect();
         open.retain(|server| self.may_issue(now, id, *server));
@@ -757,7 +773,7 @@
         }
         let unit = self.random_unit();
         let said = |id: &ServerId| say.get(id).copied().unwrap_or(1.0);
-        let weight = |id: &ServerId| (1.0 - self.servers[id].slow_reading).max(0.05) * said(id);
+        let weight = |id: &ServerId| (1.0 - self.servers[id].smoothed_occupancy).max(0.05) * said(id);
         let total: f64 = open.iter().map(weight).sum();
         let mut point = unit * total;
         let choice = open.iter().copied().find(|s| {
@@ -781,7 +797,7 @@
         open: &mut Vec<ServerId>,
     ) -> BTreeMap<ServerId, f64> {
         let mut say = BTreeMap::new();
-        let (Some(voice), Some(c)) = (&mut self.voice, self.calls.get(&id)) else { return say };
+        let (Some(voice), Some(c)) = (&mut self.routing_policy, self.calls.get(&id)) else { return say };
         let wanted = c.routing_request(now);
         open.retain(|server| {
             let weight =
@@ -796,7 +812,7 @@
     fn may_issue(&mut self, now: Time, id: CallId, server: ServerId) -> bool {
         let Some(c) = self.calls.get(&id) else { return false };
         let Some(zone) = self.servers.get(&server).map(|s| s.entry.zone.clone()) else { return false };
-        let same_group = match (c.effect, c.maybe_ran) {
+        let same_group = match (c.effect, c.may_have_run) {
             (Effect::Safe, _) | (_, None) => true,
             (Effect::Unsafe, Some(_)) => false,
             (Effect::Keyed { group, window }, Some((when, at))) => {
@@ -810,22 +826,23 @@
                 same && now.since(when) + SCAN_INTERVAL < window
             }
         };
-        let pools = c.new.class.and_then(|k| self.settings.classes[k.0].pools.as_ref());
+        let pools = c.request.class.and_then(|k| self.settings.classes[k.0].pools.as_ref());
         let Some(s) = self.servers.get_mut(&server) else { return false };
         let route = match self.settings.topology {
             Topology::Pools => pools.is_none_or(|p| p.contains(&s.entry.cell)),
             Topology::Mesh { home } => {
-                s.entry.cell != home && (!c.new.transit || s.entry.cell == c.new.destination)
+                s.entry.cell != home && (!c.request.transit || s.entry.cell == c.request.destination)
             }
         };
-        let trial = now >= s.not_before && (!s.suspect || s.waiting.is_empty());
-        let alive = c.out.is_none() && !c.standing && c.not_before < now && now < c.answer_by;
+        let trial = now >= s.not_before && (!s.suspect || s.unanswered.is_empty());
+        let alive = c.outstanding.is_none() && !c.established && c.not_before < now && now < c.answer_by;
         alive
             && c.attempts < self.settings.limits.max_attempts
             && same_group
             && route
             && s.entry.state == ServerState::Ready
-            && s.free.is_none_or(|(free, told)| free >= c.new.width || now.since(told) > FREE_CIRCUITS_EXPIRY)
+            && s.free
+                .is_none_or(|(free, told)| free >= c.request.width || now.since(told) > FREE_CIRCUITS_EXPIRY)
             && trial
             && s.has_queue_room(now, c.aim)
             && s.has_credit(now, &self.settings)
@@ -834,7 +851,7 @@
     /// Own set-ups a second that stand at a server, in the long mean over all that were warm.
     fn mean_usual_rate(&self) -> f64 {
         let mut rates = Samples::default();
-        self.servers.values().filter(|s| s.usual_ticks > 0).for_each(|s| rates.add(s.usual));
+        self.servers.values().filter(|s| s.usual_rate_ticks > 0).for_each(|s| rates.add(s.usual_rate));
         rates.mean().unwrap_or(0.0)
     }
 
@@ -842,13 +859,13 @@
     /// gateways that have just begun and know no usual rate: hundreds would leave the cold servers to the few
     /// others. Could do harm where load falls most unevenly on servers: a small one is then sent too much.
     fn update_even_rate(&mut self) -> f64 {
-        let stood: u32 = self.servers.values().map(|s| s.stood).sum();
-        let (rate, ticks) = self.stands;
+        let stood: u32 = self.servers.values().map(|s| s.established_this_tick).sum();
+        let (rate, ticks) = self.established_rate;
         let ticks = (ticks + 1).min(USUAL_RATE_TICKS);
-        self.stands =
+        self.established_rate =
             (rate + (f64::from(stood) / ASSESSMENT_INTERVAL.as_secs_f64() - rate) / f64::from(ticks), ticks);
         let ready = self.servers.values().filter(|s| s.entry.state == ServerState::Ready).count();
-        self.stands.0 / ready.max(1) as f64
+        self.established_rate.0 / ready.max(1) as f64
     }
 
     fn issue(&mut self, now: Time, id: CallId, server: ServerId) {
@@ -861,14 +878,16 @@
         {
             within = within.min(c.aim.mul_f64(TRIAL_TIMEOUT_AIM_SHARE));
         }
-        self.voice.iter_mut().for_each(|voice| voice.attempt_sent(now, &c.routing_request(now), &s.entry));
-        c.out = Some((AttemptNo(c.attempts), server));
-        c.called_off = false;
+        self.routing_policy
+            .iter_mut()
+            .for_each(|voice| voice.attempt_sent(now, &c.routing_request(now), &s.entry));
+        c.outstanding = Some((AttemptNo(c.attempts), server));
+        c.cancel_sent = false;
         c.attempts += 1;
         c.sent_at = now;
         s.throttle.passed += 1;
-        s.free = s.free.map(|(free, told)| (free - c.new.width, told));
-        s.waiting.insert((now, id));
+        s.free = s.free.map(|(free, told)| (free - c.request.width, told));
+        s.unanswered.insert((now, id));
         s.credit.0 = (s.credit.0 - 1.0).max(0.0);
         self.held.remove(&Self::queue_key(c));
         self.actions.push(Action::Issue { call: id, server, within });
@@ -881,7 +900,8 @@
             self.end_tick(now);
         }
         // Past its aim a call is worth less and takes a place further back.
-        let turned = self.calls.values_mut().filter(|c| now > c.aim_at && c.late_share != 1.0 && !c.standing);
+        let turned =
+            self.calls.values_mut().filter(|c| now > c.aim_due && c.late_share != 1.0 && !c.established);
         for c in turned {
             let held = self.held.remove(&Self::queue_key(c));
             c.discount_if_late(now);
@@ -892,16 +912,17 @@
         self.cancel_overtaken(now);
         let most = self.settings.limits.max_attempts;
         let ends = |c: &Call| c.answer_by <= now || c.has_no_attempt_left(now, most);
-        let due = self.calls.iter().filter(|(_, c)| !c.standing && ends(c));
+        let due = self.calls.iter().filter(|(_, c)| !c.established && ends(c));
         // An attempt that is out was timed to end a little before; its outcome gets a few sweeps to come in.
-        let due = due.filter(|(_, c)| c.out.is_none() || c.answer_by.plus(c.margin / 2) <= now);
+        let due =
+            due.filter(|(_, c)| c.outstanding.is_none() || c.answer_by.plus(c.answer_margin / 2) <= now);
         for id in due.map(|(id, _)| *id).collect::<Vec<_>>() {
             self.refuse_or_fail(id);
         }
         if self.settings.discovery == Discovery::Subscribe {
             let pause = self.settings.rules.subscribe_within / SUBSCRIBE_RETRY_DIVISOR;
-            if !self.subscribed && self.asked.is_none_or(|t| now.since(t) >= pause) {
-                self.asked = Some(now);
+            if !self.subscribed && self.last_subscribe.is_none_or(|t| now.since(t) >= pause) {
+                self.last_subscribe = Some(now);
                 self.actions.push(Action::Subscribe);
             }
         }
@@ -913,13 +934,15 @@
     fn cancel_overtaken(&mut self, now: Time) {
         let again = now.plus(self.settings.rules.release_guard + SCAN_INTERVAL);
         for id in self.servers.values().flat_map(Server::overtaken) {
-            let Some(c) = self.calls.get_mut(&id).filter(|c| self.settings.limits.cancel && !c.called_off)
+            let Some(c) = self.calls.get_mut(&id).filter(|c| self.settings.limits.cancel && !c.cancel_sent)
             else {
                 continue;
             };
             let more = c.attempts < self.settings.limits.max_attempts && again < c.answer_by;
-            if let Some((attempt, _)) = c.out.filter(|_| more && !c.standing && c.effect == Effect::Safe) {
-                c.called_off = true;
+            if let Some((attempt, _)) =
+                c.outstanding.filter(|_| more && !c.established && c.effect == Effect::Safe)
+            {
+                c.cancel_sent = true;
                 self.actions.push(Action::Cancel { call: id, attempt });
             }
         }
@@ -932,15 +955,15 @@
     }
 
     fn end_tick(&mut self, now: Time) {
-        let least = self.servers.values().filter_map(|s| s.floor).min_by(f64::total_cmp);
+        let least = self.servers.values().filter_map(|s| s.min_delay).min_by(f64::total_cmp);
         let f_min = (F_MIN_SUM / f64::from(self.settings.gateways)).clamp(F_MIN_BOUNDS.0, F_MIN_BOUNDS.1);
         let aim = self.shortest_aim_s();
         let even = self.update_even_rate();
         for (id, s) in &mut self.servers {
-            if s.cold.is_some() && s.usual_ticks == 0 {
-                s.usual = even;
+            if s.cold.is_some() && s.usual_rate_ticks == 0 {
+                s.usual_rate = even;
             }
-            let floor = if s.samples < 8 { least } else { s.floor };
+            let floor = if s.delay_samples < 8 { least } else { s.min_delay };
             s.tick(now, floor, aim, f_min);
             s.cold = s.cold.filter(|(_, until)| now < *until);
             let pressed = s.throttle.f < if s.pressed { 0.9 } else { 0.5 };
@@ -950,14 +973,14 @@
                 self.actions.push(Action::Log(format!("server {} {word}, f {:.2}", id.0, s.throttle.f)));
             }
         }
-        if let Some(voice) = &mut self.voice {
+        if let Some(voice) = &mut self.routing_policy {
             let mut servers = self.servers.values().map(|s| {
                 let (ready, well) = (s.entry.state == ServerState::Ready, s.cold.is_none() && !s.suspect);
                 ServerView { entry: &s.entry, ready, healthy: well, allowed_fraction: s.throttle.f }
             });
             voice.observe(now, &mut servers);
         }
-        self.numbers.retain(|_, log| now.since(log.last) < NUMBER_HISTORY_EXPIRY);
+        self.numbers.retain(|_, log| now.since(log.last_call) < NUMBER_HISTORY_EXPIRY);
         self.forget_gone_servers(now);
         self.report_delays_to_peers();
         for _ in 0..1 + (self.mean_usual_rate() * HELD_ADMISSIONS_WINDOW_S) as u32 {
@@ -971,7 +994,8 @@
     fn forget_gone_servers(&mut self, now: Time) {
         let longest = self.settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
         let keep = self.settings.rules.cold_time.max(longest);
-        let past = |s: &Server| s.gone.is_some_and(|since| now.since(since) > keep) && s.waiting.is_empty();
+        let past =
+            |s: &Server| s.gone_since.is_some_and(|since| now.since(since) > keep) && s.unanswered.is_empty();
         self.servers.retain(|_, s| !past(s));
     }
 
@@ -985,7 +1009,7 @@
         }
         let mut text = String::from("1");
         for (id, s) in &mut self.servers {
-            let news = std::mem::take(&mut s.news);
+            let news = std::mem::take(&mut s.unreported_delays);
             if news.n > 0 && text.len() < 230 {
                 text += &format!(" {}:{:.0}", id.0, 1e3 * news.sum / f64::from(news.n));
             }
@@ -1007,7 +1031,7 @@
         for (id, ms) in lines.split(' ').filter_map(|line| line.split_once(':')) {
             let (Ok(id), Ok(ms)) = (id.parse().map(ServerId), ms.parse::<u32>()) else { continue };
             if let Some(s) = self.servers.get_mut(&id).filter(|_| ms <= MAX_REPORTED_DELAY_MS) {
-                s.told_delays.add(f64::from(ms) / 1e3);
+                s.peer_delays.add(f64::from(ms) / 1e3);
             }
         }
     }
@@ -1018,7 +1042,7 @@
             self.subscribed = false;
             return;
         }
-        self.subscribed |= kind != ListKind::Cached && self.asked.is_some();
+        self.subscribed |= kind != ListKind::Cached && self.last_subscribe.is_some();
         if kind != ListKind::Changes {
             for s in self.servers.values_mut().filter(|s| entries.iter().all(|e| e.id != s.entry.id)) {
                 s.entry.state = ServerState::Gone;
@@ -1026,13 +1050,13 @@
         }
         let cold_time = self.settings.rules.cold_time;
         let overtake = Duration::from_secs_f64(self.shortest_aim_s().min(1e6) * OVERTAKE_AIM_SHARE);
-        let known = self.servers.values().any(|s| s.usual_ticks > 0);
+        let known = self.servers.values().any(|s| s.usual_rate_ticks > 0);
         for entry in entries {
             let id = entry.id;
             // A machine that replaces another in its pool is taken to be of its size.
             let credit = self.random_unit();
-            let same = self.servers.values().filter(|s| s.entry.cell == entry.cell && s.usual_ticks > 0);
-            let usual = same.map(|s| s.usual).reduce(f64::max).unwrap_or_else(|| self.mean_usual_rate());
+            let same = self.servers.values().filter(|s| s.entry.cell == entry.cell && s.usual_rate_ticks > 0);
+            let usual = same.map(|s| s.usual_rate).reduce(f64::max).unwrap_or_else(|| self.mean_usual_rate());
             let fresh = !self.servers.contains_key(&id);
             let s =
                 self.servers.entry(id).or_insert_with(|| Server::new(entry.clone(), now, credit, overtake));
@@ -1040,11 +1064,11 @@
             if (restarted || fresh) && entry.state == ServerState::Ready {
                 let started = entry.up_since.filter(|t| now.since(*t) < cold_time);
                 // A new id with no start time is new to service, unless this gateway itself has just begun.
-                let since = started.or((fresh && self.listed && entry.up_since.is_none()).then_some(now));
+                let since = started.or((fresh && self.has_list && entry.up_since.is_none()).then_some(now));
                 if let Some(since) = since {
-                    let (free, waiting) = (s.free, std::mem::take(&mut s.waiting));
+                    let (free, waiting) = (s.free, std::mem::take(&mut s.unanswered));
                     *s = Server::new(entry.clone(), now, credit, overtake);
-                    (s.free, s.waiting, s.usual, s.usual_ticks) =
+                    (s.free, s.unanswered, s.usual_rate, s.usual_rate_ticks) =
                         (free, waiting, usual, if known { USUAL_RATE_TICKS } else { 0 });
                     s.cold = Some((since, since.plus(cold_time)));
                     self.actions.push(Action::Log(format!("server {} starts cold", id.0)));
@@ -1056,9 +1080,9 @@
             s.entry = entry;
         }
         for s in self.servers.values_mut() {
-            s.gone = (s.entry.state == ServerState::Gone).then(|| s.gone.unwrap_or(now));
+            s.gone_since = (s.entry.state == ServerState::Gone).then(|| s.gone_since.unwrap_or(now));
         }
-        self.listed = true;
+        self.has_list = true;
     }
 }
 
--- a/crates/fawnrouter/src/brain_tests.rs
+++ b/crates/fawnrouter/src/brain_tests.rs
@@ -118,7 +118,7 @@
 }
 
 fn reading(s: &Server) -> Option<f64> {
-    s.throttle.readings.back().copied().flatten()
+    s.throttle.occupancy_readings.back().copied().flatten()
 }
 
 #[test]
@@ -126,7 +126,7 @@
     let (mut s, now) = (server(), Time::from_nanos(2_000_000_000));
     s.record_delay(0.05);
     s.record_delay(0.15);
-    let floor = s.floor;
+    let floor = s.min_delay;
     s.tick(now, floor, 10.0, F_MIN_BOUNDS.1);
     assert!(close(reading(&s).unwrap(), 0.5));
 }
@@ -134,12 +134,12 @@
 #[test]
 fn a_full_processor_reads_as_one_and_a_reported_utilisation_as_itself() {
     let (mut s, now) = (server(), Time::from_nanos(2_000_000_000));
-    s.utilisation = Some(0.42);
+    s.reported_utilisation = Some(0.42);
     s.record_delay(0.05);
     s.tick(now, Some(0.05), 10.0, F_MIN_BOUNDS.1);
     assert!(close(reading(&s).unwrap(), 0.42));
-    s.tick_full = true;
-    s.utilisation = Some(0.42);
+    s.full_this_tick = true;
+    s.reported_utilisation = Some(0.42);
     s.tick(now, Some(0.05), 10.0, F_MIN_BOUNDS.1);
     assert!(close(reading(&s).unwrap(), 1.0));
 }
@@ -147,7 +147,7 @@
 #[test]
 fn an_unanswered_set_up_counts_by_its_age() {
     let (mut s, sent) = (server(), Time::from_nanos(2_000_000_000));
-    s.waiting.insert((sent, CallId(1)));
+    s.unanswered.insert((sent, CallId(1)));
     s.tick(sent.plus(Duration::from_millis(60)), Some(0.05), 10.0, F_MIN_BOUNDS.1);
     assert_eq!(reading(&s), None, "too young to tell anything");
     s.tick(sent.plus(Duration::from_millis(500)), Some(0.05), 10.0, F_MIN_BOUNDS.1);
@@ -157,10 +157,10 @@
 #[test]
 fn an_overtaken_set_up_is_out_of_the_line() {
     let (mut s, sent) = (server(), Time::from_nanos(2_000_000_000));
-    s.waiting.insert((sent, CallId(1)));
-    s.answered_up_to = sent.plus(OVERTAKE);
+    s.unanswered.insert((sent, CallId(1)));
+    s.latest_answered_send = sent.plus(OVERTAKE);
     assert_eq!(s.in_queue().count(), 1, "at the boundary it may still come");
-    s.answered_up_to = sent.plus(OVERTAKE + Duration::from_nanos(1));
+    s.latest_answered_send = sent.plus(OVERTAKE + Duration::from_nanos(1));
     assert_eq!(s.in_queue().count(), 0);
 }
 
