--- a/crates/fawnrouter/src/brain.rs
+++ b/crates/fawnrouter/src/controller.rs
@@ -1276,5 +1276,5 @@
 }
 
 #[cfg(test)]
-#[path = "brain_tests.rs"]
+#[path = "controller_tests.rs"]
 mod tests;
--- a/crates/fawnrouter/src/lib.rs
+++ b/crates/fawnrouter/src/lib.rs
@@ -75,8 +75,8 @@
 //! Every action list must be carried out and every [`Action::SetTimer`] answered by an [`Event::Timer`].
 //! The same settings, seed and events give the same actions.
 
-mod brain;
+mod controller;
 mod interface;
 
-pub use brain::Controller;
+pub use controller::Controller;
 pub use interface::*;
