--- a/crates/fawnrouter/src/lib.rs
+++ b/crates/fawnrouter/src/lib.rs
@@ -75,8 +75,14 @@
 //! Every action list must be carried out and every [`Action::SetTimer`] answered by an [`Event::Timer`].
 //! The same settings, seed and events give the same actions.
 
+mod call;
 mod controller;
+mod delay_reports;
 mod interface;
+mod routing;
+mod server;
+mod server_list;
+mod throttle;
 
 pub use controller::Controller;
 pub use interface::*;
