--- a/crates/fawnrouter/src/interface.rs
+++ b/crates/fawnrouter/src/interface.rs
@@ -1,12 +1,11 @@
-//! What goes into a [`Controller`](crate::Controller) and what comes out of it.
-//!
-//! Nothing here decides anything: settings, events and actions only.
+//! Input and output of a [`Controller`](crate::Controller): settings, events, actions, and the hook for a
+//! routing policy. This module makes no decisions.
 
 use std::fmt;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A reading of the embedder's clock: time since an origin of its own choice. It only moves forward.
+/// A reading of the embedder's clock, as time since an origin that the embedder chooses. It never goes back.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Time(pub Duration);
 
@@ -17,230 +16,233 @@
         Self(Duration::from_nanos(nanos))
     }
 
-    /// Time passed since `earlier`, zero if that lies ahead.
+    /// Time passed since `earlier`; zero if `earlier` lies ahead.
     #[must_use]
     pub fn since(self, earlier: Self) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
 
-    /// The reading this much later.
+    /// The reading that is `span` later.
     #[must_use]
     pub fn plus(self, span: Duration) -> Self {
         Self(self.0.saturating_add(span))
     }
 
-    /// The reading this much earlier, the origin at the least.
+    /// The reading that is `span` earlier, or the origin if that would lie before it.
     #[must_use]
     pub fn minus(self, span: Duration) -> Self {
         Self(self.0.saturating_sub(span))
     }
 }
 
-/// A call, as the gateway numbers it. Ids are never used again.
+/// Identifies a call at its gateway. Ids are not reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// A core server. It keeps its id over a restart; a machine that replaces it has another.
+/// Identifies a core server. A server keeps its id over a restart; a machine that replaces it has another id.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub u32);
 
-/// A pool or exchange number.
+/// The number of a pool of servers, or of an exchange.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Cell(pub u32);
 
-/// The place of a class in [`Settings::classes`].
+/// The index of a class in [`Settings::classes`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassId(pub usize);
 
-/// The place of a tenant in [`Settings::tenants`].
+/// The index of a tenant in [`Settings::tenants`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantId(pub usize);
 
-/// Another gateway, by its number.
+/// The number of a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PeerId(pub u32);
 
-/// How an attempt of a call counts from 0 in the order of issue.
+/// The number of an attempt within its call, counted from 0 in the order of issue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptNo(pub u32);
 
-/// A timer, as the controller names it.
+/// Identifies a timer; chosen by the controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerId(pub u64);
 
-/// Where repeats of a keyed call are recognised.
+/// The servers among which repeats of a keyed call are recognised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RepeatGroup {
-    /// At every server.
+    /// All servers.
     All,
-    /// At the servers of one zone.
+    /// The servers of one zone.
     Zone,
-    /// At the servers of one cell.
+    /// The servers of one cell.
     Cell,
 }
 
-/// What a second run of the same call would do.
+/// The effect of running the same call a second time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Effect {
-    /// Nothing: it can be repeated and refused at will.
+    /// None: the call may be repeated and refused at any time.
     #[default]
     Safe,
-    /// Nothing, within the group of servers and the time in which repeats are recognised.
+    /// None within the group of servers and the time in which repeats are recognised.
     Keyed {
-        /// The servers that share the memory.
+        /// The servers that share the memory of calls.
         group: RepeatGroup,
-        /// How long they keep it, from the first attempt that may have run.
+        /// How long they remember a call, from the first attempt that may have run.
         window: Duration,
     },
-    /// Harm: only a call that has certainly not run may go again or be refused.
+    /// Harm: only a call that has certainly not run may be sent again or refused.
     Unsafe,
 }
 
-/// A class of call.
+/// The settings of a class of calls.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSettings {
-    /// Its name.
+    /// The name of the class.
     pub name: String,
-    /// A call that stands within this time earns its full worth.
+    /// A call that is established within this time earns its full worth.
     pub aim: Duration,
-    /// How long a caller keeps trying, from the first try on.
+    /// How long a caller keeps trying, counted from its first try.
     pub deadline: Duration,
-    /// Worth of a call that stands.
+    /// Worth of an established call.
     pub points: f64,
-    /// Share of the worth that is left after the aim.
+    /// Share of the worth that remains after the aim.
     pub late_share: f64,
-    /// What repeats do.
+    /// The effect of repeats.
     pub effect: Effect,
-    /// The pools that may take it; `None`: any.
+    /// The pools that may take calls of the class; `None`: any.
     pub pools: Option<Vec<Cell>>,
 }
 
-/// A tenant that shares the service.
+/// The settings of a tenant that shares the service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantSettings {
-    /// Its name.
+    /// The name of the tenant.
     pub name: String,
-    /// Calls a second inside its share, over all gateways.
+    /// Calls a second inside its share, over all gateways; `None`: no limit.
     pub quota_per_s: Option<f64>,
 }
 
-/// The figures of the rules.
+/// The parameters of the routing rules.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rules {
-    /// Sends to a draining or gone server end within this time.
+    /// Set-ups to a draining or gone server must end within this time.
     pub drain_grace: Duration,
-    /// A server starts at this share of its capacity or more.
+    /// A restarted server has at least this share of its capacity.
     pub cold_from: f64,
-    /// It is warm after this time at most.
+    /// A restarted server has its full capacity after this time at the latest.
     pub cold_time: Duration,
-    /// A cold server sent over this many times its present capacity ...
+    /// A cold server that is sent more than this many times its present capacity ...
     pub fall_multiple: f64,
-    /// ... for this long falls over.
+    /// ... for this long fails.
     pub fall_time: Duration,
-    /// No further issue of a call within this time of a time-out, reset or cancel.
+    /// A call must not be issued again within this time after a time-out, reset or cancel.
     pub release_guard: Duration,
-    /// Where the list must be asked for: the longest time between two calls.
+    /// With [`Discovery::Subscribe`]: the longest time between two requests for the list.
     pub subscribe_within: Duration,
 }
 
-/// What the embedder permits.
+/// Limits on attempts, and what the embedder permits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// The most attempts of one call.
+    /// The largest number of attempts for a call.
     pub max_attempts: u32,
     /// Attempts may be cancelled.
     pub cancel: bool,
-    /// Gateways may write to each other.
+    /// Gateways may send messages to each other.
     pub peers: bool,
     /// Servers may be probed.
     pub probes: bool,
-    /// Callers are told how long to stay away.
+    /// Callers are told how long to wait before they try again.
     pub retry_after: bool,
-    /// The longest time that callers heed.
+    /// The longest such wait that callers observe.
     pub max_retry_after: Duration,
 }
 
-/// The form of the network.
+/// The topology of the network.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Topology {
-    /// Core servers shared by all gateways; nothing is in transit.
+    /// Core servers shared by all gateways; no call is in transit.
     Pools,
-    /// Exchanges joined by groups of circuits; `home` is the own one.
+    /// Exchanges joined by groups of circuits.
     Mesh {
-        /// The own exchange.
+        /// This gateway's own exchange.
         home: Cell,
     },
 }
 
-/// How the list of servers comes.
+/// How the gateway gets the list of servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// By itself.
+    /// It is sent without a request.
     Push,
-    /// Only when asked for.
+    /// Only after [`Action::Subscribe`].
     Subscribe,
 }
 
-/// All that a controller is told at its start.
+/// The settings of a controller.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Number of gateways.
     pub gateways: u32,
-    /// This gateway's number.
+    /// This gateway's number, counted from 0.
     pub own_id: PeerId,
     /// Classes of call.
     pub classes: Vec<ClassSettings>,
     /// Tenants, if any.
     pub tenants: Vec<TenantSettings>,
-    /// Worth of a call beyond its tenant's share, as a share of the usual.
+    /// Worth of a call beyond its tenant's share, as a share of its usual worth.
     pub over_share_worth: f64,
-    /// The figures of the rules.
+    /// The parameters of the routing rules.
     pub rules: Rules,
-    /// What is permitted.
+    /// Limits on attempts, and what is permitted.
     pub limits: Limits,
-    /// The form of the network.
+    /// The topology of the network.
     pub topology: Topology,
-    /// How the list comes.
+    /// How the list of servers arrives.
     pub discovery: Discovery,
-    /// A waiting set-up is sent again after this time; `None`: never.
+    /// A set-up without an answer is sent again after this time; `None`: never.
     pub resend: Option<Duration>,
-    /// How often the controller is driven at the most.
+    /// The shortest interval at which the embedder drives the controller.
     pub tick: Duration,
 }
 
-/// Settings that no gateway can work with.
+/// Why settings are not valid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum SettingsError {
     /// There are no gateways.
     NoGateways,
-    /// The own number is none of theirs.
+    /// The own number is not below the number of gateways.
     GatewayOutOfRange {
-        /// The own number.
+        /// This gateway's number.
         own_id: u32,
-        /// How many there are.
+        /// The number of gateways.
         gateways: u32,
     },
     /// There are no classes of call.
     NoClasses,
-    /// The aim of this class lies after its deadline, or there is no time at all.
+    /// This class has an aim after its deadline, or a deadline of 0.
     BadDeadline(String),
-    /// A figure is not a number, negative, or beyond sense; the text names it.
+    /// The figure with this name is not a number or out of its range.
     FigureOutOfRange(&'static str),
 }
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NoGateways => write!(f, "settings name no gateways; there must be one at least"),
+            Self::NoGateways => write!(f, "the settings have no gateways; at least one is required"),
             Self::GatewayOutOfRange { own_id, gateways } => {
-                write!(f, "settings say that this is gateway {own_id} of {gateways}; number them from 0")
+                write!(
+                    f,
+                    "the settings make this gateway {own_id} of {gateways}; gateways are numbered from 0"
+                )
             }
-            Self::NoClasses => write!(f, "settings name no classes of call; there must be one at least"),
+            Self::NoClasses => write!(f, "the settings have no classes of calls; at least one is required"),
             Self::BadDeadline(class) => write!(
                 f,
-                "settings give class {class:?} an aim after its deadline, or a deadline of 0; set the deadline to the \
-                 aim at the least"
+                "class {class:?} has an aim after its deadline, or a deadline of 0; set the deadline to at \
+                 least the aim"
             ),
             Self::FigureOutOfRange(what) => {
                 let wanted = match *what {
@@ -248,7 +250,7 @@
                     "fall_multiple" => "above 0 where servers start cold, and never negative",
                     _ => "0 or more",
                 };
-                write!(f, "settings hold a figure out of range: {what}; it must be {wanted}")
+                write!(f, "a setting is out of range: {what}; it must be {wanted}")
             }
         }
     }
@@ -257,10 +259,10 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Tells whether a controller can work with these settings.
+    /// Checks whether a controller can work with these settings.
     ///
     /// # Errors
-    /// Names the first thing found wrong.
+    /// The first fault found.
     pub fn validate(&self) -> Result<(), SettingsError> {
         if self.gateways == 0 {
             return Err(SettingsError::NoGateways);
@@ -276,11 +278,12 @@
         }
         let share = |x: f64| x.is_finite() && (0.0..=1.0).contains(&x);
         let amount = |x: f64| x.is_finite() && x >= 0.0;
-        // Nothing could ever be sent to a cold server; where none is cold the multiple says nothing.
-        let shut = self.rules.fall_multiple == 0.0 && !self.rules.cold_time.is_zero();
+        // With a multiple of 0 nothing could ever be sent to a cold server. Where no server is ever cold the
+        // multiple has no effect.
+        let never_open = self.rules.fall_multiple == 0.0 && !self.rules.cold_time.is_zero();
         let checks = [
             (share(self.rules.cold_from), "cold_from"),
-            (amount(self.rules.fall_multiple) && !shut, "fall_multiple"),
+            (amount(self.rules.fall_multiple) && !never_open, "fall_multiple"),
             (amount(self.over_share_worth), "over_share_worth"),
             (self.classes.iter().all(|c| amount(c.points) && amount(c.late_share)), "worth of a class"),
             (self.tenants.iter().all(|t| t.quota_per_s.is_none_or(amount)), "quota of a tenant"),
@@ -292,22 +295,22 @@
     }
 }
 
-/// What the list says of a server.
+/// The state of a server in the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServerState {
     /// Takes calls.
     #[default]
     Ready,
-    /// Finishes its work.
+    /// Takes no new calls and finishes those it has.
     Draining,
     /// Removed.
     Gone,
 }
 
-/// A line of the list of servers.
+/// An entry of the list of servers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServerEntry {
-    /// The server.
+    /// The server's id.
     pub id: ServerId,
     /// Its zone.
     pub zone: Arc<str>,
@@ -315,88 +318,91 @@
     pub cell: Cell,
     /// Its state.
     pub state: ServerState,
-    /// When it last started; `None`: long ago.
+    /// When it last started; `None`: long ago or not known.
     pub up_since: Option<Time>,
 }
 
-/// A server as it is seen now, for a [`RoutingPolicy`].
+/// The present state of a server, for a [`RoutingPolicy`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerView<'a> {
-    /// The server.
+    /// The server's entry in the list.
     pub entry: &'a ServerEntry,
-    /// The list says that it takes calls.
+    /// The list says that the server takes calls.
     pub ready: bool,
-    /// It is neither cold nor left to trials.
+    /// The server is neither cold nor limited to trials.
     pub healthy: bool,
     /// The fraction of set-ups that its throttle lets pass, 0 to 1.
     pub allowed_fraction: f64,
 }
 
-/// A call that wants a server, for a [`RoutingPolicy`].
+/// A call that needs a server, for a [`RoutingPolicy`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RoutingRequest {
     /// The call.
     pub call: CallId,
     /// Its class.
     pub class: Option<ClassId>,
-    /// What it is worth if it stands now, in points.
+    /// What the call is worth if it is established now, in points.
     pub worth: f64,
-    /// Its class's aim.
+    /// The aim of its class.
     pub aim: Duration,
-    /// What is left of it.
+    /// The time left until the aim is over.
     pub aim_left: Duration,
-    /// Time until its final answer is due.
+    /// The time left until the final answer is due.
     pub time_left: Duration,
 }
 
-/// A further voice in the choice of server, for what is not the throttle's to decide, as what it costs to cross into
-/// another zone. It is heard inside the first choice and the redraw, and can only narrow them: no server is open to a
-/// call because of it that was not before. Like the controller it has no clock and no unseeded randomness.
+/// A policy that takes part in the choice of server, for criteria other than load, such as the cost of
+/// crossing into another zone. It is consulted for the first choice and for the redraw and can only exclude
+/// servers or lower their weight; it never opens a server that the controller excludes. Like the controller
+/// it must use no clock and no unseeded randomness.
 pub trait RoutingPolicy: std::fmt::Debug + Send {
-    /// What all servers look like, once a tick.
+    /// Receives the state of all servers, once a tick.
     fn observe(&mut self, now: Time, servers: &mut dyn Iterator<Item = ServerView<'_>>);
 
-    /// How much this server is wanted for this call: 1 as without a voice, less to be drawn less often, 0 for not now.
+    /// The weight of this server for this call: 1 as without a policy, less to be drawn less often, 0 to
+    /// exclude it for now.
     fn server_weight(&mut self, now: Time, wanted: &RoutingRequest, server: &ServerEntry) -> f64;
 
-    /// A set-up goes out there.
+    /// A set-up of the call is sent to this server.
     fn attempt_sent(&mut self, now: Time, wanted: &RoutingRequest, server: &ServerEntry);
 
-    /// A call's last set-up has ended, or the call is over; heard more than once.
-    fn attempt_resolved(&mut self, call: CallId, stood: bool);
+    /// The call's last set-up was answered or has ended, or the call is over; may be called more than once
+    /// for a call.
+    fn attempt_resolved(&mut self, call: CallId, established: bool);
 }
 
-/// How an update relates to the list so far.
+/// How an update relates to the previous list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// Changed entries only.
     Changes,
-    /// The whole list.
+    /// The complete list.
     Snapshot,
-    /// The whole list as it was last known, maybe old.
+    /// The complete list as it was last known, possibly old.
     Cached,
-    /// A question failed or the subscription broke; no entries.
+    /// A request failed or the subscription ended; there are no entries.
     Failed,
 }
 
-/// A call handed to this gateway.
+/// A call that arrives at this gateway.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NewCall {
     /// The call.
     pub id: CallId,
-    /// Its class; `None`: one that the settings do not name.
+    /// Its class; `None`: a class that the settings do not name.
     pub class: Option<ClassId>,
-    /// How long this try lasts.
+    /// The time left for this try, until the caller gives up.
     pub time_left: Duration,
-    /// The number called.
+    /// The called number.
     pub number: Arc<str>,
-    /// Circuits it takes on each group.
+    /// The circuits that the call takes in each group.
     pub width: f64,
     /// Its tenant.
     pub tenant: Option<TenantId>,
-    /// Marked as dialled again.
+    /// The call is marked as a redial.
     pub redialled: bool,
-    /// Sent here by another gateway.
+    /// The call was sent here by another gateway.
     pub transit: bool,
     /// The destination, or the pool of first choice.
     pub destination: Cell,
@@ -405,92 +411,92 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The call ran to its end.
+    /// The call was established and ended normally.
     Ended,
     /// The number's lines are busy, or signalling failed.
     Error,
-    /// Turned back or full; it never ran.
+    /// Rejected for lack of capacity, at the server or on the way; it never ran.
     Full,
     /// No answer in time.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection to the server; it never ran.
     ConnectFailed,
-    /// Set-up or standing call cut.
+    /// The connection broke during set-up or while the call was established.
     Reset,
-    /// Called off.
+    /// Cancelled by the gateway or the caller.
     Cancelled,
-    /// Not sent; it never ran.
+    /// The set-up was not sent; it never ran.
     Moot,
 }
 
 impl Outcome {
-    /// Whether the server has certainly done nothing for the attempt.
+    /// Whether the server certainly has not run the call.
     #[must_use]
     pub fn never_ran(self) -> bool {
         matches!(self, Self::Full | Self::ConnectFailed | Self::Moot)
     }
 
-    /// Whether what the attempt held may stay taken for the release guard.
+    /// Whether the resources of the attempt may stay in use for the time of the release guard.
     #[must_use]
     pub fn needs_release(self) -> bool {
         matches!(self, Self::TimedOut | Self::Reset | Self::Cancelled)
     }
 }
 
-/// What an outcome says beside its code.
+/// Details of an outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum OutcomeDetail {
-    /// Nothing.
+    /// No details.
     #[default]
     None,
     /// No circuit or agent was free.
     NoCircuit,
-    /// The tandem turned it back; `true`: the processor beyond was full.
+    /// A tandem exchange sent the call back (crankback); `true`: the processor beyond it was full.
     Crankback(bool),
-    /// The processor was full, with the wait it told.
+    /// The server's processor was full; with the wait that it asked for.
     ProcessorFull(Option<Duration>),
-    /// Every line of the number is busy.
+    /// All lines of the number are busy.
     NumberBusy,
 }
 
-/// Figures that came along from a server, as far as there are any.
+/// Load figures reported by a server; `None`: not reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Free circuits towards it.
+    /// Free circuits towards the server.
     pub free_circuits: Option<f64>,
-    /// Circuits towards it.
+    /// All circuits towards the server.
     pub total_circuits: Option<f64>,
-    /// Share of its processor that is busy.
+    /// Share of its processor that is busy, 0 to 1.
     pub utilisation: Option<f64>,
-    /// Wait at its processor.
+    /// The wait for its processor.
     pub queue_wait: Option<Duration>,
-    /// New set-ups a second it can take from all senders.
+    /// New set-ups a second that the server accepts from all senders together.
     pub acceptable_rate: Option<f64>,
-    /// Share of new set-ups that senders should hold back.
+    /// Share of new set-ups that senders should hold back, 0 to 1.
     pub hold_back_share: Option<f64>,
 }
 
-/// What happened.
+/// Input of the controller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The list of servers changed or was asked for in vain.
+    /// The list of servers changed, or a request for it failed.
     List {
-        /// What the entries are.
+        /// How the entries relate to the previous list.
         kind: ListKind,
         /// The entries.
         entries: Vec<ServerEntry>,
     },
-    /// A call came in.
+    /// A call arrived.
     Call(NewCall),
-    /// A call stands.
+    /// A call is established.
     Established {
         /// The call.
         call: CallId,
-        /// The attempt that stands.
+        /// The attempt that succeeded.
         attempt: AttemptNo,
-        /// Where.
+        /// The server that it was sent to.
         server: ServerId,
-        /// Time since it was issued.
+        /// Time since the attempt was issued.
         took: Duration,
     },
     /// An attempt ended.
@@ -499,91 +505,91 @@
         call: CallId,
         /// The attempt.
         attempt: AttemptNo,
-        /// Where.
+        /// The server that it was sent to.
         server: ServerId,
-        /// The call is finished, no answer is owed.
+        /// The call is over; no final answer is due.
         done: bool,
         /// How it ended.
         outcome: Outcome,
-        /// What was said beside it.
+        /// Details of the outcome.
         detail: OutcomeDetail,
-        /// Time since it was issued.
+        /// Time since the attempt was issued.
         took: Duration,
-        /// Figures that came along.
+        /// Load figures of the server.
         report: LoadReport,
     },
-    /// The caller left, or the answer is overdue.
+    /// The caller has given up, or the final answer is overdue.
     Abandoned(CallId),
     /// A timer is due.
     Timer(TimerId),
-    /// A probe's answer, or a change of the free circuits.
+    /// The result of a probe, or a change of the free circuits.
     Probed {
-        /// Which server.
+        /// The server.
         server: ServerId,
-        /// It answered.
+        /// The server answered.
         ok: bool,
-        /// Time since the probe went out; zero: unasked.
+        /// Time since the probe was sent; zero: the report came without a probe.
         took: Duration,
-        /// Figures that came along.
+        /// Load figures of the server.
         report: LoadReport,
     },
-    /// A message of another gateway.
+    /// A message from another gateway.
     PeerMessage {
-        /// The sender.
+        /// The gateway that sent it.
         from: PeerId,
-        /// The text.
+        /// The text of the message.
         text: String,
     },
 }
 
-/// What the embedder is to do, in the order given.
+/// What the embedder must do, in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a set-up.
     Issue {
         /// The call.
         call: CallId,
-        /// Where to.
+        /// The server to send it to.
         server: ServerId,
-        /// Time-out of the attempt.
+        /// The attempt times out after this time.
         within: Duration,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt: stop waiting for its answer.
     Cancel {
         /// The call.
         call: CallId,
         /// The attempt.
         attempt: AttemptNo,
     },
-    /// Final answer: turned away.
+    /// Final answer to the caller: the call is refused and may be tried again.
     Refuse {
         /// The call.
         call: CallId,
-        /// How long the caller should stay away.
+        /// How long the caller should wait before it tries again.
         retry_after: Duration,
     },
-    /// Final answer: given up.
+    /// Final answer to the caller: the call has failed.
     Fail(CallId),
-    /// Wake the controller with [`Event::Timer`].
+    /// Pass [`Event::Timer`] with this timer to the controller after a time.
     SetTimer {
-        /// From now.
+        /// The time from now.
         after: Duration,
-        /// Which timer.
+        /// The timer.
         timer: TimerId,
     },
     /// Probe a server.
     Probe(ServerId),
-    /// Write to one gateway, or to all.
+    /// Send a message to one gateway, or to all.
     SendToPeer {
-        /// To whom; `None`: all.
+        /// The receiver; `None`: all gateways.
         to: Option<PeerId>,
-        /// The text.
+        /// The text of the message.
         text: String,
     },
-    /// Have changes of the list sent.
+    /// Subscribe to changes of the list of servers.
     Subscribe,
-    /// Have the whole list sent once.
+    /// Request the complete list of servers once.
     FetchList,
-    /// A line for the operators.
+    /// Write a line to the operators' log.
     Log(String),
 }
--- a/crates/fawnrouter/src/lib.rs
+++ b/crates/fawnrouter/src/lib.rs
@@ -1,9 +1,9 @@
 #![forbid(unsafe_code)]
-//! Decisions of a controller at each gateway in front of a few shared core servers: which call set-ups go
-//! where, and which are held or refused.
+//! Overload-aware routing decisions for gateways in front of a few shared core servers: which server each
+//! call set-up is sent to, and which calls are held or refused.
 //!
-//! The library does no input or output. The embedder feeds a [`Controller`] with events and the clock's
-//! reading, and carries out the actions it gets back, in order:
+//! The library does no input or output. The embedder passes events and the clock's reading to a
+//! [`Controller`], and carries out the actions that it returns, in order:
 //!
 //! ```
 //! use fawnrouter::*;
@@ -72,8 +72,8 @@
 //! # Ok::<(), SettingsError>(())
 //! ```
 //!
-//! Every action list must be carried out and every [`Action::SetTimer`] answered by an [`Event::Timer`].
-//! The same settings, seed and events give the same actions.
+//! The embedder must carry out every list of actions in full and answer every [`Action::SetTimer`] with an
+//! [`Event::Timer`]. The same settings, seed and events give the same actions.
 
 mod call;
 mod controller;
