--- a/crates/fawnrouter/tests/common/mod.rs
+++ b/crates/fawnrouter/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway driven by hand: a clock, the timers it asked for, and the actions of the last step.
+//! A controller driven by a test: a clock that the test moves, and the timers that the controller has set.
 #![allow(dead_code)]
 
 use fawnrouter::*;
@@ -81,15 +81,16 @@
         Self { controller, now: Time::from_nanos(5_000_000_000_000), timers: Vec::new() }
     }
 
-    /// With servers 70, 71, ... as first choices 0, 1, ...
+    /// A gateway with servers 70, 71, ..., in cells 0, 1, ...
     pub fn with_servers(settings: Settings, count: u32) -> Self {
         let mut gateway = Self::new(settings);
         let entries = (0..count).map(|n| entry(70 + n, ServerState::Ready)).collect();
-        gateway.tell(Event::List { kind: ListKind::Cached, entries });
+        gateway.handle(Event::List { kind: ListKind::Cached, entries });
         gateway
     }
 
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
+    /// Passes an event to the controller and keeps the timers that it sets. Returns the other actions.
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.controller.handle(self.now, event, &mut actions);
         for action in &actions {
@@ -101,34 +102,34 @@
         actions
     }
 
-    /// Lets time pass, firing timers as they fall due; gathers what is done, with its time.
-    pub fn pass(&mut self, span: Duration) -> Vec<(Time, Action)> {
+    /// Moves the clock forward and fires the timers that fall due. Returns the actions with their times.
+    pub fn advance(&mut self, span: Duration) -> Vec<(Time, Action)> {
         let end = self.now.plus(span);
         let mut all = Vec::new();
-        while let Some(place) = (0..self.timers.len()).min_by_key(|i| self.timers[*i].0) {
-            let (due, timer) = self.timers[place];
+        while let Some(earliest) = (0..self.timers.len()).min_by_key(|i| self.timers[*i].0) {
+            let (due, timer) = self.timers[earliest];
             if due > end {
                 break;
             }
-            self.timers.remove(place);
+            self.timers.remove(earliest);
             self.now = self.now.max(due);
             let now = self.now;
-            all.extend(self.tell(Event::Timer(timer)).into_iter().map(|a| (now, a)));
+            all.extend(self.handle(Event::Timer(timer)).into_iter().map(|a| (now, a)));
         }
         self.now = end;
         all
     }
 
-    pub fn stands(&mut self, call: u64, attempt: u32, server: u32, took: Duration) -> Vec<Action> {
+    pub fn establish(&mut self, call: u64, attempt: u32, server: u32, took: Duration) -> Vec<Action> {
         let (call, attempt, server) = (CallId(call), AttemptNo(attempt), ServerId(server));
-        self.tell(Event::Established { call, attempt, server, took })
+        self.handle(Event::Established { call, attempt, server, took })
     }
 
-    pub fn closes(&mut self, call: u64, attempt: u32, server: u32, outcome: Outcome) -> Vec<Action> {
-        self.closes_with(call, attempt, server, outcome, OutcomeDetail::None)
+    pub fn close(&mut self, call: u64, attempt: u32, server: u32, outcome: Outcome) -> Vec<Action> {
+        self.close_with(call, attempt, server, outcome, OutcomeDetail::None)
     }
 
-    pub fn closes_with(
+    pub fn close_with(
         &mut self,
         call: u64,
         attempt: u32,
@@ -136,7 +137,7 @@
         outcome: Outcome,
         detail: OutcomeDetail,
     ) -> Vec<Action> {
-        self.tell(Event::Closed {
+        self.handle(Event::Closed {
             call: CallId(call),
             attempt: AttemptNo(attempt),
             server: ServerId(server),
@@ -148,28 +149,29 @@
         })
     }
 
-    /// Calls `ids` for first choice `cell` come every `every` ms. An attempt stands after the milliseconds that
-    /// `answer` gives for its server, or stays unanswered. Returns the server of each attempt.
-    pub fn serve(
+    /// Sends calls `ids` with first choice `cell`, one every `every_ms`. An attempt is established after the
+    /// milliseconds that `answer` returns for its server, or stays unanswered. Returns the server of each
+    /// attempt.
+    pub fn run_calls(
         &mut self,
         ids: std::ops::Range<u64>,
         cell: u32,
-        every: u64,
+        every_ms: u64,
         mut answer: impl FnMut(u32) -> Option<u64>,
     ) -> Vec<u32> {
         let (mut sent, mut due) = (Vec::new(), Vec::<(Time, u64, u32, u32, u64)>::new());
         let mut attempts = std::collections::BTreeMap::<u64, u32>::new();
-        let mut work = Vec::new();
+        let mut actions = Vec::new();
         for id in ids {
-            work.extend(self.tell(Event::Call(call(id, 0, cell))));
-            for _ in 0..every / 5 {
-                work.extend(self.pass(ms(5)).into_iter().map(|(_, a)| a));
+            actions.extend(self.handle(Event::Call(call(id, 0, cell))));
+            for _ in 0..every_ms / 5 {
+                actions.extend(self.advance(ms(5)).into_iter().map(|(_, a)| a));
                 let ready = due.iter().filter(|d| d.0 <= self.now).copied().collect::<Vec<_>>();
                 due.retain(|d| d.0 > self.now);
                 for (_, call, attempt, server, took) in ready {
-                    work.extend(self.stands(call, attempt, server, ms(took)));
+                    actions.extend(self.establish(call, attempt, server, ms(took)));
                 }
-                for action in std::mem::take(&mut work) {
+                for action in std::mem::take(&mut actions) {
                     if let Action::Issue { call, server, .. } = action {
                         let attempt = attempts.entry(call.0).or_insert(0);
                         if let Some(took) = answer(server.0) {
@@ -182,24 +184,26 @@
             }
         }
         for (_, call, attempt, server, took) in due {
-            self.stands(call, attempt, server, ms(took));
+            self.establish(call, attempt, server, ms(took));
         }
         sent
     }
 
-    /// A call that goes to `server` and stands after `took`, then ends.
-    pub fn runs(&mut self, id: u64, server: u32, took: Duration) -> bool {
-        let went = self.tell(Event::Call(call(id, 0, server % 10)));
-        let sent = issued(&went).contains(&(id, server));
-        self.pass(took);
+    /// Sends a call with `server` as its first choice; if it goes there, it is established after
+    /// `set_up_time` and then ends. Returns whether it went there.
+    pub fn run_call(&mut self, id: u64, server: u32, set_up_time: Duration) -> bool {
+        let actions = self.handle(Event::Call(call(id, 0, server % 10)));
+        let sent = issued(&actions).contains(&(id, server));
+        self.advance(set_up_time);
         if sent {
-            self.stands(id, 0, server, took);
-            self.closes(id, 0, server, Outcome::Ended);
+            self.establish(id, 0, server, set_up_time);
+            self.close(id, 0, server, Outcome::Ended);
         }
         sent
     }
 }
 
+/// The calls and servers of all set-ups among the actions.
 pub fn issued<'a>(actions: impl IntoIterator<Item = &'a Action>) -> Vec<(u64, u32)> {
     let issues = actions.into_iter().filter_map(|a| match a {
         Action::Issue { call, server, .. } => Some((call.0, server.0)),
@@ -208,7 +212,8 @@
     issues.collect()
 }
 
-pub fn finals<'a>(actions: impl IntoIterator<Item = &'a Action>) -> Vec<u64> {
+/// The calls that are refused or failed by the actions.
+pub fn final_answers<'a>(actions: impl IntoIterator<Item = &'a Action>) -> Vec<u64> {
     let ends = actions.into_iter().filter_map(|a| match a {
         Action::Refuse { call, .. } | Action::Fail(call) => Some(call.0),
         _ => None,
