--- a/crates/fawnrouter-benchlink/src/main.rs
+++ b/crates/fawnrouter-benchlink/src/main.rs
@@ -1,4 +1,5 @@
-//! Adapter between the users' bench and the library: framing and translation, no decisions.
+//! Adapter between the simulator and the decision module: reads batches of events as JSON lines on standard
+//! input and writes the actions of all gateways to standard output. It makes no decisions.
 #![forbid(unsafe_code)]
 
 mod translate;
@@ -13,16 +14,19 @@
 use serde_json::{Value, json};
 use translate::Incoming;
 
-/// One gateway hosted here.
-struct Instance {
+/// A gateway that this process hosts.
+struct GatewayInstance {
     controller: Controller,
+    /// Names of classes and tenants, for the translation of events.
     names: Names,
 }
 
-/// Everything between two lines.
+/// All gateways of this process, and the lists of servers that events refer to.
 #[derive(Default)]
 struct Host {
-    instances: BTreeMap<u64, Instance>,
+    /// By the gateway's number.
+    instances: BTreeMap<u64, GatewayInstance>,
+    /// By the list's number.
     lists: BTreeMap<u64, Arc<Vec<ServerEntry>>>,
 }
 
@@ -37,6 +41,7 @@
     }
 }
 
+/// Answers each line of input with one line of output, until the input ends.
 fn serve(mut input: impl BufRead, mut output: impl Write) -> Result<(), String> {
     let mut host = Host::default();
     let mut line = Vec::new();
@@ -49,7 +54,7 @@
             continue;
         }
         let batch = serde_json::from_slice(&line).map_err(|e| format!("line {number}: not JSON: {e}"))?;
-        let reply = host.batch(&batch).map_err(|e| format!("line {number}: not a batch: {e}"))?;
+        let reply = host.process_batch(&batch).map_err(|e| format!("line {number}: not a batch: {e}"))?;
         writeln!(output, "{reply}")
             .and_then(|()| output.flush())
             .map_err(|e| format!("writing a reply: {e}"))?;
@@ -58,23 +63,30 @@
 }
 
 impl Host {
-    fn batch(&mut self, batch: &Value) -> Result<Value, String> {
-        let now = batch.get("atTimeNs").and_then(Value::as_u64).ok_or("no clock in atTimeNs")?;
-        let groups = batch.get("gateways").and_then(Value::as_array).ok_or("no array in gateways")?;
+    /// Processes the events of all gateways in a batch. A bad event is reported on standard error and
+    /// skipped.
+    fn process_batch(&mut self, batch: &Value) -> Result<Value, String> {
+        let now =
+            batch.get("atTimeNs").and_then(Value::as_u64).ok_or("atTimeNs is not a time in nanoseconds")?;
+        let groups = batch.get("gateways").and_then(Value::as_array).ok_or("gateways is not an array")?;
         let mut replies = Vec::new();
-        for (place, group) in groups.iter().enumerate() {
+        for (index, group) in groups.iter().enumerate() {
             let number = group.get("i").and_then(Value::as_u64);
             let items = group.get("items").and_then(Value::as_array);
             let Some((number, items)) = number.zip(items) else {
-                eprintln!("fawnrouter-benchlink: at {now}: group {place} lacks i or items, skipped");
+                eprintln!(
+                    "fawnrouter-benchlink: at {now} ns: entry {index} of gateways has no i or no items; \
+                     skipped"
+                );
                 continue;
             };
             let mut out = Vec::new();
-            for (nth, item) in items.iter().enumerate() {
-                if let Err(message) = self.event(Time::from_nanos(now), number, item, &mut out) {
+            for (index, item) in items.iter().enumerate() {
+                if let Err(message) = self.process_event(Time::from_nanos(now), number, item, &mut out) {
                     let name = item.get(0).and_then(Value::as_str).unwrap_or("?");
                     eprintln!(
-                        "fawnrouter-benchlink: at {now}: gateway {number}, event {nth} ({name}): {message}"
+                        "fawnrouter-benchlink: at {now} ns: gateway {number}, event {index} ({name}): \
+                         {message}"
                     );
                 }
             }
@@ -85,17 +97,23 @@
         Ok(json!({ "gateways": replies }))
     }
 
-    fn event(&mut self, now: Time, number: u64, item: &Value, out: &mut Vec<Value>) -> Result<(), String> {
-        let unknown = || format!("gateway {number} has not been started");
-        let event = match translate::incoming(item, self.instances.get(&number).map(|i| &i.names))? {
+    fn process_event(
+        &mut self,
+        now: Time,
+        number: u64,
+        item: &Value,
+        out: &mut Vec<Value>,
+    ) -> Result<(), String> {
+        let not_started = || format!("gateway {number} has not been started");
+        let event = match translate::decode(item, self.instances.get(&number).map(|i| &i.names))? {
             Incoming::Open { seed, settings, names } => {
                 self.instances.remove(&number);
                 let controller = Controller::new(*settings, seed).map_err(|e| e.to_string())?;
-                self.instances.insert(number, Instance { controller, names });
+                self.instances.insert(number, GatewayInstance { controller, names });
                 return Ok(());
             }
             Incoming::Shutdown => {
-                return self.instances.remove(&number).map(|_| ()).ok_or_else(unknown);
+                return self.instances.remove(&number).map(|_| ()).ok_or_else(not_started);
             }
             Incoming::List { number, entries } => {
                 self.lists.insert(number, Arc::new(entries));
@@ -111,10 +129,10 @@
             }
             Incoming::Event(event) => event,
         };
-        let instance = self.instances.get_mut(&number).ok_or_else(unknown)?;
+        let instance = self.instances.get_mut(&number).ok_or_else(not_started)?;
         let mut actions = Vec::new();
         instance.controller.handle(now, event, &mut actions);
-        out.extend(actions.into_iter().map(translate::outgoing));
+        out.extend(actions.into_iter().map(translate::encode));
         Ok(())
     }
 }
@@ -128,23 +146,23 @@
     fn run(input: &str) -> (Result<(), String>, String) {
         let mut output = Vec::new();
         let result = serve(input.as_bytes(), &mut output);
-        (result, String::from_utf8(output).expect("the wire is UTF-8"))
+        (result, String::from_utf8(output).expect("the output is UTF-8"))
     }
 
     #[test]
-    fn an_empty_batch_gets_an_empty_reply_and_end_of_input_is_no_error() {
+    fn empty_batch_gets_an_empty_reply_and_end_of_input_is_no_error() {
         let (result, output) = run("{\"atTimeNs\":8412250000,\"gateways\":[]}\n");
         assert_eq!((result, output.as_str()), (Ok(()), "{\"gateways\":[]}\n"));
     }
 
     #[test]
-    fn what_is_no_batch_ends_with_an_error() {
+    fn line_that_is_not_a_batch_ends_with_an_error() {
         assert!(run("nonsense\n").0.unwrap_err().contains("line 1: not JSON"));
         assert!(run("{\"gateways\":[]}\n").0.unwrap_err().contains("not a batch"));
     }
 
     #[test]
-    fn bad_events_in_a_good_batch_are_skipped_and_the_reply_still_goes_out() {
+    fn invalid_events_in_a_valid_batch_are_skipped_and_the_batch_gets_its_reply() {
         let items = [
             OPEN,
             r#"["roster",0,[[70,"z","k",0,"Ready",1,null],[71,"z","k",1,"Molten",1,null]]]"#,
@@ -163,7 +181,7 @@
     }
 
     #[test]
-    fn events_for_a_gateway_that_was_never_started_or_was_stopped_do_nothing() {
+    fn events_for_a_gateway_that_was_never_started_or_was_stopped_are_ignored() {
         let call = r#"["req","00000000000000ff","a",3000000000,"line-1",1,-1,null,0,0,null]"#;
         let batch =
             |items: &str| format!("{{\"atTimeNs\":5,\"gateways\":[{{\"i\":0,\"items\":[{items}]}}]}}\n");
@@ -173,7 +191,7 @@
     }
 
     #[test]
-    fn impossible_settings_are_told_and_start_nothing() {
+    fn gateway_with_invalid_settings_is_not_started() {
         let open = OPEN.replace("\"balancers\":1", "\"balancers\":0");
         let batch = format!("{{\"atTimeNs\":5,\"gateways\":[{{\"i\":0,\"items\":[{open}]}}]}}\n");
         assert_eq!(run(&batch), (Ok(()), "{\"gateways\":[]}\n".to_owned()));
