--- a/crates/fawnrouter/src/call.rs
+++ b/crates/fawnrouter/src/call.rs
@@ -13,14 +13,14 @@
 /// A gap between calls of this many times the usual one, and of a tick at least, is a lull. By chance one gap
 /// in 150 is as long (e^-5).
 const LULL_GAP_FACTOR: f64 = 5.0;
-/// Longest wait told by a server with a full processor that is kept to.
+/// Longest wait that is observed where a server with a full processor asks for one.
 const MAX_TOLD_WAIT: Duration = Duration::from_secs(2);
 /// No set-ups go to a number for this long after all its lines were busy.
 const BUSY_NUMBER_PAUSE: Duration = Duration::from_secs(2);
 /// Seconds of its quota that a tenant may use at once.
 const QUOTA_BURST_S: f64 = 4.0;
 
-/// A call that this gateway has not yet forgotten: held, with an attempt out, or established.
+/// The state of a call that is held, has an outstanding attempt, or is established.
 #[derive(Debug, Default)]
 pub(crate) struct Call {
     pub(crate) request: NewCall,
@@ -38,7 +38,7 @@
     pub(crate) attempts: u32,
     pub(crate) outstanding: Option<(AttemptNo, ServerId)>,
     pub(crate) established: bool,
-    /// No attempt before this time, while an earlier one is released.
+    /// No further attempt before this time, while an earlier one may still hold its resources.
     pub(crate) not_before: Time,
     /// The first attempt that may have run: when it was sent, and where to.
     pub(crate) may_have_run: Option<(Time, ServerId)>,
@@ -102,8 +102,8 @@
 /// Calls of a tenant inside its quota, as a leaky bucket.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct QuotaLevel {
-    pub(crate) calls: f64,
-    pub(crate) updated_at: Time,
+    calls: f64,
+    updated_at: Time,
 }
 
 /// The end of an attempt, as reported by [`Event::Closed`].
@@ -188,6 +188,7 @@
         within
     }
 
+    /// Removes a call and everything that refers to it.
     pub(crate) fn forget_call(&mut self, call: CallId) {
         self.routing_policy.iter_mut().for_each(|policy| policy.attempt_resolved(call, false));
         let removed = self.calls.remove(&call);
--- a/crates/fawnrouter/src/controller.rs
+++ b/crates/fawnrouter/src/controller.rs
@@ -11,8 +11,8 @@
 //! | `delay_reports.rs` | delays reported to and by other gateways |
 //! | `server_list.rs` | the list of servers, cold starts, servers that are gone |
 //!
-//! Types, events and actions are in `interface.rs`. "The paper" is *Fast and Robust Signaling Overload
-//! Control*.
+//! Types, events and actions are in `interface.rs`; the design is explained in `docs/design.md`. "The paper"
+//! is *Fast and Robust Signaling Overload Control*.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::{sync::Arc, time::Duration};
