--- a/crates/fawnrouter-benchlink/src/main.rs
+++ b/crates/fawnrouter-benchlink/src/main.rs
@@ -18,7 +18,7 @@
 struct GatewayInstance {
     controller: Controller,
     /// Names of classes and tenants, for the translation of events.
-    names: Names,
+    names: NameIndex,
 }
 
 /// All gateways of this process, and the lists of servers that events refer to.
--- a/crates/fawnrouter-benchlink/src/translate.rs
+++ b/crates/fawnrouter-benchlink/src/translate.rs
@@ -9,7 +9,7 @@
 /// An event from the simulator.
 pub enum Incoming {
     /// Start a gateway.
-    Open { seed: u64, settings: Box<Settings>, names: Names },
+    Open { seed: u64, settings: Box<Settings>, names: NameIndex },
     /// Stop a gateway.
     Shutdown,
     /// A list of servers that later updates refer to by its number.
@@ -69,7 +69,7 @@
 }
 
 /// Decodes one event. `names` are those of the gateway, if it has been started.
-pub fn decode(item: &Value, names: Option<&Names>) -> Result<Incoming> {
+pub fn decode(item: &Value, names: Option<&NameIndex>) -> Result<Incoming> {
     let values = item.as_array().ok_or("an event is not an array")?;
     let name = values.first().and_then(Value::as_str).ok_or("an event has no name")?;
     let f = Fields(&values[1..]);
@@ -113,7 +113,7 @@
             outcome: outcome(f.number(4, "stateCode")?)?,
             detail: outcome_detail(whole_number(f.get(5)).unwrap_or(0)),
             attempt: f.id(6, "shot", AttemptNo)?,
-            report: started()?.report(f.get(7)),
+            report: started()?.report_from_json(f.get(7)),
         },
         "lapsed" => Event::Abandoned(f.call_id(0)?),
         "timeoutFired" => {
@@ -125,7 +125,7 @@
             ok: f.number(0, "stateCode")? == 0,
             server: f.id(1, "switch", ServerId)?,
             took: Duration::from_nanos(whole_number(f.get(2)).unwrap_or(0)),
-            report: started()?.report(f.get(3)),
+            report: started()?.report_from_json(f.get(3)),
         },
         "mail" => {
             Event::PeerMessage { from: f.id(0, "neighbour", PeerId)?, text: f.text(1, "raw")?.to_owned() }
@@ -140,8 +140,8 @@
 /// Flag of a call that another gateway has sent here.
 const TRANSIT_FLAG: u64 = 8;
 
-fn new_call(f: &Fields<'_>, names: &Names) -> Result<NewCall> {
-    let class = names.class(f.text(1, "tierClass")?);
+fn new_call(f: &Fields<'_>, names: &NameIndex) -> Result<NewCall> {
+    let class = names.class_id(f.text(1, "tierClass")?);
     let flags = whole_number(f.get(7)).unwrap_or(0);
     Ok(NewCall {
         id: f.call_id(0)?,
@@ -149,7 +149,7 @@
         time_left: f.duration(2, "leftNs")?,
         number: f.get(3).as_str().unwrap_or("").into(),
         width: f.get(4).as_f64().unwrap_or(1.0),
-        tenant: f.get(6).as_str().and_then(|t| names.tenant(t)),
+        tenant: f.get(6).as_str().and_then(|t| names.tenant_id(t)),
         redialled: flags & REDIALLED_FLAG != 0,
         transit: flags & TRANSIT_FLAG != 0,
         destination: f.id(8, "terminatesAt", Cell)?,
