--- a/crates/fawnrouter-admission/src/admission/accounting.rs
+++ b/crates/fawnrouter-admission/src/admission/accounting.rs
@@ -1,99 +1,100 @@
-//! The counts and orders that a connection stands in from its arrival to its end.
+//! The counts and orderings that a connection is part of from its arrival to its end.
 
 use std::net::IpAddr;
 use std::time::Duration;
 
 use super::Admission;
-use super::connection::{Entry, Stage};
+use super::connection::{Connection, Stage};
 use super::decision::{ConnectionId, EvictionReason};
 use crate::rate_limiter::Gcra;
 
 impl Admission {
-    /// Places taken by those who have shown what they are.
-    pub(super) fn placed(&self) -> usize {
-        self.conns.len() - self.unproven.len()
+    /// Slots taken by connections that are past handshake and probation.
+    pub(super) fn occupied_slots(&self) -> usize {
+        self.connections.len() - self.pending.len()
     }
 
-    /// Places that strangers may use now.
-    pub(super) fn for_strangers(&self) -> usize {
-        let unused = self.reserve.size().saturating_sub(self.known);
-        self.settings.total.saturating_sub(self.known + unused)
+    /// Slots that unknown clients may use now.
+    pub(super) fn unknown_client_slots(&self) -> usize {
+        let unused_reserve = self.reserve.size().saturating_sub(self.known_connections);
+        self.settings.total.saturating_sub(self.known_connections + unused_reserve)
     }
 
-    /// A connection begins its handshake.
-    pub(super) fn insert(&mut self, conn: ConnectionId, address: IpAddr, counted: bool) {
-        if counted {
-            self.count(address);
+    /// Adds a connection that begins its handshake.
+    pub(super) fn insert(&mut self, conn: ConnectionId, address: IpAddr, counts_against_address: bool) {
+        if counts_against_address {
+            self.count_address(address);
         }
-        self.unproven.insert((self.now, conn));
-        let entry = Entry {
+        self.pending.insert((self.now, conn));
+        let connection = Connection {
             address,
-            counted,
+            counts_against_address,
             stage: Stage::Handshake,
             client: None,
             calls: 0,
             idle_since: self.now,
-            pace: Gcra::default(),
-            stuck: None,
+            message_rate: Gcra::default(),
+            stalled_write: None,
         };
-        self.conns.insert(conn, entry);
+        self.connections.insert(conn, connection);
     }
 
-    /// A connection in its handshake counts against its address from now on.
-    pub(super) fn count(&mut self, address: IpAddr) {
+    /// Counts a connection in its handshake against its address and network.
+    pub(super) fn count_address(&mut self, address: IpAddr) {
         self.by_address.add(address);
         self.by_prefix.add(self.settings.network(address));
-        self.unproven_by_address.add(address);
+        self.pending_by_address.add(address);
     }
 
-    /// A connection no longer counts against its address.
-    pub(super) fn uncount(&mut self, address: IpAddr) {
+    /// A connection no longer counts against its address and network.
+    pub(super) fn uncount_address(&mut self, address: IpAddr) {
         self.by_address.remove(&address);
         self.by_prefix.remove(&self.settings.network(address));
     }
 
-    /// A connection has shown what it is, or goes without.
-    pub(super) fn end_unproven(
+    /// Handshake or probation of a connection is over.
+    pub(super) fn remove_pending(
         &mut self,
         since: Duration,
         conn: ConnectionId,
         address: IpAddr,
-        counted: bool,
+        counts_against_address: bool,
     ) {
-        self.unproven.remove(&(since, conn));
-        if counted {
-            self.unproven_by_address.remove(&address);
+        self.pending.remove(&(since, conn));
+        if counts_against_address {
+            self.pending_by_address.remove(&address);
         }
     }
 
-    /// Closes a connection that was in, and counts why.
-    pub(super) fn evict(&mut self, conn: ConnectionId, why: EvictionReason) {
-        *self.evicted.entry(why).or_default() += 1;
+    /// Closes an accepted connection and counts the reason.
+    pub(super) fn evict(&mut self, conn: ConnectionId, reason: EvictionReason) {
+        *self.evicted.entry(reason).or_default() += 1;
         self.remove(conn);
     }
 
-    /// A connection is gone.
+    /// Records that a connection has closed.
     pub fn connection_closed(&mut self, now: Duration, conn: ConnectionId) {
         self.now = self.now.max(now);
         self.remove(conn);
     }
 
-    /// Takes a connection out of all counts and orders.
+    /// Removes a connection from all counts and orderings.
     pub(super) fn remove(&mut self, conn: ConnectionId) {
-        let Some(entry) = self.conns.remove(&conn) else { return };
-        match (entry.stage, &entry.client) {
+        let Some(connection) = self.connections.remove(&conn) else { return };
+        let (address, counted) = (connection.address, connection.counts_against_address);
+        match (connection.stage, &connection.client) {
             (Stage::Handshake | Stage::Probation, _) => {
-                self.end_unproven(entry.idle_since, conn, entry.address, entry.counted);
+                self.remove_pending(connection.idle_since, conn, address, counted);
             }
             (Stage::Known, Some(client)) => {
-                self.known -= 1;
+                self.known_connections -= 1;
                 self.by_client.remove(client);
-                self.idle_known.remove(&(client.clone(), entry.idle_since, conn));
+                self.idle_known.remove(&(client.clone(), connection.idle_since, conn));
             }
-            _ => drop(self.idle.remove(&(entry.idle_since, conn))),
+            _ => drop(self.idle_unknown.remove(&(connection.idle_since, conn))),
         }
-        if entry.counted {
-            self.uncount(entry.address);
+        if counted {
+            self.uncount_address(address);
         }
     }
 }
--- a/crates/fawnrouter-admission/src/admission/arrival.rs
+++ b/crates/fawnrouter-admission/src/admission/arrival.rs
@@ -1,26 +1,28 @@
-//! A connection comes: the checks that go by its address, directly or as a trusted forwarder names it.
+//! Checks on a new connection by its source address, which may be the peer's own or named by a trusted
+//! forwarder.
 
 use std::net::IpAddr;
 use std::time::Duration;
 
 use super::Admission;
-use super::connection::{Entry, Stage};
+use super::connection::{Connection, Stage};
 use super::decision::{Arrival, ConnectionDecision, ConnectionId, EvictionReason, RefusalReason};
 
-/// A handshake this old gives way to a newcomer when all places for handshakes are taken: an honest one takes a few
-/// round trips, and those that are drawn out on purpose are the oldest. Harms honest clients whose round trip is
-/// longer, while such a flood lasts.
-const SLOW_HANDSHAKE: Duration = Duration::from_millis(200);
+/// When all handshake slots are taken, a new connection may replace a handshake that is at least this old. A
+/// normal handshake takes a few round trips, and those drawn out on purpose are the oldest. While such a
+/// flood lasts, this also hits legitimate clients with longer round trips.
+const REPLACEABLE_HANDSHAKE_AGE: Duration = Duration::from_millis(200);
 
 impl Admission {
-    /// Whether this address is a forwarder's, who will say where the connection comes from.
+    /// Whether the address belongs to a trusted forwarder, which will name the source of the connection.
     #[must_use]
     pub fn is_forwarder(&self, address: IpAddr) -> bool {
         self.settings.is_forwarder(address)
     }
 
-    /// Where a connection comes from, by what the forwarders on its way said, the last one last: the nearest address
-    /// that is no forwarder's. Nothing beyond a hop that hides itself is believed, as anybody may have written it.
+    /// The source address of a forwarded connection, given the addresses that the forwarders on its path
+    /// reported (the last one last): the nearest address that is not a forwarder's. Addresses beyond a hidden
+    /// hop are not trusted, because anyone may have written them.
     #[must_use]
     pub fn source_address(&self, hops: &[Option<IpAddr>]) -> Option<IpAddr> {
         hops.iter()
@@ -30,54 +32,54 @@
             .flatten()
     }
 
-    /// The checks that go by the address alone.
-    fn judge_address(&mut self, address: IpAddr) -> Result<(), (RefusalReason, Duration)> {
-        if let Some(left) = self.blocked.time_left(self.now, address) {
-            return Err((RefusalReason::Blocked, left));
+    /// The checks that depend on the address alone, except its rate.
+    fn check_address(&mut self, address: IpAddr) -> Result<(), (RefusalReason, Duration)> {
+        if let Some(time_left) = self.blocked.time_left(self.now, address) {
+            return Err((RefusalReason::Blocked, time_left));
         }
         let settings = &self.settings;
         let exception = settings.exception(address);
-        if self.by_address.of(&address) >= exception.unwrap_or(settings.per_address) {
+        if self.by_address.get(&address) >= exception.unwrap_or(settings.per_address) {
             return Err((RefusalReason::Address, Duration::ZERO));
         }
-        let of_prefix = self.by_prefix.of(&settings.network(address));
+        let of_prefix = self.by_prefix.get(&settings.network(address));
         if of_prefix >= exception.unwrap_or(0).max(settings.per_prefix) {
             return Err((RefusalReason::Prefix, Duration::ZERO));
         }
-        if self.unproven_by_address.of(&address) >= settings.handshakes_per_address {
+        if self.pending_by_address.get(&address) >= settings.handshakes_per_address {
             return Err((RefusalReason::Handshakes, Duration::ZERO));
         }
         Ok(())
     }
 
-    /// A connection has come. If it gets in, it is in its handshake.
+    /// Decides on a new connection. If accepted, it is in its handshake.
     pub fn arrive(&mut self, now: Duration, arrival: Arrival) -> ConnectionDecision {
         self.now = self.now.max(now);
-        self.reserve.record(self.now, self.known);
+        self.reserve.record(self.now, self.known_connections);
         let Arrival { conn, address } = arrival;
         let forwarder = self.is_forwarder(address);
-        if !forwarder && let Err((reason, least)) = self.judge_address(address) {
-            return self.refuse(reason, least);
+        if !forwarder && let Err((reason, min_wait)) = self.check_address(address) {
+            return self.refuse(reason, min_wait);
         }
-        let victim = self.unproven.first().copied();
-        let full = self.unproven.len() >= self.settings.handshakes;
-        let victim = victim.filter(|(since, _)| full && self.now - *since >= SLOW_HANDSHAKE);
+        let oldest = self.pending.first().copied();
+        let full = self.pending.len() >= self.settings.handshakes;
+        let victim = oldest.filter(|(since, _)| full && self.now - *since >= REPLACEABLE_HANDSHAKE_AGE);
         if full && victim.is_none() {
             return self.refuse(RefusalReason::Handshakes, Duration::ZERO);
         }
-        // Last of the checks that concern the address: a refusal above must not use up its rate.
+        // The rate is checked last, because a connection refused above must not use up its address's rate.
         if !forwarder && let Err(wait) = self.limiter.arrive(self.now, address) {
             return self.refuse(RefusalReason::Rate, wait);
         }
-        if let Some((_, slow)) = victim {
-            self.evict(slow, EvictionReason::PlaceNeeded);
+        if let Some((_, victim)) = victim {
+            self.evict(victim, EvictionReason::PlaceNeeded);
         }
         self.insert(conn, address, !forwarder);
-        victim.map_or(ConnectionDecision::Accept, |(_, slow)| ConnectionDecision::Replace(slow))
+        victim.map_or(ConnectionDecision::Accept, |(_, victim)| ConnectionDecision::Replace(victim))
     }
 
-    /// A forwarder has said where a connection in its handshake comes from. Ignored unless the connection came from
-    /// a forwarder: what anybody else says of itself is not believed.
+    /// Sets the source address that a forwarder named for a connection in its handshake, and checks it.
+    /// Ignored unless the connection came from a trusted forwarder: other peers are not believed.
     pub fn set_forwarded_source(
         &mut self,
         now: Duration,
@@ -85,20 +87,20 @@
         address: IpAddr,
     ) -> ConnectionDecision {
         self.now = self.now.max(now);
-        let waits = |e: &Entry| e.stage == Stage::Handshake && !e.counted;
-        if !self.conns.get(&conn).is_some_and(waits) || self.is_forwarder(address) {
+        let awaits_source = |c: &Connection| c.stage == Stage::Handshake && !c.counts_against_address;
+        if !self.connections.get(&conn).is_some_and(awaits_source) || self.is_forwarder(address) {
             return ConnectionDecision::Accept;
         }
-        let judged = self.judge_address(address).and_then(|()| {
+        let checked = self.check_address(address).and_then(|()| {
             self.limiter.arrive(self.now, address).map_err(|wait| (RefusalReason::Rate, wait))
         });
-        if let Err((reason, least)) = judged {
+        if let Err((reason, min_wait)) = checked {
             self.remove(conn);
-            return self.refuse(reason, least);
+            return self.refuse(reason, min_wait);
         }
-        self.count(address);
-        if let Some(entry) = self.conns.get_mut(&conn) {
-            (entry.address, entry.counted) = (address, true);
+        self.count_address(address);
+        if let Some(connection) = self.connections.get_mut(&conn) {
+            (connection.address, connection.counts_against_address) = (address, true);
         }
         ConnectionDecision::Accept
     }
--- a/crates/fawnrouter-admission/src/admission/connection.rs
+++ b/crates/fawnrouter-admission/src/admission/connection.rs
@@ -1,4 +1,4 @@
-//! What is kept of each open connection.
+//! The state kept for each open connection.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -6,36 +6,51 @@
 
 use crate::rate_limiter::Gcra;
 
-/// What a connection has shown of itself.
+/// How far a connection has got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
+    /// Its handshake is under way.
     Handshake,
+    /// No slot is left for unknown clients; it has a limited time to authenticate as a known one.
     Probation,
+    /// In as an unknown client.
     Unknown,
+    /// Authenticated as a known client.
     Known,
 }
 
 impl Stage {
-    /// It has yet to show what it is.
-    pub(super) const fn unproven(self) -> bool {
+    /// Whether the connection does not hold a regular slot yet.
+    pub(super) const fn is_pending(self) -> bool {
         matches!(self, Self::Handshake | Self::Probation)
     }
 }
 
+/// The peer is not taking the bytes that wait for it.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct StalledWrite {
+    /// Bytes that the peer had taken in total at its last progress.
+    pub(super) taken_bytes: u64,
+    /// When that was.
+    pub(super) since: Duration,
+}
+
 /// An open connection.
 #[derive(Debug)]
-pub(super) struct Entry {
+pub(super) struct Connection {
     pub(super) address: IpAddr,
-    /// It counts against its address: not if a forwarder has yet to say where it comes from, nor once it is known.
-    pub(super) counted: bool,
+    /// Whether it counts against its address and network. It does not while a forwarder has yet to name its
+    /// source, nor once it belongs to a known client.
+    pub(super) counts_against_address: bool,
     pub(super) stage: Stage,
+    /// The known client that it belongs to.
     pub(super) client: Option<Arc<str>>,
-    /// Calls standing or out.
+    /// Its calls, established or being set up.
     pub(super) calls: u32,
-    /// Since when it has been idle.
+    /// The start of its present stage, or its last activity after that.
     pub(super) idle_since: Duration,
-    /// What it owes for its messages.
-    pub(super) pace: Gcra,
-    /// Bytes that it had taken in all when it last took some, and when that was; `None` if none wait.
-    pub(super) stuck: Option<(u64, Duration)>,
+    /// Limits its messages.
+    pub(super) message_rate: Gcra,
+    /// Set while bytes wait to be sent.
+    pub(super) stalled_write: Option<StalledWrite>,
 }
--- a/crates/fawnrouter-admission/src/admission/counter.rs
+++ b/crates/fawnrouter-admission/src/admission/counter.rs
@@ -1,8 +1,8 @@
-//! Counts by key that keep nothing for a key whose count is zero.
+//! Counts by key; a key whose count is zero uses no memory.
 
 use std::collections::BTreeMap;
 
-/// How many there are of each key.
+/// A count for each key.
 #[derive(Debug)]
 pub(super) struct Counter<K> {
     counts: BTreeMap<K, usize>,
@@ -15,17 +15,17 @@
 }
 
 impl<K: Ord> Counter<K> {
-    /// How many there are of a key.
-    pub(super) fn of(&self, key: &K) -> usize {
+    /// The count of a key.
+    pub(super) fn get(&self, key: &K) -> usize {
         self.counts.get(key).copied().unwrap_or(0)
     }
 
-    /// Counts one more.
+    /// Adds one to the count of a key.
     pub(super) fn add(&mut self, key: K) {
         *self.counts.entry(key).or_default() += 1;
     }
 
-    /// Counts one less; nothing for a key that is not counted.
+    /// Subtracts one from the count of a key, unless it is zero.
     pub(super) fn remove(&mut self, key: &K) {
         if let Some(count) = self.counts.get_mut(key) {
             *count -= 1;
@@ -35,7 +35,7 @@
         }
     }
 
-    /// All keys with their counts, in the order of the keys.
+    /// All keys with their counts, ordered by key.
     pub(super) fn iter(&self) -> impl Iterator<Item = (&K, usize)> {
         self.counts.iter().map(|(key, count)| (key, *count))
     }
--- a/crates/fawnrouter-admission/src/admission/decision.rs
+++ b/crates/fawnrouter-admission/src/admission/decision.rs
@@ -1,46 +1,46 @@
-//! The decision on a connection, and the reasons it gives.
+//! The decision on a connection and its reasons.
 
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// A connection, as the embedder numbers it.
+/// A connection's number, chosen by the embedder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnectionId(pub u64);
 
-/// A connection that wants in.
+/// A new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// Its number; never used again.
+    /// Its number, which is never used again.
     pub conn: ConnectionId,
-    /// Where it comes from; behind a trusted forwarder, what that says.
+    /// The peer's address, or the address that a trusted forwarder names.
     pub address: IpAddr,
 }
 
-/// Why a connection does not get in.
+/// Why a connection is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RefusalReason {
     /// An operator has blocked the address.
     Blocked,
-    /// The rate of its address.
+    /// Its address exceeds the rate of new connections.
     Rate,
-    /// The cap of its address.
+    /// Its address has reached its connection limit.
     Address,
-    /// The cap of its prefix.
+    /// Its network has reached its connection limit.
     Prefix,
-    /// Too many handshakes are under way, in all or of its address.
+    /// Too many handshakes are under way, in total or from its address.
     Handshakes,
-    /// All that strangers may use is taken; the rest is kept for known clients.
+    /// All slots for unknown clients are taken; the rest is reserved for known clients.
     Reserved,
-    /// Everything is taken.
+    /// All slots are taken.
     Full,
-    /// The cap of its client.
+    /// Its client has reached its connection limit.
     Client,
-    /// The process has no descriptor left for it.
+    /// The process has no file descriptor left for it.
     Descriptors,
 }
 
 impl RefusalReason {
-    /// A word for logs and answers.
+    /// The text for logs and responses.
     #[must_use]
     pub const fn text(self) -> &'static str {
         match self {
@@ -57,21 +57,21 @@
     }
 }
 
-/// Why a connection that was in is closed.
+/// Why an accepted connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EvictionReason {
-    /// It was idle, and another needed the place.
+    /// Its slot was needed for another connection: it was idle, or its handshake was slow.
     PlaceNeeded,
-    /// It did nothing for too long.
+    /// It was idle for too long.
     Idle,
-    /// It did not read.
+    /// The peer did not read.
     SlowReader,
-    /// It did not show in time that it is a known client's.
+    /// It did not authenticate as a known client before its probation ended.
     ProbationExpired,
 }
 
 impl EvictionReason {
-    /// A word for logs and the close frame.
+    /// The text for logs and the WebSocket close frame.
     #[must_use]
     pub const fn text(self) -> &'static str {
         match self {
@@ -83,22 +83,22 @@
     }
 }
 
-/// The decision.
+/// The decision on a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConnectionDecision {
-    /// It gets in.
+    /// It is accepted.
     Accept,
-    /// It gets in for a time ([`AdmissionSettings::probation_time`](super::AdmissionSettings::probation_time)), in which it may show
-    /// that it is a known client's; as a stranger it gets nothing.
+    /// It may stay for [`AdmissionSettings::probation_time`](super::AdmissionSettings::probation_time) to
+    /// authenticate as a known client. There is no slot for it as an unknown client.
     Probation,
-    /// It gets in, and this one is closed to make room for it: one without a call, idle for longest, or the handshake
-    /// that takes longest.
+    /// It is accepted and the given connection is closed to make room: the longest idle one without a call,
+    /// or the oldest handshake.
     Replace(ConnectionId),
-    /// It does not.
+    /// It is refused.
     Refuse {
         /// Why.
         reason: RefusalReason,
-        /// How long it should stay away.
+        /// How long the client should wait before it tries again.
         retry_after: Duration,
     },
 }
--- a/crates/fawnrouter-admission/src/admission/handshake.rs
+++ b/crates/fawnrouter-admission/src/admission/handshake.rs
@@ -1,4 +1,4 @@
-//! A handshake is done: whether a stranger gets a place, a time to show what it is, or nothing.
+//! The end of a handshake: an unknown client gets a slot, probation or a refusal.
 
 use std::time::Duration;
 
@@ -7,46 +7,47 @@
 use super::decision::{ConnectionDecision, ConnectionId, EvictionReason, RefusalReason};
 
 impl Admission {
-    /// A handshake is done without saying who it is. A stranger may use what is not kept for known clients; where
-    /// nothing of that is left, the stranger without a call that was idle for longest makes room.
+    /// Decides on a connection that completed its handshake without authenticating. Unknown clients may use
+    /// the slots that are not reserved for known clients. When all slots are taken, the connection of an
+    /// unknown client without a call that has been idle longest is closed to make room.
     pub fn handshake_done(&mut self, now: Duration, conn: ConnectionId) -> ConnectionDecision {
         self.now = self.now.max(now);
-        let Some(entry) = self.conns.get(&conn).filter(|e| e.stage == Stage::Handshake) else {
+        let Some(connection) = self.connections.get(&conn).filter(|c| c.stage == Stage::Handshake) else {
             return ConnectionDecision::Accept;
         };
-        let (since, address, counted) = (entry.idle_since, entry.address, entry.counted);
-        let full = self.placed() >= self.settings.total;
+        let (since, address) = (connection.idle_since, connection.address);
+        let counted = connection.counts_against_address;
+        let full = self.occupied_slots() >= self.settings.total;
         let mut victim = None;
-        if full || self.placed() - self.known >= self.for_strangers() {
-            // Only a full house drives out: in a reserve that nobody uses yet, an idle stranger harms nobody.
-            victim = self.idle.first().map(|(_, conn)| *conn).filter(|_| full);
+        if full || self.occupied_slots() - self.known_connections >= self.unknown_client_slots() {
+            // Evict only when every slot is taken: while reserved slots are free, an idle connection does no
+            // harm.
+            victim = self.idle_unknown.first().map(|(_, conn)| *conn).filter(|_| full);
             if victim.is_none() && !self.settings.probation_time.is_zero() {
                 return self.begin_probation(since, conn);
             }
             let Some(victim) = victim else {
                 self.remove(conn);
-                return self.refuse(
-                    if full { RefusalReason::Full } else { RefusalReason::Reserved },
-                    Duration::ZERO,
-                );
+                let reason = if full { RefusalReason::Full } else { RefusalReason::Reserved };
+                return self.refuse(reason, Duration::ZERO);
             };
             self.evict(victim, EvictionReason::PlaceNeeded);
         }
-        self.end_unproven(since, conn, address, counted);
-        if let Some(entry) = self.conns.get_mut(&conn) {
-            entry.stage = Stage::Unknown;
-            entry.idle_since = self.now;
+        self.remove_pending(since, conn, address, counted);
+        if let Some(connection) = self.connections.get_mut(&conn) {
+            connection.stage = Stage::Unknown;
+            connection.idle_since = self.now;
         }
-        self.idle.insert((self.now, conn));
+        self.idle_unknown.insert((self.now, conn));
         victim.map_or(ConnectionDecision::Accept, ConnectionDecision::Replace)
     }
 
-    /// A stranger without a place has from now on some time to show that it is a known client's.
+    /// Gives a connection that gets no slot as an unknown client some time to authenticate as a known one.
     fn begin_probation(&mut self, since: Duration, conn: ConnectionId) -> ConnectionDecision {
-        self.unproven.remove(&(since, conn));
-        self.unproven.insert((self.now, conn));
-        if let Some(entry) = self.conns.get_mut(&conn) {
-            (entry.stage, entry.idle_since) = (Stage::Probation, self.now);
+        self.pending.remove(&(since, conn));
+        self.pending.insert((self.now, conn));
+        if let Some(connection) = self.connections.get_mut(&conn) {
+            (connection.stage, connection.idle_since) = (Stage::Probation, self.now);
         }
         ConnectionDecision::Probation
     }
--- a/crates/fawnrouter-admission/src/admission/mod.rs
+++ b/crates/fawnrouter-admission/src/admission/mod.rs
@@ -1,17 +1,17 @@
-//! The decision on each connection.
+//! Decides which connections are accepted and which are closed.
 //!
 //! | module | what it does |
 //! | --- | --- |
-//! | `settings` | what the decision goes by, and whether it makes sense |
+//! | `settings` | the settings and their validation |
 //! | `decision` | the decision and its reasons |
-//! | `arrival` | a connection comes, directly or through a forwarder |
-//! | `handshake` | a handshake is done: a stranger gets a place, probation or none |
-//! | `authentication` | a connection has shown that it is a known client's |
-//! | `activity` | calls, messages and unread bytes of a connection |
-//! | `eviction` | who is closed as time passes |
-//! | `accounting` | the counts and orders that each connection stands in while it is open |
-//! | `snapshot` | what operators are shown |
-//! | `connection`, `counter`, `network`, `blocked` | what these are made of |
+//! | `arrival` | a new connection, direct or through a forwarder |
+//! | `handshake` | a completed handshake: a slot, probation or a refusal |
+//! | `authentication` | a connection that has authenticated as a known client |
+//! | `activity` | calls, messages and unsent bytes of a connection |
+//! | `eviction` | connections that are closed as time passes |
+//! | `accounting` | the counts and orderings that each open connection is part of |
+//! | `snapshot` | figures for operators |
+//! | `connection`, `counter`, `network`, `blocked` | data structures of the above |
 
 mod accounting;
 mod activity;
@@ -37,34 +37,39 @@
 use crate::retry_after_spread::RetryAfterSpread;
 
 use blocked::BlockedAddresses;
-use connection::Entry;
+use connection::Connection;
 use counter::Counter;
 use network::Network;
-use snapshot::largest;
+use snapshot::largest_holders;
 
 pub use decision::{Arrival, ConnectionDecision, ConnectionId, EvictionReason, RefusalReason};
 pub use settings::{AdmissionSettings, PrefixLengths, SettingsError};
 pub use snapshot::{HolderCount, Snapshot};
 
-/// The decisions of one gateway.
+/// Connection admission of one gateway.
 #[derive(Debug)]
 pub struct Admission {
     settings: AdmissionSettings,
     limiter: AddressRateLimiter,
     reserve: Reserve,
-    conns: BTreeMap<ConnectionId, Entry>,
+    connections: BTreeMap<ConnectionId, Connection>,
+    /// Connections by address, of those that count against it.
     by_address: Counter<IpAddr>,
+    /// Connections by network, of those that count against it.
     by_prefix: Counter<Network>,
-    unproven_by_address: Counter<IpAddr>,
+    /// Handshakes and connections on probation by address.
+    pending_by_address: Counter<IpAddr>,
+    /// Connections by known client.
     by_client: Counter<Arc<str>>,
+    /// Connection limits of known clients that have their own.
     client_limits: BTreeMap<Arc<str>, usize>,
-    /// Strangers without a call, idle for longest first.
-    idle: BTreeSet<(Duration, ConnectionId)>,
+    /// Unknown clients' connections without a call, idle for longest first.
+    idle_unknown: BTreeSet<(Duration, ConnectionId)>,
     /// Known clients' connections without a call, by client, idle for longest first.
     idle_known: BTreeSet<(Arc<str>, Duration, ConnectionId)>,
-    /// Those that have yet to show what they are, oldest first.
-    unproven: BTreeSet<(Duration, ConnectionId)>,
-    known: usize,
+    /// Handshakes and connections on probation, oldest first.
+    pending: BTreeSet<(Duration, ConnectionId)>,
+    known_connections: usize,
     blocked: BlockedAddresses,
     refused: BTreeMap<RefusalReason, u64>,
     evicted: BTreeMap<EvictionReason, u64>,
@@ -73,7 +78,7 @@
 }
 
 impl Admission {
-    /// Checks the settings and begins with nobody connected.
+    /// Checks the settings and starts without connections.
     ///
     /// # Errors
     /// See [`SettingsError`].
@@ -84,16 +89,16 @@
             reserve: Reserve::new(settings.reserve),
             spread: RetryAfterSpread::new(settings.seed),
             settings,
-            conns: BTreeMap::new(),
+            connections: BTreeMap::new(),
             by_address: Counter::default(),
             by_prefix: Counter::default(),
-            unproven_by_address: Counter::default(),
+            pending_by_address: Counter::default(),
             by_client: Counter::default(),
             client_limits: BTreeMap::new(),
-            idle: BTreeSet::new(),
+            idle_unknown: BTreeSet::new(),
             idle_known: BTreeSet::new(),
-            unproven: BTreeSet::new(),
-            known: 0,
+            pending: BTreeSet::new(),
+            known_connections: 0,
             blocked: BlockedAddresses::default(),
             refused: BTreeMap::new(),
             evicted: BTreeMap::new(),
@@ -101,17 +106,19 @@
         })
     }
 
-    /// Gives known clients limits of their own. Connections that are open stay.
+    /// Sets the connection limits of known clients that have their own. Open connections stay open.
     pub fn set_client_limits(&mut self, limits: impl IntoIterator<Item = (Arc<str>, usize)>) {
         self.client_limits = limits.into_iter().collect();
     }
 
-    fn refuse(&mut self, reason: RefusalReason, least: Duration) -> ConnectionDecision {
+    fn refuse(&mut self, reason: RefusalReason, min_wait: Duration) -> ConnectionDecision {
         *self.refused.entry(reason).or_default() += 1;
-        ConnectionDecision::Refuse { reason, retry_after: self.spread.next(least, self.settings.retry_after) }
+        let retry_after = self.spread.next(min_wait, self.settings.retry_after);
+        ConnectionDecision::Refuse { reason, retry_after }
     }
 
-    /// Refuses a connection for a cause outside this decision, such as missing descriptors, and counts it here.
+    /// Counts a refusal that was decided elsewhere, for example for lack of descriptors. Returns its retry
+    /// time.
     pub fn count_refusal(&mut self, now: Duration, reason: RefusalReason) -> Duration {
         self.now = self.now.max(now);
         match self.refuse(reason, Duration::ZERO) {
@@ -120,35 +127,36 @@
         }
     }
 
-    /// Blocks an address for a time; `false` if too many are blocked already. Those that are open stay.
-    pub fn block(&mut self, now: Duration, address: IpAddr, span: Duration) -> bool {
+    /// Blocks an address for `duration`; `false` if too many addresses are blocked already. Its open
+    /// connections stay open.
+    pub fn block(&mut self, now: Duration, address: IpAddr, duration: Duration) -> bool {
         self.now = self.now.max(now);
-        self.blocked.block(self.now, address, span)
+        self.blocked.block(self.now, address, duration)
     }
 
-    /// Frees an address: it is no longer blocked and owes nothing.
+    /// Unblocks an address and resets its rate.
     pub fn unblock(&mut self, address: IpAddr) {
-        self.blocked.free(address);
+        self.blocked.unblock(address);
         self.limiter.reset(address);
     }
 
-    /// What is held and was refused, with the `most` largest holders of each kind.
+    /// Open connections and refusals, with up to `max_listed` of the largest holders of each kind.
     #[must_use]
-    pub fn snapshot(&self, most: usize) -> Snapshot {
+    pub fn snapshot(&self, max_listed: usize) -> Snapshot {
         Snapshot {
-            open: self.conns.len(),
-            handshakes: self.unproven.len(),
-            known: self.known,
+            open: self.connections.len(),
+            handshakes: self.pending.len(),
+            known: self.known_connections,
             reserve: self.reserve.size(),
             refused: self.refused.clone(),
             evicted: self.evicted.clone(),
-            addresses: largest(&self.by_address, most),
-            clients: largest(&self.by_client, most),
-            blocked: self.blocked.iter(self.now).take(most).collect(),
+            addresses: largest_holders(&self.by_address, max_listed),
+            clients: largest_holders(&self.by_client, max_listed),
+            blocked: self.blocked.iter(self.now).take(max_listed).collect(),
         }
     }
 
-    /// Addresses whose rate is kept exactly now.
+    /// Addresses whose rate is tracked exactly at present.
     #[must_use]
     pub fn tracked_addresses(&self) -> usize {
         self.limiter.tracked_addresses()
--- a/crates/fawnrouter-admission/src/admission/network.rs
+++ b/crates/fawnrouter-admission/src/admission/network.rs
@@ -1,4 +1,4 @@
-//! Networks: a prefix of addresses and its length.
+//! Networks: an address prefix and its length.
 
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
 
@@ -10,23 +10,23 @@
 }
 
 impl Network {
-    /// The network of an address whose prefix has so many bits.
-    pub(super) fn of(address: IpAddr, bits: u8) -> Self {
+    /// The network that contains an address, with a prefix of `bits` bits.
+    pub(super) fn containing(address: IpAddr, bits: u8) -> Self {
         Self { prefix: prefix_of(address, bits), bits }
     }
 
     /// Whether an address lies in this network.
     pub(super) fn contains(self, address: IpAddr) -> bool {
-        self == Self::of(address, self.bits)
+        self == Self::containing(address, self.bits)
     }
 }
 
-/// Bits of an address of the same family.
-pub(super) fn bits_of(address: IpAddr) -> u8 {
+/// The length in bits of an address.
+pub(super) fn address_bits(address: IpAddr) -> u8 {
     if address.is_ipv4() { 32 } else { 128 }
 }
 
-/// The prefix of an address.
+/// The address with all bits after the prefix cleared.
 fn prefix_of(address: IpAddr, bits: u8) -> IpAddr {
     match address {
         IpAddr::V4(a) => {
--- a/crates/fawnrouter-admission/src/admission/snapshot.rs
+++ b/crates/fawnrouter-admission/src/admission/snapshot.rs
@@ -1,4 +1,4 @@
-//! What is held and was refused, for operators.
+//! Figures for operators: open connections and refusals.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -7,7 +7,7 @@
 use super::counter::Counter;
 use super::decision::{EvictionReason, RefusalReason};
 
-/// What one address or client holds.
+/// The open connections of one address or client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HolderCount {
     /// The address, or the client's name.
@@ -16,7 +16,7 @@
     pub connections: usize,
 }
 
-/// What is held and was refused, for operators.
+/// Open connections and refusals at one moment.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Snapshot {
     /// Open connections, handshakes included.
@@ -25,25 +25,29 @@
     pub handshakes: usize,
     /// Connections of known clients.
     pub known: usize,
-    /// Places kept for known clients.
+    /// Slots kept for known clients, those that they use included.
     pub reserve: usize,
     /// Refusals by reason.
     pub refused: BTreeMap<RefusalReason, u64>,
-    /// Connections that were in and were closed, by reason.
+    /// Accepted connections that were closed, by reason.
     pub evicted: BTreeMap<EvictionReason, u64>,
-    /// The addresses that hold most, most first.
+    /// The addresses with the most connections, largest first.
     pub addresses: Vec<HolderCount>,
-    /// The known clients that hold most, most first.
+    /// The known clients with the most connections, largest first.
     pub clients: Vec<HolderCount>,
     /// Addresses that an operator has blocked, with the time that is left.
     pub blocked: Vec<(IpAddr, Duration)>,
 }
 
-/// Those that hold most, most first.
-pub(super) fn largest<K: Ord + ToString>(counter: &Counter<K>, most: usize) -> Vec<HolderCount> {
-    let holding = |(who, open): (&K, usize)| HolderCount { holder: who.to_string(), connections: open };
-    let mut all: Vec<HolderCount> = counter.iter().map(holding).collect();
-    all.sort_by(|a, b| b.connections.cmp(&a.connections).then_with(|| a.holder.cmp(&b.holder)));
-    all.truncate(most);
-    all
+/// The keys with the highest counts, at most `max_listed`, largest first.
+pub(super) fn largest_holders<K: Ord + ToString>(
+    counter: &Counter<K>,
+    max_listed: usize,
+) -> Vec<HolderCount> {
+    let holder_count =
+        |(key, count): (&K, usize)| HolderCount { holder: key.to_string(), connections: count };
+    let mut holders: Vec<HolderCount> = counter.iter().map(holder_count).collect();
+    holders.sort_by(|a, b| b.connections.cmp(&a.connections).then_with(|| a.holder.cmp(&b.holder)));
+    holders.truncate(max_listed);
+    holders
 }
