--- a/crates/fawnrouter-admission/src/alarms.rs
+++ b/crates/fawnrouter-admission/src/alarms.rs
@@ -1,72 +1,81 @@
-//! Lines for the log about what lasts: one when it begins, one when it is over, and no more of them than may be, so
-//! that a flood of refusals is not a flood of lines.
+//! Log events for conditions that last: one when a condition begins, one when it clears and a bounded number
+//! in between, so that a flood of refusals does not flood the log.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A line to write.
+/// An event to log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AlarmEvent<K> {
-    /// This began.
+    /// The condition began.
     Raised(K),
-    /// This goes on: so many since the last line.
+    /// The condition lasts, with the number of occurrences since the last event.
     Ongoing(K, u64),
-    /// This is over: how long it lasted, and how many there were.
+    /// The condition is over, with its duration and its total number of occurrences.
     Cleared(K, Duration, u64),
 }
 
 #[derive(Clone, Copy, Debug)]
-struct State {
-    began: Duration,
-    last: Duration,
-    told: Duration,
-    count: u64,
-    since_told: u64,
+struct Alarm {
+    raised_at: Duration,
+    last_occurrence: Duration,
+    last_event: Duration,
+    occurrences: u64,
+    occurrences_since_event: u64,
 }
 
-/// What goes on, by kind `K`.
+/// The conditions that last at present, by kind `K`.
 #[derive(Debug)]
 pub struct Alarms<K> {
-    calm: Duration,
-    again: Duration,
-    states: BTreeMap<K, State>,
+    clear_after: Duration,
+    repeat_after: Duration,
+    active: BTreeMap<K, Alarm>,
 }
 
 impl<K: Ord + Copy> Alarms<K> {
-    /// Over after `calm` without another one; told again every `again` while it goes on.
+    /// An alarm clears when nothing has occurred for `clear_after`, and is repeated every `repeat_after`
+    /// until then.
     #[must_use]
-    pub const fn new(calm: Duration, again: Duration) -> Self {
-        Self { calm, again, states: BTreeMap::new() }
+    pub const fn new(clear_after: Duration, repeat_after: Duration) -> Self {
+        Self { clear_after, repeat_after, active: BTreeMap::new() }
     }
 
-    /// So many more of a kind, one at the least.
-    pub fn record(&mut self, now: Duration, kind: K, more: u64) -> Option<AlarmEvent<K>> {
-        if let Some(state) = self.states.get_mut(&kind) {
-            state.last = state.last.max(now);
-            state.count += more;
-            state.since_told += more;
+    /// Records `occurrences` (at least one) of a kind.
+    pub fn record(&mut self, now: Duration, kind: K, occurrences: u64) -> Option<AlarmEvent<K>> {
+        if let Some(alarm) = self.active.get_mut(&kind) {
+            alarm.last_occurrence = alarm.last_occurrence.max(now);
+            alarm.occurrences += occurrences;
+            alarm.occurrences_since_event += occurrences;
             return None;
         }
-        self.states.insert(kind, State { began: now, last: now, told: now, count: more, since_told: more });
+        let alarm = Alarm {
+            raised_at: now,
+            last_occurrence: now,
+            last_event: now,
+            occurrences,
+            occurrences_since_event: occurrences,
+        };
+        self.active.insert(kind, alarm);
         Some(AlarmEvent::Raised(kind))
     }
 
-    /// Lines that are due.
+    /// The events that are due now.
     pub fn poll(&mut self, now: Duration) -> Vec<AlarmEvent<K>> {
-        let mut lines = Vec::new();
-        let (calm, again) = (self.calm, self.again);
-        self.states.retain(|kind, state| {
-            if now.saturating_sub(state.last) >= calm {
-                lines.push(AlarmEvent::Cleared(*kind, state.last.saturating_sub(state.began), state.count));
+        let mut events = Vec::new();
+        let (clear_after, repeat_after) = (self.clear_after, self.repeat_after);
+        self.active.retain(|kind, alarm| {
+            if now.saturating_sub(alarm.last_occurrence) >= clear_after {
+                let lasted = alarm.last_occurrence.saturating_sub(alarm.raised_at);
+                events.push(AlarmEvent::Cleared(*kind, lasted, alarm.occurrences));
                 return false;
             }
-            if now.saturating_sub(state.told) >= again {
-                lines.push(AlarmEvent::Ongoing(*kind, state.since_told));
-                (state.told, state.since_told) = (now, 0);
+            if now.saturating_sub(alarm.last_event) >= repeat_after {
+                events.push(AlarmEvent::Ongoing(*kind, alarm.occurrences_since_event));
+                (alarm.last_event, alarm.occurrences_since_event) = (now, 0);
             }
             true
         });
-        lines
+        events
     }
 }
 
@@ -75,19 +84,19 @@
     use super::*;
 
     #[test]
-    fn a_flood_of_a_hundred_thousand_makes_a_handful_of_lines() {
+    fn a_hundred_thousand_occurrences_give_three_events() {
         let s = Duration::from_secs;
         let mut alarms = Alarms::new(s(5), s(60));
-        let mut lines = Vec::new();
+        let mut events = Vec::new();
         for n in 0..100_000u64 {
             let now = Duration::from_millis(n);
-            lines.extend(alarms.record(now, 'a', 1));
-            lines.extend(alarms.poll(now));
+            events.extend(alarms.record(now, 'a', 1));
+            events.extend(alarms.poll(now));
         }
-        lines.extend(alarms.poll(s(120)));
+        events.extend(alarms.poll(s(120)));
         let lasted = Duration::from_millis(99_999);
         assert_eq!(
-            lines,
+            events,
             [
                 AlarmEvent::Raised('a'),
                 AlarmEvent::Ongoing('a', 60_001),
--- a/crates/fawnrouter-admission/src/descriptors.rs
+++ b/crates/fawnrouter-admission/src/descriptors.rs
@@ -1,24 +1,25 @@
-//! What the descriptors of the process are for. A process at its limit can neither take a call's trunk leg back nor
-//! read its list, nor even tell a newcomer that it is full. So descriptors are set aside before any client gets one.
+//! Divides the file descriptors of the process. A process at its limit cannot reconnect to a core switch,
+//! read its list of switches or even tell a new client that it is full. So descriptors are set aside for
+//! these uses before any client gets one.
 
 use std::time::Duration;
 
-/// What the process has, and what it needs beside its clients.
+/// The descriptors that the process has, and those that it needs besides its clients'.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DescriptorSettings {
     /// The limit of the process (`RLIMIT_NOFILE`).
     pub limit: usize,
-    /// Open at the start.
+    /// Open when the process starts.
     pub in_use: usize,
-    /// Kept for legs to switches.
+    /// Reserved for connections to core switches.
     pub trunks: usize,
-    /// Kept for files: the list, the clients, the log.
+    /// Reserved for files: the list of switches, the clients, the log.
     pub files: usize,
-    /// Kept for operators' connections.
+    /// Reserved for operators' connections.
     pub control: usize,
 }
 
-/// A limit that leaves no room for clients.
+/// The limit leaves no descriptor for clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
     "the limit of {limit} descriptors leaves none for clients; raise it to at least {required} (ulimit -n)"
@@ -26,138 +27,159 @@
 pub struct TooFewDescriptors {
     /// The limit.
     pub limit: usize,
-    /// The least that would do.
+    /// The lowest limit that would do.
     pub required: usize,
 }
 
-/// What becomes of a connection that the kernel has accepted.
+/// What to do with a connection that the kernel has accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptDecision {
-    /// It may be served.
+    /// Serve it.
     Serve,
-    /// It is told that there is no room, with a descriptor of those set aside for that.
+    /// Send it a refusal, using one of the descriptors that are set aside for refusals.
     Refuse,
-    /// As [`AcceptDecision::Refuse`], and the one that was told so first is closed to free its descriptor.
+    /// As [`AcceptDecision::Refuse`], and close the connection that was refused first to free its descriptor.
     RefuseClosingOldest,
 }
 
-/// What to do when the kernel says that there is no descriptor (EMFILE, ENFILE).
+/// What to do when the kernel has no descriptor for a connection (EMFILE, ENFILE).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExhaustionAction {
-    /// Give the spare one up, accept one connection with it, refuse that politely, and take the spare again.
+    /// Close the spare descriptor, accept one connection with it, refuse that connection, and reopen the
+    /// spare.
     UseSpare,
-    /// There is no spare: try again after this time.
+    /// There is no spare descriptor: try again after this time.
     Pause(Duration),
 }
 
-/// A change worth a line in the log.
+/// A change of the exhaustion state, worth a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExhaustionEvent {
-    /// The famine begins.
+    /// Descriptors ran out.
     Began,
-    /// The famine is over; it lasted so long.
+    /// Descriptors are available again, after this time.
     Ended(Duration),
 }
 
-/// Most descriptors set aside to refuse with.
-const MOST_COURTESY: usize = 64;
-/// Set aside for what was forgotten here: sockets that the libraries hold for a moment.
-const MARGIN: usize = 8;
-/// First and longest pause when there is no spare.
-const PAUSES: (Duration, Duration) = (Duration::from_millis(10), Duration::from_millis(320));
-/// A famine is over when no descriptor was missing for this long: shorter, and the log would flap with the flood.
-const CALM: Duration = Duration::from_secs(1);
+/// The most descriptors set aside for refusals.
+const MAX_REFUSAL_SLOTS: usize = 64;
+/// Descriptors set aside for short-lived uses that are not counted here, such as sockets that libraries open.
+const MARGIN_DESCRIPTORS: usize = 8;
+/// The first pause when there is no spare descriptor; it doubles each time.
+const FIRST_PAUSE: Duration = Duration::from_millis(10);
+/// The longest pause.
+const MAX_PAUSE: Duration = Duration::from_millis(320);
+/// Exhaustion ends when no descriptor was missing for this long. With a shorter time, log lines would flap
+/// during a flood.
+const EXHAUSTION_ENDS_AFTER: Duration = Duration::from_secs(1);
+
+/// The period during which descriptors are missing.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct Exhaustion {
+    began: Duration,
+    /// When a descriptor was last missing.
+    last_missing: Duration,
+}
 
-/// The decisions about descriptors.
+/// The division of descriptors, and whether they are exhausted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Descriptors {
     clients: usize,
-    courtesy: usize,
-    /// When the famine began, and when a descriptor was missing last.
-    famine: Option<(Duration, Duration)>,
-    pause: Duration,
+    refusal_slots: usize,
+    exhaustion: Option<Exhaustion>,
+    next_pause: Duration,
 }
 
 impl Descriptors {
-    /// Divides what there is.
+    /// Divides the descriptors.
     ///
     /// # Errors
-    /// Where nothing is left for clients.
+    /// If none is left for clients.
     pub fn new(settings: DescriptorSettings) -> Result<Self, TooFewDescriptors> {
-        let courtesy = (settings.limit / 16).clamp(2, MOST_COURTESY);
+        let refusal_slots = (settings.limit / 16).clamp(2, MAX_REFUSAL_SLOTS);
         let spare = 1;
-        let aside =
-            settings.in_use + settings.trunks + settings.files + settings.control + spare + courtesy + MARGIN;
-        let clients = settings.limit.saturating_sub(aside);
+        let set_aside = settings.in_use
+            + settings.trunks
+            + settings.files
+            + settings.control
+            + spare
+            + refusal_slots
+            + MARGIN_DESCRIPTORS;
+        let clients = settings.limit.saturating_sub(set_aside);
         if clients == 0 {
-            return Err(TooFewDescriptors { limit: settings.limit, required: aside + 1 });
+            return Err(TooFewDescriptors { limit: settings.limit, required: set_aside + 1 });
         }
-        Ok(Self { clients, courtesy, famine: None, pause: PAUSES.0 })
+        Ok(Self { clients, refusal_slots, exhaustion: None, next_pause: FIRST_PAUSE })
     }
 
-    /// Connections that clients may have.
+    /// The most client connections.
     #[must_use]
     pub const fn clients(&self) -> usize {
         self.clients
     }
 
-    /// Connections that may be told at once that there is no room.
+    /// The most connections that may be sent a refusal at the same time.
     #[must_use]
     pub const fn refusal_slots(&self) -> usize {
-        self.courtesy
+        self.refusal_slots
     }
 
-    /// Connections and handshakes that fit, of those wanted.
+    /// Reduces the wanted numbers of connections and handshakes to what fits.
     #[must_use]
     pub fn divide(&self, connections: usize, handshakes: usize) -> (usize, usize) {
         let handshakes = handshakes.min((self.clients / 4).max(1));
         (connections.min(self.clients.saturating_sub(handshakes).max(1)), handshakes)
     }
 
-    /// Judges a connection, with so many of clients open and so many that are being refused.
+    /// Decides on an accepted connection, given how many clients' connections are open and how many are being
+    /// refused.
     #[must_use]
     pub const fn arrive(&self, open: usize, refusing: usize) -> AcceptDecision {
         if open < self.clients { AcceptDecision::Serve } else { self.refuse(refusing) }
     }
 
-    /// A connection is refused whatever the room, with so many that are being refused already.
+    /// Decides on a connection that is to be refused in any case, given how many are being refused already.
     #[must_use]
     pub const fn refuse(&self, refusing: usize) -> AcceptDecision {
-        if refusing < self.courtesy { AcceptDecision::Refuse } else { AcceptDecision::RefuseClosingOldest }
+        if refusing < self.refusal_slots {
+            AcceptDecision::Refuse
+        } else {
+            AcceptDecision::RefuseClosingOldest
+        }
     }
 
-    /// The kernel had no descriptor for a connection.
+    /// Records that the kernel had no descriptor for a connection.
     pub fn descriptor_missing(
         &mut self,
         now: Duration,
-        spare: bool,
+        has_spare: bool,
     ) -> (ExhaustionAction, Option<ExhaustionEvent>) {
-        let change = if self.famine.is_none() { Some(ExhaustionEvent::Began) } else { None };
-        let began = self.famine.map_or(now, |(began, _)| began);
-        self.famine = Some((began, now));
-        if spare {
-            return (ExhaustionAction::UseSpare, change);
+        let event = if self.exhaustion.is_none() { Some(ExhaustionEvent::Began) } else { None };
+        let began = self.exhaustion.map_or(now, |exhaustion| exhaustion.began);
+        self.exhaustion = Some(Exhaustion { began, last_missing: now });
+        if has_spare {
+            return (ExhaustionAction::UseSpare, event);
         }
-        let pause = self.pause;
-        self.pause = (pause * 2).min(PAUSES.1);
-        (ExhaustionAction::Pause(pause), change)
+        let pause = self.next_pause;
+        self.next_pause = (pause * 2).min(MAX_PAUSE);
+        (ExhaustionAction::Pause(pause), event)
     }
 
-    /// A connection was accepted in the ordinary way.
+    /// Records that a connection was accepted without using the spare descriptor.
     pub fn accepted(&mut self, now: Duration) -> Option<ExhaustionEvent> {
-        self.pause = PAUSES.0;
-        let (began, last) = self.famine?;
-        if now.saturating_sub(last) < CALM {
+        self.next_pause = FIRST_PAUSE;
+        let Exhaustion { began, last_missing } = self.exhaustion?;
+        if now.saturating_sub(last_missing) < EXHAUSTION_ENDS_AFTER {
             return None;
         }
-        self.famine = None;
-        Some(ExhaustionEvent::Ended(last.saturating_sub(began)))
+        self.exhaustion = None;
+        Some(ExhaustionEvent::Ended(last_missing.saturating_sub(began)))
     }
 
     /// Whether descriptors are missing.
     #[must_use]
     pub const fn is_exhausted(&self) -> bool {
-        self.famine.is_some()
+        self.exhaustion.is_some()
     }
 }
 
@@ -169,52 +191,60 @@
         Duration::from_millis(n)
     }
 
-    fn of(limit: usize) -> Result<Descriptors, TooFewDescriptors> {
+    fn with_limit(limit: usize) -> Result<Descriptors, TooFewDescriptors> {
         Descriptors::new(DescriptorSettings { limit, in_use: 10, trunks: 4, files: 3, control: 4 })
     }
 
     #[test]
-    fn what_others_need_is_set_aside_before_clients_get_any() {
-        let d = of(1024).expect("room");
-        assert_eq!((d.clients(), d.refusal_slots()), (1024 - 10 - 4 - 3 - 4 - 1 - 64 - 8, 64));
-        assert_eq!(of(64).expect("room").clients(), 64 - 21 - 1 - 4 - 8);
-        assert_eq!(of(32).map(|d| d.clients()), Err(TooFewDescriptors { limit: 32, required: 33 }));
-        assert_eq!(of(33).map(|d| d.clients()), Ok(1));
-        assert_eq!(of(64).map(|d| (d.divide(1000, 500), d.divide(10, 2))), Ok(((23, 7), (10, 2))));
-        assert_eq!(of(33).map(|d| d.divide(1000, 500)), Ok((1, 1)));
+    fn descriptors_for_other_uses_are_set_aside_before_clients_get_any() {
+        let descriptors = with_limit(1024).expect("room");
+        assert_eq!(
+            (descriptors.clients(), descriptors.refusal_slots()),
+            (1024 - 10 - 4 - 3 - 4 - 1 - 64 - 8, 64)
+        );
+        assert_eq!(with_limit(64).expect("room").clients(), 64 - 21 - 1 - 4 - 8);
+        assert_eq!(with_limit(32).map(|d| d.clients()), Err(TooFewDescriptors { limit: 32, required: 33 }));
+        assert_eq!(with_limit(33).map(|d| d.clients()), Ok(1));
+        assert_eq!(with_limit(64).map(|d| (d.divide(1000, 500), d.divide(10, 2))), Ok(((23, 7), (10, 2))));
+        assert_eq!(with_limit(33).map(|d| d.divide(1000, 500)), Ok((1, 1)));
     }
 
     #[test]
-    fn beyond_the_room_newcomers_are_refused_and_the_oldest_refused_makes_place() {
-        let d = of(64).expect("room");
-        assert_eq!(d.arrive(29, 0), AcceptDecision::Serve);
-        assert_eq!(d.arrive(30, 3), AcceptDecision::Refuse);
-        assert_eq!(d.arrive(30, 4), AcceptDecision::RefuseClosingOldest);
-        assert_eq!(d.refuse(0), AcceptDecision::Refuse);
+    fn connections_beyond_the_limit_are_refused_and_the_oldest_refusal_is_closed() {
+        let descriptors = with_limit(64).expect("room");
+        assert_eq!(descriptors.arrive(29, 0), AcceptDecision::Serve);
+        assert_eq!(descriptors.arrive(30, 3), AcceptDecision::Refuse);
+        assert_eq!(descriptors.arrive(30, 4), AcceptDecision::RefuseClosingOldest);
+        assert_eq!(descriptors.refuse(0), AcceptDecision::Refuse);
     }
 
     #[test]
-    fn a_famine_uses_the_spare_then_waits_longer_and_longer_and_is_told_once() {
-        let mut d = of(64).expect("room");
+    fn exhaustion_uses_the_spare_then_pauses_with_backoff_and_is_reported_once() {
+        let mut descriptors = with_limit(64).expect("room");
         assert_eq!(
-            d.descriptor_missing(ms(0), true),
+            descriptors.descriptor_missing(ms(0), true),
             (ExhaustionAction::UseSpare, Some(ExhaustionEvent::Began))
         );
-        let pauses: Vec<ExhaustionAction> = (1..9).map(|n| d.descriptor_missing(ms(n), false).0).collect();
-        let wanted = [10, 20, 40, 80, 160, 320, 320, 320].map(|n| ExhaustionAction::Pause(ms(n)));
-        assert_eq!(pauses, wanted, "accept never spins");
-        assert_eq!(d.accepted(ms(500)), None, "not over before it was calm for a second");
-        assert_eq!(d.descriptor_missing(ms(600), false), (ExhaustionAction::Pause(ms(10)), None));
-        assert!(d.is_exhausted());
-        assert_eq!(d.accepted(ms(1600)), Some(ExhaustionEvent::Ended(ms(600))));
-        assert_eq!((d.accepted(ms(1700)), d.is_exhausted()), (None, false));
+        let pauses: Vec<ExhaustionAction> =
+            (1..9).map(|n| descriptors.descriptor_missing(ms(n), false).0).collect();
+        let expected = [10, 20, 40, 80, 160, 320, 320, 320].map(|n| ExhaustionAction::Pause(ms(n)));
+        assert_eq!(pauses, expected, "accept must not spin");
+        assert_eq!(
+            descriptors.accepted(ms(500)),
+            None,
+            "not over before a second without a missing descriptor"
+        );
+        assert_eq!(descriptors.descriptor_missing(ms(600), false), (ExhaustionAction::Pause(ms(10)), None));
+        assert!(descriptors.is_exhausted());
+        assert_eq!(descriptors.accepted(ms(1600)), Some(ExhaustionEvent::Ended(ms(600))));
+        assert_eq!((descriptors.accepted(ms(1700)), descriptors.is_exhausted()), (None, false));
     }
 
     #[test]
-    fn a_clock_that_steps_back_ends_no_famine() {
-        let mut d = of(64).expect("room");
-        let _ = d.descriptor_missing(ms(10_000), true);
-        assert_eq!(d.accepted(ms(5)), None);
-        assert!(d.is_exhausted());
+    fn a_clock_that_steps_back_does_not_end_exhaustion() {
+        let mut descriptors = with_limit(64).expect("room");
+        let _ = descriptors.descriptor_missing(ms(10_000), true);
+        assert_eq!(descriptors.accepted(ms(5)), None);
+        assert!(descriptors.is_exhausted());
     }
 }
--- a/crates/fawnrouter-admission/src/dynamic_threshold.rs
+++ b/crates/fawnrouter-admission/src/dynamic_threshold.rs
@@ -1,44 +1,46 @@
-//! Memory for bytes that wait, shared by all connections: dynamic thresholds (Choudhury and Hahne, 1998). A connection
-//! may hold as much as a multiple of what is free. A few heavy ones may so take a lot in calm hours, and the more
-//! there are, the less each gets, without a search for the largest.
+//! A memory budget for buffered bytes, shared by all connections: dynamic thresholds (Choudhury and Hahne,
+//! 1998). A connection may hold a fixed multiple of the free memory. While load is low, a few busy
+//! connections may take much of it; the more of them there are, the less each one gets, without a search for
+//! the largest.
 
-/// The budget.
+/// The limits of the budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BufferLimits {
-    /// Bytes that may wait in all.
+    /// Bytes that may be buffered in total.
     pub total: usize,
-    /// The most of one connection, however much is free.
+    /// The most bytes of one connection, however much memory is free.
     pub max_per_connection: usize,
-    /// What each connection may hold in any case: a message or two. The sum is bounded by `total` and this for each
-    /// connection.
+    /// Bytes that each connection may hold in any case, enough for a message or two. The sum is therefore
+    /// bounded by `total` plus this amount for each connection.
     pub min_per_connection: usize,
 }
 
-/// For whom bytes wait.
+/// The kind of connection whose bytes are buffered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BufferOwner {
-    /// A client: half of what is free.
+    /// A client's connection: it may hold half of the free memory.
     Client,
-    /// A switch: all that is free. Its connection carries the calls of many clients.
+    /// A trunk to a core switch: it may hold all free memory, because it carries the calls of many clients.
     Trunk,
 }
 
-/// Bytes that wait now.
+/// The buffered bytes and the threshold that follows from them.
 #[derive(Clone, Copy, Debug)]
 pub struct DynamicThreshold {
-    settings: BufferLimits,
+    limits: BufferLimits,
     used: usize,
     refused: u64,
 }
 
 impl DynamicThreshold {
-    /// Nothing waits.
+    /// An unused budget.
     #[must_use]
-    pub const fn new(settings: BufferLimits) -> Self {
-        Self { settings, used: 0, refused: 0 }
+    pub const fn new(limits: BufferLimits) -> Self {
+        Self { limits, used: 0, refused: 0 }
     }
 
-    /// A connection's share has changed; `false` if it holds more than it may now and is to be given up.
+    /// Records that a connection's buffered bytes changed; `false` if it now holds more than its threshold
+    /// and is to be closed.
     #[must_use]
     pub fn resize(&mut self, owner: BufferOwner, before: usize, after: usize) -> bool {
         self.used = self.used.saturating_sub(before).saturating_add(after);
@@ -50,27 +52,25 @@
         fits
     }
 
-    /// What one connection may hold now.
+    /// The bytes that one connection may hold now.
     #[must_use]
     pub fn threshold(&self, owner: BufferOwner) -> usize {
-        let free = self.settings.total.saturating_sub(self.used);
+        let free = self.limits.total.saturating_sub(self.used);
         let share = match owner {
             BufferOwner::Client => free / 2,
             BufferOwner::Trunk => free,
         };
-        share.clamp(
-            self.settings.min_per_connection,
-            self.settings.max_per_connection.max(self.settings.min_per_connection),
-        )
+        let (min, max) = (self.limits.min_per_connection, self.limits.max_per_connection);
+        share.clamp(min, max.max(min))
     }
 
-    /// Bytes that wait now.
+    /// Bytes that are buffered now.
     #[must_use]
     pub const fn used(&self) -> usize {
         self.used
     }
 
-    /// Connections that held more than they may.
+    /// How often a connection exceeded its threshold.
     #[must_use]
     pub const fn refused(&self) -> u64 {
         self.refused
@@ -82,38 +82,38 @@
     use super::*;
 
     #[test]
-    fn a_few_may_hold_a_lot_and_many_hold_little_each() {
-        let mut b = DynamicThreshold::new(BufferLimits {
+    fn the_threshold_shrinks_as_more_memory_is_used() {
+        let mut budget = DynamicThreshold::new(BufferLimits {
             total: 1600,
             max_per_connection: 400,
             min_per_connection: 10,
         });
-        assert!(b.resize(BufferOwner::Client, 0, 400) && b.resize(BufferOwner::Client, 0, 400));
-        assert!(!b.resize(BufferOwner::Client, 0, 300), "more than half of the 500 that are then free");
-        assert!(b.resize(BufferOwner::Client, 300, 0));
-        assert!(b.resize(BufferOwner::Trunk, 0, 300), "a switch gets more");
-        assert_eq!((b.threshold(BufferOwner::Client), b.threshold(BufferOwner::Trunk)), (250, 400));
-        assert_eq!((b.used(), b.refused()), (1100, 1));
+        assert!(budget.resize(BufferOwner::Client, 0, 400) && budget.resize(BufferOwner::Client, 0, 400));
+        assert!(!budget.resize(BufferOwner::Client, 0, 300), "more than half of the 500 that are then free");
+        assert!(budget.resize(BufferOwner::Client, 300, 0));
+        assert!(budget.resize(BufferOwner::Trunk, 0, 300), "a trunk may hold more than a client");
+        assert_eq!((budget.threshold(BufferOwner::Client), budget.threshold(BufferOwner::Trunk)), (250, 400));
+        assert_eq!((budget.used(), budget.refused()), (1100, 1));
     }
 
     #[test]
-    fn the_sum_never_passes_the_budget_and_a_floor_for_each() {
-        let settings = BufferLimits { total: 100_000, max_per_connection: 50_000, min_per_connection: 100 };
-        let (mut b, mut held, mut state) = (DynamicThreshold::new(settings), vec![0usize; 300], 9u64);
+    fn the_sum_stays_within_the_total_plus_the_minimum_of_each_connection() {
+        let limits = BufferLimits { total: 100_000, max_per_connection: 50_000, min_per_connection: 100 };
+        let (mut budget, mut held, mut state) = (DynamicThreshold::new(limits), vec![0usize; 300], 9u64);
         for _ in 0..200_000 {
             state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
-            let at = (state >> 33) as usize % held.len();
+            let index = (state >> 33) as usize % held.len();
             let more = (state >> 50) as usize % 3000;
-            if b.resize(BufferOwner::Client, held[at], held[at] + more) {
-                held[at] += more;
+            if budget.resize(BufferOwner::Client, held[index], held[index] + more) {
+                held[index] += more;
             } else {
-                // It is given up, and its memory freed.
-                assert!(b.resize(BufferOwner::Client, held[at] + more, 0));
-                held[at] = 0;
+                // The connection is closed and its memory freed.
+                assert!(budget.resize(BufferOwner::Client, held[index] + more, 0));
+                held[index] = 0;
             }
-            assert_eq!(b.used(), held.iter().sum::<usize>());
-            assert!(b.used() <= settings.total + held.len() * settings.min_per_connection);
+            assert_eq!(budget.used(), held.iter().sum::<usize>());
+            assert!(budget.used() <= limits.total + held.len() * limits.min_per_connection);
         }
-        assert!(b.refused() > 0);
+        assert!(budget.refused() > 0);
     }
 }
--- a/crates/fawnrouter-admission/src/lib.rs
+++ b/crates/fawnrouter-admission/src/lib.rs
@@ -1,17 +1,19 @@
 #![forbid(unsafe_code)]
-//! Which connections get in when too many knock. No socket, no clock, no unseeded randomness: each call gets the
-//! time since the embedder's origin, and the same calls give the same answers.
+//! Admission control: which connections are accepted and which set-up is next when the gateway is overloaded.
+//! No socket, no clock and no unseeded randomness: each call gets the time since the embedder's origin, and
+//! the same calls give the same results.
 //!
 //! | module | what it decides |
 //! | --- | --- |
-//! | `admission` | accepts, or refuses with a reason and a time to stay away; who is closed to make room |
-//! | `set_ups` | which set-up reaches the decisions on routes, and when |
-//! | `descriptors` | what the descriptors of the process are for, and what to do without any |
-//! | `dynamic_threshold` | how much may wait for one connection |
-//! | `alarms` | when a line goes to the log |
-//! | `rate_limiter` | rates by address in bounded memory, which forgets nobody who is over the rate |
-//! | `fair_queue` | whose set-up is next, so that one client's burst does not hold up the others |
-//! | `reserve` | how much of the room only known clients may use |
+//! | `admission` | accepts connections, refuses them with a reason and a retry time, or closes some to make room |
+//! | `set_ups` | which set-up goes on to the routing decisions, and when |
+//! | `descriptors` | how the file descriptors of the process are divided, and what to do when they run out |
+//! | `dynamic_threshold` | how many bytes may be buffered for one connection |
+//! | `alarms` | when a lasting condition is logged |
+//! | `rate_limiter` | rate limits by address in bounded memory, which keep limiting displaced addresses |
+//! | `fair_queue` | which client's set-up is next, so that one client's burst does not delay the others |
+//! | `reserve` | how many connection slots only known clients may use |
+//! | `retry_after_spread` | when refused clients should retry |
 
 mod admission;
 mod alarms;
--- a/crates/fawnrouter-admission/src/reserve.rs
+++ b/crates/fawnrouter-admission/src/reserve.rs
@@ -1,51 +1,54 @@
-//! The part of the room that strangers can't use. It follows what known clients usually hold: up at once when they
-//! hold more, down slowly when they hold less, within its bounds.
+//! The slots that unknown clients cannot use. The reserve follows the number of known clients' connections:
+//! it grows at once when there are more, and shrinks slowly when there are fewer, within its bounds.
 
 use std::time::Duration;
 
-/// Bounds and pace of the reserve.
+/// Bounds and decay of the reserve.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReserveSettings {
-    /// It is never smaller.
+    /// The smallest size.
     pub min: usize,
-    /// It is never larger.
+    /// The largest size.
     pub max: usize,
-    /// Room beyond what known clients hold, as a share of it: for those that come back after a fault, and new ones.
+    /// Additional slots as a share of the known clients' connections: for clients that reconnect after a
+    /// fault, and for new ones.
     pub headroom: f64,
-    /// It halves its distance to what is held in this time.
+    /// The time in which the size halves its distance to the present number of connections.
     pub half_life: Duration,
 }
 
-/// The reserve's state.
+/// The state of the reserve.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reserve {
     settings: ReserveSettings,
-    usual: f64,
-    at: Duration,
+    /// Known clients' connections, smoothed.
+    smoothed: f64,
+    updated_at: Duration,
 }
 
 impl Reserve {
-    /// A reserve that knows nothing yet: as small as it may be.
+    /// A reserve of the smallest size.
     #[must_use]
     pub fn new(settings: ReserveSettings) -> Self {
-        Self { settings, usual: 0.0, at: Duration::ZERO }
+        Self { settings, smoothed: 0.0, updated_at: Duration::ZERO }
     }
 
-    /// Takes note of what known clients hold.
-    pub fn record(&mut self, now: Duration, held: usize) {
-        let held = held as f64;
-        if now > self.at {
-            let lives = (now - self.at).as_secs_f64() / self.settings.half_life.as_secs_f64().max(1e-9);
-            self.usual = held + (self.usual - held) * 0.5f64.powf(lives);
-            self.at = now;
+    /// Records the present number of known clients' connections.
+    pub fn record(&mut self, now: Duration, connections: usize) {
+        let connections = connections as f64;
+        if now > self.updated_at {
+            let half_life_s = self.settings.half_life.as_secs_f64().max(1e-9);
+            let half_lives = (now - self.updated_at).as_secs_f64() / half_life_s;
+            self.smoothed = connections + (self.smoothed - connections) * 0.5f64.powf(half_lives);
+            self.updated_at = now;
         }
-        self.usual = self.usual.max(held);
+        self.smoothed = self.smoothed.max(connections);
     }
 
-    /// Places in all that are kept for known clients, those that they hold included.
+    /// Slots kept for known clients, those that they use included.
     #[must_use]
     pub fn size(&self) -> usize {
-        let wanted = (self.usual * (1.0 + self.settings.headroom)).ceil() as usize;
+        let wanted = (self.smoothed * (1.0 + self.settings.headroom)).ceil() as usize;
         wanted.clamp(self.settings.min, self.settings.max.max(self.settings.min))
     }
 }
@@ -59,13 +62,14 @@
     }
 
     #[test]
-    fn it_grows_at_once_shrinks_slowly_and_keeps_its_bounds() {
+    fn the_reserve_grows_at_once_shrinks_slowly_and_keeps_its_bounds() {
         let settings = ReserveSettings { min: 10, max: 100, headroom: 0.5, half_life: s(60) };
         let mut reserve = Reserve::new(settings);
         assert_eq!(reserve.size(), 10);
         reserve.record(s(1), 40);
         assert_eq!(reserve.size(), 60);
-        // All known clients lose their connections at once: their places are kept for them.
+        // All known clients lose their connections at once, for example in a fault: their slots stay
+        // reserved.
         reserve.record(s(2), 0);
         assert!(reserve.size() >= 59, "{}", reserve.size());
         reserve.record(s(62), 0);
--- a/crates/fawnrouter-admission/src/retry_after_spread.rs
+++ b/crates/fawnrouter-admission/src/retry_after_spread.rs
@@ -1,11 +1,11 @@
-//! Times to stay away, spread so that those refused together come back one after the other.
+//! Spreads retry times, so that clients that were refused together do not all come back at once.
 
 use std::time::Duration;
 
-/// A low-discrepancy sequence (golden ratio) over the second half of the time to stay away.
+/// A low-discrepancy sequence (golden ratio) of retry times.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryAfterSpread {
-    at: u64,
+    position: u64,
     seed: u64,
 }
 
@@ -13,14 +13,14 @@
     /// `seed` shifts the sequence, so that gateways that were started together differ.
     #[must_use]
     pub const fn new(seed: u64) -> Self {
-        Self { at: 0, seed }
+        Self { position: 0, seed }
     }
 
-    /// The next time: from the greater of `least` and `base` to as much as `base` more.
-    pub fn next(&mut self, least: Duration, base: Duration) -> Duration {
-        self.at = self.at.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let part = (self.at ^ self.seed) as f64 / u64::MAX as f64;
-        least.max(base) + base.mul_f64(part)
+    /// The next retry time: the greater of `min_wait` and `base`, plus between zero and `base`.
+    pub fn next(&mut self, min_wait: Duration, base: Duration) -> Duration {
+        self.position = self.position.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let fraction = (self.position ^ self.seed) as f64 / u64::MAX as f64;
+        min_wait.max(base) + base.mul_f64(fraction)
     }
 }
 
@@ -29,7 +29,7 @@
     use super::*;
 
     #[test]
-    fn a_hundred_refused_together_come_back_in_each_tenth_of_the_span() {
+    fn retry_times_of_a_hundred_simultaneous_refusals_are_spread_evenly() {
         let mut spread = RetryAfterSpread::new(77);
         let base = Duration::from_secs(10);
         let mut tenths = [0; 10];
--- a/crates/fawnrouter-admission/src/set_ups/call.rs
+++ b/crates/fawnrouter-admission/src/set_ups/call.rs
@@ -1,49 +1,49 @@
-//! A call as it is known here: whose it is, and where.
+//! A call's client and state, and the calls of a client.
 
 use std::net::IpAddr;
 use std::sync::Arc;
 
-/// Whose set-up it is.
+/// The client that a set-up belongs to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ClientIdentity {
-    /// A known client, whatever address it comes from.
+    /// A known client, by name, whatever its address.
     Known(Arc<str>),
-    /// Somebody who has not shown who it is, by address.
+    /// A client that has not authenticated, by address.
     Unknown(IpAddr),
 }
 
-/// Where a call is.
+/// The state of a call that is not over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallState {
-    /// It waits here.
+    /// It waits in the queue of set-ups.
     Waiting,
-    /// The decisions hold it: no attempt is out.
+    /// The routing decisions hold it; no attempt is out.
     Routing,
-    /// An attempt is out.
+    /// An attempt has been sent.
     AttemptSent,
-    /// It stands.
+    /// It is established.
     Established,
 }
 
 /// A call that is not over.
 #[derive(Debug)]
-pub(super) struct Entry {
+pub(super) struct Call {
     pub(super) client: ClientIdentity,
     pub(super) state: CallState,
 }
 
-/// What one client has.
+/// The calls of one client.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Holder {
-    /// Calls without a final answer.
+pub(super) struct ClientUsage {
+    /// Calls without a final response.
     pub(super) pending: usize,
-    /// Calls in all.
+    /// Calls in total.
     pub(super) calls: usize,
 }
 
-/// Known clients one by one, and all strangers together.
+/// The owner of a queue: each known client has its own, and all unknown clients share one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Lane {
+pub(super) enum QueueOwner {
     Known(Arc<str>),
     UnknownClients,
 }
--- a/crates/fawnrouter-admission/src/set_ups/call_counts.rs
+++ b/crates/fawnrouter-admission/src/set_ups/call_counts.rs
@@ -1,75 +1,78 @@
-//! The counts of calls, by client and in all, from a call's set-up to its end.
+//! Counts of calls, by client and in total, from a call's set-up to its end.
 
 use std::time::Duration;
 
 use super::SetUpAdmission;
-use super::call::{CallState, ClientIdentity, Entry};
+use super::call::{Call, CallState, ClientIdentity, ClientUsage};
 
 impl SetUpAdmission {
-    /// A call is here from now on.
-    pub(super) fn enter(&mut self, call: u64, who: ClientIdentity, stay: CallState) {
-        let holder = self.holders.entry(who.clone()).or_default();
-        holder.calls += 1;
-        holder.pending += 1;
-        let held = usize::from(stay == CallState::Routing);
-        self.held += held;
-        self.held_strangers += if matches!(who, ClientIdentity::Unknown(_)) { held } else { 0 };
-        self.entries.insert(call, Entry { client: who, state: stay });
+    /// Adds a call to all counts.
+    pub(super) fn insert(&mut self, call: u64, client: ClientIdentity, state: CallState) {
+        let usage = self.usage.entry(client.clone()).or_default();
+        usage.calls += 1;
+        usage.pending += 1;
+        let routing = usize::from(state == CallState::Routing);
+        self.routing += routing;
+        self.routing_unknown += if matches!(client, ClientIdentity::Unknown(_)) { routing } else { 0 };
+        self.calls.insert(call, Call { client, state });
     }
 
-    /// Takes a call out of all counts.
-    pub(super) fn forget(&mut self, call: u64) -> Option<Entry> {
-        let entry = self.entries.remove(&call)?;
-        let held = usize::from(entry.state == CallState::Routing);
-        self.held -= held;
-        self.held_strangers -= if matches!(entry.client, ClientIdentity::Unknown(_)) { held } else { 0 };
-        if let Some(holder) = self.holders.get_mut(&entry.client) {
-            holder.calls -= 1;
-            holder.pending -= usize::from(entry.state != CallState::Established);
-            if holder.calls == 0 {
-                self.holders.remove(&entry.client);
+    /// Removes a call from all counts.
+    pub(super) fn remove(&mut self, call: u64) -> Option<Call> {
+        let call = self.calls.remove(&call)?;
+        let routing = usize::from(call.state == CallState::Routing);
+        self.routing -= routing;
+        self.routing_unknown -= if matches!(call.client, ClientIdentity::Unknown(_)) { routing } else { 0 };
+        if let Some(usage) = self.usage.get_mut(&call.client) {
+            usage.calls -= 1;
+            usage.pending -= usize::from(call.state != CallState::Established);
+            if usage.calls == 0 {
+                self.usage.remove(&call.client);
             }
         }
-        Some(entry)
+        Some(call)
     }
 
-    /// A call has come to another place. A call that is not known here stays so.
-    pub fn set_state(&mut self, now: Duration, call: u64, to: CallState) {
+    /// Records that a call has changed its state. Ignored for a call that is not counted here.
+    pub fn set_state(&mut self, now: Duration, call: u64, state: CallState) {
         self.now = self.now.max(now);
-        let Some(entry) = self.entries.get_mut(&call) else { return };
-        let from = std::mem::replace(&mut entry.state, to);
-        if from == to {
+        let Some(call) = self.calls.get_mut(&call) else { return };
+        let old_state = std::mem::replace(&mut call.state, state);
+        if old_state == state {
             return;
         }
-        let (before, after) =
-            (usize::from(from == CallState::Routing), usize::from(to == CallState::Routing));
-        self.held = self.held + after - before;
-        if matches!(entry.client, ClientIdentity::Unknown(_)) {
-            self.held_strangers = self.held_strangers + after - before;
+        let before = usize::from(old_state == CallState::Routing);
+        let after = usize::from(state == CallState::Routing);
+        self.routing = self.routing + after - before;
+        if matches!(call.client, ClientIdentity::Unknown(_)) {
+            self.routing_unknown = self.routing_unknown + after - before;
         }
-        if let Some(holder) = self.holders.get_mut(&entry.client) {
-            holder.pending -= usize::from(to == CallState::Established);
+        if let Some(usage) = self.usage.get_mut(&call.client) {
+            usage.pending -= usize::from(state == CallState::Established);
         }
-        if to == CallState::AttemptSent {
-            self.sent.note(self.now);
+        if state == CallState::AttemptSent {
+            self.send_rate.record(self.now);
         }
     }
 
-    /// A call is over, wherever it was.
+    /// Records that a call is over, in whatever state it was.
     pub fn call_ended(&mut self, now: Duration, call: u64) {
         self.now = self.now.max(now);
-        let Some(entry) = self.forget(call) else { return };
-        if entry.state == CallState::Waiting {
-            self.leave(&entry.client, call);
+        let Some(removed) = self.remove(call) else { return };
+        if removed.state == CallState::Waiting {
+            self.dequeue(&removed.client, call);
         }
     }
 
-    /// Those who have most calls, most first, with calls in set-up and in all.
+    /// The clients with the most calls, at most `max_listed`, largest first: the client, its calls without a
+    /// final response, and all its calls.
     #[must_use]
-    pub fn largest(&self, most: usize) -> Vec<(ClientIdentity, usize, usize)> {
-        let mut all: Vec<_> = self.holders.iter().map(|(who, h)| (who.clone(), h.pending, h.calls)).collect();
-        all.sort_by(|a, b| b.2.cmp(&a.2).then_with(|| a.0.cmp(&b.0)));
-        all.truncate(most);
-        all
+    pub fn largest(&self, max_listed: usize) -> Vec<(ClientIdentity, usize, usize)> {
+        let row =
+            |(client, usage): (&ClientIdentity, &ClientUsage)| (client.clone(), usage.pending, usage.calls);
+        let mut clients: Vec<_> = self.usage.iter().map(row).collect();
+        clients.sort_by(|a, b| b.2.cmp(&a.2).then_with(|| a.0.cmp(&b.0)));
+        clients.truncate(max_listed);
+        clients
     }
 }
--- a/crates/fawnrouter-admission/src/set_ups/decision.rs
+++ b/crates/fawnrouter-admission/src/set_ups/decision.rs
@@ -1,26 +1,26 @@
-//! The decision on a set-up, and the reasons it gives.
+//! The decision on a set-up and its reasons.
 
 use std::time::Duration;
 
-/// Why a set-up is refused here.
+/// Why a set-up is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SetUpRefusal {
-    /// Its client's rate.
+    /// Its client exceeds its rate.
     Rate,
-    /// The rate of all strangers together.
+    /// All unknown clients together exceed their rate.
     UnknownClientsRate,
-    /// Its client has as many without an answer as it may.
+    /// Its client has reached its limit of calls without a final response.
     Pending,
-    /// Its client has as many calls as it may.
+    /// Its client has reached its limit of calls.
     Calls,
-    /// As many wait as may, and others hold less than its client.
+    /// The queue is full, and other clients hold less of it than this one.
     Full,
-    /// It waited as long as one may.
+    /// It waited for the longest time allowed.
     WaitExpired,
 }
 
 impl SetUpRefusal {
-    /// The text of its Reason header.
+    /// The text for its Reason header.
     #[must_use]
     pub const fn text(self) -> &'static str {
         match self {
@@ -37,16 +37,16 @@
 /// The decision on a set-up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SetUpDecision {
-    /// It goes on to the decisions on routes.
+    /// It goes on to the routing decisions.
     Proceed,
-    /// It waits here until [`SetUpAdmission::next_ready`](super::SetUpAdmission::next_ready) names it, for
-    /// [`SetUpSettings::max_wait`](super::SetUpSettings::max_wait) at the most.
+    /// It waits in the queue until [`SetUpAdmission::next_ready`](super::SetUpAdmission::next_ready) returns
+    /// it, for [`SetUpSettings::max_wait`](super::SetUpSettings::max_wait) at most.
     Wait,
     /// It is refused.
     Refuse {
         /// Why.
         reason: SetUpRefusal,
-        /// How long its caller should stay away.
+        /// How long its caller should wait before it tries again.
         retry_after: Duration,
     },
 }
--- a/crates/fawnrouter-admission/src/set_ups/mod.rs
+++ b/crates/fawnrouter-admission/src/set_ups/mod.rs
@@ -1,15 +1,16 @@
-//! Which set-up reaches the decisions on routes, and when: a rate and a number of calls by client, and when more is
-//! held there than is soon sent, a queue that is fair among clients (see [`FairQueue`]). What is turned away here gets its
-//! final answer at once, so that a client's burst costs that client and nobody else.
+//! Decides which set-up goes on to the routing decisions, and when. Each client has a rate and a limit of
+//! calls. When routing holds more set-ups than are soon sent, further ones wait in a queue that is fair among
+//! clients (see [`FairQueue`]). A set-up that is refused here gets its final response at once, so that a
+//! client's burst costs that client and nobody else.
 //!
 //! | module | what it does |
 //! | --- | --- |
-//! | `settings` | what the decision goes by |
+//! | `settings` | the settings |
 //! | `decision` | the decision and its reasons |
-//! | `call` | whose a call is, and where |
-//! | `call_counts` | counts of calls by client and in all |
-//! | `rates` | set-ups a second, by client and of all strangers |
-//! | `queue` | whose turn it is among those that wait |
+//! | `call` | a call's client and state |
+//! | `call_counts` | counts of calls by client and in total |
+//! | `rates` | set-up rates, by client and of all unknown clients |
+//! | `queue` | the queue of waiting set-ups |
 //! | `send_rate` | how many set-ups are sent a second |
 
 mod call;
@@ -30,7 +31,7 @@
 use crate::fair_queue::{FairQueue, FairQueueSettings};
 use crate::retry_after_spread::RetryAfterSpread;
 
-use call::{Entry, Holder, Lane};
+use call::{Call, ClientUsage, QueueOwner};
 use rates::Rates;
 use send_rate::SendRate;
 
@@ -38,163 +39,168 @@
 pub use decision::{SetUpDecision, SetUpRefusal};
 pub use settings::{ClientLimits, SetUpSettings};
 
-/// The decisions on set-ups of one gateway. Calls go by the embedder's numbers `u64`.
+/// Set-up admission of one gateway. Calls are identified by the embedder's numbers (`u64`).
 #[derive(Debug)]
 pub struct SetUpAdmission {
     settings: SetUpSettings,
     limits: BTreeMap<Arc<str>, ClientLimits>,
     rates: Rates,
-    /// Whose turn it is: a call of a known client, or `None` for the next stranger's.
-    lanes: FairQueue<Lane, Option<u64>>,
-    /// Whose turn it is among strangers.
-    inner: FairQueue<IpAddr, u64>,
-    entries: BTreeMap<u64, Entry>,
-    holders: BTreeMap<ClientIdentity, Holder>,
-    held: usize,
-    /// Of these, strangers'.
-    held_strangers: usize,
-    sent: SendRate,
+    /// All waiting set-ups: the call of a known client, or `None` for the next call in `unknown_queue`.
+    queue: FairQueue<QueueOwner, Option<u64>>,
+    /// The waiting set-ups of unknown clients, by address.
+    unknown_queue: FairQueue<IpAddr, u64>,
+    calls: BTreeMap<u64, Call>,
+    usage: BTreeMap<ClientIdentity, ClientUsage>,
+    /// Calls that the routing decisions hold.
+    routing: usize,
+    /// Of these, calls of unknown clients.
+    routing_unknown: usize,
+    send_rate: SendRate,
     spread: RetryAfterSpread,
     refused: BTreeMap<SetUpRefusal, u64>,
     now: Duration,
 }
 
 impl SetUpAdmission {
-    /// Begins with no calls.
+    /// Starts without calls.
     #[must_use]
     pub fn new(settings: SetUpSettings) -> Self {
-        let fair = FairQueueSettings {
+        let queue_settings = FairQueueSettings {
             max_waiting: settings.max_waiting,
             max_waiting_per_client: settings.max_waiting,
         };
         Self {
             rates: Rates::new(&settings),
-            lanes: FairQueue::new(fair),
-            inner: FairQueue::new(fair),
+            queue: FairQueue::new(queue_settings),
+            unknown_queue: FairQueue::new(queue_settings),
             spread: RetryAfterSpread::new(settings.seed),
             settings,
             limits: BTreeMap::new(),
-            entries: BTreeMap::new(),
-            holders: BTreeMap::new(),
-            held: 0,
-            held_strangers: 0,
-            sent: SendRate::default(),
+            calls: BTreeMap::new(),
+            usage: BTreeMap::new(),
+            routing: 0,
+            routing_unknown: 0,
+            send_rate: SendRate::default(),
             refused: BTreeMap::new(),
             now: Duration::ZERO,
         }
     }
 
-    /// The clients that are known now, with their limits. Calls that they have go on.
+    /// Replaces the known clients and their limits. Their calls go on.
     pub fn set_clients(&mut self, limits: impl IntoIterator<Item = (Arc<str>, ClientLimits)>) {
         self.limits = limits.into_iter().collect();
-        self.rates.keep_clients(|name| self.limits.contains_key(name));
+        self.rates.retain_clients(|name| self.limits.contains_key(name));
     }
 
-    fn limits_of(&self, who: &ClientIdentity) -> ClientLimits {
-        match who {
+    fn limits_of(&self, client: &ClientIdentity) -> ClientLimits {
+        match client {
             ClientIdentity::Known(name) => self.limits.get(name).copied().unwrap_or(self.settings.known),
             ClientIdentity::Unknown(_) => self.settings.unknown,
         }
     }
 
-    fn refuse(&mut self, why: SetUpRefusal, least: Duration) -> SetUpDecision {
-        *self.refused.entry(why).or_default() += 1;
-        SetUpDecision::Refuse { reason: why, retry_after: self.spread.next(least, self.settings.retry_after) }
+    fn refuse(&mut self, reason: SetUpRefusal, min_wait: Duration) -> SetUpDecision {
+        *self.refused.entry(reason).or_default() += 1;
+        let retry_after = self.spread.next(min_wait, self.settings.retry_after);
+        SetUpDecision::Refuse { reason, retry_after }
     }
 
-    /// Judges a new set-up. The second part is a call that waited and is refused in this one's favour.
+    /// Decides on a new set-up. The second part is a waiting call that is refused to make room for it.
     pub fn offer(
         &mut self,
         now: Duration,
-        who: ClientIdentity,
+        client: ClientIdentity,
         call: u64,
     ) -> (SetUpDecision, Option<(u64, SetUpDecision)>) {
         self.now = self.now.max(now);
-        let limits = self.limits_of(&who);
-        if let Err((why, least)) = self.judge_client(&who, &limits) {
-            return (self.refuse(why, least), None);
+        let limits = self.limits_of(&client);
+        if let Err((reason, min_wait)) = self.check_client(&client, &limits) {
+            return (self.refuse(reason, min_wait), None);
         }
-        if self.may_go_at_once(&who) {
-            self.enter(call, who, CallState::Routing);
+        if self.may_proceed_at_once(&client) {
+            self.insert(call, client, CallState::Routing);
             return (SetUpDecision::Proceed, None);
         }
-        match self.line_up(&who, limits.weight, call) {
-            Ok(pushed) => {
-                self.enter(call, who, CallState::Waiting);
-                let pushed = pushed.map(|other| {
-                    self.forget(other);
+        match self.enqueue(&client, limits.weight, call) {
+            Ok(displaced) => {
+                self.insert(call, client, CallState::Waiting);
+                let displaced = displaced.map(|other| {
+                    self.remove(other);
                     (other, self.refuse(SetUpRefusal::Full, Duration::ZERO))
                 });
-                (SetUpDecision::Wait, pushed)
+                (SetUpDecision::Wait, displaced)
             }
             Err(()) => (self.refuse(SetUpRefusal::Full, Duration::ZERO), None),
         }
     }
 
-    /// The checks that concern a set-up's client alone.
-    fn judge_client(
+    /// Checks a set-up against the limits and the rate of its client.
+    fn check_client(
         &mut self,
-        who: &ClientIdentity,
+        client: &ClientIdentity,
         limits: &ClientLimits,
     ) -> Result<(), (SetUpRefusal, Duration)> {
-        let holder = self.holders.get(who).copied().unwrap_or_default();
-        if holder.calls >= limits.calls {
+        let usage = self.usage.get(client).copied().unwrap_or_default();
+        if usage.calls >= limits.calls {
             return Err((SetUpRefusal::Calls, Duration::ZERO));
         }
-        if holder.pending >= limits.pending {
+        if usage.pending >= limits.pending {
             return Err((SetUpRefusal::Pending, Duration::ZERO));
         }
-        // Last of these checks: a refusal above must not use up its rate.
-        self.rates.arrive(self.now, who, &limits.rate)
+        // The rate is checked last, because a set-up refused above must not use it up.
+        self.rates.arrive(self.now, client, &limits.rate)
     }
 
-    /// Nobody waits while there is room; while somebody waits, nobody of his kind goes past.
-    fn may_go_at_once(&self, who: &ClientIdentity) -> bool {
-        let (waits_before_it, room) = match who {
-            ClientIdentity::Known(_) => (self.lanes.waiting() - self.inner.waiting(), self.has_room()),
+    /// Whether a set-up may proceed without waiting: routing has room, and no other set-up waits before it.
+    /// For a known client only waiting set-ups of known clients count, for an unknown client all of them.
+    fn may_proceed_at_once(&self, client: &ClientIdentity) -> bool {
+        let (waiting_before, has_room) = match client {
+            ClientIdentity::Known(_) => {
+                (self.queue.waiting() - self.unknown_queue.waiting(), self.has_routing_room())
+            }
             ClientIdentity::Unknown(_) => {
-                (self.lanes.waiting(), self.has_room() && self.has_room_for_strangers())
+                (self.queue.waiting(), self.has_routing_room() && self.has_routing_room_for_unknown())
             }
         };
-        waits_before_it == 0 && room
+        waiting_before == 0 && has_room
     }
 
-    /// Set-ups that the decisions may hold now.
+    /// The most set-ups that the routing decisions may hold now.
     #[must_use]
     pub fn routing_limit(&self) -> usize {
-        let sent = self.sent.per_second() * self.settings.routing_span.as_secs_f64();
+        let sent = self.send_rate.per_second() * self.settings.routing_span.as_secs_f64();
         self.settings.min_routing.saturating_add(sent as usize)
     }
 
-    fn has_room(&self) -> bool {
-        self.held < self.routing_limit()
+    fn has_routing_room(&self) -> bool {
+        self.routing < self.routing_limit()
     }
 
-    fn has_room_for_strangers(&self) -> bool {
-        let room = (self.routing_limit() as f64 * self.settings.unknown_share) as usize;
-        self.held_strangers < room.max(1)
+    fn has_routing_room_for_unknown(&self) -> bool {
+        let limit = (self.routing_limit() as f64 * self.settings.unknown_share) as usize;
+        self.routing_unknown < limit.max(1)
     }
 
-    /// A call has waited for as long as one may: what it is told. `None` if it does not wait.
+    /// Refuses a call whose waiting time has run out. `None` if the call does not wait.
     pub fn wait_expired(&mut self, now: Duration, call: u64) -> Option<SetUpDecision> {
-        let waits = self.entries.get(&call).is_some_and(|e| e.state == CallState::Waiting);
-        if !waits {
+        let is_waiting = self.calls.get(&call).is_some_and(|c| c.state == CallState::Waiting);
+        if !is_waiting {
             return None;
         }
         self.call_ended(now, call);
         Some(self.refuse(SetUpRefusal::WaitExpired, Duration::ZERO))
     }
 
-    /// Set-ups that wait here.
+    /// Set-ups that wait in the queue.
     #[must_use]
     pub fn waiting(&self) -> usize {
-        self.lanes.waiting()
+        self.queue.waiting()
     }
 
-    /// Set-ups that the decisions hold.
+    /// Set-ups that the routing decisions hold.
     #[must_use]
     pub const fn routing(&self) -> usize {
-        self.held
+        self.routing
     }
 
     /// Refusals by reason.
@@ -203,7 +209,7 @@
         &self.refused
     }
 
-    /// How long one may wait here.
+    /// The longest time that a set-up may wait in the queue.
     #[must_use]
     pub const fn max_wait(&self) -> Duration {
         self.settings.max_wait
--- a/crates/fawnrouter-admission/src/set_ups/queue.rs
+++ b/crates/fawnrouter-admission/src/set_ups/queue.rs
@@ -1,66 +1,72 @@
-//! The queue of set-ups that wait for their turn: known clients one by one, all strangers together, and among these
-//! one address after the other.
+//! The queue of waiting set-ups. Each known client has a queue, and all unknown clients share one. Within the
+//! shared one, the addresses take turns.
 
 use std::time::Duration;
 
 use super::SetUpAdmission;
-use super::call::{CallState, ClientIdentity, Lane};
+use super::call::{CallState, ClientIdentity, QueueOwner};
 use crate::fair_queue::QueueRejection;
 
 impl SetUpAdmission {
-    /// Puts a call into its queue. `Ok` with the call that had to make room.
-    pub(super) fn line_up(
+    /// Queues a call. Returns the call that is displaced by it, if any.
+    pub(super) fn enqueue(
         &mut self,
-        who: &ClientIdentity,
+        client: &ClientIdentity,
         weight: u32,
         call: u64,
     ) -> Result<Option<u64>, ()> {
-        let pushed = match who {
-            ClientIdentity::Known(name) => self.lanes.offer(Lane::Known(name.clone()), weight, Some(call)),
+        let displaced = match client {
+            ClientIdentity::Known(name) => {
+                self.queue.offer(QueueOwner::Known(name.clone()), weight, Some(call))
+            }
             ClientIdentity::Unknown(address) => {
-                // The places of strangers are theirs to divide: the address that holds most gives one up.
-                if self.inner.offer(*address, weight, call).is_err() {
+                // Unknown clients share their part of the queue: the address that holds most gives up a
+                // set-up.
+                if self.unknown_queue.offer(*address, weight, call).is_err() {
                     return Err(());
                 }
-                self.lanes.offer(Lane::UnknownClients, self.settings.unknown_weight, None)
+                self.queue.offer(QueueOwner::UnknownClients, self.settings.unknown_weight, None)
             }
         };
-        match pushed {
+        match displaced {
             Ok(None) => Ok(None),
             Ok(Some(Some(known))) => Ok(Some(known)),
-            // A stranger's place was taken from them, or they may have no more: one of them goes.
+            // A set-up of unknown clients was displaced, or they may not have another: drop one from their
+            // queue.
             Ok(Some(None)) | Err((None, QueueRejection::Full | QueueRejection::ClientFull)) => {
-                match self.inner.pop_largest() {
-                    Some((_, shed)) if shed == call => Err(()),
-                    shed => Ok(shed.map(|(_, call)| call)),
+                match self.unknown_queue.pop_largest() {
+                    Some((_, dropped)) if dropped == call => Err(()),
+                    dropped => Ok(dropped.map(|(_, call)| call)),
                 }
             }
             Err((Some(_), _)) => Err(()),
         }
     }
 
-    /// Takes a call out of its queue.
-    pub(super) fn leave(&mut self, who: &ClientIdentity, call: u64) {
-        match who {
+    /// Removes a call from its queue.
+    pub(super) fn dequeue(&mut self, client: &ClientIdentity, call: u64) {
+        match client {
             ClientIdentity::Known(name) => {
-                self.lanes.remove(&Lane::Known(name.clone()), |c| *c == Some(call))
+                self.queue.remove(&QueueOwner::Known(name.clone()), |c| *c == Some(call));
             }
             ClientIdentity::Unknown(address) => {
-                self.inner.remove(address, |c| *c == call);
-                self.lanes.drop_newest(&Lane::UnknownClients);
+                self.unknown_queue.remove(address, |c| *c == call);
+                self.queue.drop_newest(&QueueOwner::UnknownClients);
             }
         }
     }
 
-    /// The next call that goes on to the decisions, if there is room.
+    /// The next waiting call that goes on to the routing decisions, if these have room.
     pub fn next_ready(&mut self, now: Duration) -> Option<u64> {
         self.now = self.now.max(now);
-        while self.has_room() {
-            let strangers = self.has_room_for_strangers();
-            let (_, call) = self.lanes.pop_where(|lane| strangers || *lane != Lane::UnknownClients)?;
+        while self.has_routing_room() {
+            let unknown_may_proceed = self.has_routing_room_for_unknown();
+            let is_eligible =
+                |owner: &QueueOwner| unknown_may_proceed || *owner != QueueOwner::UnknownClients;
+            let (_, call) = self.queue.pop_where(is_eligible)?;
             let call = match call {
                 Some(call) => Some(call),
-                None => self.inner.pop().map(|(_, call)| call),
+                None => self.unknown_queue.pop().map(|(_, call)| call),
             };
             let Some(call) = call else { continue };
             self.set_state(now, call, CallState::Routing);
--- a/crates/fawnrouter-admission/src/set_ups/rates.rs
+++ b/crates/fawnrouter-admission/src/set_ups/rates.rs
@@ -1,4 +1,5 @@
-//! The rates of set-ups: of each client, of each stranger's address, and of all strangers together.
+//! Set-up rates: of each known client, of each address of unknown clients, and of all unknown clients
+//! together.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,57 +10,53 @@
 use super::settings::SetUpSettings;
 use crate::rate_limiter::{AddressRateLimiter, Gcra, Rate};
 
-/// Who may send a set-up now.
+/// The state of all set-up rate limits.
 #[derive(Debug)]
 pub(super) struct Rates {
-    /// Known clients' theoretical arrival times.
     known: BTreeMap<Arc<str>, Gcra>,
-    strangers: AddressRateLimiter,
-    all_strangers: Gcra,
-    all_strangers_rate: Option<Rate>,
+    unknown_by_address: AddressRateLimiter,
+    all_unknown: Gcra,
+    all_unknown_rate: Option<Rate>,
 }
 
 impl Rates {
-    /// Nobody has sent anything yet.
+    /// No set-up has been counted yet.
     pub(super) fn new(settings: &SetUpSettings) -> Self {
+        let (rate, capacity) = (settings.unknown.rate, settings.tracked_addresses);
         Self {
             known: BTreeMap::new(),
-            strangers: AddressRateLimiter::new(
-                settings.unknown.rate,
-                settings.tracked_addresses,
-                settings.seed,
-            ),
-            all_strangers: Gcra::default(),
-            all_strangers_rate: settings.unknown_rate,
+            unknown_by_address: AddressRateLimiter::new(rate, capacity, settings.seed),
+            all_unknown: Gcra::default(),
+            all_unknown_rate: settings.unknown_rate,
         }
     }
 
-    /// A client that is no longer known loses its theoretical arrival time.
-    pub(super) fn keep_clients(&mut self, is_known: impl Fn(&Arc<str>) -> bool) {
+    /// Drops the rate state of clients that are no longer known.
+    pub(super) fn retain_clients(&mut self, is_known: impl Fn(&Arc<str>) -> bool) {
         self.known.retain(|name, _| is_known(name));
     }
 
-    /// Judges a set-up of a client with a rate of its own; a refused one costs nothing.
+    /// Checks a set-up and counts it if it conforms. A refused set-up is not counted.
     pub(super) fn arrive(
         &mut self,
         now: Duration,
-        who: &ClientIdentity,
-        rate: &Rate,
+        client: &ClientIdentity,
+        client_rate: &Rate,
     ) -> Result<(), (SetUpRefusal, Duration)> {
-        let own_rate = |wait| (SetUpRefusal::Rate, wait);
-        match who {
+        let own_rate_exceeded = |wait| (SetUpRefusal::Rate, wait);
+        match client {
             ClientIdentity::Known(name) => {
-                let own = self.known.entry(name.clone()).or_default();
-                own.arrive(now, rate).map_err(own_rate)
+                let gcra = self.known.entry(name.clone()).or_default();
+                gcra.arrive(now, client_rate).map_err(own_rate_exceeded)
             }
             ClientIdentity::Unknown(address) => {
-                if let Some(all) = &self.all_strangers_rate {
-                    let all_rates = |wait| (SetUpRefusal::UnknownClientsRate, wait);
-                    self.all_strangers.check(now, all).map_err(all_rates)?;
+                if let Some(rate) = &self.all_unknown_rate {
+                    let common_rate_exceeded = |wait| (SetUpRefusal::UnknownClientsRate, wait);
+                    self.all_unknown.check(now, rate).map_err(common_rate_exceeded)?;
                 }
-                self.strangers.arrive(now, *address).map_err(own_rate)?;
-                if let Some(all) = &self.all_strangers_rate {
-                    let _ = self.all_strangers.arrive(now, all);
+                self.unknown_by_address.arrive(now, *address).map_err(own_rate_exceeded)?;
+                if let Some(rate) = &self.all_unknown_rate {
+                    let _ = self.all_unknown.arrive(now, rate);
                 }
                 Ok(())
             }
--- a/crates/fawnrouter-admission/src/set_ups/send_rate.rs
+++ b/crates/fawnrouter-admission/src/set_ups/send_rate.rs
@@ -2,26 +2,26 @@
 
 use std::time::Duration;
 
-/// The running mean of what is sent forgets with this time constant: long against a stall of a switch, short against
-/// a change of load.
-const MEAN_OVER_S: f64 = 2.0;
+/// The time constant of the running mean: long compared with a stall of a core switch, short compared with a
+/// change of load.
+const TIME_CONSTANT_S: f64 = 2.0;
 
-/// Set-ups sent a second, a running mean.
+/// Set-ups sent a second, as an exponential running mean.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct SendRate {
     per_s: f64,
-    at: Duration,
+    last_sent: Duration,
 }
 
 impl SendRate {
-    /// A set-up is sent.
-    pub(super) fn note(&mut self, now: Duration) {
-        let passed = (now - self.at).as_secs_f64();
-        self.per_s = self.per_s * (-passed / MEAN_OVER_S).exp() + 1.0 / MEAN_OVER_S;
-        self.at = now;
+    /// Records that a set-up is sent.
+    pub(super) fn record(&mut self, now: Duration) {
+        let elapsed_s = (now - self.last_sent).as_secs_f64();
+        self.per_s = self.per_s * (-elapsed_s / TIME_CONSTANT_S).exp() + 1.0 / TIME_CONSTANT_S;
+        self.last_sent = now;
     }
 
-    /// The mean when the last set-up was sent.
+    /// The mean at the time of the last set-up sent.
     pub(super) const fn per_second(&self) -> f64 {
         self.per_s
     }
--- a/crates/fawnrouter-admission/src/set_ups/settings.rs
+++ b/crates/fawnrouter-admission/src/set_ups/settings.rs
@@ -1,47 +1,48 @@
-//! The settings of the decision on set-ups.
+//! The settings of set-up admission.
 
 use std::time::Duration;
 
 use crate::rate_limiter::Rate;
 
-/// What one client may do.
+/// The limits of one client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClientLimits {
-    /// Set-ups in one turn, against the other clients'.
+    /// Set-ups per turn in the fair queue, relative to other clients.
     pub weight: u32,
-    /// Set-ups a second, and at once.
+    /// The rate of set-ups.
     pub rate: Rate,
-    /// Set-ups without a final answer.
+    /// The most calls without a final response.
     pub pending: usize,
-    /// Calls in all, standing ones too.
+    /// The most calls in total, established ones included.
     pub calls: usize,
 }
 
-/// All that the decision goes by.
+/// The settings of set-up admission.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SetUpSettings {
-    /// Known clients without limits of their own.
+    /// The limits of a known client that has none of its own.
     pub known: ClientLimits,
-    /// Each address of strangers. Its weight counts among strangers only.
+    /// The limits of each address of unknown clients. Its weight counts among unknown clients only.
     pub unknown: ClientLimits,
-    /// The weight of all strangers together, against one known client's.
+    /// The weight of all unknown clients together, relative to known clients.
     pub unknown_weight: u32,
-    /// Set-ups a second of all strangers, and at once; `None`: as many as there is room for.
+    /// The rate of set-ups of all unknown clients together; `None`: as many as routing has room for.
     pub unknown_rate: Option<Rate>,
-    /// Of what the decisions may hold, the share that may be strangers': what is held there delays everybody.
+    /// The share of `routing_limit` that unknown clients may use. A set-up held in routing delays all others.
     pub unknown_share: f64,
-    /// Set-ups that the decisions may hold, whatever is sent.
+    /// Set-ups that the routing decisions may hold, however few are sent.
     pub min_routing: usize,
-    /// Beyond that they may hold what is sent in this time, as it went lately.
+    /// In addition, the routing decisions may hold as many set-ups as are sent in this time at the recent
+    /// rate.
     pub routing_span: Duration,
-    /// Set-ups that may wait here.
+    /// The most set-ups that wait in the queue.
     pub max_waiting: usize,
-    /// The longest that one waits here.
+    /// The longest time that a set-up waits in the queue.
     pub max_wait: Duration,
-    /// Strangers' addresses whose rate is kept exactly.
+    /// The number of unknown clients' addresses whose rate is tracked exactly.
     pub tracked_addresses: usize,
-    /// The shortest time that those refused are told to stay away.
+    /// The shortest retry time of a refusal.
     pub retry_after: Duration,
-    /// Keys what is spread and hashed.
+    /// Seeds the rate limiter's hash and the spread of retry times.
     pub seed: u64,
 }
