--- a/crates/fawnrouter-admission/tests/admission.rs
+++ b/crates/fawnrouter-admission/tests/admission.rs
@@ -382,7 +382,7 @@
     fixture.now = ms(10);
     assert_eq!(fixture.admission.evict_overdue(fixture.now), []);
     assert!((0..50).filter(|_| fixture.connect_unknown(ip(1)).is_ok()).count() <= 9, "burst and limit");
-    // With a clock that runs a hundred times as fast, a hundred times as many connections get in, and no more.
+    // With a clock a hundred times as fast, a hundred times as many connections get in, and no more.
     let mut fast = Fixture::new(settings());
     let admitted = (0..1000).filter(|_| {
         fast.now += ms(100);
--- a/crates/fawnrouter-digest/src/authenticator.rs
+++ b/crates/fawnrouter-digest/src/authenticator.rs
@@ -1,8 +1,8 @@
-//! Whether a request shows that it is a known client's.
+//! Decides whether a request authenticates as a known client.
 //!
-//! A connection proves itself once and is then known; each further proof on it must use the nonce a further time
-//! (`nc` rises), so that a recorded one is of no use even there. What has to be remembered is one [`AuthState`] a
-//! connection.
+//! A connection authenticates once and then belongs to that client. Each further authentication on it must
+//! use a higher nonce count (`nc`), so that recorded credentials cannot be replayed even on the same
+//! connection. The only state needed is one [`AuthState`] per connection.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,41 +10,41 @@
 
 use subtle::ConstantTimeEq;
 
-use crate::credentials::{Credentials, quoted};
+use crate::credentials::{Credentials, escape_quoted};
 use crate::hash::{Algorithm, Ha1, client_response, ha1, server_response};
 use crate::nonce::{NonceError, NonceIssuer};
 
-/// How clients show who they are.
+/// How clients authenticate.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AuthenticatorSettings {
-    /// The realm (RFC 3261 §22.1): it is shown to people and is part of each hash.
+    /// The realm (RFC 3261 §22.1). It is shown to users and is part of each hash.
     pub realm: String,
-    /// Whether MD5 is taken from clients that have such a hash.
+    /// Whether to accept MD5 from clients that have an MD5 hash.
     pub md5: bool,
-    /// How long a nonce is good for.
+    /// How long a nonce is valid.
     pub nonce_lifetime: Duration,
-    /// Wrong answers of one connection before it is refused for good.
+    /// The number of failed attempts of one connection after which it is refused for good.
     pub max_failures: u32,
 }
 
 /// A known client's secret.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Secret {
-    /// Its hash by SHA-256.
+    /// Its SHA-256 hash.
     pub sha256: Ha1,
-    /// Its hash by MD5, for old clients.
+    /// Its MD5 hash, for old clients.
     pub md5: Option<Ha1>,
 }
 
-/// What one connection has shown so far.
+/// The authentication state of one connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AuthState {
-    /// The last nonce's time and its last count.
+    /// The issue time in milliseconds of the last nonce used, and its last nonce count.
     last: Option<(u64, u32)>,
     failures: u32,
 }
 
-/// The request that credentials come with.
+/// The request that carries the credentials.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Request<'a> {
     /// Its method.
@@ -53,122 +53,124 @@
     pub uri: &'a str,
 }
 
-/// Why a client is not known, for counts.
+/// Why a client is challenged, for counters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ChallengeReason {
-    /// It said nothing of itself, or asked for a nonce.
+    /// It sent no credentials, or requested a nonce.
     NoCredentials,
-    /// The nonce was ours once.
+    /// Its nonce has expired or was issued for another connection.
     Stale,
-    /// The count did not rise: a replay.
+    /// The nonce count did not increase: a replay.
     Replay,
-    /// A name that is not known, or a wrong secret: which of the two is not told.
+    /// The name is unknown or the secret is wrong. The client is not told which.
     WrongCredentials,
-    /// An algorithm that is not allowed.
+    /// The algorithm is not allowed.
     WeakAlgorithm,
-    /// The field cannot be used, or names another request.
+    /// The header field is malformed, or belongs to another request.
     Unusable,
 }
 
-/// The decision.
+/// The decision on a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AuthOutcome {
-    /// It is this client. The text is the Authentication-Info of the answer (RFC 7616 §3.5).
+    /// The request comes from a known client.
     Known {
-        /// Its name.
+        /// The client's name.
         client: Arc<str>,
-        /// The field's value.
+        /// The value of the Authentication-Info field for the response (RFC 7616 §3.5).
         info: String,
     },
-    /// It is to be asked (again): 401.
+    /// The client is to be challenged (again): 401.
     Challenge {
-        /// The nonce was the only thing at fault, so that the client need not ask its user.
+        /// Only the nonce was at fault, so that the client need not ask its user for the password.
         stale: bool,
         /// Why.
         reason: ChallengeReason,
     },
-    /// Too many wrong answers: 403, and the connection is not worth keeping.
+    /// Too many failed attempts: 403, and the connection should be closed.
     Refuse,
 }
 
-/// The decisions.
+/// Authenticates requests.
 #[derive(Clone, Debug)]
 pub struct Authenticator {
     settings: AuthenticatorSettings,
     nonces: NonceIssuer,
     secrets: BTreeMap<Arc<str>, Secret>,
-    /// Checked in place of an unknown client's, so that the time taken does not tell which names there are.
-    nobody: (Ha1, Ha1),
+    /// SHA-256 and MD5 hashes that are checked for an unknown name, so that response times do not reveal
+    /// which names exist.
+    dummy_hashes: (Ha1, Ha1),
 }
 
 impl Authenticator {
-    /// A guard who knows nobody yet; `key` is to be secret and fresh at each start.
+    /// An authenticator without clients. `key` must be secret and new at each start.
     #[must_use]
     pub fn new(settings: AuthenticatorSettings, key: [u8; 32]) -> Self {
-        let nobody = |algorithm| ha1(algorithm, "", &settings.realm, "");
-        let nobody = (nobody(Algorithm::Sha256), nobody(Algorithm::Md5));
+        let dummy_hash = |algorithm| ha1(algorithm, "", &settings.realm, "");
+        let dummy_hashes = (dummy_hash(Algorithm::Sha256), dummy_hash(Algorithm::Md5));
         let nonces = NonceIssuer::new(key, settings.nonce_lifetime);
-        Self { settings, nonces, secrets: BTreeMap::new(), nobody }
+        Self { settings, nonces, secrets: BTreeMap::new(), dummy_hashes }
     }
 
-    /// Replaces the secrets; the names that are gone or have another secret now are returned.
+    /// Replaces the secrets. Returns the names that were removed or now have another secret.
     pub fn set_secrets(&mut self, secrets: BTreeMap<Arc<str>, Secret>) -> Vec<Arc<str>> {
         let old = std::mem::replace(&mut self.secrets, secrets);
         let changed = |(name, secret): &(Arc<str>, Secret)| self.secrets.get(name) != Some(secret);
         old.into_iter().filter(changed).map(|(name, _)| name).collect()
     }
 
-    /// The values of WWW-Authenticate, best algorithm first (RFC 8760 §2.3), a field for each.
+    /// The values of the WWW-Authenticate fields, one per algorithm, best algorithm first (RFC 8760 §2.3).
     #[must_use]
     pub fn challenge(&self, now: Duration, connection: u64, stale: bool) -> Vec<String> {
         let nonce = self.nonces.issue(now, connection);
         let stale = if stale { ", stale=true" } else { "" };
         let algorithms = [Some(Algorithm::Sha256), self.settings.md5.then_some(Algorithm::Md5)];
         let write = |algorithm: Algorithm| {
-            let (realm, name) = (quoted(&self.settings.realm), algorithm.text());
+            let (realm, name) = (escape_quoted(&self.settings.realm), algorithm.text());
             format!("Digest realm=\"{realm}\", nonce=\"{nonce}\", qop=\"auth\", algorithm={name}{stale}")
         };
         algorithms.into_iter().flatten().map(write).collect()
     }
 
-    /// Judges the credentials of a request on a connection: the values of its Authorization fields.
+    /// Checks the credentials of a request: the values of its Authorization fields.
     pub fn check<'v>(
         &self,
         now: Duration,
         connection: u64,
-        proof: &mut AuthState,
+        state: &mut AuthState,
         request: Request<'_>,
         values: impl Iterator<Item = &'v str>,
     ) -> AuthOutcome {
-        let ask = |reason| AuthOutcome::Challenge { stale: matches!(reason, ChallengeReason::Stale), reason };
-        if proof.failures >= self.settings.max_failures {
+        let challenge =
+            |reason| AuthOutcome::Challenge { stale: matches!(reason, ChallengeReason::Stale), reason };
+        if state.failures >= self.settings.max_failures {
             return AuthOutcome::Refuse;
         }
-        let mut seen = values.map(Credentials::parse).filter_map(|parsed| match parsed {
-            // Credentials for somebody else (§22.3) and other schemes are passed over.
+        let mut candidates = values.map(Credentials::parse).filter_map(|parsed| match parsed {
+            // Credentials for another realm (§22.3) and of other schemes are skipped.
             Ok(credentials) => (*credentials.realm == self.settings.realm).then_some(Ok(credentials)),
             Err(crate::CredentialsError::Scheme) => None,
             Err(error) => Some(Err(error)),
         });
-        let credentials = match seen.next() {
-            None => return ask(ChallengeReason::NoCredentials),
-            Some(Err(_)) => return self.wrong(proof, ChallengeReason::Unusable),
+        let credentials = match candidates.next() {
+            None => return challenge(ChallengeReason::NoCredentials),
+            Some(Err(_)) => return self.fail(state, ChallengeReason::Unusable),
             Some(Ok(credentials)) => credentials,
         };
         if credentials.nonce.is_empty() {
-            return ask(ChallengeReason::NoCredentials);
+            return challenge(ChallengeReason::NoCredentials);
         }
         if credentials.uri != request.uri {
-            return self.wrong(proof, ChallengeReason::Unusable);
+            return self.fail(state, ChallengeReason::Unusable);
         }
         if credentials.algorithm == Algorithm::Md5 && !self.settings.md5 {
-            return self.wrong(proof, ChallengeReason::WeakAlgorithm);
+            return self.fail(state, ChallengeReason::WeakAlgorithm);
         }
-        let made = match self.nonces.check(now, connection, &credentials.nonce) {
-            Ok(made) => made,
-            Err(NonceError::Expired) => return ask(ChallengeReason::Stale),
-            // As after a reconnection, where the client still holds the nonce of the connection before.
-            Err(NonceError::Invalid) => return ask(ChallengeReason::Stale),
+        let issued_ms = match self.nonces.check(now, connection, &credentials.nonce) {
+            Ok(issued_ms) => issued_ms,
+            Err(NonceError::Expired) => return challenge(ChallengeReason::Stale),
+            // Happens after a reconnection, when the client still uses the nonce of the earlier connection.
+            Err(NonceError::Invalid) => return challenge(ChallengeReason::Stale),
         };
         let known = self.secrets.get_key_value(&*credentials.username);
         let ha1 = match (known, credentials.algorithm) {
@@ -176,42 +178,38 @@
             (Some((_, secret)), Algorithm::Md5) => secret.md5.as_ref(),
             (None, _) => None,
         };
-        let nobody = if credentials.algorithm == Algorithm::Md5 { &self.nobody.1 } else { &self.nobody.0 };
+        let (dummy_sha256, dummy_md5) = &self.dummy_hashes;
+        let dummy = if credentials.algorithm == Algorithm::Md5 { dummy_md5 } else { dummy_sha256 };
         let (algorithm, nonce, nc) = (credentials.algorithm, &*credentials.nonce, &*credentials.nc.0);
         let cnonce = &*credentials.cnonce;
-        let wanted = client_response(
-            algorithm,
-            ha1.unwrap_or(nobody),
-            (request.method, request.uri),
-            nonce,
-            nc,
-            cnonce,
-        );
+        let method_and_uri = (request.method, request.uri);
+        let expected = client_response(algorithm, ha1.unwrap_or(dummy), method_and_uri, nonce, nc, cnonce);
         let given = credentials.response.to_ascii_lowercase();
-        let same = bool::from(wanted.as_bytes().ct_eq(given.as_bytes()));
-        let (Some((client, _)), Some(ha1), true) = (known, ha1, same) else {
-            return self.wrong(proof, ChallengeReason::WrongCredentials);
+        let matches = bool::from(expected.as_bytes().ct_eq(given.as_bytes()));
+        let (Some((client, _)), Some(ha1), true) = (known, ha1, matches) else {
+            return self.fail(state, ChallengeReason::WrongCredentials);
         };
-        // After the secret, so that a forged count cannot shut out the client itself.
-        let use_now = (made, credentials.nc.1);
-        if credentials.nc.1 == 0 || proof.last.is_some_and(|last| use_now <= last) {
-            return self.wrong(proof, ChallengeReason::Replay);
+        // Checked after the secret, so that a forged nonce count cannot lock out the client itself.
+        let nonce_use = (issued_ms, credentials.nc.1);
+        if credentials.nc.1 == 0 || state.last.is_some_and(|last| nonce_use <= last) {
+            return self.fail(state, ChallengeReason::Replay);
         }
-        *proof = AuthState { last: Some(use_now), failures: 0 };
-        let server_response = server_response(algorithm, ha1, request.uri, nonce, nc, cnonce);
-        let mut info =
-            format!("qop=auth, rspauth=\"{server_response}\", cnonce=\"{}\", nc={nc}", quoted(cnonce));
-        // A nonce past half of its life is replaced before it fails.
-        let age = now.saturating_sub(Duration::from_millis(made));
+        *state = AuthState { last: Some(nonce_use), failures: 0 };
+        let rspauth = server_response(algorithm, ha1, request.uri, nonce, nc, cnonce);
+        let cnonce = escape_quoted(cnonce);
+        let mut info = format!("qop=auth, rspauth=\"{rspauth}\", cnonce=\"{cnonce}\", nc={nc}");
+        // A nonce past half of its lifetime is replaced before it expires.
+        let age = now.saturating_sub(Duration::from_millis(issued_ms));
         if age > self.nonces.lifetime() / 2 {
             info += &format!(", nextnonce=\"{}\"", self.nonces.issue(now, connection));
         }
         AuthOutcome::Known { client: client.clone(), info }
     }
 
-    fn wrong(&self, proof: &mut AuthState, reason: ChallengeReason) -> AuthOutcome {
-        proof.failures += 1;
-        if proof.failures >= self.settings.max_failures {
+    /// Counts a failed attempt.
+    fn fail(&self, state: &mut AuthState, reason: ChallengeReason) -> AuthOutcome {
+        state.failures += 1;
+        if state.failures >= self.settings.max_failures {
             return AuthOutcome::Refuse;
         }
         AuthOutcome::Challenge { stale: false, reason }
--- a/crates/fawnrouter-digest/src/credentials.rs
+++ b/crates/fawnrouter-digest/src/credentials.rs
@@ -1,67 +1,67 @@
-//! The Authorization field (RFC 7616 §3.4; grammar of RFC 3261 §25.1, `credentials`).
+//! The Authorization header field (RFC 7616 §3.4; grammar of RFC 3261 §25.1, `credentials`).
 
 use std::borrow::Cow;
 
 use crate::hash::Algorithm;
 
-/// Parameters of one field; more are an attack or a mistake.
-const MOST_PARAMS: usize = 32;
-/// Bytes of one value.
-const LONGEST_VALUE: usize = 1024;
+/// The most parameters of one field; more are an attack or a mistake.
+const MAX_PARAMS: usize = 32;
+/// The most bytes of one parameter value.
+const MAX_VALUE_BYTES: usize = 1024;
 
 /// Why a field cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum CredentialsError {
-    /// Another scheme, such as Basic: not ours to judge.
+    /// Another scheme, such as Basic, which is not handled here.
     #[error("the scheme is not Digest")]
     Scheme,
-    /// Quotes or commas are at fault.
-    #[error("the parameters cannot be read")]
+    /// The parameters are not well-formed.
+    #[error("the parameters are malformed")]
     Syntax,
-    /// More or longer parameters than anybody needs.
+    /// There are more parameters, or longer ones, than the limits allow.
     #[error("too many or too long parameters")]
     TooLarge,
-    /// A parameter stands twice, which two readers might read in two ways.
-    #[error("a parameter stands twice")]
+    /// A parameter occurs twice, and two parsers might pick different ones.
+    #[error("a parameter occurs twice")]
     Duplicate,
-    /// A parameter that must be there is not.
+    /// A required parameter is missing.
     #[error("{0} is missing")]
     Missing(&'static str),
-    /// An algorithm that is not known.
-    #[error("the algorithm is not known")]
+    /// The algorithm is not supported.
+    #[error("the algorithm is not supported")]
     Algorithm,
-    /// Not the protection that was asked for.
+    /// The quality of protection is not the one that was requested.
     #[error("qop is not auth")]
     Qop,
-    /// The count of uses is not eight hex digits.
+    /// The nonce count is not eight hex digits.
     #[error("nc is not eight hex digits")]
     NonceCount,
 }
 
-/// What a client says to show who it is.
+/// The credentials that a client sends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Credentials<'a> {
-    /// Its name.
+    /// The client's name.
     pub username: Cow<'a, str>,
-    /// Where the name belongs.
+    /// The realm that the name belongs to.
     pub realm: Cow<'a, str>,
-    /// The server's nonce; empty to ask for one (as in 3GPP TS 24.229 §5.1.1.2).
+    /// The server's nonce; empty to request one (as in 3GPP TS 24.229 §5.1.1.2).
     pub nonce: Cow<'a, str>,
     /// The request's URI.
     pub uri: Cow<'a, str>,
-    /// The answer, hex digits.
+    /// The response, in hex digits.
     pub response: Cow<'a, str>,
-    /// The algorithm.
+    /// The hash algorithm.
     pub algorithm: Algorithm,
     /// The client's nonce.
     pub cnonce: Cow<'a, str>,
-    /// How often the nonce has been used, this time included: as written, and its value.
+    /// The nonce count, this use included: as written, and its value.
     pub nc: (Cow<'a, str>, u32),
 }
 
 impl<'a> Credentials<'a> {
-    /// Reads the value of a field.
+    /// Parses the value of a header field.
     ///
     /// # Errors
     /// See [`CredentialsError`].
@@ -70,12 +70,12 @@
         if !scheme.eq_ignore_ascii_case("Digest") {
             return Err(CredentialsError::Scheme);
         }
-        let params = params(rest)?;
+        let params = parse_params(rest)?;
         let get =
             |name: &'static str| params.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|p| &p.1);
-        let must = |name| get(name).cloned().ok_or(CredentialsError::Missing(name));
-        let username = must("username")?;
-        let (realm, nonce) = (must("realm")?, must("nonce")?);
+        let required = |name| get(name).cloned().ok_or(CredentialsError::Missing(name));
+        let username = required("username")?;
+        let (realm, nonce) = (required("realm")?, required("nonce")?);
         let algorithm =
             Algorithm::from_token(get("algorithm").map(AsRef::as_ref)).ok_or(CredentialsError::Algorithm)?;
         let empty = || Cow::Borrowed("");
@@ -84,41 +84,41 @@
             let (uri, response, cnonce) = (empty(), empty(), empty());
             return Ok(Self { username, realm, nonce, uri, response, algorithm, cnonce, nc });
         }
-        if !must("qop")?.eq_ignore_ascii_case("auth") {
+        if !required("qop")?.eq_ignore_ascii_case("auth") {
             return Err(CredentialsError::Qop);
         }
-        let nc = must("nc")?;
+        let nc = required("nc")?;
         let count = u32::from_str_radix(&nc, 16).ok();
         let count = count.filter(|_| nc.len() == 8 && nc.bytes().all(|b| b.is_ascii_hexdigit()));
         let nc = (nc, count.ok_or(CredentialsError::NonceCount)?);
-        let (uri, response, cnonce) = (must("uri")?, must("response")?, must("cnonce")?);
+        let (uri, response, cnonce) = (required("uri")?, required("response")?, required("cnonce")?);
         if cnonce.is_empty() {
             return Err(CredentialsError::Missing("cnonce"));
         }
         Ok(Self { username, realm, nonce, uri, response, algorithm, cnonce, nc })
     }
 
-    /// Writes the field's value, for a client.
+    /// The value of the header field, as a client sends it.
     #[must_use]
     pub fn write(&self) -> String {
         let mut out = format!(
             "Digest username=\"{}\", realm=\"{}\", nonce=\"{}\", uri=\"{}\", response=\"{}\", algorithm={}",
-            quoted(&self.username),
-            quoted(&self.realm),
-            quoted(&self.nonce),
-            quoted(&self.uri),
-            quoted(&self.response),
+            escape_quoted(&self.username),
+            escape_quoted(&self.realm),
+            escape_quoted(&self.nonce),
+            escape_quoted(&self.uri),
+            escape_quoted(&self.response),
             self.algorithm.text()
         );
         if !self.nonce.is_empty() {
-            out += &format!(", qop=auth, cnonce=\"{}\", nc={}", quoted(&self.cnonce), self.nc.0);
+            out += &format!(", qop=auth, cnonce=\"{}\", nc={}", escape_quoted(&self.cnonce), self.nc.0);
         }
         out
     }
 }
 
-/// Escapes what may not stand in quotes as it is.
-pub(crate) fn quoted(text: &str) -> Cow<'_, str> {
+/// Escapes quotes and backslashes for a quoted string.
+pub(crate) fn escape_quoted(text: &str) -> Cow<'_, str> {
     if text.contains(['"', '\\']) {
         text.replace('\\', "\\\\").replace('"', "\\\"").into()
     } else {
@@ -128,58 +128,58 @@
 
 type Params<'a> = Vec<(&'a str, Cow<'a, str>)>;
 
-fn params(text: &str) -> Result<Params<'_>, CredentialsError> {
-    let mut out: Params<'_> = Vec::new();
+fn parse_params(text: &str) -> Result<Params<'_>, CredentialsError> {
+    let mut params: Params<'_> = Vec::new();
     let mut rest = text.trim();
     while !rest.is_empty() {
         let (name, after) = rest.split_once('=').ok_or(CredentialsError::Syntax)?;
         let name = name.trim();
-        let token = |b: u8| b.is_ascii_alphanumeric() || b"-.!%*_+`'~".contains(&b);
-        if name.is_empty() || !name.bytes().all(token) {
+        let is_token = |b: u8| b.is_ascii_alphanumeric() || b"-.!%*_+`'~".contains(&b);
+        if name.is_empty() || !name.bytes().all(is_token) {
             return Err(CredentialsError::Syntax);
         }
         let after = after.trim_start();
         let (value, next) = match after.strip_prefix('"') {
-            Some(inner) => quoted_value(inner)?,
+            Some(inner) => parse_quoted(inner)?,
             None => {
                 let end = after.find(',').unwrap_or(after.len());
                 let value = after[..end].trim();
-                if value.is_empty() || !value.bytes().all(token) {
+                if value.is_empty() || !value.bytes().all(is_token) {
                     return Err(CredentialsError::Syntax);
                 }
                 (Cow::Borrowed(value), &after[end..])
             }
         };
-        if out.len() >= MOST_PARAMS || value.len() > LONGEST_VALUE {
+        if params.len() >= MAX_PARAMS || value.len() > MAX_VALUE_BYTES {
             return Err(CredentialsError::TooLarge);
         }
-        if out.iter().any(|(n, _)| n.eq_ignore_ascii_case(name)) {
+        if params.iter().any(|(n, _)| n.eq_ignore_ascii_case(name)) {
             return Err(CredentialsError::Duplicate);
         }
-        out.push((name, value));
+        params.push((name, value));
         rest = match next.trim_start() {
             "" => "",
             next => next.strip_prefix(',').ok_or(CredentialsError::Syntax)?.trim_start(),
         };
     }
-    Ok(out)
+    Ok(params)
 }
 
-/// A value up to its closing quote, and what follows.
-fn quoted_value(inner: &str) -> Result<(Cow<'_, str>, &str), CredentialsError> {
+/// The value up to its closing quote, and the text after it.
+fn parse_quoted(inner: &str) -> Result<(Cow<'_, str>, &str), CredentialsError> {
     let mut unescaped: Option<String> = None;
     let mut chars = inner.char_indices();
-    while let Some((at, c)) = chars.next() {
+    while let Some((index, c)) = chars.next() {
         match c {
             '"' => {
                 let value = match unescaped {
                     Some(text) => Cow::Owned(text),
-                    None => Cow::Borrowed(&inner[..at]),
+                    None => Cow::Borrowed(&inner[..index]),
                 };
-                return Ok((value, &inner[at + 1..]));
+                return Ok((value, &inner[index + 1..]));
             }
             '\\' => {
-                let text = unescaped.get_or_insert_with(|| inner[..at].to_owned());
+                let text = unescaped.get_or_insert_with(|| inner[..index].to_owned());
                 text.push(chars.next().ok_or(CredentialsError::Syntax)?.1);
             }
             c if c < ' ' && c != '\t' => return Err(CredentialsError::Syntax),
--- a/crates/fawnrouter-digest/src/hash.rs
+++ b/crates/fawnrouter-digest/src/hash.rs
@@ -1,21 +1,21 @@
-//! Hashes of RFC 7616 §3.4, with the algorithms that RFC 8760 §2.1 lists first and last.
+//! The digests of RFC 7616 §3.4, with the first and the last of the algorithms that RFC 8760 §2.1 lists.
 
 use std::fmt;
 
 use md5::Md5;
 use sha2::{Digest as _, Sha256};
 
-/// An algorithm.
+/// A hash algorithm.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Algorithm {
-    /// SHA-256, which every client of RFC 8760 knows.
+    /// SHA-256, which every client of RFC 8760 supports.
     Sha256,
-    /// MD5, for old clients; broken, and refused unless the settings ask for it.
+    /// MD5, for old clients. It is broken, and refused unless the settings allow it.
     Md5,
 }
 
 impl Algorithm {
-    /// As it is written in a field.
+    /// Its name in header fields.
     #[must_use]
     pub const fn text(self) -> &'static str {
         match self {
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Reads it; a field without one means MD5 (RFC 7616 §3.3).
+    /// Parses the `algorithm` parameter. A field without it means MD5 (RFC 7616 §3.3).
     #[must_use]
     pub fn from_token(text: Option<&str>) -> Option<Self> {
         match text {
@@ -35,8 +35,8 @@
         }
     }
 
-    /// The hash of parts with colons between them, as hex digits.
-    fn of_parts(self, parts: &[&str]) -> String {
+    /// The hash of the parts joined by colons, as hex digits.
+    fn hash_parts(self, parts: &[&str]) -> String {
         let text = parts.join(":");
         match self {
             Self::Sha256 => hex(&Sha256::digest(text.as_bytes())),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Hex digits of one of its hashes.
+    /// The number of hex digits of a hash.
     #[must_use]
     pub const fn hex_length(self) -> usize {
         match self {
@@ -62,27 +62,27 @@
     })
 }
 
-/// A text that is no hash of its algorithm.
+/// The text is not a hash of its algorithm.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a hash of {} has {} hex digits", .0.text(), .0.hex_length())]
 pub struct HashError(pub Algorithm);
 
-/// H(A1): the hash of name, realm and password. It is as good as the password within its realm, so that it never
-/// shows in a log.
+/// H(A1): the hash of name, realm and password. Within its realm it is equivalent to the password, so it must
+/// never appear in a log.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Ha1(String);
 
 impl Ha1 {
-    /// Reads the hex digits.
+    /// Parses the hex digits.
     ///
     /// # Errors
-    /// Where it is no hash of that algorithm.
+    /// If the text is not a hash of that algorithm.
     pub fn parse(algorithm: Algorithm, text: &str) -> Result<Self, HashError> {
-        let sound = text.len() == algorithm.hex_length() && text.bytes().all(|b| b.is_ascii_hexdigit());
-        if sound { Ok(Self(text.to_ascii_lowercase())) } else { Err(HashError(algorithm)) }
+        let valid = text.len() == algorithm.hex_length() && text.bytes().all(|b| b.is_ascii_hexdigit());
+        if valid { Ok(Self(text.to_ascii_lowercase())) } else { Err(HashError(algorithm)) }
     }
 
-    /// The hex digits, to be written into the file of clients.
+    /// The hex digits, as they are written in the clients file.
     #[must_use]
     pub fn as_hex(&self) -> &str {
         &self.0
@@ -95,19 +95,26 @@
     }
 }
 
-/// H(A1) of a password (§3.4.2).
+/// Computes H(A1) from a password (§3.4.2).
 #[must_use]
 pub fn ha1(algorithm: Algorithm, name: &str, realm: &str, password: &str) -> Ha1 {
-    Ha1(algorithm.of_parts(&[name, realm, password]))
+    Ha1(algorithm.hash_parts(&[name, realm, password]))
 }
 
-/// What both ends mix into an answer.
-fn mixed(algorithm: Algorithm, ha1: &Ha1, a2: &[&str], nonce: &str, nc: &str, cnonce: &str) -> String {
-    let ha2 = algorithm.of_parts(a2);
-    algorithm.of_parts(&[&ha1.0, nonce, nc, cnonce, "auth", &ha2])
+/// The request digest with qop "auth" (§3.4.1): the hash of H(A1), the nonces and H(A2).
+fn request_digest(
+    algorithm: Algorithm,
+    ha1: &Ha1,
+    a2: &[&str],
+    nonce: &str,
+    nc: &str,
+    cnonce: &str,
+) -> String {
+    let ha2 = algorithm.hash_parts(a2);
+    algorithm.hash_parts(&[&ha1.0, nonce, nc, cnonce, "auth", &ha2])
 }
 
-/// The client's answer to a challenge with qop "auth" (§3.4.1).
+/// The client's `response` to a challenge with qop "auth" (§3.4.1).
 #[must_use]
 pub fn client_response(
     algorithm: Algorithm,
@@ -117,10 +124,10 @@
     nc: &str,
     cnonce: &str,
 ) -> String {
-    mixed(algorithm, ha1, &[method, uri], nonce, nc, cnonce)
+    request_digest(algorithm, ha1, &[method, uri], nonce, nc, cnonce)
 }
 
-/// The server's proof that it knows the secret too: `rspauth` (§3.5).
+/// The server's `rspauth`, which proves that it knows the secret too (§3.5).
 #[must_use]
 pub fn server_response(
     algorithm: Algorithm,
@@ -130,7 +137,7 @@
     nc: &str,
     cnonce: &str,
 ) -> String {
-    mixed(algorithm, ha1, &["", uri], nonce, nc, cnonce)
+    request_digest(algorithm, ha1, &["", uri], nonce, nc, cnonce)
 }
 
 #[cfg(test)]
@@ -139,17 +146,18 @@
 
     /// The example of RFC 7616 §3.9.1.
     #[test]
-    fn the_example_of_the_specification_comes_out() {
+    fn the_example_of_rfc_7616_is_reproduced() {
         let nonce = "7ypf/xlj9XXwfDPEoM4URrv/xwf94BcCAzFZH4GiTo0v";
         let cnonce = "f2/wE4q74E6zIJEtWaHKaf5wv/H5QzzpXusqGemxURZJ";
         let rows = [
             (Algorithm::Sha256, "753927fa0e85d155564e2e272a28d1802ca10daf4496794697cf8db5856cb6c1"),
             (Algorithm::Md5, "8ca523f5e9506fed4657c9700eebdbec"),
         ];
-        for (algorithm, wanted) in rows {
+        for (algorithm, expected) in rows {
             let ha1 = ha1(algorithm, "Mufasa", "http-auth@example.org", "Circle of Life");
-            let got = client_response(algorithm, &ha1, ("GET", "/dir/index.html"), nonce, "00000001", cnonce);
-            assert_eq!(got, wanted, "{algorithm:?}");
+            let response =
+                client_response(algorithm, &ha1, ("GET", "/dir/index.html"), nonce, "00000001", cnonce);
+            assert_eq!(response, expected, "{algorithm:?}");
             assert_eq!(Ha1::parse(algorithm, &ha1.as_hex().to_uppercase()), Ok(ha1.clone()));
             assert_eq!(format!("{ha1:?}"), "Ha1(hidden)");
         }
--- a/crates/fawnrouter-digest/src/lib.rs
+++ b/crates/fawnrouter-digest/src/lib.rs
@@ -1,13 +1,13 @@
 #![forbid(unsafe_code)]
-//! Who a client is: digest access authentication (RFC 7616) as SIP uses it (RFC 3261 §22, RFC 8760). No socket and no
-//! clock: each call gets the time, and the same calls give the same answers.
+//! Authenticates clients by digest access authentication (RFC 7616) as SIP uses it (RFC 3261 §22, RFC 8760).
+//! No socket and no clock: each call gets the time, and the same calls give the same results.
 //!
-//! | module | what is in it |
+//! | module | contents |
 //! | --- | --- |
-//! | `credentials` | the Authorization field, with limits |
-//! | `hash` | the algorithms, and what they make of a password |
-//! | `nonce` | nonces that nobody has to remember |
-//! | `authenticator` | the decision: known, challenged, refused |
+//! | `credentials` | the Authorization header field, with size limits |
+//! | `hash` | the hash algorithms and the digests of RFC 7616 |
+//! | `nonce` | nonces that need no server state |
+//! | `authenticator` | the decision on a request: known client, challenge or refusal |
 
 mod authenticator;
 mod credentials;
