--- a/crates/fawnrouter-lease/src/expiry_timer.rs
+++ b/crates/fawnrouter-lease/src/expiry_timer.rs
@@ -1,4 +1,4 @@
-//! When a lease that nobody renewed may be given on.
+//! Decides when a lease that was not renewed may be given to another gateway.
 
 use std::collections::BTreeMap;
 
@@ -6,21 +6,24 @@
 
 use crate::{Command, LeaseName, LeaseTable, Stamp};
 
-/// Counts the terms of the held leases by the clock of one voter, while it leads. Any voter could count safely, as each
-/// applies a grant after its request was sent; one is enough.
+/// Measures the terms of the held leases by the clock of one voter, while it leads. Any voter could do so
+/// safely, because each applies a grant after its request was sent; one is enough.
 ///
-/// Guards against a new leader that takes over the old one's readings: clocks of two machines have nothing to do with each
-/// other, so each counts every term whole, from when it itself began to lead or saw the last renewal, whichever is later.
-/// Costs up to one term more after a change of leader.
+/// A new leader must not continue from the old one's clock readings, because the clocks of two machines are
+/// unrelated. So each leader measures every term in full, from when it began to lead or saw the last renewal,
+/// whichever is later. A change of leader delays an expiry by up to one term.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ExpiryTimer {
+    /// The grant or renewal that is measured for each lease, and from when.
     since: BTreeMap<LeaseName, (Stamp, Time)>,
+    /// The quiet period that is measured, and from when.
     quiet: Option<(Stamp, Time)>,
     leads: bool,
 }
 
 impl ExpiryTimer {
-    /// Sees the table as it stands now; `leads` tells whether this voter leads. To be called after each change of either.
+    /// Updates the timer from the table and from whether this voter leads. To be called after each change of
+    /// either.
     pub fn observe(&mut self, now: Time, leads: bool, table: &LeaseTable) {
         if !leads || !self.leads {
             self.since.clear();
@@ -41,31 +44,34 @@
         }
     }
 
-    /// The expiries to propose now. Each is returned anew until the table has taken one, as a proposal may be lost with
-    /// the leader's log; the caller paces itself.
+    /// The commands to propose now. Each is returned again until the table has applied one, because a
+    /// proposal may be lost with the leader's log. The caller limits how often it proposes.
     #[must_use]
     pub fn due(&self, now: Time, table: &LeaseTable) -> Vec<Command> {
-        let past =
+        let has_expired =
             |lease: &LeaseName, since: Time| table.get(lease).is_some_and(|e| now >= since.plus(e.term));
-        let due = self.since.iter().filter(|(lease, (_, since))| past(lease, *since));
-        let expiries = due.map(|(lease, (stamp, _))| Command::Expire { lease: lease.clone(), stamp: *stamp });
-        let settled = self
-            .settles(table)
-            .filter(|(_, at)| now >= *at)
+        let expired = self.since.iter().filter(|(lease, (_, since))| has_expired(lease, *since));
+        let expiries =
+            expired.map(|(lease, (stamp, _))| Command::Expire { lease: lease.clone(), stamp: *stamp });
+        let end_of_quiet_period = self
+            .quiet_period_end(table)
+            .filter(|(_, end)| now >= *end)
             .map(|(stamp, _)| Command::EndQuietPeriod { stamp });
-        settled.into_iter().chain(expiries).collect()
+        end_of_quiet_period.into_iter().chain(expiries).collect()
     }
 
-    fn settles(&self, table: &LeaseTable) -> Option<(Stamp, Time)> {
+    fn quiet_period_end(&self, table: &LeaseTable) -> Option<(Stamp, Time)> {
         let (stamp, since) = self.quiet?;
-        table.quiet_period().filter(|(of, _)| *of == stamp).map(|(_, quiet)| (stamp, since.plus(quiet)))
+        let current = table.quiet_period().filter(|(current, _)| *current == stamp);
+        current.map(|(stamp, duration)| (stamp, since.plus(duration)))
     }
 
-    /// When the first term ends.
+    /// When the first term or the quiet period ends.
     #[must_use]
     pub fn next_expiry(&self, table: &LeaseTable) -> Option<Time> {
-        let ends =
+        let term_end =
             |(lease, (_, since)): (&LeaseName, &(Stamp, Time))| table.get(lease).map(|e| since.plus(e.term));
-        self.since.iter().filter_map(ends).chain(self.settles(table).map(|(_, at)| at)).min()
+        let term_ends = self.since.iter().filter_map(term_end);
+        term_ends.chain(self.quiet_period_end(table).map(|(_, end)| end)).min()
     }
 }
--- a/crates/fawnrouter-lease/src/fence.rs
+++ b/crates/fawnrouter-lease/src/fence.rs
@@ -1,4 +1,5 @@
-//! The last guard: whoever is acted upon keeps the highest number seen and refuses less.
+//! The last safeguard: the resource that is acted on keeps the highest fencing number seen and rejects lower
+//! ones.
 
 use std::collections::BTreeMap;
 
@@ -6,40 +7,41 @@
 
 use crate::{FencingNumber, LeaseName};
 
-/// The highest number seen for each lease. To be kept durably wherever it has to outlive a restart: store it before the
-/// act is carried out.
+/// The highest fencing number seen for each lease. Where it has to outlive a restart it must be kept durably,
+/// and stored before the act is carried out.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fence {
     highest: BTreeMap<LeaseName, FencingNumber>,
 }
 
-/// Why an act is refused.
+/// Why an act is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FenceError {
-    /// A later holder has acted, so the one that asks has lost its lease without knowing it.
+    /// A later holder has acted, so the sender has lost its lease without knowing it.
     #[error("number {given} of lease {lease} is behind {highest}: another gateway has the lease now")]
     StaleNumber {
-        /// Which lease.
+        /// The lease.
         lease: LeaseName,
-        /// What the act carried.
+        /// The number that the act carried.
         given: FencingNumber,
-        /// What was seen before.
+        /// The highest number seen before.
         highest: FencingNumber,
     },
-    /// No room for the number of another lease. Refused, as an act that isn't remembered isn't guarded.
+    /// There is no room for the number of another lease. The act is rejected, because without the number
+    /// later acts could not be checked.
     #[error("numbers of {0} leases are kept already")]
     Full(usize),
 }
 
 impl Fence {
-    /// Leases whose numbers are kept, at the most: as many as a table has.
+    /// The most leases whose numbers are kept: as many as a table has.
     pub const MAX_LEASES: usize = crate::LeaseTable::MAX_LEASES;
 
-    /// Whether an act under this number may be carried out; if so it is the highest from now on. Equal numbers pass: a
-    /// holder acts many times.
+    /// Admits an act if its number is not below the highest seen, and records the number. Equal numbers are
+    /// admitted, because a holder acts many times.
     ///
     /// # Errors
-    /// [`FenceError`] when it may not.
+    /// [`FenceError`] if the act is rejected.
     pub fn admit(&mut self, lease: &LeaseName, number: FencingNumber) -> Result<(), FenceError> {
         let full = self.highest.len() >= Self::MAX_LEASES;
         match self.highest.get_mut(lease) {
--- a/crates/fawnrouter-lease/src/lib.rs
+++ b/crates/fawnrouter-lease/src/lib.rs
@@ -1,20 +1,21 @@
 #![forbid(unsafe_code)]
-//! Leases among gateways: some work is done by one of them at a time. No I/O, no clock, no randomness.
+//! Leases among gateways: certain work is done by one gateway at a time. No I/O, no clock, no randomness.
 //!
 //! | module | what it decides or keeps | who runs it |
 //! | --- | --- | --- |
-//! | `table` | who has which lease, under which number: a state machine over agreed commands | every voter, alike |
-//! | `expiry_timer` | when a lease that nobody renewed may be given on | whoever leads the voters |
-//! | `holder` | whether *this* gateway may act now, by its own clock; what to ask and when | every gateway that wants a lease |
-//! | `fence` | the last guard: an act with a number below the highest seen is refused | whoever is acted upon |
+//! | `table` | who holds which lease under which number: a state machine over agreed commands | every voter |
+//! | `expiry_timer` | when a lease that was not renewed may be given away | the leader of the voters |
+//! | `holder` | whether *this* gateway may act, by its own clock; its requests | a gateway that wants a lease |
+//! | `fence` | rejects acts with a number below the highest seen: the last safeguard | the resource acted on |
 //!
-//! # Why no two act at once
+//! # Why no two gateways act at once
 //!
-//! A holder that sent its request at `s` (its own clock) and was granted `term` acts before `s + term * (1 - drift)`. A
-//! voter counts the whole `term` from when *it* applied the grant, which is later than `s`, and proposes an expiry for that
-//! one stamp; a renewal ordered before it makes the expiry void, and one ordered after it is refused. With `drift` at least
-//! the greatest ratio by which two gateways' clocks run apart, the holder has stopped before the table gives the lease on.
-//! A gateway that stands still between looking at its clock and acting is caught by the [`Fence`] alone.
+//! A holder that sent its request at `s` (by its own clock) and was granted `term` acts only before `s + term
+//! * (1 - drift)`. A voter counts the whole `term` from when it applied the grant, which is later than `s`,
+//! and proposes an expiry for the stamp of that grant. A renewal that is ordered before the expiry makes the
+//! expiry void; one that is ordered after it is refused. If `drift` is at least the greatest ratio by which
+//! the clocks of two gateways diverge, the holder has stopped before the table gives the lease to another. A
+//! gateway that is suspended between checking its clock and acting is stopped by the [`Fence`] alone.
 
 mod expiry_timer;
 mod fence;
--- a/crates/fawnrouter-lease/src/names.rs
+++ b/crates/fawnrouter-lease/src/names.rs
@@ -1,24 +1,24 @@
-//! Names, numbers and ids.
+//! Names and numbers of leases, gateways and grants.
 
 use std::fmt;
 use std::str::FromStr;
 
 use serde::{Deserialize, Serialize};
 
-/// What a lease is for, for example `report`: 1 to 32 of `a-z`, `0-9` and `-`, a letter first.
+/// The name of a lease, for example `report`: 1 to 32 characters of `a-z`, `0-9` and `-`, a letter first.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct LeaseName(String);
 
-/// Why a text is not the name of a lease.
+/// Why a text is not a valid lease name.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NameError {
-    /// Nothing, or too much.
+    /// The text is empty or too long.
     #[error("the name of a lease has 1 to 32 characters, this one has {0}")]
     Length(usize),
-    /// A character that does not belong there.
+    /// The text has a character that is not allowed, or not allowed at its start.
     #[error(
-        "the name of a lease is made of a-z, 0-9 and '-' and begins with a letter; {0:?} does not belong there"
+        "the name of a lease is made of a-z, 0-9 and '-' and begins with a letter; {0:?} is not allowed there"
     )]
     Character(char),
 }
@@ -39,9 +39,9 @@
         if !(1..=32).contains(&length) {
             return Err(NameError::Length(length));
         }
-        let belongs =
+        let is_allowed =
             |(i, c): (usize, char)| c.is_ascii_lowercase() || i > 0 && (c.is_ascii_digit() || c == '-');
-        match text.chars().enumerate().find(|at| !belongs(*at)) {
+        match text.chars().enumerate().find(|indexed| !is_allowed(*indexed)) {
             Some((_, c)) => Err(NameError::Character(c)),
             None => Ok(Self(text.to_owned())),
         }
@@ -68,7 +68,7 @@
     }
 }
 
-/// A gateway of the fleet, by the number its settings give it.
+/// A gateway of the fleet, by the number in its settings.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct GatewayId(pub u32);
 
@@ -78,16 +78,17 @@
     }
 }
 
-/// One life of a gateway's process: another after each start.
+/// One run of a gateway's process; it differs after each start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
-/// A gateway in one of its lives. A lease belongs to a life: after a restart it is another's.
+/// One incarnation of a gateway. A lease belongs to an incarnation: after a restart the gateway is another
+/// holder.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member {
     /// Which gateway.
     pub gateway: GatewayId,
-    /// Which of its lives.
+    /// Which of its incarnations.
     pub incarnation: Incarnation,
 }
 
@@ -97,18 +98,18 @@
     }
 }
 
-/// Counts how often a majority of the voters was lost for good and set up anew by command. Whatever the lost table gave
-/// out lies below the numbers of the next epoch.
+/// Counts how often the voters were set up anew by an operator's command after a majority of them was lost
+/// for good. All numbers that the lost table issued are below those of the next epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Epoch(pub u32);
 
-/// A fencing number: given with each lease that is newly taken, higher each time over all leases, by epoch and then by
-/// count. Each act carries it.
+/// A fencing number. Each new grant of a lease gets a higher one than all grants of any lease before it,
+/// ordered by epoch and then by count. Each act carries the number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct FencingNumber {
-    /// The epoch of the table that gave it.
+    /// The epoch of the table that issued it.
     pub epoch: Epoch,
-    /// Its place in that epoch, from 1.
+    /// Its position within the epoch, from 1.
     pub count: u64,
 }
 
@@ -118,7 +119,7 @@
     }
 }
 
-/// Why a text is not a fencing number.
+/// The text is not a fencing number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a fencing number is EPOCH.COUNT, both whole numbers, for example 0.17")]
 pub struct FencingNumberError;
@@ -133,6 +134,6 @@
     }
 }
 
-/// Which grant or renewal of a lease is meant: rises with each, over all leases.
+/// Identifies a grant or renewal of a lease. It increases with each one, over all leases.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Stamp(pub u64);
--- a/crates/fawnrouter-lease/src/table.rs
+++ b/crates/fawnrouter-lease/src/table.rs
@@ -1,5 +1,5 @@
-//! The lease table: a state machine over agreed commands. The same commands in the same order give the same table at
-//! every voter; it reads no clock, so that an expiry is a command like any other.
+//! The lease table: a state machine over agreed commands. The same commands in the same order give the same
+//! table at every voter. It reads no clock, so an expiry is a command like any other.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,153 +8,159 @@
 
 use crate::{Epoch, FencingNumber, LeaseName, Member, Stamp};
 
-/// A command of the agreed log.
+/// A command of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
-    /// `by` wants the lease. Asked again by its holder it is a renewal, so that a lost answer costs nothing.
+    /// Acquire the lease. From its holder it is a renewal, so that a lost reply does no harm.
     #[serde(rename = "Take")]
     Acquire {
-        /// Which lease.
+        /// The lease.
         lease: LeaseName,
-        /// Who wants it.
+        /// The gateway that requests it.
         by: Member,
-        /// For how long from when it was asked for.
+        /// The term, counted from when the request was sent.
         term: Duration,
     },
-    /// The holder goes on. Also how a lease that was handed on is accepted.
+    /// Renew the lease. Also accepts a lease that was transferred.
     Renew {
-        /// Which lease.
+        /// The lease.
         lease: LeaseName,
-        /// Who holds it.
+        /// The holder.
         by: Member,
-        /// Under which number.
+        /// The number under which it is held.
         number: FencingNumber,
     },
-    /// The holder has stopped acting and gives the lease back.
+    /// Release the lease; the holder has stopped acting.
     Release {
-        /// Which lease.
+        /// The lease.
         lease: LeaseName,
-        /// Who holds it.
+        /// The holder.
         by: Member,
-        /// Under which number.
+        /// The number under which it is held.
         number: FencingNumber,
     },
-    /// The holder has stopped acting and gives the lease to another, which has it once it has renewed it.
+    /// Transfer the lease to another gateway, which holds it once it has renewed it; the old holder has
+    /// stopped acting.
     #[serde(rename = "HandOn")]
     Transfer {
-        /// Which lease.
+        /// The lease.
         lease: LeaseName,
-        /// Who holds it.
+        /// The holder.
         by: Member,
-        /// Under which number.
+        /// The number under which it is held.
         number: FencingNumber,
-        /// Who is to have it.
+        /// The new holder.
         to: Member,
     },
-    /// Its whole term has passed by the clock of the voter that proposes this.
+    /// Expire the lease. Its whole term has passed by the clock of the voter that proposes this.
     Expire {
-        /// Which lease.
+        /// The lease.
         lease: LeaseName,
-        /// The last grant or renewal that the voter had seen. Void when there is a later one.
+        /// The last grant or renewal that the voter has seen. The command is void if there is a later one.
         stamp: Stamp,
     },
-    /// An operator takes the lease from a holder that is known to be dead, or wants it stopped: as an expiry, but without
-    /// waiting, which leaves the fencing number as the only guard.
+    /// An operator takes the lease from a holder that is known to be dead or that must be stopped. Like an
+    /// expiry, but without waiting, so that only the fencing number protects against the old holder.
     Revoke {
-        /// Which lease.
+        /// The lease.
         lease: LeaseName,
         /// Under which number it is held.
         number: FencingNumber,
     },
-    /// The voters were set up anew after a majority was lost for good.
+    /// Begin a new epoch: the voters were set up anew after a majority of them was lost for good.
     #[serde(rename = "Raise")]
     BeginEpoch {
-        /// Above all earlier ones.
+        /// The new epoch, above all earlier ones.
         epoch: Epoch,
-        /// How long nothing is granted or renewed, the longest term in this table at the least: the longest that the lost
-        /// voters can have given, as their last grants may be missing here.
+        /// How long nothing is granted or renewed. It must be the longest term that the lost voters can have
+        /// granted, as their last grants may be missing here; it is raised to at least the longest term in
+        /// this table.
         quiet: Duration,
     },
-    /// That time has passed by the clock of the voter that proposes this.
+    /// End the quiet period. It has passed by the clock of the voter that proposes this.
     #[serde(rename = "Settle")]
     EndQuietPeriod {
-        /// Of the [`Command::BeginEpoch`] that is meant.
+        /// The stamp of the [`Command::BeginEpoch`] that began it.
         stamp: Stamp,
     },
 }
 
-/// What came of a command.
+/// The result of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Reply {
-    /// The lease is `by`'s.
+    /// The sender holds the lease.
     Granted {
-        /// Under this number.
+        /// The fencing number.
         number: FencingNumber,
-        /// For this long from when the request was *sent*.
+        /// The term, counted from when the request was *sent*.
         term: Duration,
     },
-    /// Nobody has it any more.
+    /// Nobody holds the lease any more.
     Free,
-    /// It waits for the one that it was handed to.
+    /// The lease was transferred and is not yet accepted.
     Offered {
-        /// Its new number.
+        /// The new number.
         number: FencingNumber,
     },
-    /// Done; nobody waits for an answer.
+    /// The command was applied, and nobody waits for another result.
     Done,
-    /// Nothing was changed.
+    /// The command changed nothing.
     Refused(Refusal),
 }
 
 /// Why a command changed nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
 pub enum Refusal {
-    /// Another has it.
-    #[error("{holder} has it under number {number}")]
+    /// Another gateway holds the lease.
+    #[error("the lease is held by {holder} under number {number}")]
     Taken {
-        /// Who.
+        /// The other gateway.
         holder: Member,
-        /// Under which number.
+        /// The number under which it is held.
         number: FencingNumber,
     },
-    /// Not held by the one who says so, or not under that number.
-    #[error("it is not held by that gateway under that number")]
+    /// The sender does not hold the lease, or not under that number.
+    #[error("the lease is not held by that gateway under that number")]
     NotHeld,
-    /// The term is outside of what the table takes.
+    /// The term is outside the allowed range.
     #[serde(rename = "Term")]
-    #[error("a term lies between {} ms and {} ms", LeaseTable::TERM_RANGE.0.as_millis(), LeaseTable::TERM_RANGE.1.as_millis())]
+    #[error(
+        "a term lies between {} ms and {} ms",
+        LeaseTable::TERM_RANGE.0.as_millis(),
+        LeaseTable::TERM_RANGE.1.as_millis()
+    )]
     TermOutOfRange,
-    /// No room for another lease.
+    /// There is no room for another lease.
     #[error("the table is full: {} leases at most", LeaseTable::MAX_LEASES)]
     Full,
-    /// An expiry of a grant that has been renewed since.
-    #[error("it has been renewed since")]
+    /// The stamp is not the current one, for example because the lease has been renewed since.
+    #[error("the lease has been renewed since")]
     Renewed,
-    /// The voters were set up anew; grants of the lost ones may still run.
+    /// The voters were set up anew, and grants of the lost ones may not have run out yet.
     #[serde(rename = "Quiet")]
     #[error("the voters were set up anew, and nothing is granted until earlier grants have run out")]
     QuietPeriod,
-    /// An epoch that does not lie above the present one.
+    /// The epoch is not above the present one.
     #[error("the epoch is {0:?} already")]
     EpochPassed(Epoch),
 }
 
-/// A lease that somebody has.
+/// A lease that is held.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseEntry {
-    /// Who has it.
+    /// The holder.
     pub holder: Member,
-    /// Under which number.
+    /// The number under which it is held.
     pub number: FencingNumber,
-    /// Its last grant or renewal.
+    /// The stamp of its last grant or renewal.
     pub stamp: Stamp,
-    /// How long a grant holds.
+    /// The term of a grant.
     pub term: Duration,
-    /// Handed on and not accepted yet: the holder named here has never been told that it may act.
+    /// The lease was transferred and is not yet accepted: the holder has never had permission to act.
     pub offered: bool,
 }
 
-/// Who has which lease. What is not in it is free.
+/// The held leases. A lease that is not in the table is free.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseTable {
     epoch: Epoch,
@@ -165,19 +171,19 @@
 }
 
 impl LeaseTable {
-    /// Leases held at once, at the most; another is refused. A fleet has a handful of kinds of such work.
+    /// The most leases held at once. A fleet has only a handful of kinds of work that need one.
     pub const MAX_LEASES: usize = 64;
-    /// The shortest and the longest term. Below, a lease would not outlast a few lost messages; above, a dead holder
-    /// blocks its work for too long.
+    /// The shortest and the longest term. With a shorter one, a lease would not outlast a few lost messages;
+    /// with a longer one, a dead holder would block its work for too long.
     pub const TERM_RANGE: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(600));
 
-    /// The lease, if somebody has it.
+    /// The entry of a lease, if it is held.
     #[must_use]
     pub fn get(&self, lease: &LeaseName) -> Option<&LeaseEntry> {
         self.leases.get(lease)
     }
 
-    /// All that are held, by name.
+    /// All held leases, ordered by name.
     pub fn iter(&self) -> impl Iterator<Item = (&LeaseName, &LeaseEntry)> {
         self.leases.iter()
     }
@@ -188,19 +194,20 @@
         self.epoch
     }
 
-    /// The highest number given so far.
+    /// The highest number issued so far.
     #[must_use]
     pub fn highest(&self) -> FencingNumber {
         FencingNumber { epoch: self.epoch, count: self.count }
     }
 
-    /// Since which command, and for how long, nothing is granted.
+    /// The quiet period in which nothing is granted, if any: the stamp of the command that began it, and its
+    /// duration.
     #[must_use]
     pub fn quiet_period(&self) -> Option<(Stamp, Duration)> {
         self.quiet
     }
 
-    /// Applies one agreed command.
+    /// Applies a command of the replicated log.
     pub fn apply(&mut self, command: &Command) -> Reply {
         match self.try_apply(command) {
             Ok(reply) => reply,
@@ -210,18 +217,18 @@
 
     fn try_apply(&mut self, command: &Command) -> Result<Reply, Refusal> {
         match command {
-            Command::Acquire { lease, by, term } => self.take(lease, *by, *term),
+            Command::Acquire { lease, by, term } => self.acquire(lease, *by, *term),
             Command::Renew { lease, by, number } => {
-                self.held(lease, *by, *number)?;
+                self.held_entry(lease, *by, *number)?;
                 Ok(self.renew(lease))
             }
             Command::Release { lease, by, number } => {
-                self.held(lease, *by, *number)?;
+                self.held_entry(lease, *by, *number)?;
                 self.leases.remove(lease);
                 Ok(Reply::Free)
             }
             Command::Transfer { lease, by, number, to } => {
-                let term = self.held(lease, *by, *number)?.term;
+                let term = self.held_entry(lease, *by, *number)?.term;
                 let number = self.grant(lease, *to, term, true);
                 Ok(Reply::Offered { number })
             }
@@ -239,9 +246,10 @@
                 Ok(Reply::Free)
             }
             Command::BeginEpoch { epoch, quiet } if *epoch > self.epoch => {
-                // Guards against grants of the lost voters that are not known here, and against renewals of those that
-                // are: this table may be older than the lost one, in which another has the lease by now. Could do harm
-                // where the time is given too short: then the fencing number alone tells the two apart.
+                // The lost voters may have issued grants that are not known here. Leases that are known here
+                // must not be renewed either: in the lost table, which may be newer, another gateway may hold
+                // them by now. If the given time is too short, only the fencing number protects against two
+                // holders.
                 let longest = self.leases.values().map(|entry| entry.term).max().unwrap_or_default();
                 self.leases.clear();
                 self.stamps += 1;
@@ -258,14 +266,15 @@
         }
     }
 
-    fn take(&mut self, lease: &LeaseName, by: Member, term: Duration) -> Result<Reply, Refusal> {
+    fn acquire(&mut self, lease: &LeaseName, by: Member, term: Duration) -> Result<Reply, Refusal> {
         if term < Self::TERM_RANGE.0 || term > Self::TERM_RANGE.1 {
             return Err(Refusal::TermOutOfRange);
         }
         let full = self.leases.len() >= Self::MAX_LEASES;
         match self.leases.get_mut(lease) {
             Some(entry) if entry.holder == by => {
-                // A shorter term would let the table give the lease on before an earlier grant of it has run out.
+                // With a shorter term, the table could give the lease to another before an earlier grant has
+                // run out.
                 entry.term = entry.term.max(term);
                 Ok(self.renew(lease))
             }
@@ -279,9 +288,14 @@
         }
     }
 
-    /// The lease as held by that gateway under that number. Guards against renewals and releases that are late or come
-    /// twice, from an earlier hold of the same gateway.
-    fn held(&self, lease: &LeaseName, by: Member, number: FencingNumber) -> Result<&LeaseEntry, Refusal> {
+    /// The entry of a lease that the gateway holds under that number. The number excludes late or duplicate
+    /// renewals and releases from an earlier hold by the same gateway.
+    fn held_entry(
+        &self,
+        lease: &LeaseName,
+        by: Member,
+        number: FencingNumber,
+    ) -> Result<&LeaseEntry, Refusal> {
         let entry = self.leases.get(lease).ok_or(Refusal::NotHeld)?;
         if entry.holder == by && entry.number == number { Ok(entry) } else { Err(Refusal::NotHeld) }
     }
--- a/crates/fawnrouter-lease/tests/holder.rs
+++ b/crates/fawnrouter-lease/tests/holder.rs
@@ -1,4 +1,4 @@
-//! The holder's side: when it may act, and what it asks.
+//! The holder's side: when it may act, and which requests it sends.
 
 use std::time::Duration;
 
@@ -10,20 +10,20 @@
 
 const TERM: Duration = Duration::from_secs(10);
 
-fn report() -> LeaseName {
+fn lease() -> LeaseName {
     "report".parse().unwrap()
 }
 
-fn at(seconds: f64) -> Time {
+fn at_s(seconds: f64) -> Time {
     Time(Duration::from_secs_f64(seconds))
 }
 
-fn me() -> Member {
+fn member() -> Member {
     Member { gateway: GatewayId(3), incarnation: Incarnation(9) }
 }
 
 fn holder() -> Holder {
-    Holder::new(me(), HolderSettings { term: TERM, drift: 0.1, ..HolderSettings::default() })
+    Holder::new(member(), HolderSettings { term: TERM, drift: 0.1, ..HolderSettings::default() })
 }
 
 fn granted(count: u64) -> Reply {
@@ -34,186 +34,186 @@
     FencingNumber { epoch: Epoch(0), count }
 }
 
-/// One that holds `number(1)` by a request sent at 1 s.
-fn holding() -> Holder {
+/// A holder of the lease under `number(1)`, by a request sent at 1 s.
+fn holder_of_lease() -> Holder {
     let mut holder = holder();
-    holder.acquire(at(1.0), &report());
-    let asks = holder.poll_requests(at(1.0));
-    assert_eq!(asks[0].2, LeaseRequest::Acquire { term: TERM });
-    holder.handle_reply(at(1.5), &report(), asks[0].0, &granted(1));
+    holder.acquire(at_s(1.0), &lease());
+    let requests = holder.poll_requests(at_s(1.0));
+    assert_eq!(requests[0].2, LeaseRequest::Acquire { term: TERM });
+    holder.handle_reply(at_s(1.5), &lease(), requests[0].0, &granted(1));
     holder
 }
 
 #[test]
-fn it_may_act_from_the_grant_until_the_term_less_the_drift_after_it_asked() {
-    let holder = holding();
-    let permit = holder.permit(at(1.5), &report()).unwrap();
-    assert_eq!((permit.number, permit.until), (number(1), at(10.0)));
-    assert!(holder.permit(at(9.999), &report()).is_some());
-    assert_eq!(holder.permit(at(10.0), &report()), None);
-    assert_eq!(holder.status(at(10.0), &report()), LeaseStatus::Uncertain(number(1)));
+fn a_permit_lasts_for_the_term_less_the_drift_from_when_the_request_was_sent() {
+    let holder = holder_of_lease();
+    let permit = holder.permit(at_s(1.5), &lease()).unwrap();
+    assert_eq!((permit.number, permit.until), (number(1), at_s(10.0)));
+    assert!(holder.permit(at_s(9.999), &lease()).is_some());
+    assert_eq!(holder.permit(at_s(10.0), &lease()), None);
+    assert_eq!(holder.status(at_s(10.0), &lease()), LeaseStatus::Uncertain(number(1)));
 }
 
 #[test]
-fn a_grant_that_took_longer_than_the_term_gives_no_permit_and_is_renewed_at_once() {
+fn a_grant_that_arrives_after_its_term_gives_no_permit_and_is_renewed_at_once() {
     let mut holder = holder();
-    holder.acquire(at(0.0), &report());
-    let first = holder.poll_requests(at(0.0))[0].0;
-    holder.handle_reply(at(9.5), &report(), first, &granted(1));
-    assert_eq!(holder.permit(at(9.5), &report()), None);
-    let asks = holder.poll_requests(at(9.5));
-    assert_eq!(asks[0].2, LeaseRequest::Renew { number: number(1) });
-    holder.handle_reply(at(9.6), &report(), asks[0].0, &granted(1));
-    assert_eq!(holder.permit(at(9.6), &report()).unwrap().until, at(18.5));
+    holder.acquire(at_s(0.0), &lease());
+    let first = holder.poll_requests(at_s(0.0))[0].0;
+    holder.handle_reply(at_s(9.5), &lease(), first, &granted(1));
+    assert_eq!(holder.permit(at_s(9.5), &lease()), None);
+    let requests = holder.poll_requests(at_s(9.5));
+    assert_eq!(requests[0].2, LeaseRequest::Renew { number: number(1) });
+    holder.handle_reply(at_s(9.6), &lease(), requests[0].0, &granted(1));
+    assert_eq!(holder.permit(at_s(9.6), &lease()).unwrap().until, at_s(18.5));
 }
 
 #[test]
-fn it_renews_after_a_third_and_asks_again_when_nobody_answers() {
-    let mut holder = holding();
-    assert_eq!(holder.next_wake(), Some(at(4.0)));
+fn it_renews_after_a_third_of_the_term_and_retries_without_a_reply() {
+    let mut holder = holder_of_lease();
+    assert_eq!(holder.next_wake(), Some(at_s(4.0)));
     let mut sent = Vec::new();
-    let mut now = at(4.0);
-    while now < at(10.0) {
-        for (request, _, ask) in holder.poll_requests(now) {
-            assert_eq!(ask, LeaseRequest::Renew { number: number(1) });
-            sent.push((request, now));
+    let mut now = at_s(4.0);
+    while now < at_s(10.0) {
+        for (id, _, request) in holder.poll_requests(now) {
+            assert_eq!(request, LeaseRequest::Renew { number: number(1) });
+            sent.push((id, now));
         }
         now = holder.next_wake().unwrap();
     }
     assert!(sent.len() >= 3, "{sent:?}");
-    // The answer to the second counts from when the second was sent, however late it comes.
-    let (request, when) = sent[1];
-    holder.handle_reply(at(9.9), &report(), request, &granted(1));
-    assert_eq!(holder.permit(at(9.9), &report()).unwrap().until, when.plus(TERM.mul_f64(0.9)));
-    // An answer to an earlier one does not shorten it, one that comes twice changes nothing.
-    holder.handle_reply(at(9.95), &report(), sent[0].0, &granted(1));
-    holder.handle_reply(at(9.95), &report(), request, &granted(1));
-    assert_eq!(holder.permit(at(9.95), &report()).unwrap().until, when.plus(TERM.mul_f64(0.9)));
+    // The grant in the second reply counts from when the second request was sent, however late it comes.
+    let (second, sent_at) = sent[1];
+    holder.handle_reply(at_s(9.9), &lease(), second, &granted(1));
+    assert_eq!(holder.permit(at_s(9.9), &lease()).unwrap().until, sent_at.plus(TERM.mul_f64(0.9)));
+    // A reply to an earlier request does not shorten the permit, and a duplicate reply changes nothing.
+    holder.handle_reply(at_s(9.95), &lease(), sent[0].0, &granted(1));
+    holder.handle_reply(at_s(9.95), &lease(), second, &granted(1));
+    assert_eq!(holder.permit(at_s(9.95), &lease()).unwrap().until, sent_at.plus(TERM.mul_f64(0.9)));
 }
 
 #[test]
-fn answers_to_requests_that_it_did_not_send_give_no_permit() {
+fn replies_to_requests_that_it_did_not_send_give_no_permit() {
     let mut holder = holder();
-    holder.acquire(at(0.0), &report());
-    holder.handle_reply(at(0.1), &report(), 77, &granted(1));
-    assert_eq!(holder.permit(at(0.1), &report()), None);
+    holder.acquire(at_s(0.0), &lease());
+    holder.handle_reply(at_s(0.1), &lease(), 77, &granted(1));
+    assert_eq!(holder.permit(at_s(0.1), &lease()), None);
 }
 
 #[test]
-fn a_refused_renewal_ends_the_permit_at_once_and_it_asks_anew() {
-    let mut holder = holding();
-    let renewal = holder.poll_requests(at(4.0))[0].0;
-    holder.handle_reply(at(4.1), &report(), renewal, &Reply::Refused(Refusal::NotHeld));
-    assert_eq!(holder.permit(at(4.1), &report()), None);
-    let asks = holder.poll_requests(at(4.1));
-    assert_eq!(asks[0].2, LeaseRequest::Acquire { term: TERM });
-    holder.handle_reply(at(4.2), &report(), asks[0].0, &granted(5));
-    assert_eq!(holder.permit(at(4.2), &report()).unwrap().number, number(5));
+fn a_refused_renewal_ends_the_permit_at_once_and_the_lease_is_requested_again() {
+    let mut holder = holder_of_lease();
+    let renewal = holder.poll_requests(at_s(4.0))[0].0;
+    holder.handle_reply(at_s(4.1), &lease(), renewal, &Reply::Refused(Refusal::NotHeld));
+    assert_eq!(holder.permit(at_s(4.1), &lease()), None);
+    let requests = holder.poll_requests(at_s(4.1));
+    assert_eq!(requests[0].2, LeaseRequest::Acquire { term: TERM });
+    holder.handle_reply(at_s(4.2), &lease(), requests[0].0, &granted(5));
+    assert_eq!(holder.permit(at_s(4.2), &lease()).unwrap().number, number(5));
 }
 
 #[test]
-fn a_late_refusal_of_an_earlier_hold_takes_nothing_from_the_present_one() {
-    let mut holder = holding();
-    let old = holder.poll_requests(at(4.0))[0].0;
-    let resent = holder.poll_requests(at(4.2))[0].0;
-    holder.handle_reply(at(4.3), &report(), resent, &Reply::Refused(Refusal::NotHeld));
-    let take = holder.poll_requests(at(4.3))[0].0;
-    holder.handle_reply(at(4.4), &report(), take, &granted(5));
+fn a_late_refusal_of_an_earlier_hold_does_not_affect_the_present_one() {
+    let mut holder = holder_of_lease();
+    let old = holder.poll_requests(at_s(4.0))[0].0;
+    let resent = holder.poll_requests(at_s(4.2))[0].0;
+    holder.handle_reply(at_s(4.3), &lease(), resent, &Reply::Refused(Refusal::NotHeld));
+    let acquire = holder.poll_requests(at_s(4.3))[0].0;
+    holder.handle_reply(at_s(4.4), &lease(), acquire, &granted(5));
     let before = holder.next_wake();
-    holder.handle_reply(at(4.5), &report(), old, &Reply::Refused(Refusal::NotHeld));
-    assert_eq!(holder.permit(at(4.5), &report()).unwrap().number, number(5));
+    holder.handle_reply(at_s(4.5), &lease(), old, &Reply::Refused(Refusal::NotHeld));
+    assert_eq!(holder.permit(at_s(4.5), &lease()).unwrap().number, number(5));
     assert_eq!(holder.next_wake(), before);
 }
 
 #[test]
-fn it_leaves_at_once_and_says_so_until_it_is_heard() {
-    let mut holder = holding();
-    holder.release(at(2.0), &report());
-    assert_eq!(holder.permit(at(2.0), &report()), None);
-    assert_eq!(holder.status(at(2.0), &report()), LeaseStatus::Releasing(number(1)));
-    let first = holder.poll_requests(at(2.0));
+fn release_ends_the_permit_at_once_and_is_resent_until_answered() {
+    let mut holder = holder_of_lease();
+    holder.release(at_s(2.0), &lease());
+    assert_eq!(holder.permit(at_s(2.0), &lease()), None);
+    assert_eq!(holder.status(at_s(2.0), &lease()), LeaseStatus::Releasing(number(1)));
+    let first = holder.poll_requests(at_s(2.0));
     assert_eq!(first[0].2, LeaseRequest::Release { number: number(1) });
     let again = holder.poll_requests(holder.next_wake().unwrap());
     assert_eq!(again[0].2, LeaseRequest::Release { number: number(1) });
-    holder.handle_reply(at(2.5), &report(), again[0].0, &Reply::Free);
-    assert_eq!(holder.status(at(2.5), &report()), LeaseStatus::Idle);
+    holder.handle_reply(at_s(2.5), &lease(), again[0].0, &Reply::Free);
+    assert_eq!(holder.status(at_s(2.5), &lease()), LeaseStatus::Idle);
     assert_eq!(holder.next_wake(), None);
 }
 
 #[test]
-fn a_lease_granted_after_it_is_wanted_no_more_is_given_back() {
+fn a_lease_granted_after_it_was_given_up_is_released() {
     let mut holder = holder();
-    holder.acquire(at(0.0), &report());
-    let take = holder.poll_requests(at(0.0))[0].0;
-    holder.release(at(0.1), &report());
-    assert!(holder.poll_requests(at(5.0)).is_empty());
-    holder.handle_reply(at(5.0), &report(), take, &granted(1));
-    assert_eq!(holder.permit(at(5.0), &report()), None);
-    assert_eq!(holder.poll_requests(at(5.0))[0].2, LeaseRequest::Release { number: number(1) });
+    holder.acquire(at_s(0.0), &lease());
+    let acquire = holder.poll_requests(at_s(0.0))[0].0;
+    holder.release(at_s(0.1), &lease());
+    assert!(holder.poll_requests(at_s(5.0)).is_empty());
+    holder.handle_reply(at_s(5.0), &lease(), acquire, &granted(1));
+    assert_eq!(holder.permit(at_s(5.0), &lease()), None);
+    assert_eq!(holder.poll_requests(at_s(5.0))[0].2, LeaseRequest::Release { number: number(1) });
 }
 
 #[test]
-fn wanted_again_while_it_is_given_back_it_is_asked_for_after_that() {
-    let mut holder = holding();
-    holder.release(at(2.0), &report());
-    let release = holder.poll_requests(at(2.0))[0].0;
-    holder.acquire(at(2.1), &report());
-    assert_eq!(holder.permit(at(2.1), &report()), None);
-    holder.handle_reply(at(2.2), &report(), release, &Reply::Free);
+fn a_lease_wanted_again_during_its_release_is_requested_afterwards() {
+    let mut holder = holder_of_lease();
+    holder.release(at_s(2.0), &lease());
+    let release = holder.poll_requests(at_s(2.0))[0].0;
+    holder.acquire(at_s(2.1), &lease());
+    assert_eq!(holder.permit(at_s(2.1), &lease()), None);
+    holder.handle_reply(at_s(2.2), &lease(), release, &Reply::Free);
     let next = holder.next_wake().unwrap();
     assert_eq!(holder.poll_requests(next)[0].2, LeaseRequest::Acquire { term: TERM });
 }
 
 #[test]
-fn what_is_handed_on_is_accepted_by_one_that_wants_it_and_given_back_by_one_that_does_not() {
-    let mut giver = holding();
+fn a_transferred_lease_is_accepted_by_a_gateway_that_wants_it_and_released_by_one_that_does_not() {
+    let mut old_holder = holder_of_lease();
     let other = Member { gateway: GatewayId(4), incarnation: Incarnation(1) };
-    giver.transfer(at(2.0), &report(), other);
-    assert_eq!(giver.permit(at(2.0), &report()), None);
-    let ask = giver.poll_requests(at(2.0)).remove(0);
-    assert_eq!(ask.2, LeaseRequest::Transfer { number: number(1), to: other });
-    giver.handle_reply(at(2.1), &report(), ask.0, &Reply::Offered { number: number(2) });
-    assert_eq!(giver.status(at(2.1), &report()), LeaseStatus::Idle);
-
-    let mut taker = holder();
-    taker.lease_assigned(at(2.0), &report(), number(2));
-    assert_eq!(taker.poll_requests(at(2.0))[0].2, LeaseRequest::Release { number: number(2) });
-    let mut taker = holder();
-    taker.acquire(at(0.0), &report());
-    let refused = taker.poll_requests(at(0.0))[0].0;
-    taker.handle_reply(
-        at(0.1),
-        &report(),
+    old_holder.transfer(at_s(2.0), &lease(), other);
+    assert_eq!(old_holder.permit(at_s(2.0), &lease()), None);
+    let request = old_holder.poll_requests(at_s(2.0)).remove(0);
+    assert_eq!(request.2, LeaseRequest::Transfer { number: number(1), to: other });
+    old_holder.handle_reply(at_s(2.1), &lease(), request.0, &Reply::Offered { number: number(2) });
+    assert_eq!(old_holder.status(at_s(2.1), &lease()), LeaseStatus::Idle);
+
+    let mut new_holder = holder();
+    new_holder.lease_assigned(at_s(2.0), &lease(), number(2));
+    assert_eq!(new_holder.poll_requests(at_s(2.0))[0].2, LeaseRequest::Release { number: number(2) });
+    let mut new_holder = holder();
+    new_holder.acquire(at_s(0.0), &lease());
+    let refused = new_holder.poll_requests(at_s(0.0))[0].0;
+    new_holder.handle_reply(
+        at_s(0.1),
+        &lease(),
         refused,
-        &Reply::Refused(Refusal::Taken { holder: me(), number: number(1) }),
+        &Reply::Refused(Refusal::Taken { holder: member(), number: number(1) }),
     );
-    taker.lease_assigned(at(0.5), &report(), number(2));
-    assert_eq!(taker.permit(at(0.5), &report()), None);
-    assert_eq!(taker.poll_requests(at(0.5))[0].2, LeaseRequest::Acquire { term: TERM });
+    new_holder.lease_assigned(at_s(0.5), &lease(), number(2));
+    assert_eq!(new_holder.permit(at_s(0.5), &lease()), None);
+    assert_eq!(new_holder.poll_requests(at_s(0.5))[0].2, LeaseRequest::Acquire { term: TERM });
 }
 
 #[test]
-fn refused_it_asks_again_at_a_pace_and_sooner_when_the_lease_is_freed() {
+fn a_refused_request_is_retried_after_a_pause_or_sooner_when_the_lease_is_freed() {
     let mut holder = holder();
-    holder.acquire(at(0.0), &report());
-    let take = holder.poll_requests(at(0.0))[0].0;
-    let taken = Refusal::Taken { holder: Member { gateway: GatewayId(4), ..me() }, number: number(1) };
-    holder.handle_reply(at(0.1), &report(), take, &Reply::Refused(taken));
+    holder.acquire(at_s(0.0), &lease());
+    let acquire = holder.poll_requests(at_s(0.0))[0].0;
+    let taken = Refusal::Taken { holder: Member { gateway: GatewayId(4), ..member() }, number: number(1) };
+    holder.handle_reply(at_s(0.1), &lease(), acquire, &Reply::Refused(taken));
     let later = holder.next_wake().unwrap();
-    assert!(later >= at(2.1) && later <= at(4.1), "{later:?}");
-    holder.lease_freed(at(0.5), &report());
-    assert!(holder.next_wake().unwrap() <= at(0.9));
+    assert!(later >= at_s(2.1) && later <= at_s(4.1), "{later:?}");
+    holder.lease_freed(at_s(0.5), &lease());
+    assert!(holder.next_wake().unwrap() <= at_s(0.9));
 }
 
 #[test]
-fn a_release_that_nobody_answers_is_left_to_the_expiry() {
-    let mut holder = holding();
-    holder.release(at(2.0), &report());
-    let mut asked = 0;
+fn a_release_without_a_reply_is_given_up_and_the_lease_left_to_expire() {
+    let mut holder = holder_of_lease();
+    holder.release(at_s(2.0), &lease());
+    let mut attempts = 0;
     while let Some(now) = holder.next_wake() {
-        asked += holder.poll_requests(now).len();
-        assert!(asked < 50);
+        attempts += holder.poll_requests(now).len();
+        assert!(attempts < 50);
     }
-    assert_eq!(asked, 8);
-    assert_eq!(holder.status(at(60.0), &report()), LeaseStatus::Idle);
+    assert_eq!(attempts, 8);
+    assert_eq!(holder.status(at_s(60.0), &lease()), LeaseStatus::Idle);
 }
--- a/crates/fawnrouter-lease/tests/table.rs
+++ b/crates/fawnrouter-lease/tests/table.rs
@@ -1,4 +1,4 @@
-//! The table, the countdown and the fence: what they promise, one sentence a test.
+//! The guarantees of the lease table, the expiry timer and the fence.
 
 use std::time::Duration;
 
@@ -18,11 +18,11 @@
     Member { gateway: GatewayId(id), incarnation: Incarnation(1) }
 }
 
-fn at(seconds: f64) -> Time {
+fn at_s(seconds: f64) -> Time {
     Time(Duration::from_secs_f64(seconds))
 }
 
-fn take(table: &mut LeaseTable, name: &str, by: Member) -> Reply {
+fn acquire(table: &mut LeaseTable, name: &str, by: Member) -> Reply {
     table.apply(&Command::Acquire { lease: lease(name), by, term: TERM })
 }
 
@@ -34,28 +34,28 @@
 }
 
 #[test]
-fn a_lease_that_is_held_is_refused_to_others_and_renewed_for_its_holder() {
+fn a_held_lease_is_refused_to_others_and_renewed_for_its_holder() {
     let mut table = LeaseTable::default();
-    let first = number(&take(&mut table, "report", gateway(1)));
+    let first = number(&acquire(&mut table, "report", gateway(1)));
     let refused = Reply::Refused(Refusal::Taken { holder: gateway(1), number: first });
-    assert_eq!(take(&mut table, "report", gateway(2)), refused);
+    assert_eq!(acquire(&mut table, "report", gateway(2)), refused);
     let stamp = table.get(&lease("report")).unwrap().stamp;
-    assert_eq!(number(&take(&mut table, "report", gateway(1))), first);
+    assert_eq!(number(&acquire(&mut table, "report", gateway(1))), first);
     assert!(table.get(&lease("report")).unwrap().stamp > stamp);
 }
 
 #[test]
-fn another_life_of_the_same_gateway_is_another_holder() {
+fn another_incarnation_of_the_same_gateway_is_another_holder() {
     let mut table = LeaseTable::default();
-    take(&mut table, "report", gateway(1));
-    let reborn = Member { incarnation: Incarnation(2), ..gateway(1) };
-    assert!(matches!(take(&mut table, "report", reborn), Reply::Refused(Refusal::Taken { .. })));
+    acquire(&mut table, "report", gateway(1));
+    let restarted = Member { incarnation: Incarnation(2), ..gateway(1) };
+    assert!(matches!(acquire(&mut table, "report", restarted), Reply::Refused(Refusal::Taken { .. })));
 }
 
 #[test]
-fn numbers_rise_over_release_expiry_handing_on_and_an_epoch() {
+fn numbers_increase_across_release_expiry_transfer_and_a_new_epoch() {
     let mut table = LeaseTable::default();
-    let mut last = number(&take(&mut table, "report", gateway(1)));
+    let mut last = number(&acquire(&mut table, "report", gateway(1)));
     assert_eq!(
         table.apply(&Command::Release { lease: lease("report"), by: gateway(1), number: last }),
         Reply::Free
@@ -66,27 +66,28 @@
         last = number;
         number
     };
-    next(&take(&mut table, "report", gateway(2)));
+    next(&acquire(&mut table, "report", gateway(2)));
     let stamp = table.get(&lease("report")).unwrap().stamp;
     assert_eq!(table.apply(&Command::Expire { lease: lease("report"), stamp }), Reply::Done);
-    let third = next(&take(&mut table, "report", gateway(3)));
-    let hand_on = Command::Transfer { lease: lease("report"), by: gateway(3), number: third, to: gateway(4) };
-    let fourth = next(&table.apply(&hand_on));
+    let third = next(&acquire(&mut table, "report", gateway(3)));
+    let transfer =
+        Command::Transfer { lease: lease("report"), by: gateway(3), number: third, to: gateway(4) };
+    let fourth = next(&table.apply(&transfer));
     assert!(table.get(&lease("report")).unwrap().offered);
     let accepted = table.apply(&Command::Renew { lease: lease("report"), by: gateway(4), number: fourth });
     assert_eq!(accepted, Reply::Granted { number: fourth, term: TERM });
     assert!(!table.get(&lease("report")).unwrap().offered);
     assert_eq!(table.apply(&Command::BeginEpoch { epoch: Epoch(1), quiet: TERM }), Reply::Done);
-    assert_eq!(take(&mut table, "return", gateway(1)), Reply::Refused(Refusal::QuietPeriod));
+    assert_eq!(acquire(&mut table, "return", gateway(1)), Reply::Refused(Refusal::QuietPeriod));
     let (stamp, _) = table.quiet_period().unwrap();
     assert_eq!(table.apply(&Command::EndQuietPeriod { stamp }), Reply::Done);
-    next(&take(&mut table, "return", gateway(1)));
+    next(&acquire(&mut table, "return", gateway(1)));
 }
 
 #[test]
 fn an_expiry_is_void_once_the_lease_has_been_renewed() {
     let mut table = LeaseTable::default();
-    let held = number(&take(&mut table, "report", gateway(1)));
+    let held = number(&acquire(&mut table, "report", gateway(1)));
     let stamp = table.get(&lease("report")).unwrap().stamp;
     table.apply(&Command::Renew { lease: lease("report"), by: gateway(1), number: held });
     assert_eq!(
@@ -97,12 +98,12 @@
 }
 
 #[test]
-fn late_and_doubled_requests_of_an_earlier_hold_change_nothing() {
+fn late_and_duplicate_requests_of_an_earlier_hold_change_nothing() {
     let mut table = LeaseTable::default();
-    let old = number(&take(&mut table, "report", gateway(1)));
+    let old = number(&acquire(&mut table, "report", gateway(1)));
     let release = Command::Release { lease: lease("report"), by: gateway(1), number: old };
     table.apply(&release);
-    let new = number(&take(&mut table, "report", gateway(1)));
+    let new = number(&acquire(&mut table, "report", gateway(1)));
     for late in [
         release,
         Command::Renew { lease: lease("report"), by: gateway(1), number: old },
@@ -115,64 +116,67 @@
 }
 
 #[test]
-fn a_table_refuses_what_it_has_no_room_for_and_terms_out_of_range() {
+fn a_full_table_refuses_further_leases_and_terms_out_of_range_are_refused() {
     let mut table = LeaseTable::default();
     for i in 0..LeaseTable::MAX_LEASES {
-        assert!(matches!(take(&mut table, &format!("l{i}"), gateway(1)), Reply::Granted { .. }));
+        assert!(matches!(acquire(&mut table, &format!("l{i}"), gateway(1)), Reply::Granted { .. }));
     }
-    assert_eq!(take(&mut table, "more", gateway(1)), Reply::Refused(Refusal::Full));
-    assert!(matches!(take(&mut table, "l0", gateway(1)), Reply::Granted { .. }));
+    assert_eq!(acquire(&mut table, "more", gateway(1)), Reply::Refused(Refusal::Full));
+    assert!(matches!(acquire(&mut table, "l0", gateway(1)), Reply::Granted { .. }));
     let short = Command::Acquire { lease: lease("l0"), by: gateway(1), term: Duration::from_millis(1) };
     assert_eq!(table.apply(&short), Reply::Refused(Refusal::TermOutOfRange));
 }
 
 #[test]
-fn a_term_asked_for_anew_and_shorter_does_not_shorten_the_grant_that_runs() {
+fn a_renewal_with_a_shorter_term_does_not_shorten_the_running_grant() {
     let mut table = LeaseTable::default();
-    take(&mut table, "report", gateway(1));
+    acquire(&mut table, "report", gateway(1));
     table.apply(&Command::Acquire { lease: lease("report"), by: gateway(1), term: Duration::from_secs(1) });
     assert_eq!(table.get(&lease("report")).unwrap().term, TERM);
 }
 
 #[test]
-fn a_leader_counts_the_whole_term_from_the_last_renewal_that_it_saw() {
-    let (mut table, mut countdown) = (LeaseTable::default(), ExpiryTimer::default());
-    let held = number(&take(&mut table, "report", gateway(1)));
-    countdown.observe(at(1.0), true, &table);
-    assert_eq!(countdown.next_expiry(&table), Some(at(11.0)));
+fn a_leader_measures_the_whole_term_from_the_last_renewal_that_it_saw() {
+    let (mut table, mut timer) = (LeaseTable::default(), ExpiryTimer::default());
+    let held = number(&acquire(&mut table, "report", gateway(1)));
+    timer.observe(at_s(1.0), true, &table);
+    assert_eq!(timer.next_expiry(&table), Some(at_s(11.0)));
     table.apply(&Command::Renew { lease: lease("report"), by: gateway(1), number: held });
-    countdown.observe(at(5.0), true, &table);
-    assert!(countdown.due(at(14.9), &table).is_empty());
-    let due = countdown.due(at(15.0), &table);
+    timer.observe(at_s(5.0), true, &table);
+    assert!(timer.due(at_s(14.9), &table).is_empty());
+    let due = timer.due(at_s(15.0), &table);
     assert_eq!(due.len(), 1);
     assert_eq!(table.apply(&due[0]), Reply::Done);
-    countdown.observe(at(15.0), true, &table);
-    assert_eq!(countdown.next_expiry(&table), None);
+    timer.observe(at_s(15.0), true, &table);
+    assert_eq!(timer.next_expiry(&table), None);
 }
 
 #[test]
-fn a_new_leader_counts_anew() {
-    let (mut table, mut countdown) = (LeaseTable::default(), ExpiryTimer::default());
-    take(&mut table, "report", gateway(1));
-    countdown.observe(at(0.0), true, &table);
-    countdown.observe(at(8.0), false, &table);
-    assert!(countdown.due(at(30.0), &table).is_empty());
-    countdown.observe(at(30.0), true, &table);
-    assert!(countdown.due(at(39.9), &table).is_empty());
-    assert_eq!(countdown.due(at(40.0), &table).len(), 1);
+fn a_new_leader_measures_every_term_in_full() {
+    let (mut table, mut timer) = (LeaseTable::default(), ExpiryTimer::default());
+    acquire(&mut table, "report", gateway(1));
+    timer.observe(at_s(0.0), true, &table);
+    timer.observe(at_s(8.0), false, &table);
+    assert!(timer.due(at_s(30.0), &table).is_empty());
+    timer.observe(at_s(30.0), true, &table);
+    assert!(timer.due(at_s(39.9), &table).is_empty());
+    assert_eq!(timer.due(at_s(40.0), &table).len(), 1);
 }
 
 #[test]
-fn after_an_epoch_nothing_is_granted_until_the_longest_term_has_been_counted() {
-    let (mut table, mut countdown) = (LeaseTable::default(), ExpiryTimer::default());
+fn in_a_new_epoch_nothing_is_granted_until_the_quiet_period_has_passed() {
+    let (mut table, mut timer) = (LeaseTable::default(), ExpiryTimer::default());
     table.apply(&Command::BeginEpoch { epoch: Epoch(1), quiet: Duration::from_secs(60) });
-    countdown.observe(at(100.0), true, &table);
-    assert_eq!(take(&mut table, "report", gateway(2)), Reply::Refused(Refusal::QuietPeriod));
-    assert!(countdown.due(at(159.0), &table).is_empty());
-    for due in countdown.due(at(160.0), &table) {
+    timer.observe(at_s(100.0), true, &table);
+    assert_eq!(acquire(&mut table, "report", gateway(2)), Reply::Refused(Refusal::QuietPeriod));
+    assert!(timer.due(at_s(159.0), &table).is_empty());
+    for due in timer.due(at_s(160.0), &table) {
         table.apply(&due);
     }
-    assert_eq!(number(&take(&mut table, "report", gateway(2))), FencingNumber { epoch: Epoch(1), count: 1 });
+    assert_eq!(
+        number(&acquire(&mut table, "report", gateway(2))),
+        FencingNumber { epoch: Epoch(1), count: 1 }
+    );
     assert_eq!(
         table.apply(&Command::BeginEpoch { epoch: Epoch(1), quiet: TERM }),
         Reply::Refused(Refusal::EpochPassed(Epoch(1)))
@@ -180,27 +184,27 @@
 }
 
 #[test]
-fn after_an_epoch_a_holder_of_an_older_table_is_not_renewed_beside_the_lost_tables_holder() {
+fn in_a_new_epoch_holders_of_an_older_table_are_not_renewed() {
     let mut table = LeaseTable::default();
-    let old = number(&take(&mut table, "report", gateway(1)));
+    let old = number(&acquire(&mut table, "report", gateway(1)));
     table.apply(&Command::BeginEpoch { epoch: Epoch(1), quiet: Duration::from_secs(1) });
     let renew = Command::Renew { lease: lease("report"), by: gateway(1), number: old };
     assert_eq!(table.apply(&renew), Reply::Refused(Refusal::NotHeld));
-    assert_eq!(take(&mut table, "report", gateway(1)), Reply::Refused(Refusal::QuietPeriod));
+    assert_eq!(acquire(&mut table, "report", gateway(1)), Reply::Refused(Refusal::QuietPeriod));
     assert_eq!(table.quiet_period().unwrap().1, TERM);
 }
 
 #[test]
-fn the_fence_refuses_numbers_below_the_highest_and_leases_beyond_its_room() {
+fn the_fence_rejects_numbers_below_the_highest_and_leases_beyond_its_limit() {
     let mut fence = Fence::default();
     let number = |epoch, count| FencingNumber { epoch: Epoch(epoch), count };
     fence.admit(&lease("report"), number(0, 7)).unwrap();
     fence.admit(&lease("report"), number(0, 7)).unwrap();
     fence.admit(&lease("report"), number(1, 1)).unwrap();
-    let behind = fence.admit(&lease("report"), number(0, 9)).unwrap_err();
-    assert!(matches!(behind, FenceError::StaleNumber { .. }));
+    let stale = fence.admit(&lease("report"), number(0, 9)).unwrap_err();
+    assert!(matches!(stale, FenceError::StaleNumber { .. }));
     assert_eq!(
-        behind.to_string(),
+        stale.to_string(),
         "number 0.9 of lease report is behind 1.1: another gateway has the lease now"
     );
     for i in 1..Fence::MAX_LEASES {
@@ -210,10 +214,10 @@
 }
 
 #[test]
-fn names_and_numbers_are_read_as_they_are_written() {
+fn names_and_numbers_parse_as_they_are_written() {
     assert_eq!(lease("spill-report-2").to_string(), "spill-report-2");
-    for wrong in ["", "Report", "2report", "-", "a b", &"a".repeat(33)] {
-        assert!(wrong.parse::<LeaseName>().is_err(), "{wrong:?}");
+    for invalid in ["", "Report", "2report", "-", "a b", &"a".repeat(33)] {
+        assert!(invalid.parse::<LeaseName>().is_err(), "{invalid:?}");
     }
     let number = FencingNumber { epoch: Epoch(2), count: 41 };
     assert_eq!(number.to_string().parse(), Ok(number));
