--- a/crates/fawnrouter-lease/src/lib.rs
+++ b/crates/fawnrouter-lease/src/lib.rs
@@ -5,8 +5,8 @@
 //! | --- | --- | --- |
 //! | `table` | who holds which lease under which number: a state machine over agreed commands | every voter |
 //! | `expiry_timer` | when a lease that was not renewed may be given away | the leader of the voters |
-//! | `holder` | whether *this* gateway may act, by its own clock; its requests | a gateway that wants a lease |
-//! | `fence` | rejects acts with a number below the highest seen: the last safeguard | the resource acted on |
+//! | `holder` | whether *this* gateway may act, by its clock; its requests | gateways that want a lease |
+//! | `fence` | rejects acts with numbers below the highest seen, the last safeguard | the resource acted on |
 //!
 //! # Why no two gateways act at once
 //!
