--- a/crates/fawnrouter-bootinfo/src/lib.rs
+++ b/crates/fawnrouter-bootinfo/src/lib.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-pub use error::{BootInfoError, shown};
+pub use error::{BootInfoError, abbreviated};
 use fawnrouter::*;
 use read::At;
 use serde_json::Value;
@@ -20,29 +20,29 @@
 
 /// The names that calls of an instance may carry.
 #[derive(Clone, Debug, Default)]
-pub struct Names {
+pub struct NameIndex {
     classes: BTreeMap<String, ClassId>,
     tenants: BTreeMap<String, TenantId>,
     report: Vec<String>,
 }
 
-impl Names {
+impl NameIndex {
     /// The class of this name.
     #[must_use]
-    pub fn class(&self, name: &str) -> Option<ClassId> {
+    pub fn class_id(&self, name: &str) -> Option<ClassId> {
         self.classes.get(name).copied()
     }
 
     /// The tenant of this name.
     #[must_use]
-    pub fn tenant(&self, name: &str) -> Option<TenantId> {
+    pub fn tenant_id(&self, name: &str) -> Option<TenantId> {
         self.tenants.get(name).copied()
     }
 
     /// A load report: pairs of name and value, or the values in the order of the settings' names.
     #[must_use]
-    pub fn report(&self, load: &Value) -> Report {
-        let mut report = Report::default();
+    pub fn report_from_json(&self, load: &Value) -> LoadReport {
+        let mut report = LoadReport::default();
         match load {
             Value::Object(pairs) => {
                 pairs.iter().for_each(|(name, value)| note(&mut report, name, value.as_f64()))
@@ -60,8 +60,8 @@
 
 /// A load report as the platform's lines have it: `free:87;size:87`. What is no figure is left out.
 #[must_use]
-pub fn told_report(text: &str) -> Report {
-    let mut report = Report::default();
+pub fn parse_report(text: &str) -> LoadReport {
+    let mut report = LoadReport::default();
     for (name, value) in text.split(';').filter_map(|pair| pair.split_once(':')) {
         note(&mut report, name, value.parse().ok());
     }
@@ -69,45 +69,45 @@
 }
 
 /// Takes down one figure of a report; negative ones are figures that were not told.
-fn note(report: &mut Report, name: &str, value: Option<f64>) {
+fn note(report: &mut LoadReport, name: &str, value: Option<f64>) {
     let Some(x) = value.filter(|x| x.is_finite() && *x >= 0.0) else { return };
     match name {
-        "free" => report.free = Some(x),
-        "size" => report.size = Some(x),
+        "free" => report.free_circuits = Some(x),
+        "size" => report.total_circuits = Some(x),
         "cpu_share" => report.utilisation = Some(x),
-        "svc_ms" => report.wait = Duration::try_from_secs_f64(x / 1e3).ok(),
-        "can_take" => report.can_take = Some(x),
-        "hold_back" => report.hold_back = Some(x),
+        "svc_ms" => report.queue_wait = Duration::try_from_secs_f64(x / 1e3).ok(),
+        "can_take" => report.acceptable_rate = Some(x),
+        "hold_back" => report.hold_back_share = Some(x),
         _ => {}
     }
 }
 
 /// What the settings say of connections and of what a real gateway may hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sockets {
+pub struct ConnectionSettings {
     /// A connection to a core switch that is not up by then has failed.
     pub dial_timeout: Duration,
     /// Connections idle for this long are closed.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Set-ups that one connection to a core switch may carry at once.
-    pub multiplex: usize,
+    pub max_set_ups_per_connection: usize,
     /// Calls without their answer that the gateway may hold.
-    pub max_open: usize,
+    pub max_open_calls: usize,
 }
 
 /// The part of the settings object that concerns sockets.
 ///
 /// # Errors
 /// Names the first setting that is of the wrong kind or out of range.
-pub fn sockets(boot: &Value) -> Result<Sockets> {
+pub fn connection_settings(boot: &Value) -> Result<ConnectionSettings> {
     let limits = At::root(boot).part("policyLimits")?;
     let time = |key| Ok(limits.key(key).span()?.filter(|t| !t.is_zero()).unwrap_or(Duration::MAX));
     let count = |key| Ok(usize::try_from(no_limit(&limits.key(key))?).unwrap_or(usize::MAX));
-    Ok(Sockets {
+    Ok(ConnectionSettings {
         dial_timeout: time("dialTimeoutNs")?,
-        idle: time("connIdleNs")?,
-        multiplex: count("multiplex")?,
-        max_open: count("maxOpen")?,
+        idle_timeout: time("connIdleNs")?,
+        max_set_ups_per_connection: count("multiplex")?,
+        max_open_calls: count("maxOpen")?,
     })
 }
 
@@ -120,7 +120,7 @@
 ///
 /// # Errors
 /// Names the first setting that is missing, of the wrong kind, out of range or at odds with another.
-pub fn settings(boot: &Value) -> Result<(Settings, Names)> {
+pub fn settings(boot: &Value) -> Result<(Settings, NameIndex)> {
     let boot = At::root(boot);
     let (contract, family, limits) =
         (boot.part("contract")?, boot.part("familyInfo")?, boot.part("policyLimits")?);
@@ -136,19 +136,19 @@
     }
     let classes = classes(&boot, &family)?;
     let tenants = tenants(&boot)?;
-    let names = Names {
+    let names = NameIndex {
         classes: classes.iter().enumerate().map(|(place, c)| (c.name.clone(), ClassId(place))).collect(),
         tenants: tenants.iter().enumerate().map(|(place, t)| (t.name.clone(), TenantId(place))).collect(),
         report: report_names(&boot.part("stats")?)?,
     };
     let discovery = match boot.key("registryMode").text()? {
         None | Some("push") => Discovery::Push,
-        Some("ask") => Discovery::Ask,
+        Some("ask") => Discovery::Subscribe,
         Some(_) => return Err(boot.key("registryMode").out_of_range("\"push\" or \"ask\"")),
     };
     let settings = Settings {
         gateways: count,
-        me: PeerId(number),
+        own_id: PeerId(number),
         classes,
         tenants,
         over_share_worth: boot.key("overShareWorth").amount()?.unwrap_or(1.0),
@@ -179,7 +179,7 @@
         fall_multiple: multiple.amount()?.unwrap_or(1.0),
         fall_time: span("fallNs")?,
         release_guard: family.key("guardNs").span()?.unwrap_or_default(),
-        ask_within: span("askWithinNs")?,
+        subscribe_within: span("askWithinNs")?,
     };
     // Where nothing is ever cold, the multiple says nothing.
     if rules.fall_multiple == 0.0 && !rules.cold_time.is_zero() {
--- a/crates/fawnrouter-capacity/tests/hollow.rs
+++ b/crates/fawnrouter-capacity/tests/hollow.rs
@@ -11,10 +11,10 @@
     Fault, FaultPlan, PlannedCall, TrafficPlan, answer_of_switch, release_of_switch,
 };
 use fawnrouter_capacity::platform::{GatewayPlace, SwitchRow, gateway_configuration, list_answer};
-use fawnrouter_dns::{Name, Type, query, read_answer};
+use fawnrouter_dns::{Name, RecordType, query, read_response};
 use fawnrouter_jsonl::{Message, Tag, Verb};
 use fawnrouter_node::fawnrouter::ServerState;
-use fawnrouter_node::{Boot, LIST_NAME, Pool};
+use fawnrouter_node::{Boot, LIST_DNS_NAME, Pool};
 
 const SEED: u64 = 42;
 
@@ -34,14 +34,14 @@
 }
 
 fn question(id: u16) -> (Name, Vec<u8>) {
-    let name: Name = LIST_NAME.parse().unwrap();
-    let question = query(id, &name, Type::Srv);
+    let name: Name = LIST_DNS_NAME.parse().unwrap();
+    let question = query(id, &name, RecordType::Srv);
     (name, question)
 }
 
 fn bytes_of(message: &Message) -> u64 {
     let mut line = Vec::new();
-    message.write(&mut line);
+    message.encode(&mut line);
     line.len() as u64
 }
 
@@ -93,12 +93,12 @@
         let rows: Vec<SwitchRow> = (0..count).map(row).collect();
         let (name, question) = question(0x1234);
         let datagram = list_answer(&question, 77, &rows);
-        let answer = read_answer(&datagram, 0x1234, &name, Type::Srv).unwrap();
-        let pool = Pool::answer(&answer).unwrap();
+        let answer = read_response(&datagram, 0x1234, &name, RecordType::Srv).unwrap();
+        let pool = Pool::from_response(&answer).unwrap();
         assert_eq!(pool.serial, 77);
-        assert_eq!(pool.listed.len(), rows.len());
+        assert_eq!(pool.switches.len(), rows.len());
         for row in &rows {
-            let listed = &pool.listed[&row.id];
+            let listed = &pool.switches[&row.id];
             assert_eq!((listed.zone.as_str(), listed.cell.0), (row.zone.as_str(), row.cell));
             assert_eq!(listed.address, row.address);
             assert_eq!(listed.state == ServerState::Draining, row.draining);
@@ -149,10 +149,14 @@
     let boot = Boot::read(text.as_bytes()).unwrap();
     assert_eq!((boot.name, boot.listen, boot.nameserver), (place.name, place.listen, place.nameserver));
     assert_eq!((boot.seed, boot.descriptors), (place.seed, 512));
-    assert_eq!((boot.settings.gateways, boot.settings.me.0), (26, 25));
+    assert_eq!((boot.settings.gateways, boot.settings.own_id.0), (26, 25));
     let (name, question) = question(1);
-    let answer = read_answer(&list_answer(&question, 9, &rows), 1, &name, Type::Srv).unwrap();
-    assert_eq!(boot.known, Pool::answer(&answer).unwrap(), "the file and the name server tell the same");
+    let answer = read_response(&list_answer(&question, 9, &rows), 1, &name, RecordType::Srv).unwrap();
+    assert_eq!(
+        boot.known,
+        Pool::from_response(&answer).unwrap(),
+        "the file and the name server tell the same"
+    );
 }
 
 // ---- The plan -------------------------------------------------------------------------------------------------
@@ -265,7 +269,7 @@
 
 /// Bytes of tests that gateways sent.
 fn tests(outcome: &Outcome) -> u64 {
-    let test = Message::new(Verb::Echo, Tag(1)).cause(0);
+    let test = Message::new(Verb::Echo, Tag(1)).with_cause(0);
     outcome.to_switches.messages(Verb::Echo) * bytes_of(&test)
 }
 
@@ -581,7 +585,7 @@
 fn one_planned_call_reads_as_the_platforms_page_has_it() {
     let call = PlannedCall { at: Duration::ZERO, gateway: 0, tag: 0x9b1f_03aa_5c7e_2d41 };
     let mut line = Vec::new();
-    call.set_up(26).write(&mut line);
+    call.set_up(26).encode(&mut line);
     let value: serde_json::Value = serde_json::from_slice(&line).unwrap();
     assert_eq!(value["verb"], "START");
     assert_eq!(value["tag"], "9b1f03aa5c7e2d41");
--- a/crates/fawnrouter-engine/src/set_up_admission.rs
+++ b/crates/fawnrouter-engine/src/set_up_admission.rs
@@ -7,7 +7,7 @@
 use crate::due::Key;
 use crate::engine::Engine;
 use crate::interface::ClientId;
-use crate::status::{Answer, whole_seconds};
+use crate::status::{FinalAnswer, retry_after_seconds};
 
 impl Engine {
     /// Whether a new set-up may go on, wait, or not.
@@ -26,8 +26,8 @@
     fn refuse_set_up(&mut self, id: CallId, turn: SetUpDecision) {
         if let SetUpDecision::Refuse { reason, retry_after } = turn {
             self.counters.refused += 1;
-            let retry_after_s = Some(whole_seconds(retry_after).max(1));
-            self.answer_final(id, Answer { status: 503, retry_after_s, text: reason.text() });
+            let retry_after_s = Some(retry_after_seconds(retry_after).max(1));
+            self.answer_final(id, FinalAnswer { status: 503, retry_after_s, text: reason.text() });
         }
     }
 
@@ -48,7 +48,7 @@
     pub(crate) fn hand_over(&mut self, mut call: NewCall) {
         let Some(known) = self.table.calls.get(&call.id) else { return };
         let due = known.due;
-        call.left = due.since(self.now);
+        call.time_left = due.since(self.now);
         self.table.due.set(Key::Call(call.id), due);
         self.events.push_back(Event::Call(call));
     }
@@ -83,7 +83,7 @@
 
     /// The decisions on set-ups, for operators, if they are on.
     #[must_use]
-    pub fn set_ups(&self) -> Option<&SetUpAdmission> {
+    pub fn set_up_admission(&self) -> Option<&SetUpAdmission> {
         self.gate.set_ups.as_ref()
     }
 }
--- a/crates/fawnrouter-machine/src/lib.rs
+++ b/crates/fawnrouter-machine/src/lib.rs
@@ -4,13 +4,13 @@
 use fawnrouter::{Action, Controller, Event, Time};
 
 mod backoff;
-mod due;
+mod timer_queue;
 
 pub use backoff::{Backoff, BackoffSettings};
-pub use due::Due;
+pub use timer_queue::TimerQueue;
 
 /// A state machine that a driver feeds.
-pub trait Machine {
+pub trait StateMachine {
     /// What happens to it.
     type Input;
     /// What it wants done.
--- a/crates/fawnrouter-node/src/node/callers.rs
+++ b/crates/fawnrouter-node/src/node/callers.rs
@@ -2,14 +2,14 @@
 
 use std::collections::BTreeSet;
 
-use fawnrouter::{CallId, Event, Note, Outcome};
-use fawnrouter_jsonl::{Fault, Message, Tag, Verb};
+use fawnrouter::{CallId, Event, Outcome, OutcomeDetail};
+use fawnrouter_jsonl::{DecodeError, Message, Tag, Verb};
 
 use super::attempts::written;
 use super::{Key, LAST_CALL, LOOK_AGAIN, MAX_NEWS, Node, Output, TEST_FAILED, TEST_PASSED};
 use crate::calls::{Ended, MAX_STANDING, Open, Standing};
+use crate::client_connections::{Arrival, ClientId};
 use crate::request::{self, Request, cause};
-use crate::seats::{Arrival, ClientId};
 
 impl Node {
     /// The one final answer of a call that does not stand. An attempt that is out is withdrawn.
@@ -46,11 +46,11 @@
         match self.seats.arrive(self.now, client) {
             Arrival::In => {}
             Arrival::InFor(least) => {
-                self.counters.unseated += 1;
+                self.counters.evicted_clients += 1;
                 self.close_client(least, "idle, and its place is needed");
             }
             Arrival::Full => {
-                self.counters.unseated += 1;
+                self.counters.evicted_clients += 1;
                 self.part(client, cause::CONGESTION, "no room for another connection");
                 return;
             }
@@ -63,7 +63,7 @@
         self.seats.stands(client, true);
         if self.seats.is_in(client) {
             for (_, tag, line) in std::mem::take(&mut self.news) {
-                self.out.push(Output::Tell { client, tag, line });
+                self.out.push(Output::NotifyCaller { client, tag, line });
             }
         }
     }
@@ -79,7 +79,7 @@
     /// An error without a call, and the end.
     pub(super) fn goodbye(&mut self, client: ClientId, tag: Option<Tag>, rc: i64, why: &str) {
         let line = match tag {
-            Some(tag) => written(&Message::new(Verb::Finish, tag).cause(rc).option("error", why)),
+            Some(tag) => written(&Message::new(Verb::Finish, tag).with_cause(rc).with_option("error", why)),
             None => nameless(rc, why),
         };
         self.out.push(Output::ToClient { client, line });
@@ -118,7 +118,7 @@
         }
     }
 
-    pub(super) fn client_fault(&mut self, client: ClientId, fault: &Fault) {
+    pub(super) fn client_fault(&mut self, client: ClientId, fault: &DecodeError) {
         if !self.seats.is_in(client) {
             return;
         }
@@ -137,11 +137,11 @@
         if !self.calls.open.contains_key(&tag) {
             return;
         }
-        self.counters.lapsed += 1;
+        self.counters.abandoned += 1;
         let sent = self.calls.open.get(&tag).is_some_and(|c| c.attempts > 0);
         self.withdraw(tag);
-        self.events.push_back(Event::Lapsed(CallId(tag.0)));
-        self.attempt_ended(tag, Outcome::Cancelled, Note::None);
+        self.events.push_back(Event::Abandoned(CallId(tag.0)));
+        self.attempt_ended(tag, Outcome::Cancelled, OutcomeDetail::None);
         self.drop_open(tag);
         let barred = sent.then(|| self.now.plus(self.decisions.rules.release_guard));
         self.calls.ended.put(tag, Ended { barred, rc: None });
@@ -168,7 +168,7 @@
             Verb::Echo => {
                 // A gateway that ends fails the test, so that the front turns to others.
                 let rc = if self.stopping.is_none() { TEST_PASSED } else { TEST_FAILED };
-                self.tell_client(client, &Message::new(Verb::Echoed, tag).cause(rc));
+                self.tell_client(client, &Message::new(Verb::Echoed, tag).with_cause(rc));
             }
             Verb::Pending | Verb::Finished | Verb::Echoed | Verb::Load => {}
             Verb::Started | Verb::Other => {
@@ -195,11 +195,13 @@
                         let refusal = self.congested(message.tag);
                         self.tell_client(client, &refusal);
                     }
-                    Err(rc) => self.tell_client(client, &Message::new(Verb::Finish, message.tag).cause(rc)),
+                    Err(rc) => {
+                        self.tell_client(client, &Message::new(Verb::Finish, message.tag).with_cause(rc))
+                    }
                 }
             }
             Verb::Echo => {
-                self.tell_client(client, &Message::new(Verb::Echoed, message.tag).cause(TEST_FAILED));
+                self.tell_client(client, &Message::new(Verb::Echoed, message.tag).with_cause(TEST_FAILED));
             }
             _ => {}
         }
@@ -211,8 +213,8 @@
         let tag = message.tag;
         match request::read(&message, &self.decisions, &self.names) {
             Ok(Request::New(_)) if !self.is_known(tag) => {
-                (self.counters.taken, self.counters.lapsed) =
-                    (self.counters.taken + 1, self.counters.lapsed + 1);
+                (self.counters.accepted, self.counters.abandoned) =
+                    (self.counters.accepted + 1, self.counters.abandoned + 1);
                 self.calls.ended.put(tag, Ended::default());
             }
             _ if self.seats.is_in(client) => self.start(client, message),
@@ -223,15 +225,15 @@
 
     /// "Refused" of the gateway itself, with a time to come back where callers heed one.
     fn congested(&self, tag: Tag) -> Message {
-        let refusal = Message::new(Verb::Finish, tag).cause(cause::CONGESTION);
+        let refusal = Message::new(Verb::Finish, tag).with_cause(cause::CONGESTION);
         let wait = self.decisions.limits.max_retry_after.as_millis();
         let told = self.decisions.limits.retry_after && wait > 0;
-        if told { refusal.option("wait", wait) } else { refusal }
+        if told { refusal.with_option("wait", wait) } else { refusal }
     }
 
     pub(super) fn start(&mut self, client: ClientId, message: Message) {
         let tag = message.tag;
-        let wrong = |rc| Message::new(Verb::Finish, tag).cause(rc);
+        let wrong = |rc| Message::new(Verb::Finish, tag).with_cause(rc);
         let read = request::read(&message, &self.decisions, &self.names);
         if let Ok(Request::Standing(at)) = &read {
             return self.told_standing(client, tag, at);
@@ -251,15 +253,16 @@
         };
         // An id that was just used and given up: the guard holds for it, whoever calls.
         let barred = self.calls.ended.get(tag).and_then(|e| e.barred).is_some_and(|until| self.now < until);
-        if barred || self.is_over() || self.calls.open.len() >= self.sockets.max_open {
+        if barred || self.is_over() || self.calls.open.len() >= self.sockets.max_open_calls {
             self.counters.refused += 1;
             let refusal = self.congested(tag);
             return self.tell_client(client, &refusal);
         }
-        self.counters.taken += 1;
-        let deadline = self.now.plus(new.left);
-        self.due.set(Key::Call(tag), deadline.minus(LAST_CALL.min(new.left / 4)));
-        let text = |name: &str| message.opts.get(name).and_then(|v| v.text()).unwrap_or_default().to_owned();
+        self.counters.accepted += 1;
+        let deadline = self.now.plus(new.time_left);
+        self.due.set(Key::Call(tag), deadline.minus(LAST_CALL.min(new.time_left / 4)));
+        let text =
+            |name: &str| message.opts.get(name).and_then(|v| v.as_str()).unwrap_or_default().to_owned();
         let (class, key) = (text("class"), text("key"));
         let blob = message.blob.unwrap_or_default();
         self.calls.insert(tag, Open { client, deadline, class, key, blob, attempts: 0, out: None });
@@ -290,7 +293,7 @@
             // It is over already, or its core switch is.
             (_, released) => {
                 let rc = released.unwrap_or(cause::TEMPORARY_FAILURE);
-                self.tell_client(client, &Message::new(Verb::Finish, tag).cause(rc));
+                self.tell_client(client, &Message::new(Verb::Finish, tag).with_cause(rc));
             }
         }
     }
@@ -313,7 +316,7 @@
             self.tell_client(client, &Message::new(Verb::Finished, tag));
         } else {
             self.counters.invalid += 1;
-            self.tell_client(client, &Message::new(Verb::Finish, tag).cause(cause::INVALID_REFERENCE));
+            self.tell_client(client, &Message::new(Verb::Finish, tag).with_cause(cause::INVALID_REFERENCE));
         }
     }
 
@@ -326,9 +329,9 @@
 
     /// Tells the caller of a standing call that it is over; where its connection is gone, on another, or on the next.
     pub(super) fn tell_caller(&mut self, client: Option<ClientId>, tag: Tag, rc: i64) {
-        let line = written(&Message::new(Verb::Finish, tag).cause(rc));
+        let line = written(&Message::new(Verb::Finish, tag).with_cause(rc));
         match client.filter(|client| self.seats.is_in(*client)).or_else(|| self.seats.instead()) {
-            Some(client) => self.out.push(Output::Tell { client, tag, line }),
+            Some(client) => self.out.push(Output::NotifyCaller { client, tag, line }),
             None => {
                 self.news.push_back((self.now, tag, line));
                 if self.news.len() > MAX_NEWS {
--- a/crates/fawnrouter-node/src/node/interface.rs
+++ b/crates/fawnrouter-node/src/node/interface.rs
@@ -4,44 +4,44 @@
 use std::time::Duration;
 
 use fawnrouter::Settings;
-use fawnrouter_bootinfo::{Names, Sockets};
-use fawnrouter_dns::Answer;
-use fawnrouter_jsonl::{Fault, Message, Tag};
+use fawnrouter_bootinfo::{ConnectionSettings, NameIndex};
+use fawnrouter_dns::Response;
+use fawnrouter_jsonl::{DecodeError, Message, Tag};
 
 use crate::boot::Boot;
+use crate::client_connections::ClientId;
+use crate::descriptor_shares::DescriptorShares;
 use crate::links::LinkId;
-use crate::pool::Pool;
-use crate::seats::ClientId;
-use crate::shares::Shares;
+use crate::switch_list::Pool;
 
 /// All that a gateway is told at its start.
 #[derive(Debug)]
 pub struct NodeSettings {
     /// The decisions' settings.
-    pub decisions: Settings,
+    pub controller_settings: Settings,
     /// The names that calls carry.
-    pub names: Names,
+    pub names: NameIndex,
     /// What the settings say of connections.
-    pub sockets: Sockets,
+    pub connections: ConnectionSettings,
     /// Clients' connections at the most.
-    pub clients: usize,
+    pub max_clients: usize,
     /// Connections to core switches at the most.
-    pub links: usize,
+    pub max_links: usize,
     /// Seed of all random numbers.
     pub seed: u64,
 }
 
 impl NodeSettings {
-    /// What a configuration says, with its descriptors divided as [`Shares`] has it.
+    /// What a configuration says, with its descriptors divided as [`DescriptorShares`] has it.
     #[must_use]
     pub fn new(boot: &Boot) -> Self {
-        let shares = Shares::of(boot.descriptors);
+        let shares = DescriptorShares::divide(boot.descriptors);
         Self {
-            decisions: boot.settings.clone(),
+            controller_settings: boot.settings.clone(),
             names: boot.names.clone(),
-            sockets: boot.sockets,
-            clients: shares.clients,
-            links: shares.links,
+            connections: boot.connections,
+            max_clients: shares.clients,
+            max_links: shares.links,
             seed: boot.seed,
         }
     }
@@ -53,7 +53,7 @@
     /// It was refused: nobody listens.
     Refused,
     /// It did not come up in time, or could not be made.
-    Unreached,
+    Unreachable,
     /// It was up, and is closed or reset.
     Broken,
 }
@@ -62,7 +62,7 @@
 #[derive(Debug)]
 pub enum Input {
     /// A client connected.
-    ClientUp {
+    ClientConnected {
         /// Its number.
         client: ClientId,
     },
@@ -74,43 +74,43 @@
         message: Message,
     },
     /// A set-up that its caller had given up, or left behind with its connection, before anybody looked at it.
-    Withdrawn {
+    SetUpWithdrawn {
         /// Which client.
         client: ClientId,
         /// The set-up.
         message: Message,
     },
-    /// A client ended its side; what it had sent before comes behind this, and then [`Input::ClientDown`].
-    ClientEnded {
+    /// A client ended its side; what it had sent before comes behind this, and then [`Input::ClientDisconnected`].
+    ClientHalfClosed {
         /// Which.
         client: ClientId,
     },
-    /// A connection ended before a byte of this was written ([`Output::Tell`]).
-    Unheard {
+    /// A connection ended before a byte of this was written ([`Output::NotifyCaller`]).
+    NotDelivered {
         /// Of which call.
         tag: Tag,
     },
     /// All that had come on a connection that is to be closed has been handed on.
-    ClientReadOut {
+    ClientFullyRead {
         /// Which.
         client: ClientId,
     },
     /// A client's bytes have been read; whether a part of a line lies there.
-    ClientRead {
+    ClientBytesRead {
         /// Which.
         client: ClientId,
         /// Part of a line is there.
-        half: bool,
+        partial_line: bool,
     },
     /// A client sent what is no message.
-    ClientFault {
+    ClientDecodeError {
         /// Which.
         client: ClientId,
         /// What is wrong.
-        fault: Fault,
+        fault: DecodeError,
     },
     /// A client's connection ended.
-    ClientDown {
+    ClientDisconnected {
         /// Which.
         client: ClientId,
     },
@@ -127,11 +127,11 @@
         message: Message,
     },
     /// A core switch sent what is no message.
-    LinkFault {
+    LinkDecodeError {
         /// On which connection.
         link: LinkId,
         /// What is wrong.
-        fault: Fault,
+        fault: DecodeError,
     },
     /// A connection to a core switch ended or did not come up.
     LinkDown {
@@ -140,17 +140,17 @@
         /// How.
         end: LinkEnd,
     },
-    /// After [`Output::Recall`]: not a byte of this set-up had been written, and none will be.
-    Recalled {
+    /// After [`Output::RecallSetUps`]: not a byte of this set-up had been written, and none will be.
+    SetUpRecalled {
         /// On which connection it lay.
         link: LinkId,
         /// Whose set-up.
         tag: Tag,
     },
     /// The name server answered.
-    Answer(Answer),
+    ListResponse(Response),
     /// A new configuration holds this list.
-    Known(Pool),
+    ConfiguredList(Pool),
     /// The gateway is to end.
     Stop,
     /// Something is due.
@@ -168,8 +168,8 @@
         line: Vec<u8>,
     },
     /// Write to a client what concerns a call that stands or stood; say so if its connection ends before a byte of it is
-    /// written ([`Input::Unheard`]).
-    Tell {
+    /// written ([`Input::NotDelivered`]).
+    NotifyCaller {
         /// Which client.
         client: ClientId,
         /// Of which call.
@@ -177,7 +177,7 @@
         /// A line.
         line: Vec<u8>,
     },
-    /// Take what has come on a client's connection, say that it is read out ([`Input::ClientReadOut`]), write what waits,
+    /// Take what has come on a client's connection, say that it is read out ([`Input::ClientFullyRead`]), write what waits,
     /// then close it in order.
     CloseClient {
         /// Which.
@@ -211,7 +211,7 @@
         line: Vec<u8>,
     },
     /// Take that set-up back if not a byte of it has been written, and write nothing; else write this.
-    GiveUp {
+    CancelSetUp {
         /// On which connection.
         link: LinkId,
         /// Whose set-up.
@@ -220,8 +220,8 @@
         line: Vec<u8>,
     },
     /// Take back every set-up on this connection of which not a byte has been written, and say which they were
-    /// ([`Input::Recalled`]).
-    Recall {
+    /// ([`Input::SetUpRecalled`]).
+    RecallSetUps {
         /// Which connection.
         link: LinkId,
     },
@@ -240,23 +240,23 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Set-ups taken.
-    pub taken: u64,
+    pub accepted: u64,
     /// Calls that stood.
-    pub stood: u64,
+    pub established: u64,
     /// Refused.
     pub refused: u64,
     /// Failed.
     pub failed: u64,
     /// Given up by their callers.
-    pub lapsed: u64,
+    pub abandoned: u64,
     /// Set-ups that made no sense.
     pub invalid: u64,
     /// Attempts sent.
     pub attempts: u64,
     /// Standing calls that a core switch lost.
-    pub cut: u64,
+    pub calls_lost: u64,
     /// Answers that could not be read or used.
-    pub spoilt: u64,
+    pub invalid_responses: u64,
     /// Connections of clients that got no seat or had to leave theirs.
-    pub unseated: u64,
+    pub evicted_clients: u64,
 }
--- a/crates/fawnrouter-node/src/node/trunk.rs
+++ b/crates/fawnrouter-node/src/node/switch_links.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fawnrouter::{Event, Note, Outcome, ServerId, ServerState};
+use fawnrouter::{Event, Outcome, OutcomeDetail, ServerId, ServerState};
 use fawnrouter_jsonl::{Message, Tag, Verb};
 use rand_core::RngCore;
 
@@ -49,7 +49,7 @@
         let Some(server) = self.links.up(self.now, link) else { return };
         self.sign(server, Sign::Connected);
         for (tag, rc) in self.links.owed(server) {
-            self.tell_switch(link, &Message::new(Verb::Finish, tag).cause(rc));
+            self.tell_switch(link, &Message::new(Verb::Finish, tag).with_cause(rc));
         }
         for tag in self.links.take_waiting(server) {
             // What is over by now ends in this turn, and is not sent before.
@@ -70,7 +70,7 @@
 
     /// A spoilt answer: the connection is of no further use, nor are the set-ups on it.
     pub(super) fn link_fault(&mut self, link: LinkId, why: &str) {
-        self.counters.spoilt += 1;
+        self.counters.invalid_responses += 1;
         if let Some(l) = self.links.links.get(&link) {
             let server = l.server;
             self.log(format!("connection to core switch {} closed: {why}", server.0));
@@ -91,7 +91,7 @@
         // Nobody there to wait for: those that wait for a connection have failed to get one.
         if end != LinkEnd::Broken && !self.links.is_up(server) {
             for tag in self.links.take_waiting(server) {
-                self.attempt_ended(tag, Outcome::ConnectFailed, Note::None);
+                self.attempt_ended(tag, Outcome::ConnectFailed, OutcomeDetail::None);
             }
         }
     }
@@ -109,7 +109,7 @@
             s.life.lost();
         }
         for tag in gone.open {
-            self.attempt_ended(tag, Outcome::Reset, Note::None);
+            self.attempt_ended(tag, Outcome::Reset, OutcomeDetail::None);
             self.release(gone.server, tag, cause::CLEARING);
         }
         self.tend(gone.server);
@@ -128,7 +128,7 @@
         };
         self.sign(server, sign);
         // Free circuits and the like come by themselves, or with an answer.
-        let report = message.opts.get("load").and_then(|l| l.text()).map(fawnrouter_bootinfo::told_report);
+        let report = message.opts.get("load").and_then(|l| l.as_str()).map(fawnrouter_bootinfo::parse_report);
         let here = self
             .calls
             .open
@@ -146,11 +146,11 @@
             Verb::Finish => {
                 let Some(rc) = message.rc else { return self.link_fault(link, "a release without a cause") };
                 if here.is_some() {
-                    let note = match message.opts.get("note").and_then(|n| n.text()) {
-                        Some("group_full") => Note::NoCircuit,
-                        Some("processor_full") => Note::ProcessorFull(None),
-                        Some("user_busy") => Note::NumberBusy,
-                        _ => Note::None,
+                    let note = match message.opts.get("note").and_then(|n| n.as_str()) {
+                        Some("group_full") => OutcomeDetail::NoCircuit,
+                        Some("processor_full") => OutcomeDetail::ProcessorFull(None),
+                        Some("user_busy") => OutcomeDetail::NumberBusy,
+                        _ => OutcomeDetail::None,
                     };
                     let outcome = match rc {
                         34 => Outcome::Full,
@@ -192,7 +192,7 @@
     fn late_answer(&mut self, link: LinkId, server: ServerId, tag: Tag) {
         let stands = self.calls.standing.get(&tag).is_some_and(|s| s.server == server);
         if !stands && self.links.links.get_mut(&link).is_some_and(|l| l.release_late(tag)) {
-            self.tell_switch(link, &Message::new(Verb::Finish, tag).cause(cause::CLEARING));
+            self.tell_switch(link, &Message::new(Verb::Finish, tag).with_cause(cause::CLEARING));
         }
     }
 
@@ -209,7 +209,7 @@
         self.probes.retain(|_, (_, sent, _)| now.since(*sent) < PROBE_MEMORY);
         let tag = Tag(self.rng.next_u64());
         self.probes.insert(tag, (server, now, asked));
-        self.tell_switch(link, &Message::new(Verb::Echo, tag).cause(0));
+        self.tell_switch(link, &Message::new(Verb::Echo, tag).with_cause(0));
         true
     }
 }
--- a/crates/fawnrouter-node/src/node/list.rs
+++ b/crates/fawnrouter-node/src/node/switch_list.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use fawnrouter::{Event, ListKind, Note, Outcome, ServerId};
+use fawnrouter::{Event, ListKind, Outcome, OutcomeDetail, ServerId};
 
 use super::{Key, Node, Output, Server};
 use crate::links::{LinkId, Need};
 use crate::liveness::Life;
-use crate::pool::{Pool, entry};
+use crate::switch_list::{Pool, entry};
 
 impl Node {
     /// A core switch that is not listed and holds nothing is forgotten, with its number.
@@ -24,7 +24,7 @@
             self.ids.forget(&s.id);
         }
         for tag in self.links.take_waiting(server) {
-            self.attempt_ended(tag, Outcome::Moot, Note::None);
+            self.attempt_ended(tag, Outcome::Moot, OutcomeDetail::None);
         }
         let links = self.links.sites.remove(&server).map(|s| s.links).unwrap_or_default();
         for link in links {
@@ -40,11 +40,11 @@
         if self.serial.is_some_and(|seen| pool.serial.wrapping_sub(seen) as i32 <= 0) {
             return;
         }
-        let kind = if self.serial.is_none() { ListKind::Cached } else { ListKind::Whole };
+        let kind = if self.serial.is_none() { ListKind::Cached } else { ListKind::Snapshot };
         self.serial = Some(pool.serial);
         let mut entries = Vec::new();
         let mut seen = BTreeSet::new();
-        for (id, listed) in &pool.listed {
+        for (id, listed) in &pool.switches {
             let server = self.ids.number(id);
             seen.insert(server);
             entries.push(entry(server, listed));
@@ -69,7 +69,7 @@
         self.decide();
         // A new core switch listens where one listened that is gone: nothing there is the old one's any more. Guards
         // against its answers and connections being taken for signs of the old one's life.
-        let taken: BTreeSet<SocketAddr> = pool.listed.values().map(|l| l.address).collect();
+        let taken: BTreeSet<SocketAddr> = pool.switches.values().map(|l| l.address).collect();
         for server in gone.iter().copied() {
             if self.links.sites.get(&server).is_some_and(|site| taken.contains(&site.address)) {
                 self.cut(server, None, "is gone and its address is another's");
@@ -85,11 +85,11 @@
             // What has not been written yet must not go there any more.
             if self.need(server) != Need::SetUps {
                 for tag in self.links.take_waiting(server) {
-                    self.attempt_ended(tag, Outcome::Moot, Note::None);
+                    self.attempt_ended(tag, Outcome::Moot, OutcomeDetail::None);
                 }
                 // A peer that does not read leaves set-ups in the outbox, and might take them after the grace.
                 let laden = self.links.links.iter().filter(|(_, l)| l.server == server && !l.open.is_empty());
-                self.out.extend(laden.map(|(link, _)| Output::Recall { link: *link }));
+                self.out.extend(laden.map(|(link, _)| Output::RecallSetUps { link: *link }));
             }
             // Where nothing stands and nothing is out there is nothing more to hear: the place is another's.
             if self.need(server) == Need::None {
--- a/crates/fawnrouter-node/tests/edges.rs
+++ b/crates/fawnrouter-node/tests/edges.rs
@@ -20,7 +20,7 @@
     let (mut ask, mut now, mut times) = (Ask::new(), 0, Vec::new());
     while now < until_ms {
         times.push(now);
-        let next = ask.ask(Time(Duration::from_millis(now)), times.len() as u16).next;
+        let next = ask.next_query(Time(Duration::from_millis(now)), times.len() as u16).next_at;
         now = next.0.as_millis() as u64;
     }
     times
@@ -42,12 +42,16 @@
     let mut ask = Ask::new();
     let mut last = Vec::new();
     for n in 0..18u64 {
-        let asked = ask.ask(Time(Duration::from_millis(n * 250)), n as u16);
-        assert_eq!(asked.next, Time(Duration::from_millis((n + 1) * 250)), "no back-off in 4.5 s of silence");
+        let asked = ask.next_query(Time(Duration::from_millis(n * 250)), n as u16);
+        assert_eq!(
+            asked.next_at,
+            Time(Duration::from_millis((n + 1) * 250)),
+            "no back-off in 4.5 s of silence"
+        );
         last = asked.datagram;
     }
     last[2] = 0x80;
-    assert!(ask.answer(&last).is_ok());
+    assert!(ask.accept_response(&last).is_ok());
 }
 
 #[test]
@@ -61,13 +65,13 @@
         let held = (1..=30).filter(|tag| rig.starts(*tag).is_empty()).count();
         assert!(held > 0, "some are held");
         let at = rig.seen.len();
-        rig.input(Input::Known(pool(2, &[("s-1", 7001, told, 0), ready[1]])));
+        rig.input(Input::ConfiguredList(pool(2, &[("s-1", 7001, told, 0), ready[1]])));
         (31..=60).for_each(|tag| rig.call(client, tag, 4000));
         rig.pass(4000);
         let sent = rig.seen[at..].iter().filter_map(|(_, output)| match output {
             Output::ToLink { link, line }
             | Output::SetUp { link, line, .. }
-            | Output::GiveUp { link, line, .. } => Some((*link, parse(line).ok()?.verb)),
+            | Output::CancelSetUp { link, line, .. } => Some((*link, parse(line).ok()?.verb)),
             _ => None,
         });
         // Those that are closed by now among them.
--- a/crates/fawnrouter/src/brain.rs
+++ b/crates/fawnrouter/src/brain.rs
@@ -386,10 +386,10 @@
 }
 
 impl Call {
-    fn wanted(&self, now: Time) -> Wanted {
+    fn wanted(&self, now: Time) -> RoutingRequest {
         let (aim_left, left) = (self.aim_at.since(now), self.answer_by.since(now));
         let (call, class, worth, aim) = (self.new.id, self.new.class, self.worth, self.aim);
-        Wanted { call, class, worth, aim, aim_left, left }
+        RoutingRequest { call, class, worth, aim, aim_left, time_left: left }
     }
 
     /// Whether the call can go nowhere any more: it has had its attempts, or may have run and must not run
@@ -422,7 +422,7 @@
 #[derive(Debug)]
 pub struct Controller {
     settings: Settings,
-    voice: Option<Box<dyn Voice>>,
+    voice: Option<Box<dyn RoutingPolicy>>,
     rng: ChaCha8Rng,
     servers: BTreeMap<ServerId, Server>,
     calls: BTreeMap<CallId, Call>,
@@ -471,7 +471,7 @@
 
     /// The same with a further voice in the choice of server.
     #[must_use]
-    pub fn with_voice(mut self, voice: Box<dyn Voice>) -> Self {
+    pub fn with_routing_policy(mut self, voice: Box<dyn RoutingPolicy>) -> Self {
         self.voice = Some(voice);
         self
     }
@@ -486,26 +486,26 @@
         match event {
             Event::List { kind, entries } => self.on_list(now, kind, entries),
             Event::Call(new) => self.on_call(now, new),
-            Event::Standing { call, attempt, server, took } => {
+            Event::Established { call, attempt, server, took } => {
                 let known =
                     self.calls.get_mut(&call).filter(|c| c.out == Some((attempt, server)) && !c.standing);
                 if let Some(c) = known {
                     c.standing = true;
-                    self.voice.iter_mut().for_each(|voice| voice.ended(call, true));
+                    self.voice.iter_mut().for_each(|voice| voice.attempt_resolved(call, true));
                     self.answered(now, server, call, Some(took));
                 }
             }
-            Event::Closed { call, attempt, server, done, outcome, note, report, .. } => {
-                self.on_closed(now, call, (attempt, server), (done, outcome, note), report);
+            Event::Closed { call, attempt, server, done, outcome, detail, report, .. } => {
+                self.on_closed(now, call, (attempt, server), (done, outcome, detail), report);
             }
-            Event::Lapsed(call) => self.forget(call),
+            Event::Abandoned(call) => self.forget(call),
             Event::Timer(_) => {}
             Event::Probed { server, report, .. } => {
                 if let Some(s) = self.servers.get_mut(&server) {
-                    s.free = report.free.map(|x| (x, now)).or(s.free);
+                    s.free = report.free_circuits.map(|x| (x, now)).or(s.free);
                 }
             }
-            Event::Mail { from, text } => self.on_news(from, &text),
+            Event::PeerMessage { from, text } => self.on_news(from, &text),
         }
         if now >= self.next_sweep {
             self.sweep(now);
@@ -539,10 +539,10 @@
         if new.tenant.is_some_and(|t| !self.within_quota(now, t)) {
             worth *= self.settings.over_share_worth;
         }
-        let (id, left) = (new.id, new.left);
-        let margin = ANSWER_MARGIN.min(new.left / 4).max(SWEEP * 2);
+        let (id, left) = (new.id, new.time_left);
+        let margin = ANSWER_MARGIN.min(new.time_left / 4).max(SWEEP * 2);
         let mut call = Call {
-            answer_by: now.plus(new.left.saturating_sub(margin)),
+            answer_by: now.plus(new.time_left.saturating_sub(margin)),
             margin,
             aim: class.aim,
             aim_at: first.plus(class.aim),
@@ -585,7 +585,7 @@
     }
 
     fn forget(&mut self, call: CallId) {
-        self.voice.iter_mut().for_each(|voice| voice.ended(call, false));
+        self.voice.iter_mut().for_each(|voice| voice.attempt_resolved(call, false));
         let gone = self.calls.remove(&call);
         if let Some(c) = &gone {
             self.held.remove(&Self::place_in_line(c));
@@ -636,20 +636,20 @@
         now: Time,
         call: CallId,
         attempt: (AttemptNo, ServerId),
-        (done, outcome, note): (bool, Outcome, Note),
-        report: Report,
+        (done, outcome, detail): (bool, Outcome, OutcomeDetail),
+        report: LoadReport,
     ) {
         if let Some(s) = self.servers.get_mut(&attempt.1) {
-            s.free = report.free.map(|x| (x, now)).or(s.free);
+            s.free = report.free_circuits.map(|x| (x, now)).or(s.free);
             s.utilisation = report.utilisation.or(s.utilisation);
             // A told wait is one more sample of the set-up delay.
-            if let (Some(wait), Some(floor)) = (report.wait, s.floor) {
+            if let (Some(wait), Some(floor)) = (report.queue_wait, s.floor) {
                 s.tick_delays.add(floor + wait.as_secs_f64());
             }
         }
         let Some(c) = self.calls.get_mut(&call).filter(|c| c.out == Some(attempt)) else { return };
         let stood = c.standing;
-        self.voice.iter_mut().for_each(|voice| voice.ended(call, stood));
+        self.voice.iter_mut().for_each(|voice| voice.attempt_resolved(call, stood));
         c.out = None;
         c.failed = Some(attempt.1);
         if !outcome.never_ran() && c.maybe_ran.is_none() {
@@ -665,26 +665,26 @@
             _ if stood => {}
             Outcome::Full | Outcome::Error | Outcome::Ended => {
                 self.answered(now, attempt.1, call, None);
-                match (self.servers.get_mut(&attempt.1), note) {
-                    (Some(s), Note::ProcessorFull(wait)) => {
+                match (self.servers.get_mut(&attempt.1), detail) {
+                    (Some(s), OutcomeDetail::ProcessorFull(wait)) => {
                         s.tick_full = true;
                         s.miss(now, 1, &mut self.actions);
                         s.not_before = now.plus(wait.unwrap_or_default().clamp(TRIAL.0, TRIAL.1));
                     }
-                    (Some(s), Note::NoCircuit) => s.free = Some((0.0, now)),
+                    (Some(s), OutcomeDetail::NoCircuit) => s.free = Some((0.0, now)),
                     _ => {}
                 }
             }
             _ => self.unanswered(now, attempt.1, call, outcome),
         }
-        if note == Note::NumberBusy
+        if detail == OutcomeDetail::NumberBusy
             && let Some(log) = self.calls.get(&call).and_then(|c| self.numbers.get_mut(&c.new.number))
         {
             log.busy_until = now.plus(BUSY_PAUSE);
         }
         if done || stood {
             self.forget(call);
-        } else if note == Note::NumberBusy
+        } else if detail == OutcomeDetail::NumberBusy
             || self.calls.get(&call).is_some_and(|c| c.is_hopeless(now, self.settings.limits.max_attempts))
         {
             self.give_up(call);
@@ -767,7 +767,8 @@
         let (Some(voice), Some(c)) = (&mut self.voice, self.calls.get(&id)) else { return say };
         let wanted = c.wanted(now);
         open.retain(|server| {
-            let weight = self.servers.get(server).map_or(0.0, |s| voice.weigh(now, &wanted, &s.entry));
+            let weight =
+                self.servers.get(server).map_or(0.0, |s| voice.server_weight(now, &wanted, &s.entry));
             say.insert(*server, weight);
             weight > 0.0
         });
@@ -840,7 +841,7 @@
         {
             within = within.min(c.aim.mul_f64(TRIAL_CUT));
         }
-        self.voice.iter_mut().for_each(|voice| voice.sent(now, &c.wanted(now), &s.entry));
+        self.voice.iter_mut().for_each(|voice| voice.attempt_sent(now, &c.wanted(now), &s.entry));
         c.out = Some((AttemptNo(c.attempts), server));
         c.called_off = false;
         c.attempts += 1;
@@ -877,8 +878,8 @@
         for id in due.map(|(id, _)| *id).collect::<Vec<_>>() {
             self.give_up(id);
         }
-        if self.settings.discovery == Discovery::Ask {
-            let pause = self.settings.rules.ask_within / ASK_SHARE;
+        if self.settings.discovery == Discovery::Subscribe {
+            let pause = self.settings.rules.subscribe_within / ASK_SHARE;
             if !self.subscribed && self.asked.is_none_or(|t| now.since(t) >= pause) {
                 self.asked = Some(now);
                 self.actions.push(Action::Subscribe);
@@ -932,7 +933,7 @@
         if let Some(voice) = &mut self.voice {
             let mut servers = self.servers.values().map(|s| {
                 let (ready, well) = (s.entry.state == ServerState::Ready, s.cold.is_none() && !s.suspect);
-                Seen { entry: &s.entry, ready, well, fraction: s.throttle.f }
+                ServerView { entry: &s.entry, ready, healthy: well, allowed_fraction: s.throttle.f }
             });
             voice.observe(now, &mut servers);
         }
@@ -958,7 +959,7 @@
     /// each has too few samples of its own; messages may all be lost, then it goes by those alone.
     fn tell_news(&mut self) {
         self.ticks = (self.ticks + 1) % NEWS.0;
-        let (me, gateways) = (self.settings.me.0, self.settings.gateways);
+        let (me, gateways) = (self.settings.own_id.0, self.settings.gateways);
         if self.ticks != 0 || !self.settings.limits.peers || gateways < 2 {
             return;
         }
@@ -973,14 +974,15 @@
             let step = 1 + self.rng.next_u32() % (gateways - 1);
             let to = Some(PeerId((me + step) % gateways));
             if text.len() > 1 {
-                self.actions.push(Action::Tell { to, text: text.clone() });
+                self.actions.push(Action::SendToPeer { to, text: text.clone() });
             }
         }
     }
 
     /// Delays told by another gateway are samples like the own ones. What cannot be read is left out.
     fn on_news(&mut self, from: PeerId, text: &str) {
-        let known = self.settings.limits.peers && from != self.settings.me && from.0 < self.settings.gateways;
+        let known =
+            self.settings.limits.peers && from != self.settings.own_id && from.0 < self.settings.gateways;
         let Some(lines) = text.strip_prefix("1 ").filter(|_| known) else { return };
         for (id, ms) in lines.split(' ').filter_map(|line| line.split_once(':')) {
             let (Ok(id), Ok(ms)) = (id.parse().map(ServerId), ms.parse::<u32>()) else { continue };
--- a/crates/fawnrouter/src/lib.rs
+++ b/crates/fawnrouter/src/lib.rs
@@ -11,7 +11,7 @@
 //!
 //! let settings = Settings {
 //!     gateways: 1,
-//!     me: PeerId(0),
+//!     own_id: PeerId(0),
 //!     classes: vec![ClassSettings {
 //!         name: "lookup".into(),
 //!         aim: Duration::from_secs(2),
@@ -30,7 +30,7 @@
 //!         fall_multiple: 3.0,
 //!         fall_time: Duration::from_secs(1),
 //!         release_guard: Duration::from_millis(300),
-//!         ask_within: Duration::from_secs(10),
+//!         subscribe_within: Duration::from_secs(10),
 //!     },
 //!     limits: Limits {
 //!         max_attempts: 5,
@@ -59,7 +59,7 @@
 //! let call = NewCall {
 //!     id: CallId(1),
 //!     class: Some(ClassId(0)),
-//!     left: Duration::from_secs(3),
+//!     time_left: Duration::from_secs(3),
 //!     number: "line-1".into(),
 //!     width: 1.0,
 //!     tenant: None,
--- a/crates/fawnrouter/tests/rules.rs
+++ b/crates/fawnrouter/tests/rules.rs
@@ -18,7 +18,7 @@
 #[test]
 fn a_call_with_no_time_left_is_answered_at_once() {
     let mut g = Gateway::with_servers(settings(), 1);
-    let late = NewCall { left: ms(0), ..call(1, 0, 0) };
+    let late = NewCall { time_left: ms(0), ..call(1, 0, 0) };
     let done = g.tell(Event::Call(late));
     assert_eq!((finals(&done), issued(&done)), (vec![1], vec![]));
 }
@@ -63,7 +63,7 @@
 #[test]
 fn a_server_missing_from_a_whole_list_is_gone() {
     let mut g = Gateway::with_servers(settings(), 2);
-    g.tell(Event::List { kind: ListKind::Whole, entries: vec![entry(71, ServerState::Ready)] });
+    g.tell(Event::List { kind: ListKind::Snapshot, entries: vec![entry(71, ServerState::Ready)] });
     assert_eq!(issued(&g.tell(Event::Call(call(1, 0, 0)))), [(1, 71)]);
 }
 
@@ -134,7 +134,7 @@
     let start_time = |g: &mut Gateway| {
         let up_since = Some(g.now.minus(ms(200)));
         let entry = ServerEntry { up_since, ..entry(75, ServerState::Ready) };
-        g.tell(Event::List { kind: ListKind::Whole, entries: vec![entry] });
+        g.tell(Event::List { kind: ListKind::Snapshot, entries: vec![entry] });
     };
     for most in [flood_a_cold_server(new_id), flood_a_cold_server(start_time)] {
         assert!((1..=6).contains(&most), "{most} in a second");
@@ -172,7 +172,7 @@
     let mut g = Gateway::with_servers(s, 3);
     let direct = call(1, 0, 1);
     assert_eq!(issued(&g.tell(Event::Call(direct))), [(1, 71)]);
-    let full = Report { free: Some(0.0), size: Some(9.0), ..Report::default() };
+    let full = LoadReport { free_circuits: Some(0.0), total_circuits: Some(9.0), ..LoadReport::default() };
     g.tell(Event::Probed { server: ServerId(71), ok: true, took: ms(0), report: full });
     let tandem = call(2, 0, 1);
     assert_eq!(issued(&g.tell(Event::Call(tandem))), [(2, 70)], "no circuit free: over the other exchange");
@@ -186,7 +186,7 @@
 #[test]
 fn where_the_list_must_be_asked_for_failures_are_asked_again_in_time() {
     let mut s = settings();
-    s.discovery = Discovery::Ask;
+    s.discovery = Discovery::Subscribe;
     let mut g = Gateway::new(s);
     let asks = |done: &[(Time, Action)]| done.iter().filter(|(_, a)| *a == Action::Subscribe).count();
     let first = g.tell(Event::List { kind: ListKind::Cached, entries: vec![entry(70, ServerState::Ready)] });
@@ -204,11 +204,11 @@
     let mut g = Gateway::with_servers(settings(), 1);
     assert_eq!(g.stands(9, 0, 70, ms(40)), []);
     assert_eq!(g.closes(9, 0, 70, Outcome::Reset), []);
-    assert_eq!(g.tell(Event::Lapsed(CallId(9))), []);
+    assert_eq!(g.tell(Event::Abandoned(CallId(9))), []);
     g.tell(Event::Call(call(1, 0, 0)));
     assert_eq!(g.closes(1, 7, 70, Outcome::Reset), [], "an attempt that was never made");
     assert_eq!(g.closes(1, 0, 99, Outcome::Reset), [], "a server that it did not go to");
-    g.tell(Event::Lapsed(CallId(1)));
+    g.tell(Event::Abandoned(CallId(1)));
     assert_eq!(g.stands(1, 0, 70, ms(40)), []);
     let no_class = NewCall { class: None, ..call(2, 0, 0) };
     assert_eq!(finals(&g.tell(Event::Call(no_class))), [2]);
@@ -223,8 +223,11 @@
     };
     assert_eq!(with(|s| s.gateways = 0), Some(SettingsError::NoGateways));
     assert_eq!(with(|s| s.classes.clear()), Some(SettingsError::NoClasses));
-    assert_eq!(with(|s| s.rules.cold_from = -1.0), Some(SettingsError::BadFigure("cold_from")));
-    assert_eq!(with(|s| s.rules.fall_multiple = f64::NAN), Some(SettingsError::BadFigure("fall_multiple")));
+    assert_eq!(with(|s| s.rules.cold_from = -1.0), Some(SettingsError::FigureOutOfRange("cold_from")));
+    assert_eq!(
+        with(|s| s.rules.fall_multiple = f64::NAN),
+        Some(SettingsError::FigureOutOfRange("fall_multiple"))
+    );
     assert_eq!(with(|_| ()), None);
 }
 
--- a/crates/fawnrouterd/src/client.rs
+++ b/crates/fawnrouterd/src/client.rs
@@ -8,7 +8,7 @@
 
 use async_io::{Async, Timer};
 use fawnrouter_admission::{BufferOwner, ConnectionId, RefusalReason};
-use fawnrouter_engine::{Input, whole_seconds};
+use fawnrouter_engine::{Input, retry_after_seconds};
 use fawnrouter_sip::Message;
 use fawnrouter_ws::{
     CloseCode, Decoder, Event, HttpLimits, Opcode, Origins, Role, Terms, accept, close_payload, encode,
@@ -79,7 +79,7 @@
 
 /// The answer to a connection that does not get in.
 pub fn refusal(reason: RefusalReason, wait: Duration) -> Vec<u8> {
-    refuse(503, reason.text(), Some(whole_seconds(wait)))
+    refuse(503, reason.text(), Some(retry_after_seconds(wait)))
 }
 
 /// Tells a connection that does not get in when to come back. The answer goes out before its request is read, and
@@ -95,7 +95,7 @@
     let told = future::or(tell_and_end(&core, &stream, &answer), async {
         Timer::after(LAST_WORDS).await;
     });
-    future::or(told, outbox.killed()).await;
+    future::or(told, outbox.aborted()).await;
     core.connection_admission.borrow_mut().refused(&outbox);
 }
 
@@ -123,8 +123,12 @@
     };
     // It may have to make room for another before it is done.
     let made_room = async {
-        let why = outbox.ended().await.unwrap_or("the gateway ends");
-        Err(refuse(503, why, Some(whole_seconds(Duration::from_millis(core.settings.limits.retry_after_ms)))))
+        let why = outbox.finished().await.unwrap_or("the gateway ends");
+        Err(refuse(
+            503,
+            why,
+            Some(retry_after_seconds(Duration::from_millis(core.settings.limits.retry_after_ms))),
+        ))
     };
     let shaken =
         future::or(handshake(core, conn, &stream, peer, terms), future::or(made_room, too_late)).await;
@@ -150,7 +154,7 @@
         .await;
     }
     let client = core.connections.borrow_mut().shaken(conn, outbox.clone());
-    core.input(Input::ClientUp { client, peer, origin, must_prove });
+    core.input(Input::ClientUp { client, peer, origin, must_authenticate: must_prove });
     tracing::debug!(client = client.0, %peer, "client connected");
     let heard = Cell::new(Instant::now());
     let reading = async {
@@ -167,7 +171,7 @@
             let read = read_at_most(core, &stream, turn, |bytes| session.take_all(&mut decoder, bytes));
             match read.await {
                 Ok(Some(more)) => goes_on = more,
-                _ => return outbox.kill(),
+                _ => return outbox.abort(),
             }
             heard.set(Instant::now());
             let messages = std::mem::take(&mut session.messages);
@@ -181,7 +185,7 @@
     let writing = async {
         let _ = outbox.write_to(&stream).await;
     };
-    let watching = future::or(outbox.killed(), keep_alive(core, outbox, &heard));
+    let watching = future::or(outbox.aborted(), keep_alive(core, outbox, &heard));
     future::or(future::or(reading, writing), watching).await;
     core.connections.borrow_mut().remove_client(client);
     core.input(Input::ClientDown { client });
@@ -258,7 +262,7 @@
     loop {
         let silent = heard.get().elapsed();
         if silent >= pause * 2 {
-            return outbox.kill();
+            return outbox.abort();
         }
         if silent >= pause {
             outbox.push(|out| encode(Opcode::Ping, b"", None, out));
--- a/crates/fawnrouterd/src/connection_admission.rs
+++ b/crates/fawnrouterd/src/connection_admission.rs
@@ -131,7 +131,7 @@
                 if self.descriptors.refuse(self.refusing.len()) == AcceptDecision::RefuseClosingOldest
                     && let Some(oldest) = self.refusing.pop_front()
                 {
-                    oldest.kill();
+                    oldest.abort();
                 }
                 self.refusing.push_back(outbox.clone());
                 Entry::Out(reason, wait, outbox)
@@ -260,7 +260,7 @@
                     now.0,
                     conn,
                     connection.outbox.backlog(),
-                    connection.outbox.taken(),
+                    connection.outbox.written_bytes(),
                 );
             }
         }
@@ -269,7 +269,7 @@
             if why == EvictionReason::SlowReader
                 && let Some((_, connection)) = connections.iter().find(|(c, _)| *c == conn)
             {
-                connection.outbox.kill();
+                connection.outbox.abort();
             }
             connections.close(conn, CloseCode::LATER, why.text());
         }
@@ -327,7 +327,7 @@
              limits: {{ connections: {connection_limit} }}\nadmission: {{}}\n"
         );
         let settings = fawnrouter_config::parse("t.yaml", &text).expect("sound settings");
-        let admission = settings.admission(1).map(|a| Admission::new(a).expect("sound settings"));
+        let admission = settings.admission_settings(1).map(|a| Admission::new(a).expect("sound settings"));
         let descriptors = DescriptorSettings { limit, in_use: 0, trunks: 0, files: 0, control: 0 };
         let descriptors = Descriptors::new(descriptors).expect("room");
         ConnectionAdmission::new(admission, descriptors, connection_limit, Duration::from_secs(2))
@@ -355,7 +355,7 @@
             panic!("room")
         };
         assert_eq!(connection_admission.shaken(now, &mut connections, second).ok(), Some(false));
-        assert_eq!(future::block_on(outbox.ended()), Some(EvictionReason::PlaceNeeded.text()));
+        assert_eq!(future::block_on(outbox.finished()), Some(EvictionReason::PlaceNeeded.text()));
         assert!(other.is_open() && connections.open() == 1);
     }
 
--- a/crates/fawnrouterd/src/node/trunk.rs
+++ b/crates/fawnrouterd/src/node/trunk.rs
@@ -29,7 +29,7 @@
     };
     // The node may drop it before it is up.
     let dropped = async {
-        outbox.ended().await;
+        outbox.finished().await;
         Err(ErrorKind::Interrupted)
     };
     let end = match future::or(future::or(connecting, late), dropped).await {
@@ -38,7 +38,7 @@
             LinkEnd::Broken
         }
         Err(ErrorKind::ConnectionRefused) => LinkEnd::Refused,
-        Err(_) => LinkEnd::Unreached,
+        Err(_) => LinkEnd::Unreachable,
     };
     if gate.has_link(link) {
         gate.drop_link(link);
@@ -53,10 +53,10 @@
         let _ = outbox.write_to(stream).await;
     };
     let late = async {
-        outbox.ended().await;
+        outbox.finished().await;
         Timer::after(LAST_WORDS).await;
     };
-    let ends = future::or(late, outbox.killed());
+    let ends = future::or(late, outbox.aborted());
     future::or(future::or(writing, read(gate, link, stream)), ends).await;
 }
 
@@ -71,7 +71,7 @@
             match decoder.next_message() {
                 Ok(Some(message)) => gate.input(Input::LinkMessage { link, message }),
                 Ok(None) => break,
-                Err(fault) => return gate.input(Input::LinkFault { link, fault }),
+                Err(fault) => return gate.input(Input::LinkDecodeError { link, fault }),
             }
         }
         future::yield_now().await;
