--- a/crates/fawnrouter-node/src/client_connections.rs
+++ b/crates/fawnrouter-node/src/client_connections.rs
@@ -15,128 +15,140 @@
 
 /// A connection that has said nothing whole is closed after this long, and so is one that has left half a line lying:
 /// the page owes bad clients an end within 3 s.
-pub(crate) const SILENCE: Duration = Duration::from_millis(2500);
+pub(crate) const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// What a connection has been good for. Guards against crowds that only connect, or only ask for the test: they push
 /// out nobody who has calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Rank {
+enum Usage {
     /// It has said nothing whole.
     Silent,
     /// It has, but no call of its stood.
-    Spoke,
+    SentMessage,
     /// A call stood that came on it, or was told on it.
-    Served,
+    CarriedCall,
 }
 
 #[derive(Debug)]
-struct Seat {
-    rank: Rank,
+struct ClientConnection {
+    usage: Usage,
     /// Since when something whole is missing: from its arrival on, or since half a line came.
-    owes: Option<Time>,
+    incomplete_since: Option<Time>,
     idle_since: Time,
     /// Set-ups open on it.
-    open: usize,
+    open_set_ups: usize,
     /// Standing calls whose release is to be told on it.
-    standing: usize,
+    established_calls: usize,
 }
 
 /// Whether a connection gets a seat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Arrival {
+pub(crate) enum Admission {
     /// There is room.
-    In,
+    Admitted,
     /// There is room once this one is closed.
-    InFor(ClientId),
+    AdmittedInPlaceOf(ClientId),
     /// All are busy.
     Full,
 }
 
 /// The clients' connections.
 #[derive(Debug)]
-pub(crate) struct Seats {
-    most: usize,
-    seats: BTreeMap<ClientId, Seat>,
+pub(crate) struct ClientConnections {
+    max_connections: usize,
+    connections: BTreeMap<ClientId, ClientConnection>,
 }
 
-impl Seats {
-    pub fn new(most: usize) -> Self {
-        Self { most, seats: BTreeMap::new() }
+impl ClientConnections {
+    pub fn new(max_connections: usize) -> Self {
+        Self { max_connections, connections: BTreeMap::new() }
     }
 
     pub fn len(&self) -> usize {
-        self.seats.len()
+        self.connections.len()
     }
 
     /// Those that have a seat.
-    pub fn all(&self) -> Vec<ClientId> {
-        self.seats.keys().copied().collect()
+    pub fn ids(&self) -> Vec<ClientId> {
+        self.connections.keys().copied().collect()
     }
 
-    pub fn is_in(&self, client: ClientId) -> bool {
-        self.seats.contains_key(&client)
+    pub fn contains(&self, client: ClientId) -> bool {
+        self.connections.contains_key(&client)
     }
 
     /// A connection has been accepted.
-    pub fn arrive(&mut self, now: Time, client: ClientId) -> Arrival {
-        let mut arrival = Arrival::In;
-        if self.seats.len() >= self.most {
-            let free = self.seats.iter().filter(|(_, s)| s.open == 0);
-            let Some((least, _)) = free.min_by_key(|(id, s)| (s.rank, s.standing > 0, s.idle_since, **id))
+    pub fn admit(&mut self, now: Time, client: ClientId) -> Admission {
+        let mut admission = Admission::Admitted;
+        if self.connections.len() >= self.max_connections {
+            let free = self.connections.iter().filter(|(_, s)| s.open_set_ups == 0);
+            let Some((evicted, _)) =
+                free.min_by_key(|(id, s)| (s.usage, s.established_calls > 0, s.idle_since, **id))
             else {
-                return Arrival::Full;
+                return Admission::Full;
             };
-            arrival = Arrival::InFor(*least);
+            admission = Admission::AdmittedInPlaceOf(*evicted);
         }
-        let seat = Seat { rank: Rank::Silent, owes: Some(now), idle_since: now, open: 0, standing: 0 };
-        self.seats.insert(client, seat);
-        arrival
+        let connection = ClientConnection {
+            usage: Usage::Silent,
+            incomplete_since: Some(now),
+            idle_since: now,
+            open_set_ups: 0,
+            established_calls: 0,
+        };
+        self.connections.insert(client, connection);
+        admission
     }
 
-    pub fn leave(&mut self, client: ClientId) -> bool {
-        self.seats.remove(&client).is_some()
+    pub fn remove(&mut self, client: ClientId) -> bool {
+        self.connections.remove(&client).is_some()
     }
 
     /// Something whole came.
-    pub fn spoke(&mut self, now: Time, client: ClientId) {
-        if let Some(seat) = self.seats.get_mut(&client) {
-            (seat.rank, seat.owes, seat.idle_since) = (seat.rank.max(Rank::Spoke), None, now);
+    pub fn message_received(&mut self, now: Time, client: ClientId) {
+        if let Some(connection) = self.connections.get_mut(&client) {
+            (connection.usage, connection.incomplete_since, connection.idle_since) =
+                (connection.usage.max(Usage::SentMessage), None, now);
         }
     }
 
     /// Whether a part of a line lies there after what has been read. Each read that leaves one begins the time anew
     /// for a connection that has spoken: a caller that is slow to be scheduled still gets on.
-    pub fn half(&mut self, now: Time, client: ClientId, lies: bool) {
-        if let Some(seat) = self.seats.get_mut(&client).filter(|s| s.rank > Rank::Silent) {
-            seat.owes = lies.then_some(now);
+    pub fn set_partial_line(&mut self, now: Time, client: ClientId, partial: bool) {
+        if let Some(connection) = self.connections.get_mut(&client).filter(|s| s.usage > Usage::Silent) {
+            connection.incomplete_since = partial.then_some(now);
         }
     }
 
     /// A set-up opened or ended on it.
-    pub fn count(&mut self, now: Time, client: ClientId, open: usize) {
-        if let Some(seat) = self.seats.get_mut(&client) {
-            (seat.open, seat.idle_since) = (open, now);
+    pub fn set_open_set_ups(&mut self, now: Time, client: ClientId, open: usize) {
+        if let Some(connection) = self.connections.get_mut(&client) {
+            (connection.open_set_ups, connection.idle_since) = (open, now);
         }
     }
 
     /// When it is to be looked at next, if it owes something.
-    pub fn due(&self, client: ClientId) -> Option<Time> {
-        self.seats.get(&client).and_then(|s| s.owes).map(|since| since.plus(SILENCE))
+    pub fn silence_deadline(&self, client: ClientId) -> Option<Time> {
+        self.connections
+            .get(&client)
+            .and_then(|s| s.incomplete_since)
+            .map(|since| since.plus(SILENCE_TIMEOUT))
     }
 
     /// Whether it has kept silent too long.
-    pub fn overdue(&self, now: Time, client: ClientId) -> bool {
-        let seat = self.seats.get(&client).filter(|s| s.open == 0);
-        seat.and_then(|s| s.owes).is_some_and(|since| now.since(since) >= SILENCE)
+    pub fn is_overdue(&self, now: Time, client: ClientId) -> bool {
+        let connection = self.connections.get(&client).filter(|s| s.open_set_ups == 0);
+        connection.and_then(|s| s.incomplete_since).is_some_and(|since| now.since(since) >= SILENCE_TIMEOUT)
     }
 
     /// One more call stands whose release is to be told on it, or one less.
-    pub fn stands(&mut self, client: ClientId, more: bool) {
-        if let Some(seat) = self.seats.get_mut(&client) {
-            if more {
-                (seat.rank, seat.standing) = (Rank::Served, seat.standing + 1);
+    pub fn count_established(&mut self, client: ClientId, added: bool) {
+        if let Some(connection) = self.connections.get_mut(&client) {
+            if added {
+                (connection.usage, connection.established_calls) =
+                    (Usage::CarriedCall, connection.established_calls + 1);
             } else {
-                seat.standing = seat.standing.saturating_sub(1);
+                connection.established_calls = connection.established_calls.saturating_sub(1);
             }
         }
     }
@@ -144,8 +156,8 @@
     /// The connection on which the caller of a standing call is told of its end when the one it used is gone: callers
     /// are one party, and a standing call is bound to no connection. One on which a call has stood, the latest used;
     /// strangers, who only connect, are told nothing.
-    pub fn instead(&self) -> Option<ClientId> {
-        let served = self.seats.iter().filter(|(_, s)| s.rank == Rank::Served);
+    pub fn most_recent_caller(&self) -> Option<ClientId> {
+        let served = self.connections.iter().filter(|(_, s)| s.usage == Usage::CarriedCall);
         served.max_by_key(|(id, s)| (s.idle_since, **id)).map(|(id, _)| *id)
     }
 }
@@ -160,60 +172,72 @@
 
     #[test]
     fn crowds_that_connect_or_pass_the_test_push_out_nobody_with_calls() {
-        let mut seats = Seats::new(4);
-        (1..=4).for_each(|n| assert_eq!(seats.arrive(at(n), ClientId(n)), Arrival::In));
-        [1, 2].into_iter().for_each(|n| seats.stands(ClientId(n), true));
-        seats.stands(ClientId(2), false);
-        seats.spoke(at(10), ClientId(4));
-        for (newcomer, least) in [(5, 3), (6, 5), (7, 6)] {
-            assert_eq!(seats.arrive(at(20), ClientId(newcomer)), Arrival::InFor(ClientId(least)));
-            seats.leave(ClientId(least));
+        let mut connections = ClientConnections::new(4);
+        (1..=4).for_each(|n| assert_eq!(connections.admit(at(n), ClientId(n)), Admission::Admitted));
+        [1, 2].into_iter().for_each(|n| connections.count_established(ClientId(n), true));
+        connections.count_established(ClientId(2), false);
+        connections.message_received(at(10), ClientId(4));
+        for (newcomer, evicted) in [(5, 3), (6, 5), (7, 6)] {
+            assert_eq!(
+                connections.admit(at(20), ClientId(newcomer)),
+                Admission::AdmittedInPlaceOf(ClientId(evicted))
+            );
+            connections.remove(ClientId(evicted));
         }
-        seats.spoke(at(30), ClientId(7));
-        assert_eq!(seats.arrive(at(40), ClientId(8)), Arrival::InFor(ClientId(4)), "tested only");
-        seats.leave(ClientId(4));
-        [7, 8].into_iter().for_each(|n| seats.count(at(50), ClientId(n), 1));
+        connections.message_received(at(30), ClientId(7));
         assert_eq!(
-            seats.arrive(at(60), ClientId(9)),
-            Arrival::InFor(ClientId(2)),
+            connections.admit(at(40), ClientId(8)),
+            Admission::AdmittedInPlaceOf(ClientId(4)),
+            "tested only"
+        );
+        connections.remove(ClientId(4));
+        [7, 8].into_iter().for_each(|n| connections.set_open_set_ups(at(50), ClientId(n), 1));
+        assert_eq!(
+            connections.admit(at(60), ClientId(9)),
+            Admission::AdmittedInPlaceOf(ClientId(2)),
             "nothing stands there any more"
         );
-        assert_eq!(seats.instead(), Some(ClientId(2)));
+        assert_eq!(connections.most_recent_caller(), Some(ClientId(2)));
     }
 
     #[test]
     fn room_is_made_by_the_silent_first_then_by_the_longest_idle_and_never_by_the_busy() {
-        let mut seats = Seats::new(3);
+        let mut connections = ClientConnections::new(3);
         for n in 1..=3 {
-            assert_eq!(seats.arrive(at(n), ClientId(n)), Arrival::In);
+            assert_eq!(connections.admit(at(n), ClientId(n)), Admission::Admitted);
         }
-        seats.spoke(at(10), ClientId(1));
-        seats.spoke(at(20), ClientId(2));
-        assert_eq!(seats.arrive(at(30), ClientId(4)), Arrival::InFor(ClientId(3)));
-        seats.leave(ClientId(3));
-        seats.spoke(at(30), ClientId(4));
-        assert_eq!(seats.arrive(at(40), ClientId(5)), Arrival::InFor(ClientId(1)));
-        seats.leave(ClientId(1));
+        connections.message_received(at(10), ClientId(1));
+        connections.message_received(at(20), ClientId(2));
+        assert_eq!(connections.admit(at(30), ClientId(4)), Admission::AdmittedInPlaceOf(ClientId(3)));
+        connections.remove(ClientId(3));
+        connections.message_received(at(30), ClientId(4));
+        assert_eq!(connections.admit(at(40), ClientId(5)), Admission::AdmittedInPlaceOf(ClientId(1)));
+        connections.remove(ClientId(1));
         for n in [2, 4, 5] {
-            seats.count(at(50), ClientId(n), 1);
+            connections.set_open_set_ups(at(50), ClientId(n), 1);
         }
-        assert_eq!(seats.arrive(at(60), ClientId(6)), Arrival::Full);
-        assert!(!seats.is_in(ClientId(6)));
+        assert_eq!(connections.admit(at(60), ClientId(6)), Admission::Full);
+        assert!(!connections.contains(ClientId(6)));
     }
 
     #[test]
     fn silence_and_half_lines_are_overdue_but_not_with_a_set_up_open() {
-        let mut seats = Seats::new(3);
-        seats.arrive(at(0), ClientId(1));
-        assert!(!seats.overdue(at(2499), ClientId(1)) && seats.overdue(at(2500), ClientId(1)));
+        let mut connections = ClientConnections::new(3);
+        connections.admit(at(0), ClientId(1));
+        assert!(
+            !connections.is_overdue(at(2499), ClientId(1)) && connections.is_overdue(at(2500), ClientId(1))
+        );
         // Half a line is no word: the time since its arrival counts on.
-        seats.half(at(2000), ClientId(1), true);
-        assert!(seats.overdue(at(2500), ClientId(1)));
-        seats.spoke(at(2400), ClientId(1));
-        assert!(!seats.overdue(at(9000), ClientId(1)));
-        seats.half(at(9000), ClientId(1), true);
-        assert!(!seats.overdue(at(11_400), ClientId(1)) && seats.overdue(at(11_500), ClientId(1)));
-        seats.count(at(9000), ClientId(1), 1);
-        assert!(!seats.overdue(at(20_000), ClientId(1)));
+        connections.set_partial_line(at(2000), ClientId(1), true);
+        assert!(connections.is_overdue(at(2500), ClientId(1)));
+        connections.message_received(at(2400), ClientId(1));
+        assert!(!connections.is_overdue(at(9000), ClientId(1)));
+        connections.set_partial_line(at(9000), ClientId(1), true);
+        assert!(
+            !connections.is_overdue(at(11_400), ClientId(1))
+                && connections.is_overdue(at(11_500), ClientId(1))
+        );
+        connections.set_open_set_ups(at(9000), ClientId(1), 1);
+        assert!(!connections.is_overdue(at(20_000), ClientId(1)));
     }
 }
--- a/crates/fawnrouter-node/src/descriptor_shares.rs
+++ b/crates/fawnrouter-node/src/descriptor_shares.rs
@@ -6,7 +6,7 @@
 /// Descriptors that are nobody's share: three standard streams, three of the reactor's, two of the signals', the listener,
 /// the name server's socket and the next one at SIGHUP, the configuration file, the connection that is just being
 /// accepted, and three more.
-const RESERVED: usize = 16;
+const RESERVED_DESCRIPTORS: usize = 16;
 
 /// What each part may hold at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,7 +24,7 @@
     #[must_use]
     pub fn divide(descriptors: usize) -> Self {
         let (links, closing) = (descriptors / 4, descriptors / 8);
-        let rest = descriptors.saturating_sub(links + closing + RESERVED);
+        let rest = descriptors.saturating_sub(links + closing + RESERVED_DESCRIPTORS);
         Self { clients: (descriptors / 2).min(rest).max(1), links: links.max(1), closing }
     }
 
--- a/crates/fawnrouter-node/src/inbox.rs
+++ b/crates/fawnrouter-node/src/inbox.rs
@@ -20,12 +20,12 @@
 #[derive(Debug, Default)]
 pub struct Inbox {
     /// What ends a call that was set up before: it goes ahead of all else, so that no attempt is made meanwhile.
-    ends: VecDeque<Message>,
+    finishes: VecDeque<Message>,
     queue: VecDeque<(Message, bool)>,
     /// How many have been handed on, so that places hold.
-    handed: u64,
+    popped: u64,
     /// The place of each call's last set-up that has not been given up.
-    set_ups: BTreeMap<Tag, u64>,
+    latest_set_ups: BTreeMap<Tag, u64>,
 }
 
 impl Inbox {
@@ -33,11 +33,11 @@
     pub fn push(&mut self, message: Message) {
         match message.verb {
             Verb::Start => {
-                self.set_ups.insert(message.tag, self.handed + self.queue.len() as u64);
+                self.latest_set_ups.insert(message.tag, self.popped + self.queue.len() as u64);
             }
-            Verb::Finish => match self.set_ups.remove(&message.tag) {
+            Verb::Finish => match self.latest_set_ups.remove(&message.tag) {
                 Some(place) => self.withdraw(place),
-                None => return self.ends.push_back(message),
+                None => return self.finishes.push_back(message),
             },
             _ => {}
         }
@@ -46,13 +46,13 @@
 
     /// The client has gone: what it has set up is given up.
     pub fn withdraw_all(&mut self) {
-        self.set_ups.clear();
+        self.latest_set_ups.clear();
         let set_ups = self.queue.iter_mut().filter(|(message, _)| message.verb == Verb::Start);
         set_ups.for_each(|(_, withdrawn)| *withdrawn = true);
     }
 
     fn withdraw(&mut self, place: u64) {
-        let at = place.checked_sub(self.handed).and_then(|at| usize::try_from(at).ok());
+        let at = place.checked_sub(self.popped).and_then(|at| usize::try_from(at).ok());
         if let Some((_, withdrawn)) = at.and_then(|at| self.queue.get_mut(at)) {
             *withdrawn = true;
         }
@@ -61,12 +61,12 @@
     /// Whether nothing is left to be looked at.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.ends.is_empty() && self.queue.is_empty()
+        self.finishes.is_empty() && self.queue.is_empty()
     }
 
     /// The next that ends a call set up before.
     pub fn pop_finish(&mut self) -> Option<Message> {
-        self.ends.pop_front()
+        self.finishes.pop_front()
     }
 
     /// The next: what ends a call, then all else, each in the order in which they came.
@@ -75,10 +75,10 @@
             return Some(QueuedMessage::Live(message));
         }
         let (message, withdrawn) = self.queue.pop_front()?;
-        if self.set_ups.get(&message.tag) == Some(&self.handed) {
-            self.set_ups.remove(&message.tag);
+        if self.latest_set_ups.get(&message.tag) == Some(&self.popped) {
+            self.latest_set_ups.remove(&message.tag);
         }
-        self.handed += 1;
+        self.popped += 1;
         Some(if withdrawn { QueuedMessage::Withdrawn(message) } else { QueuedMessage::Live(message) })
     }
 }
--- a/crates/fawnrouter-node/src/list_query.rs
+++ b/crates/fawnrouter-node/src/list_query.rs
@@ -12,9 +12,9 @@
 use crate::switch_list::LIST_DNS_NAME;
 
 /// Between two questions: news is at most this old when it is heard, while the page counts it as told after 1.5 s.
-const PACE: Duration = Duration::from_millis(250);
+const QUERY_INTERVAL: Duration = Duration::from_millis(250);
 /// Questions that may still be answered: those of the last second.
-const OUTSTANDING: usize = 4;
+const MAX_OPEN_QUERIES: usize = 4;
 
 /// Why a datagram is not used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub struct Ask {
     name: Name,
-    open: VecDeque<u16>,
+    open_ids: VecDeque<u16>,
 }
 
 impl Default for Ask {
@@ -56,16 +56,16 @@
     pub fn new() -> Self {
         // The name is a constant that is one; a wrong one would be found by the first test.
         let name = LIST_DNS_NAME.parse().unwrap_or_else(|_| unreachable!("{LIST_DNS_NAME} is a name"));
-        Self { name, open: VecDeque::new() }
+        Self { name, open_ids: VecDeque::new() }
     }
 
     /// The next question; `id` is a number that nobody can guess (RFC 5452 §4).
     pub fn next_query(&mut self, now: Time, id: u16) -> ListQuery {
-        self.open.push_back(id);
-        if self.open.len() > OUTSTANDING {
-            self.open.pop_front();
+        self.open_ids.push_back(id);
+        if self.open_ids.len() > MAX_OPEN_QUERIES {
+            self.open_ids.pop_front();
         }
-        ListQuery { datagram: query(id, &self.name, RecordType::Srv), next_at: now.plus(PACE) }
+        ListQuery { datagram: query(id, &self.name, RecordType::Srv), next_at: now.plus(QUERY_INTERVAL) }
     }
 
     /// Reads a datagram of the name server's. A question whose answer is useless stays open: the good one may come
@@ -75,9 +75,9 @@
     /// Says why it is not used.
     pub fn accept_response(&mut self, datagram: &[u8]) -> Result<Response, AskError> {
         let id = datagram.get(..2).and_then(|b| b.try_into().ok()).map(u16::from_be_bytes);
-        let id = id.filter(|id| self.open.contains(id)).ok_or(AskError::NoOpenQuery)?;
+        let id = id.filter(|id| self.open_ids.contains(id)).ok_or(AskError::NoOpenQuery)?;
         let answer = read_response(datagram, id, &self.name, RecordType::Srv)?;
-        self.open.retain(|open| *open != id);
+        self.open_ids.retain(|open| *open != id);
         Ok(answer)
     }
 }
--- a/crates/fawnrouter-node/src/liveness.rs
+++ b/crates/fawnrouter-node/src/liveness.rs
@@ -27,27 +27,27 @@
 
 /// Connections were refused for this long, and none came up: nobody listens any more. Longer than a restart of a
 /// listener takes, short enough for callers to hear within the page's 8 s.
-const REFUSED_FOR: Duration = Duration::from_millis(1500);
+const REFUSED_TIMEOUT: Duration = Duration::from_millis(1500);
 /// No proof for this long, and no new connection to be had: the page's 8 s less one to tell the callers in.
-const UNTOLD_FOR: Duration = Duration::from_millis(7000);
+const NO_PROOF_TIMEOUT: Duration = Duration::from_millis(7000);
 /// Nothing was heard for this long: it is asked, as an idle switch may have nothing to say.
-const ASK_AFTER: Duration = Duration::from_millis(2000);
+const PROBE_AFTER: Duration = Duration::from_millis(2000);
 /// Between two questions.
-const ASK_AGAIN: Duration = Duration::from_millis(1000);
+const PROBE_INTERVAL: Duration = Duration::from_millis(1000);
 /// Nothing was heard for this long although it was asked: the page's 8 s less the time to tell the callers. A
 /// processor that is only jammed answers something in that time.
-const SILENT_FOR: Duration = Duration::from_millis(6500);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(6500);
 /// The same for one that the list no longer names.
-const GONE_FOR: Duration = Duration::from_millis(2500);
+const UNLISTED_TIMEOUT: Duration = Duration::from_millis(2500);
 /// No proof for this long from one that drains: it may tell no ends any more. As [`ASK_AFTER`].
-const DOUBT_DRAINING: Duration = ASK_AFTER;
+const RECONNECT_AFTER_DRAINING: Duration = PROBE_AFTER;
 /// No proof for this long from any other: the list may be late. Half of the page's 8 s: rare, as each try is a
 /// connection, and in time for [`UNTOLD_FOR`].
-const DOUBT_READY: Duration = Duration::from_millis(4000);
+const RECONNECT_AFTER_READY: Duration = Duration::from_millis(4000);
 /// Between two connections that are tried for a proof.
-const KNOCK_AGAIN: Duration = Duration::from_millis(1000);
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(1000);
 /// Between two looks at the least.
-const MIN_LOOK: Duration = Duration::from_millis(50);
+const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// What to do about a core switch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -55,100 +55,100 @@
     /// What stood there is over.
     Dead,
     /// Look again.
-    Look {
+    Alive {
         /// Test it now.
-        ask: bool,
+        probe: bool,
         /// Try a connection now, even if others are up.
-        knock: bool,
+        connect: bool,
         /// When to look again.
-        at: Time,
+        next_check: Time,
     },
 }
 
 /// What was seen of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Sign {
+pub(crate) enum Evidence {
     /// It sent something that shows no more than that somebody is there.
-    Byte,
+    AnyByte,
     /// It told its state.
-    Works,
+    StateReport,
     /// A new connection came up.
     Connected,
     /// A call that stood there was released.
-    Release,
+    CallRelease,
 }
 
 /// What was seen of one core switch.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Life {
-    heard: Time,
-    proof: Time,
-    asked: Option<Time>,
-    knocked: Option<Time>,
+pub(crate) struct Liveness {
+    last_byte: Time,
+    last_proof: Time,
+    probed_at: Option<Time>,
+    connect_tried_at: Option<Time>,
     /// Refused since then without a byte between.
     refused_since: Option<Time>,
     /// A connection was refused since the last proof.
-    closed: bool,
+    refused_since_proof: bool,
     /// A connection that was up is lost, and none came up since: what was written to it may be lost too.
-    lost: bool,
-    drains: bool,
-    gone: Option<Time>,
+    connection_lost: bool,
+    draining: bool,
+    unlisted_since: Option<Time>,
 }
 
-impl Life {
+impl Liveness {
     pub fn new(now: Time) -> Self {
         Self {
-            heard: now,
-            proof: now,
-            asked: None,
-            knocked: None,
+            last_byte: now,
+            last_proof: now,
+            probed_at: None,
+            connect_tried_at: None,
             refused_since: None,
-            closed: false,
-            lost: false,
-            drains: false,
-            gone: None,
+            refused_since_proof: false,
+            connection_lost: false,
+            draining: false,
+            unlisted_since: None,
         }
     }
 
     /// It showed a sign of life.
-    pub fn sign(&mut self, now: Time, sign: Sign) {
-        if self.gone.is_some() && sign != Sign::Release {
+    pub fn record(&mut self, now: Time, evidence: Evidence) {
+        if self.unlisted_since.is_some() && evidence != Evidence::CallRelease {
             return;
         }
-        (self.heard, self.asked, self.refused_since) = (now, None, None);
-        if sign != Sign::Byte {
-            (self.proof, self.closed) = (now, false);
+        (self.last_byte, self.probed_at, self.refused_since) = (now, None, None);
+        if evidence != Evidence::AnyByte {
+            (self.last_proof, self.refused_since_proof) = (now, false);
         }
-        if sign == Sign::Connected {
-            self.lost = false;
+        if evidence == Evidence::Connected {
+            self.connection_lost = false;
         }
     }
 
     /// It refused a connection.
-    pub fn refused(&mut self, now: Time) {
+    pub fn connection_refused(&mut self, now: Time) {
         self.refused_since = self.refused_since.or(Some(now));
-        self.closed = true;
+        self.refused_since_proof = true;
     }
 
     /// A connection that was up is no more.
-    pub fn lost(&mut self) {
-        self.lost = true;
+    pub fn connection_lost(&mut self) {
+        self.connection_lost = true;
     }
 
     /// What the list says of it; `None`: it is not there.
-    pub fn listed(&mut self, now: Time, state: Option<ServerState>) {
-        self.drains = state != Some(ServerState::Ready);
-        self.gone = if state.is_some() { None } else { self.gone.or(Some(now)) };
+    pub fn set_listed_state(&mut self, now: Time, state: Option<ServerState>) {
+        self.draining = state != Some(ServerState::Ready);
+        self.unlisted_since = if state.is_some() { None } else { self.unlisted_since.or(Some(now)) };
     }
 
     /// When it has to be taken for dead if nothing changes, and whether it must have been asked before.
-    fn end(&self) -> (Time, bool) {
-        let silent = match self.gone {
-            Some(gone) => gone.max(self.proof).plus(GONE_FOR),
-            None => self.heard.plus(SILENT_FOR),
+    fn death_deadline(&self) -> (Time, bool) {
+        let silent = match self.unlisted_since {
+            Some(gone) => gone.max(self.last_proof).plus(UNLISTED_TIMEOUT),
+            None => self.last_byte.plus(SILENCE_TIMEOUT),
         };
-        let refused = self.refused_since.map(|since| since.plus(REFUSED_FOR));
-        let untold = self.closed.then(|| self.proof.plus(UNTOLD_FOR));
+        let refused = self.refused_since.map(|since| since.plus(REFUSED_TIMEOUT));
+        let untold = self.refused_since_proof.then(|| self.last_proof.plus(NO_PROOF_TIMEOUT));
         let unanswered = refused.map_or(silent, |refused| refused.min(silent));
         match untold {
             Some(untold) if untold <= unanswered => (untold, false),
@@ -157,33 +157,39 @@
     }
 
     /// Judges one with calls that stand there.
-    pub fn judge(&mut self, now: Time) -> Verdict {
-        let (end, asked_before) = self.end();
+    pub fn check(&mut self, now: Time) -> Verdict {
+        let (deadline, must_have_probed) = self.death_deadline();
         // A process that stood still has heard nothing meanwhile: silence counts after a question only.
-        if now >= end && (!asked_before || self.asked.is_some_and(|asked| asked < now)) {
+        if now >= deadline && (!must_have_probed || self.probed_at.is_some_and(|probed_at| probed_at < now)) {
             return Verdict::Dead;
         }
-        let ask_at = match (self.asked, self.gone) {
-            (Some(asked), _) => asked.plus(ASK_AGAIN),
+        let probe_at = match (self.probed_at, self.unlisted_since) {
+            (Some(probed_at), _) => probed_at.plus(PROBE_INTERVAL),
             (None, Some(_)) => now,
             // Whether those connections that are up are answered tells a dead process from one that only drains.
             (None, None) if self.refused_since.is_some() => now,
-            (None, None) => self.heard.plus(ASK_AFTER),
+            (None, None) => self.last_byte.plus(PROBE_AFTER),
         };
-        let doubt = self.proof.plus(if self.drains { DOUBT_DRAINING } else { DOUBT_READY });
-        let doubt = if self.lost { now } else { doubt };
-        let knock_at = self.knocked.map_or(doubt, |knocked| doubt.max(knocked.plus(KNOCK_AGAIN)));
-        let (ask, knock) = (now >= ask_at, now >= knock_at);
-        if ask {
-            self.asked = Some(now);
+        let reconnect_at = self.last_proof.plus(if self.draining {
+            RECONNECT_AFTER_DRAINING
+        } else {
+            RECONNECT_AFTER_READY
+        });
+        let reconnect_at = if self.connection_lost { now } else { reconnect_at };
+        let connect_at = self.connect_tried_at.map_or(reconnect_at, |connect_tried_at| {
+            reconnect_at.max(connect_tried_at.plus(RECONNECT_INTERVAL))
+        });
+        let (probe, connect) = (now >= probe_at, now >= connect_at);
+        if probe {
+            self.probed_at = Some(now);
         }
-        if knock {
-            self.knocked = Some(now);
+        if connect {
+            self.connect_tried_at = Some(now);
         }
-        let next_ask = if ask { now.plus(ASK_AGAIN) } else { ask_at };
-        let next_knock = if knock { now.plus(KNOCK_AGAIN) } else { knock_at };
-        let at = end.min(next_ask).min(next_knock).max(now.plus(MIN_LOOK));
-        Verdict::Look { ask, knock, at }
+        let next_probe = if probe { now.plus(PROBE_INTERVAL) } else { probe_at };
+        let next_connect = if connect { now.plus(RECONNECT_INTERVAL) } else { connect_at };
+        let next_check = deadline.min(next_probe).min(next_connect).max(now.plus(MIN_CHECK_INTERVAL));
+        Verdict::Alive { probe, connect, next_check }
     }
 }
 
@@ -196,86 +202,91 @@
     }
 
     /// Judges as often as it asks for, from `from` on; when it is found dead. `on_knock` is told of tries.
-    fn death_with(life: &mut Life, from: u64, until: u64, on_knock: impl Fn(&mut Life, Time)) -> Option<u64> {
+    fn time_of_death_with(
+        liveness: &mut Liveness,
+        from: u64,
+        until: u64,
+        on_connect: impl Fn(&mut Liveness, Time),
+    ) -> Option<u64> {
         let mut now = at(from);
         while now < at(until) {
-            match life.judge(now) {
+            match liveness.check(now) {
                 Verdict::Dead => return Some(now.0.as_millis() as u64),
-                Verdict::Look { knock, at, .. } => {
-                    assert!(at > now);
-                    if knock {
-                        on_knock(life, now);
+                Verdict::Alive { connect, next_check, .. } => {
+                    assert!(next_check > now);
+                    if connect {
+                        on_connect(liveness, now);
                     }
-                    now = at;
+                    now = next_check;
                 }
             }
         }
         None
     }
 
-    fn death(life: &mut Life, from: u64, until: u64) -> Option<u64> {
-        death_with(life, from, until, |_, _| {})
+    fn time_of_death(liveness: &mut Liveness, from: u64, until: u64) -> Option<u64> {
+        time_of_death_with(liveness, from, until, |_, _| {})
     }
 
-    fn asks(verdict: Verdict) -> bool {
-        matches!(verdict, Verdict::Look { ask: true, .. })
+    fn probes(verdict: Verdict) -> bool {
+        matches!(verdict, Verdict::Alive { probe: true, .. })
     }
 
     #[test]
     fn refusals_for_a_while_are_a_death_and_one_that_ends_is_none() {
-        let mut life = Life::new(at(0));
-        life.refused(at(100));
-        assert!(asks(life.judge(at(100))), "it is asked at once");
-        life.refused(at(900));
-        assert_eq!(death(&mut life, 900, 5000), Some(1600));
-        let mut life = Life::new(at(0));
-        life.refused(at(100));
-        life.sign(at(1500), Sign::Connected);
-        assert_eq!(death(&mut life, 1500, 4000), None);
+        let mut liveness = Liveness::new(at(0));
+        liveness.connection_refused(at(100));
+        assert!(probes(liveness.check(at(100))), "it is asked at once");
+        liveness.connection_refused(at(900));
+        assert_eq!(time_of_death(&mut liveness, 900, 5000), Some(1600));
+        let mut liveness = Liveness::new(at(0));
+        liveness.connection_refused(at(100));
+        liveness.record(at(1500), Evidence::Connected);
+        assert_eq!(time_of_death(&mut liveness, 1500, 4000), None);
     }
 
     #[test]
     fn silence_is_a_death_only_after_questions_and_within_eight_seconds() {
-        let mut life = Life::new(at(0));
-        assert!(!asks(life.judge(at(1999))));
-        assert!(asks(life.judge(at(2000))));
-        assert_eq!(death(&mut life, 2000, 9000), Some(6500));
+        let mut liveness = Liveness::new(at(0));
+        assert!(!probes(liveness.check(at(1999))));
+        assert!(probes(liveness.check(at(2000))));
+        assert_eq!(time_of_death(&mut liveness, 2000, 9000), Some(6500));
         // This process stood still: what it did not hear meanwhile is no silence of the other's.
-        let mut life = Life::new(at(0));
-        assert!(asks(life.judge(at(9000))));
-        life.sign(at(9010), Sign::Byte);
-        assert_eq!(death(&mut life, 9010, 11_000), None);
+        let mut liveness = Liveness::new(at(0));
+        assert!(probes(liveness.check(at(9000))));
+        liveness.record(at(9010), Evidence::AnyByte);
+        assert_eq!(time_of_death(&mut liveness, 9010, 11_000), None);
     }
 
     #[test]
     fn one_that_left_the_list_is_asked_at_once_and_believed_sooner() {
-        let mut life = Life::new(at(0));
-        life.listed(at(10), None);
-        assert!(asks(life.judge(at(10))));
-        assert_eq!(death(&mut life, 10, 9000), Some(2510));
+        let mut liveness = Liveness::new(at(0));
+        liveness.set_listed_state(at(10), None);
+        assert!(probes(liveness.check(at(10))));
+        assert_eq!(time_of_death(&mut liveness, 10, 9000), Some(2510));
     }
 
     #[test]
     fn what_comes_from_the_address_of_one_that_is_gone_keeps_nothing_alive_but_its_releases_do() {
-        use Sign::{Byte, Connected, Release, Works};
-        for (sign, dead) in [(Byte, 2500), (Works, 2500), (Connected, 2500), (Release, 4500)] {
-            let mut life = Life::new(at(0));
-            life.listed(at(0), None);
-            life.judge(at(0));
-            life.sign(at(2000), sign);
-            assert_eq!(death(&mut life, 2000, 9000), Some(dead), "{sign:?}");
+        use Evidence::{AnyByte, CallRelease, Connected, StateReport};
+        for (sign, dead) in [(AnyByte, 2500), (StateReport, 2500), (Connected, 2500), (CallRelease, 4500)] {
+            let mut liveness = Liveness::new(at(0));
+            liveness.set_listed_state(at(0), None);
+            liveness.check(at(0));
+            liveness.record(at(2000), sign);
+            assert_eq!(time_of_death(&mut liveness, 2000, 9000), Some(dead), "{sign:?}");
         }
     }
 
     #[test]
     fn calls_on_one_that_passes_tests_and_accepts_nobody_are_over_as_late_as_the_page_allows() {
         for state in [ServerState::Draining, ServerState::Ready] {
-            let mut life = Life::new(at(0));
-            life.listed(at(0), Some(state));
-            let dies = death_with(&mut life, 0, 20_000, |life, now| {
+            let mut liveness = Liveness::new(at(0));
+            liveness.set_listed_state(at(0), Some(state));
+            let dies = time_of_death_with(&mut liveness, 0, 20_000, |liveness, now| {
                 // Refused on the new connection, and answered on an old one.
-                life.refused(now);
-                life.sign(now, Sign::Byte);
+                liveness.connection_refused(now);
+                liveness.record(now, Evidence::AnyByte);
             });
             assert_eq!(dies, Some(7000), "{state:?}");
         }
@@ -285,11 +296,11 @@
     fn one_that_accepts_connections_is_tried_from_time_to_time_and_lives() {
         for (state, tries) in [(ServerState::Draining, 19), (ServerState::Ready, 9)] {
             let tried = std::cell::Cell::new(0);
-            let mut life = Life::new(at(0));
-            life.listed(at(0), Some(state));
-            let dies = death_with(&mut life, 0, 40_000, |life, now| {
+            let mut liveness = Liveness::new(at(0));
+            liveness.set_listed_state(at(0), Some(state));
+            let dies = time_of_death_with(&mut liveness, 0, 40_000, |liveness, now| {
                 tried.set(tried.get() + 1);
-                life.sign(now, Sign::Connected);
+                liveness.record(now, Evidence::Connected);
             });
             assert_eq!((dies, tried.get()), (None, tries), "{state:?}");
         }
@@ -297,14 +308,18 @@
 
     #[test]
     fn a_lost_connection_is_followed_by_another_at_once_and_not_in_a_hurry() {
-        let knocks = |v: Verdict| matches!(v, Verdict::Look { knock: true, .. });
-        let mut life = Life::new(at(0));
-        assert!(!knocks(life.judge(at(100))));
-        life.lost();
-        assert!(knocks(life.judge(at(100))) && !knocks(life.judge(at(900))) && knocks(life.judge(at(1100))));
-        life.sign(at(1200), Sign::Works);
-        assert!(knocks(life.judge(at(2100))), "an old connection brings back nothing that was lost");
-        life.sign(at(2200), Sign::Connected);
-        assert!(!knocks(life.judge(at(4000))));
+        let connects = |v: Verdict| matches!(v, Verdict::Alive { connect: true, .. });
+        let mut liveness = Liveness::new(at(0));
+        assert!(!connects(liveness.check(at(100))));
+        liveness.connection_lost();
+        assert!(
+            connects(liveness.check(at(100)))
+                && !connects(liveness.check(at(900)))
+                && connects(liveness.check(at(1100)))
+        );
+        liveness.record(at(1200), Evidence::StateReport);
+        assert!(connects(liveness.check(at(2100))), "an old connection brings back nothing that was lost");
+        liveness.record(at(2200), Evidence::Connected);
+        assert!(!connects(liveness.check(at(4000))));
     }
 }
--- a/crates/fawnrouter-node/src/node.rs
+++ b/crates/fawnrouter-node/src/node.rs
@@ -24,81 +24,81 @@
 
 pub use self::interface::{Counters, Input, LinkEnd, NodeSettings, Output};
 use crate::calls::Calls;
-use crate::client_connections::{ClientId, Seats};
-use crate::links::{LinkId, Links, Need};
-use crate::liveness::Life;
+use crate::client_connections::{ClientConnections, ClientId};
+use crate::links::{LinkId, LinkNeed, Links};
+use crate::liveness::Liveness;
 use crate::request::{self, cause};
-use crate::switch_list::{Ids, ListedSwitch, Pool};
+use crate::switch_list::{ListedSwitch, Pool, ServerIds};
 
 /// Causes of a test's answer ("test passed, failed: cause 1 or 0").
 const TEST_PASSED: i64 = 1;
 const TEST_FAILED: i64 = 0;
 /// An answer that the decisions have not given by then is a failure: so long before the caller's time is up.
-const LAST_CALL: Duration = Duration::from_millis(25);
+const FINAL_ANSWER_MARGIN: Duration = Duration::from_millis(25);
 /// A client that is overdue and has a set-up open is looked at again after this time.
-const LOOK_AGAIN: Duration = Duration::from_millis(100);
+const CLIENT_RECHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Between two looks for connections that are idle for too long, at the most; and the share of the platform's idle time
 /// that they are apart at the most. Guards against a connection that is found idle only as its core switch closes it.
-const HOUSE: Duration = Duration::from_secs(1);
-const HOUSE_SHARE: f64 = 0.1;
+const MAX_HOUSEKEEPING_INTERVAL: Duration = Duration::from_secs(1);
+const HOUSEKEEPING_IDLE_FRACTION: f64 = 0.1;
 /// A test without an answer is forgotten after this time.
-const PROBE_MEMORY: Duration = Duration::from_secs(5);
+const PROBE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Releases towards a client that has no connection wait this long for one: the page's 8 s and a margin.
-const NEWS_MEMORY: Duration = Duration::from_secs(10);
+const PENDING_NOTICE_LIFETIME: Duration = Duration::from_secs(10);
 /// The most of those.
-const MAX_NEWS: usize = 4096;
+const MAX_PENDING_NOTICES: usize = 4096;
 
 /// What comes due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Key {
-    Module(TimerId),
-    Attempt(Tag),
-    Call(Tag),
+enum TimerKey {
+    ControllerTimer(TimerId),
+    AttemptTimeout(Tag),
+    CallDeadline(Tag),
     Redial(ServerId),
-    Life(ServerId),
-    Client(ClientId),
-    House,
-    Stop,
+    LivenessCheck(ServerId),
+    ClientCheck(ClientId),
+    Housekeeping,
+    Shutdown,
 }
 
 #[derive(Debug)]
 struct Server {
     id: String,
     listed: Option<ListedSwitch>,
-    life: Life,
+    liveness: Liveness,
 }
 
 /// The gateway.
 #[derive(Debug)]
 pub struct Node {
     controller: Box<dyn Decide>,
-    decisions: Settings,
+    controller_settings: Settings,
     names: NameIndex,
-    sockets: ConnectionSettings,
+    connections: ConnectionSettings,
     rng: ChaCha8Rng,
     now: Time,
     calls: Calls,
     links: Links,
-    seats: Seats,
+    client_connections: ClientConnections,
     /// Clients whose connections are on their way out: their set-ups are not taken any more, and what they end is. With
     /// what is said to one that turns out to have sent nothing whole.
-    leaving: BTreeMap<ClientId, Option<Vec<u8>>>,
+    closing_clients: BTreeMap<ClientId, Option<Vec<u8>>>,
     /// Releases that wait for a connection of a caller's.
-    news: VecDeque<(Time, Tag, Vec<u8>)>,
+    pending_notices: VecDeque<(Time, Tag, Vec<u8>)>,
     servers: BTreeMap<ServerId, Server>,
-    ids: Ids,
-    serial: Option<u32>,
+    server_ids: ServerIds,
+    list_serial: Option<u32>,
     probes: BTreeMap<Tag, (ServerId, Time, bool)>,
-    due: TimerQueue<Key>,
+    timers: TimerQueue<TimerKey>,
     /// Between two looks for idle connections.
-    house: Duration,
+    housekeeping_interval: Duration,
     events: VecDeque<Event>,
-    stopping: Option<Time>,
+    stop_requested_at: Option<Time>,
     /// Since when, at the end, nothing is owed but releases that wait for a connection.
-    wound_up: Option<Time>,
+    drained_since: Option<Time>,
     done: bool,
     counters: Counters,
-    out: Vec<Output>,
+    outputs: Vec<Output>,
 }
 
 impl StateMachine for Node {
@@ -133,9 +133,9 @@
     pub fn with_controller(settings: NodeSettings, controller: Box<dyn Decide>) -> Self {
         Self {
             controller,
-            decisions: settings.controller_settings,
+            controller_settings: settings.controller_settings,
             names: settings.names,
-            sockets: settings.connections,
+            connections: settings.connections,
             // Another stream than the controller's, which has the seed itself.
             rng: ChaCha8Rng::seed_from_u64(settings.seed ^ 0x6e6f_6465),
             now: Time::default(),
@@ -145,21 +145,23 @@
                 settings.connections.max_set_ups_per_connection,
                 settings.connections.idle_timeout,
             ),
-            seats: Seats::new(settings.max_clients),
-            leaving: BTreeMap::new(),
-            news: VecDeque::new(),
+            client_connections: ClientConnections::new(settings.max_clients),
+            closing_clients: BTreeMap::new(),
+            pending_notices: VecDeque::new(),
             servers: BTreeMap::new(),
-            ids: Ids::default(),
-            serial: None,
+            server_ids: ServerIds::default(),
+            list_serial: None,
             probes: BTreeMap::new(),
-            due: TimerQueue::default(),
-            house: HOUSE.min(settings.connections.idle_timeout.mul_f64(HOUSE_SHARE)).max(LOOK_AGAIN),
+            timers: TimerQueue::default(),
+            housekeeping_interval: MAX_HOUSEKEEPING_INTERVAL
+                .min(settings.connections.idle_timeout.mul_f64(HOUSEKEEPING_IDLE_FRACTION))
+                .max(CLIENT_RECHECK_INTERVAL),
             events: VecDeque::new(),
-            stopping: None,
-            wound_up: None,
+            stop_requested_at: None,
+            drained_since: None,
             done: false,
             counters: Counters::default(),
-            out: Vec::new(),
+            outputs: Vec::new(),
         }
     }
 
@@ -174,8 +176,8 @@
     pub fn held(&self) -> [usize; 5] {
         [
             self.calls.open.len(),
-            self.calls.standing.len(),
-            self.seats.len(),
+            self.calls.established.len(),
+            self.client_connections.len(),
             self.links.links.len(),
             self.servers.len(),
         ]
@@ -184,119 +186,124 @@
     /// When [`Input::Wake`] is wanted.
     #[must_use]
     pub fn next_wake(&self) -> Option<Time> {
-        self.due.next_at()
+        self.timers.next_at()
     }
 
     /// Takes an input at the clock's reading `now` (time since the Unix epoch) and appends what is to be done.
     pub fn handle(&mut self, now: Time, input: Input, outputs: &mut Vec<Output>) {
         self.now = self.now.max(now);
-        if !self.due.is_set(Key::House) {
-            self.due.set(Key::House, self.now.plus(self.house));
+        if !self.timers.is_set(TimerKey::Housekeeping) {
+            self.timers.set(TimerKey::Housekeeping, self.now.plus(self.housekeeping_interval));
         }
         match input {
-            Input::ClientConnected { client } => self.client_up(client),
+            Input::ClientConnected { client } => self.client_connected(client),
             Input::ClientMessage { client, message } => {
-                if self.seats.is_in(client) {
-                    self.seats.spoke(self.now, client);
+                if self.client_connections.contains(client) {
+                    self.client_connections.message_received(self.now, client);
                     self.client_message(client, message);
-                } else if self.leaving.contains_key(&client) {
-                    self.last_message(client, message);
+                } else if self.closing_clients.contains_key(&client) {
+                    self.message_while_closing(client, message);
                 }
             }
             Input::SetUpWithdrawn { client, message } => {
-                if self.seats.is_in(client) || self.leaving.contains_key(&client) {
-                    self.seats.spoke(self.now, client);
-                    self.withdrawn(client, message);
+                if self.client_connections.contains(client) || self.closing_clients.contains_key(&client) {
+                    self.client_connections.message_received(self.now, client);
+                    self.set_up_withdrawn(client, message);
                 }
             }
             Input::ClientHalfClosed { client } => {
-                if self.seats.is_in(client) {
-                    self.leaving.insert(client, None);
+                if self.client_connections.contains(client) {
+                    self.closing_clients.insert(client, None);
                 }
-                self.client_down(client);
+                self.client_disconnected(client);
             }
-            Input::NotDelivered { tag } => self.unheard(tag),
+            Input::NotDelivered { tag } => self.not_delivered(tag),
             Input::ClientFullyRead { client } => {
-                if let Some(line) = self.leaving.get_mut(&client).and_then(Option::take) {
-                    self.out.push(Output::ToClient { client, line });
+                if let Some(line) = self.closing_clients.get_mut(&client).and_then(Option::take) {
+                    self.outputs.push(Output::ToClient { client, line });
                 }
             }
             Input::ClientBytesRead { client, partial_line: half } => {
-                self.seats.half(self.now, client, half);
-                self.watch(client);
+                self.client_connections.set_partial_line(self.now, client, half);
+                self.schedule_client_check(client);
             }
-            Input::ClientDecodeError { client, fault } => self.client_fault(client, &fault),
+            Input::ClientDecodeError { client, fault } => self.client_decode_error(client, &fault),
             Input::ClientDisconnected { client } => {
-                self.client_down(client);
-                self.leaving.remove(&client);
+                self.client_disconnected(client);
+                self.closing_clients.remove(&client);
             }
             Input::LinkUp { link } => self.link_up(link),
             Input::LinkMessage { link, message } => self.link_message(link, message),
-            Input::LinkDecodeError { link, fault } => self.link_fault(link, &fault.to_string()),
+            Input::LinkDecodeError { link, fault } => self.close_faulty_link(link, &fault.to_string()),
             Input::LinkDown { link, end } => self.link_down(link, end),
-            Input::SetUpRecalled { link, tag } => self.recalled(link, tag),
+            Input::SetUpRecalled { link, tag } => self.set_up_recalled(link, tag),
             Input::ListResponse(answer) => match Pool::from_response(&answer) {
-                Ok(pool) => self.take_pool(&pool),
+                Ok(pool) => self.apply_list(&pool),
                 Err(error) => self.log(format!("the name server's list is not used: {error}")),
             },
-            Input::ConfiguredList(pool) => self.take_pool(&pool),
-            Input::Stop => self.stop(),
+            Input::ConfiguredList(pool) => self.apply_list(&pool),
+            Input::Stop => self.begin_shutdown(),
             Input::Wake => {}
         }
-        self.decide();
-        while let Some(key) = self.due.pop_due(self.now) {
-            self.came_due(key);
-            self.decide();
+        self.run_controller();
+        while let Some(key) = self.timers.pop_due(self.now) {
+            self.timer_expired(key);
+            self.run_controller();
         }
-        self.end();
-        outputs.append(&mut self.out);
+        self.finish_shutdown();
+        outputs.append(&mut self.outputs);
     }
 
     fn log(&mut self, line: String) {
-        self.out.push(Output::Log(line));
+        self.outputs.push(Output::Log(line));
     }
 
-    fn unit(&mut self) -> f64 {
+    fn random_unit(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
     // ---- The decisions ----------------------------------------------------------------------------------------
     /// Gives the controller what happened and carries out what it says, until nothing more happens.
-    fn decide(&mut self) {
+    fn run_controller(&mut self) {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
             self.controller.handle(self.now, event, &mut actions);
             for action in actions.drain(..) {
-                self.perform(action);
+                self.carry_out(action);
             }
         }
     }
 
-    fn perform(&mut self, action: Action) {
+    fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Issue { call, server, within } => self.issue(request::tag(call), server, within),
+            Action::Issue { call, server, within } => {
+                self.issue_attempt(request::tag_of_call(call), server, within)
+            }
             Action::Cancel { call, attempt } => {
-                let tag = request::tag(call);
-                if self.calls.open.get(&tag).and_then(|c| c.out).is_some_and(|a| a.no == attempt) {
-                    self.withdraw(tag);
-                    self.attempt_ended(tag, Outcome::Cancelled, Note::None);
+                let tag = request::tag_of_call(call);
+                if self.calls.open.get(&tag).and_then(|c| c.attempt).is_some_and(|a| a.no == attempt) {
+                    self.withdraw_attempt(tag);
+                    self.attempt_failed(tag, Outcome::Cancelled, Note::None);
                 }
             }
             Action::Refuse { call, retry_after } => {
-                let finish = Message::new(Verb::Finish, request::tag(call)).with_cause(cause::NO_CIRCUIT);
+                let finish =
+                    Message::new(Verb::Finish, request::tag_of_call(call)).with_cause(cause::NO_CIRCUIT);
                 let wait = retry_after.as_millis();
                 self.counters.refused += 1;
-                self.answer(
-                    request::tag(call),
+                self.end_open_call(
+                    request::tag_of_call(call),
                     if wait > 0 { finish.with_option("wait", wait) } else { finish },
                 );
             }
             Action::Fail(call) => {
                 self.counters.failed += 1;
-                let finish = Message::new(Verb::Finish, request::tag(call));
-                self.answer(request::tag(call), finish.with_cause(cause::TEMPORARY_FAILURE));
+                let finish = Message::new(Verb::Finish, request::tag_of_call(call));
+                self.end_open_call(request::tag_of_call(call), finish.with_cause(cause::TEMPORARY_FAILURE));
+            }
+            Action::SetTimer { after, timer } => {
+                self.timers.set(TimerKey::ControllerTimer(timer), self.now.plus(after))
             }
-            Action::SetTimer { after, timer } => self.due.set(Key::Module(timer), self.now.plus(after)),
             Action::Probe(server) => {
                 if !self.probe(server, true) {
                     self.events.push_back(Event::Probed {
@@ -314,51 +321,54 @@
     }
 
     // ---- Time -------------------------------------------------------------------------------------------------
-    fn came_due(&mut self, key: Key) {
+    fn timer_expired(&mut self, key: TimerKey) {
         match key {
-            Key::Module(timer) => self.events.push_back(Event::Timer(timer)),
-            Key::Attempt(tag) => {
-                let Some(attempt) = self.calls.open.get(&tag).and_then(|c| c.out) else { return };
-                self.withdraw(tag);
+            TimerKey::ControllerTimer(timer) => self.events.push_back(Event::Timer(timer)),
+            TimerKey::AttemptTimeout(tag) => {
+                let Some(attempt) = self.calls.open.get(&tag).and_then(|c| c.attempt) else { return };
+                self.withdraw_attempt(tag);
                 let outcome = if attempt.sent.is_some() { Outcome::TimedOut } else { Outcome::ConnectFailed };
-                self.attempt_ended(tag, outcome, Note::None);
+                self.attempt_failed(tag, outcome, Note::None);
             }
-            Key::Call(tag) => {
+            TimerKey::CallDeadline(tag) => {
                 let Some(open) = self.calls.open.get(&tag) else { return };
                 if self.now < open.deadline {
                     // The decisions end each call before this; only a process that stood still comes here.
                     self.counters.failed += 1;
                     self.events.push_back(Event::Lapsed(CallId(tag.0)));
-                    self.answer(tag, Message::new(Verb::Finish, tag).with_cause(cause::TEMPORARY_FAILURE));
+                    self.end_open_call(
+                        tag,
+                        Message::new(Verb::Finish, tag).with_cause(cause::TEMPORARY_FAILURE),
+                    );
                 } else {
-                    self.lapse(tag);
+                    self.abandon_call(tag);
                 }
             }
-            Key::Redial(server) => self.tend(server),
-            Key::Life(server) => self.look_after(server),
-            Key::Client(client) => {
-                if self.seats.overdue(self.now, client) {
-                    self.part(client, cause::MISSING, "no whole message came in time");
+            TimerKey::Redial(server) => self.open_missing_links(server),
+            TimerKey::LivenessCheck(server) => self.check_liveness(server),
+            TimerKey::ClientCheck(client) => {
+                if self.client_connections.is_overdue(self.now, client) {
+                    self.close_with_error_if_unused(client, cause::MISSING, "no whole message came in time");
                 } else {
-                    self.watch(client);
+                    self.schedule_client_check(client);
                 }
             }
-            Key::House => self.keep_house(),
-            Key::Stop => {}
+            TimerKey::Housekeeping => self.housekeep(),
+            TimerKey::Shutdown => {}
         }
     }
 
-    fn keep_house(&mut self) {
-        self.due.set(Key::House, self.now.plus(self.house));
-        let unused = self.links.idle().filter(|(_, server)| self.need(*server) == Need::None);
+    fn housekeep(&mut self) {
+        self.timers.set(TimerKey::Housekeeping, self.now.plus(self.housekeeping_interval));
+        let unused = self.links.idle_links().filter(|(_, server)| self.link_need(*server) == LinkNeed::None);
         let unused: Vec<LinkId> = unused.map(|(link, _)| link).collect();
-        for link in self.links.stale(self.now).into_iter().chain(unused) {
+        for link in self.links.links_idle_too_long(self.now).into_iter().chain(unused) {
             self.close_link(link);
         }
         let now = self.now;
-        self.news.retain(|(told, _, _)| now.since(*told) < NEWS_MEMORY);
+        self.pending_notices.retain(|(told, _, _)| now.since(*told) < PENDING_NOTICE_LIFETIME);
         for server in self.servers.keys().copied().collect::<Vec<_>>() {
-            self.maybe_forget(server);
+            self.forget_if_unused(server);
         }
     }
 }
--- a/crates/fawnrouter-node/src/node/attempts.rs
+++ b/crates/fawnrouter-node/src/node/attempts.rs
@@ -5,101 +5,104 @@
 use fawnrouter::{AttemptNo, CallId, Event, Note, Outcome, Report, ServerId};
 use fawnrouter_jsonl::{Message, Tag, Verb};
 
-use super::{Key, Node, Output};
+use super::{Node, Output, TimerKey};
 use crate::calls::Attempt;
-use crate::links::{LinkId, Pick};
+use crate::links::{LinkChoice, LinkId};
 use crate::request::cause;
 
 impl Node {
-    pub(super) fn issue(&mut self, tag: Tag, server: ServerId, within: Duration) {
+    pub(super) fn issue_attempt(&mut self, tag: Tag, server: ServerId, within: Duration) {
         let now = self.now;
-        let Some(open) = self.calls.open.get_mut(&tag).filter(|c| c.out.is_none()) else { return };
-        let no = AttemptNo(open.attempts);
-        open.attempts += 1;
-        let until = if within.is_zero() { open.deadline } else { open.deadline.min(now.plus(within)) };
-        open.out = Some(Attempt { no, server, issued: now, sent: None, until });
+        let Some(open) = self.calls.open.get_mut(&tag).filter(|c| c.attempt.is_none()) else { return };
+        let no = AttemptNo(open.attempts_made);
+        open.attempts_made += 1;
+        let timeout_at = if within.is_zero() { open.deadline } else { open.deadline.min(now.plus(within)) };
+        open.attempt = Some(Attempt { no, server, issued_at: now, sent: None, timeout_at });
         let address = self.servers.get(&server).and_then(|s| s.listed.as_ref()).map(|l| l.address);
-        let Some(address) = address else { return self.attempt_ended(tag, Outcome::Moot, Note::None) };
-        self.links.site(server, address);
-        match self.links.pick(server, tag) {
-            Pick::On(link) => self.send(tag, link),
-            Pick::Wait => {
-                self.links.wait(server, tag);
-                self.due.set(Key::Attempt(tag), until.min(now.plus(self.sockets.dial_timeout)));
+        let Some(address) = address else { return self.attempt_failed(tag, Outcome::Moot, Note::None) };
+        self.links.switch_entry(server, address);
+        match self.links.choose_for_set_up(server, tag) {
+            LinkChoice::Use(link) => self.send_set_up(tag, link),
+            LinkChoice::Wait => {
+                self.links.queue_set_up(server, tag);
+                self.timers.set(
+                    TimerKey::AttemptTimeout(tag),
+                    timeout_at.min(now.plus(self.connections.dial_timeout)),
+                );
             }
         }
-        self.tend(server);
+        self.open_missing_links(server);
     }
 
     /// Writes the set-up of the call's attempt.
-    pub(super) fn send(&mut self, tag: Tag, link: LinkId) {
+    pub(super) fn send_set_up(&mut self, tag: Tag, link: LinkId) {
         let now = self.now;
         let Some(open) = self.calls.open.get_mut(&tag) else { return };
-        let Some(attempt) = &mut open.out else { return };
+        let Some(attempt) = &mut open.attempt else { return };
         attempt.sent = Some((link, now));
-        let left = attempt.until.since(now).as_millis().max(1);
+        let left = attempt.timeout_at.since(now).as_millis().max(1);
         let start = Message::new(Verb::Start, tag)
             .with_option("class", &open.class)
-            .with_option("key", &open.key)
+            .with_option("key", &open.called_number)
             .with_option("left", left)
             .with_description(open.blob.clone());
-        let (server, until, client) = (attempt.server, attempt.until, open.client);
-        self.due.set(Key::Attempt(tag), until);
-        self.links.forgive(server, tag);
+        let (server, timeout_at, client) = (attempt.server, attempt.timeout_at, open.client);
+        self.timers.set(TimerKey::AttemptTimeout(tag), timeout_at);
+        self.links.drop_pending_release(server, tag);
         if let Some(link) = self.links.links.get_mut(&link) {
-            link.open.insert(tag);
+            link.open_set_ups.insert(tag);
         }
         self.counters.attempts += 1;
-        self.out.push(Output::SetUp { client, link, tag, line: written(&start) });
+        self.outputs.push(Output::SetUp { client, link, tag, line: encode_line(&start) });
     }
 
     /// Gives up the attempt that is out, if there is one: the core switch hears of it where the set-up was written, and
     /// nothing where it still lay in this process. What the switch says of it from now on is dropped.
-    pub(super) fn withdraw(&mut self, tag: Tag) {
-        let Some(attempt) = self.calls.open.get(&tag).and_then(|c| c.out) else { return };
+    pub(super) fn withdraw_attempt(&mut self, tag: Tag) {
+        let Some(attempt) = self.calls.open.get(&tag).and_then(|c| c.attempt) else { return };
         match attempt.sent {
-            None => self.links.stop_waiting(attempt.server, tag),
+            None => self.links.remove_queued_set_up(attempt.server, tag),
             Some((link, _)) => {
                 if let Some(l) = self.links.links.get_mut(&link) {
-                    l.spend(self.now, tag, false, true);
-                    let line = written(&Message::new(Verb::Finish, tag).with_cause(cause::CLEARING));
-                    self.out.push(Output::CancelSetUp { link, tag, line });
+                    l.end_attempt(self.now, tag, false, true);
+                    let line = encode_line(&Message::new(Verb::Finish, tag).with_cause(cause::CLEARING));
+                    self.outputs.push(Output::CancelSetUp { link, tag, line });
                 } else {
-                    self.release(attempt.server, tag, cause::CLEARING);
+                    self.release_at_switch(attempt.server, tag, cause::CLEARING);
                 }
             }
         }
-        self.due.clear(Key::Attempt(tag));
+        self.timers.clear(TimerKey::AttemptTimeout(tag));
     }
 
     /// The attempt that was out ended without the core switch's word.
-    pub(super) fn attempt_ended(&mut self, tag: Tag, outcome: Outcome, note: Note) {
-        self.attempt_over(tag, outcome, note, Report::default(), false);
+    pub(super) fn attempt_failed(&mut self, tag: Tag, outcome: Outcome, note: Note) {
+        self.end_attempt(tag, outcome, note, Report::default(), false);
     }
 
     /// Tells the controller how the attempt that was out ended; `told`: by the core switch's word, so that nothing more
     /// comes of it.
-    pub(super) fn attempt_over(
+    pub(super) fn end_attempt(
         &mut self,
         tag: Tag,
         outcome: Outcome,
         note: Note,
         report: Report,
-        told: bool,
+        answered: bool,
     ) {
         let now = self.now;
-        let Some(attempt) = self.calls.open.get_mut(&tag).and_then(|c| c.out.take()) else { return };
-        self.due.clear(Key::Attempt(tag));
+        let Some(attempt) = self.calls.open.get_mut(&tag).and_then(|c| c.attempt.take()) else { return };
+        self.timers.clear(TimerKey::AttemptTimeout(tag));
         match attempt.sent {
             Some((link, _)) => {
                 if let Some(link) = self.links.links.get_mut(&link) {
-                    link.spend(now, tag, told, false);
+                    link.end_attempt(now, tag, answered, false);
                 }
             }
-            None => self.links.stop_waiting(attempt.server, tag),
+            None => self.links.remove_queued_set_up(attempt.server, tag),
         }
         // From the writing on, so that the time is the core switch's and not this gateway's.
-        let since = attempt.sent.map_or(attempt.issued, |(_, written)| written);
+        let since = attempt.sent.map_or(attempt.issued_at, |(_, written)| written);
         self.events.push_back(Event::Closed {
             call: CallId(tag.0),
             attempt: attempt.no,
@@ -113,30 +116,30 @@
     }
 
     /// A set-up has been taken back from the outbox before a byte of it was written: the core switch never sees it.
-    pub(super) fn recalled(&mut self, link: LinkId, tag: Tag) {
-        let out = self.calls.open.get(&tag).and_then(|c| c.out);
+    pub(super) fn set_up_recalled(&mut self, link: LinkId, tag: Tag) {
+        let out = self.calls.open.get(&tag).and_then(|c| c.attempt);
         if out.and_then(|a| a.sent).is_some_and(|(at, _)| at == link) {
-            self.attempt_over(tag, Outcome::Moot, Note::None, Report::default(), true);
+            self.end_attempt(tag, Outcome::Moot, Note::None, Report::default(), true);
         }
     }
 
     /// Releases a call at a core switch, now or on the next connection.
-    pub(super) fn release(&mut self, server: ServerId, tag: Tag, rc: i64) {
-        match self.links.for_release(server) {
-            Some(link) => self.tell_switch(link, &Message::new(Verb::Finish, tag).with_cause(rc)),
+    pub(super) fn release_at_switch(&mut self, server: ServerId, tag: Tag, rc: i64) {
+        match self.links.choose_for_release(server) {
+            Some(link) => self.send_to_switch(link, &Message::new(Verb::Finish, tag).with_cause(rc)),
             None => {
-                self.links.owe(server, tag, rc);
-                self.tend(server);
+                self.links.add_pending_release(server, tag, rc);
+                self.open_missing_links(server);
             }
         }
     }
 
-    pub(super) fn tell_switch(&mut self, link: LinkId, message: &Message) {
-        self.out.push(Output::ToLink { link, line: written(message) });
+    pub(super) fn send_to_switch(&mut self, link: LinkId, message: &Message) {
+        self.outputs.push(Output::ToLink { link, line: encode_line(message) });
     }
 }
 
-pub(super) fn written(message: &Message) -> Vec<u8> {
+pub(super) fn encode_line(message: &Message) -> Vec<u8> {
     let mut line = Vec::with_capacity(256);
     message.encode(&mut line);
     line
--- a/crates/fawnrouter-node/src/node/established.rs
+++ b/crates/fawnrouter-node/src/node/established.rs
@@ -3,70 +3,70 @@
 use fawnrouter::{CallId, Event, Note, Outcome, Report, ServerId, Time};
 use fawnrouter_jsonl::{Message, Tag, Verb};
 
-use super::attempts::written;
-use super::{Key, Node, Output};
-use crate::calls::{Attempt, MAX_STANDING, Standing};
+use super::attempts::encode_line;
+use super::{Node, Output, TimerKey};
+use crate::calls::{Attempt, EstablishedCall, MAX_ESTABLISHED_CALLS};
 use crate::liveness::Verdict;
 use crate::request::cause;
 
 impl Node {
     /// Judges whether what stands at a core switch still does.
-    pub(super) fn look_after(&mut self, server: ServerId) {
+    pub(super) fn check_liveness(&mut self, server: ServerId) {
         let Some(s) = self.servers.get_mut(&server) else { return };
-        if !self.calls.stands_at(server) {
-            self.due.clear(Key::Life(server));
-            return self.maybe_forget(server);
+        if !self.calls.has_established_at(server) {
+            self.timers.clear(TimerKey::LivenessCheck(server));
+            return self.forget_if_unused(server);
         }
-        match s.life.judge(self.now) {
-            Verdict::Look { ask, knock, at } => {
-                if ask {
+        match s.liveness.check(self.now) {
+            Verdict::Alive { probe, connect, next_check } => {
+                if probe {
                     self.probe(server, false);
-                    self.tend(server);
+                    self.open_missing_links(server);
                 }
-                if knock && self.links.may_knock(server) {
+                if connect && self.links.may_open_extra_link(server) {
                     self.dial(server);
                 }
-                self.due.set(Key::Life(server), at);
+                self.timers.set(TimerKey::LivenessCheck(server), next_check);
             }
             Verdict::Dead => {
-                self.due.clear(Key::Life(server));
-                self.cut(server, None, "has died or gone silent");
-                self.maybe_forget(server);
+                self.timers.clear(TimerKey::LivenessCheck(server));
+                self.lose_established_calls(server, None, "has died or gone silent");
+                self.forget_if_unused(server);
             }
         }
     }
 
     /// What stands at a core switch is cut, all of it or what stood before its new start.
-    pub(super) fn cut(&mut self, server: ServerId, before: Option<Time>, why: &str) {
-        let tags = self.calls.at_server.get(&server).cloned().unwrap_or_default();
+    pub(super) fn lose_established_calls(&mut self, server: ServerId, before: Option<Time>, why: &str) {
+        let tags = self.calls.established_by_server.get(&server).cloned().unwrap_or_default();
         let old =
-            |tag: &Tag| self.calls.standing.get(tag).is_some_and(|s| before.is_none_or(|t| s.since < t));
+            |tag: &Tag| self.calls.established.get(tag).is_some_and(|s| before.is_none_or(|t| s.since < t));
         let tags: Vec<Tag> = tags.into_iter().filter(old).collect();
         if tags.is_empty() {
             return;
         }
         self.log(format!("core switch {} {why}: {} standing calls are cut", server.0, tags.len()));
         for tag in tags {
-            self.falls(tag, cause::TEMPORARY_FAILURE);
+            self.release_established(tag, cause::TEMPORARY_FAILURE);
             // Should it be alive all the same, it must not keep what its caller has been told is over.
-            self.links.owe(server, tag, cause::TEMPORARY_FAILURE);
+            self.links.add_pending_release(server, tag, cause::TEMPORARY_FAILURE);
         }
     }
 
-    pub(super) fn stands(&mut self, tag: Tag, attempt: Attempt, blob: String) {
+    pub(super) fn call_established(&mut self, tag: Tag, attempt: Attempt, blob: String) {
         let now = self.now;
         let Some(deadline) = self.calls.open.get(&tag).map(|c| c.deadline) else { return };
         if now >= deadline {
             // Too late for the caller, which hears nothing more.
-            return self.lapse(tag);
+            return self.abandon_call(tag);
         }
-        if self.calls.standing.len() >= MAX_STANDING {
-            return self.answer(tag, Message::new(Verb::Finish, tag).with_cause(cause::CONGESTION));
+        if self.calls.established.len() >= MAX_ESTABLISHED_CALLS {
+            return self.end_open_call(tag, Message::new(Verb::Finish, tag).with_cause(cause::CONGESTION));
         }
-        let Some(open) = self.drop_open(tag) else { return };
+        let Some(open) = self.remove_open_call(tag) else { return };
         if let Some((link, written)) = attempt.sent {
             if let Some(link) = self.links.links.get_mut(&link) {
-                link.spend(now, tag, true, false);
+                link.end_attempt(now, tag, true, false);
             }
             self.events.push_back(Event::Standing {
                 call: CallId(tag.0),
@@ -76,44 +76,49 @@
             });
         }
         self.counters.established += 1;
-        let standing =
-            Standing { client: open.client, server: attempt.server, attempt: Some(attempt.no), since: now };
-        self.calls.stand(tag, standing);
-        let (client, line) = (open.client, written(&Message::new(Verb::Started, tag).with_description(blob)));
-        if self.seats.is_in(client) {
-            self.out.push(Output::NotifyCaller { client, tag, line });
+        let standing = EstablishedCall {
+            client: open.client,
+            server: attempt.server,
+            attempt: Some(attempt.no),
+            since: now,
+        };
+        self.calls.add_established(tag, standing);
+        let (client, line) =
+            (open.client, encode_line(&Message::new(Verb::Started, tag).with_description(blob)));
+        if self.client_connections.contains(client) {
+            self.outputs.push(Output::NotifyCaller { client, tag, line });
         }
-        self.served(open.client);
-        self.watch_life(attempt.server);
+        self.call_established_for(open.client);
+        self.schedule_liveness_check(attempt.server);
     }
 
     /// Something stands there now: it is looked at from time to time.
-    pub(super) fn watch_life(&mut self, server: ServerId) {
-        if !self.due.is_set(Key::Life(server)) {
-            self.look_after(server);
+    pub(super) fn schedule_liveness_check(&mut self, server: ServerId) {
+        if !self.timers.is_set(TimerKey::LivenessCheck(server)) {
+            self.check_liveness(server);
         }
     }
 
     /// A standing call is over by the core switch's word, or because it is lost there. Its client is told.
-    pub(super) fn falls(&mut self, tag: Tag, rc: i64) {
-        let Some(standing) = self.calls.fall(tag, Some(rc)) else { return };
+    pub(super) fn release_established(&mut self, tag: Tag, rc: i64) {
+        let Some(call) = self.calls.remove_established(tag, Some(rc)) else { return };
         let outcome = if rc == cause::CLEARING { Outcome::Ended } else { Outcome::Reset };
         self.counters.calls_lost += u64::from(outcome == Outcome::Reset);
-        self.standing_ended(tag, standing, outcome);
-        self.tell_caller(Some(standing.client), tag, rc);
+        self.report_established_end(tag, call, outcome);
+        self.notify_release(Some(call.client), tag, rc);
     }
 
-    pub(super) fn standing_ended(&mut self, tag: Tag, standing: Standing, outcome: Outcome) {
-        self.seats.stands(standing.client, false);
-        if let Some(attempt) = standing.attempt {
+    pub(super) fn report_established_end(&mut self, tag: Tag, call: EstablishedCall, outcome: Outcome) {
+        self.client_connections.count_established(call.client, false);
+        if let Some(attempt) = call.attempt {
             self.events.push_back(Event::Closed {
                 call: CallId(tag.0),
                 attempt,
-                server: standing.server,
+                server: call.server,
                 done: true,
                 outcome,
                 note: Note::None,
-                took: self.now.since(standing.since),
+                took: self.now.since(call.since),
                 report: Report::default(),
             });
         }
--- a/crates/fawnrouter-node/src/node/shutdown.rs
+++ b/crates/fawnrouter-node/src/node/shutdown.rs
@@ -15,52 +15,52 @@
 
 use std::time::Duration;
 
-use super::{Key, Node, Output};
+use super::{Node, Output, TimerKey};
 
 /// After SIGTERM set-ups are served as usual for this long: the page's 0.4 s for new connections, 0.2 s for requests on
 /// open ones, and a margin. On five days of roll the last of 6,113 came 0.51 s after the signal.
-pub(super) const STOP_AFTER: Duration = Duration::from_millis(700);
+pub(super) const SERVE_AFTER_STOP: Duration = Duration::from_millis(700);
 
 /// Releases that no connection could be had for keep a gateway that owes nothing else for this long: twice the longest
 /// pause between two tries of a connection.
-const UNSAID: Duration = Duration::from_secs(1);
+const PENDING_RELEASE_WAIT: Duration = Duration::from_secs(1);
 
 /// What lies in the sockets as the end comes is read before it: releases of core switches are told on callers' connections
 /// while there are some.
-const LAST_LOOK: Duration = Duration::from_millis(20);
+const FINAL_READ_WAIT: Duration = Duration::from_millis(20);
 
 impl Node {
     /// The gateway is told to end; a second word changes nothing.
-    pub(super) fn stop(&mut self) {
-        if self.stopping.is_none() {
-            self.stopping = Some(self.now);
-            self.due.set(Key::Stop, self.now.plus(STOP_AFTER));
+    pub(super) fn begin_shutdown(&mut self) {
+        if self.stop_requested_at.is_none() {
+            self.stop_requested_at = Some(self.now);
+            self.timers.set(TimerKey::Shutdown, self.now.plus(SERVE_AFTER_STOP));
         }
     }
 
     /// Whether the time after SIGTERM in which set-ups are served is over.
-    pub(super) fn is_over(&self) -> bool {
-        self.stopping.is_some_and(|since| self.now.since(since) >= STOP_AFTER)
+    pub(super) fn refuses_set_ups(&self) -> bool {
+        self.stop_requested_at.is_some_and(|since| self.now.since(since) >= SERVE_AFTER_STOP)
     }
 
     /// Ends once nothing is owed. Callers' connections are closed in order first: the driver takes what has come, says
     /// what is unsaid, shuts its side and reads on to the caller's end. Guards against an exit with bytes unread, which
     /// resets the connection: answers under way are thrown away then, and a caller whose set-up crossed can't tell whether
     /// it was taken.
-    pub(super) fn end(&mut self) {
-        if self.done || !self.calls.open.is_empty() || !self.is_over() {
+    pub(super) fn finish_shutdown(&mut self) {
+        if self.done || !self.calls.open.is_empty() || !self.refuses_set_ups() {
             return;
         }
         // A core switch that cannot be reached must not keep the gateway for ever.
-        let since = *self.wound_up.get_or_insert(self.now);
-        let wait = if self.links.owes() { UNSAID } else { LAST_LOOK };
+        let since = *self.drained_since.get_or_insert(self.now);
+        let wait = if self.links.has_pending_releases() { PENDING_RELEASE_WAIT } else { FINAL_READ_WAIT };
         if self.now.since(since) < wait {
-            return self.due.set(Key::Stop, since.plus(wait));
+            return self.timers.set(TimerKey::Shutdown, since.plus(wait));
         }
         self.done = true;
-        for client in self.seats.all() {
-            self.let_go(client);
+        for client in self.client_connections.ids() {
+            self.start_closing(client);
         }
-        self.out.push(Output::Done);
+        self.outputs.push(Output::Done);
     }
 }
--- a/crates/fawnrouter-node/src/request.rs
+++ b/crates/fawnrouter-node/src/request.rs
@@ -27,7 +27,7 @@
 }
 
 /// The longest number called, in bytes: far beyond what E.164 or any key of the page needs.
-const MAX_KEY: usize = 256;
+const MAX_CALLED_NUMBER_BYTES: usize = 256;
 
 /// What a set-up asks for.
 #[derive(Debug)]
@@ -35,7 +35,7 @@
     /// A new call.
     New(NewCall),
     /// A call that stands at this core switch, told again.
-    Standing(String),
+    Established(String),
 }
 
 /// Reads a set-up.
@@ -51,7 +51,7 @@
         figures.insert(name, value);
     }
     if let Some(at) = figures.get("at") {
-        return Ok(Request::Standing((*at).to_owned()));
+        return Ok(Request::Established((*at).to_owned()));
     }
     let name = option("class").ok_or(cause::MISSING)?.as_str().ok_or(cause::INVALID)?;
     let class = names.class_id(name).ok_or(cause::INVALID)?;
@@ -62,7 +62,10 @@
         return Err(cause::INVALID);
     }
     let key = option("key").ok_or(cause::MISSING)?.as_str().ok_or(cause::INVALID)?;
-    if key.is_empty() || key.len() > MAX_KEY || message.blob.as_ref().is_none_or(String::is_empty) {
+    if key.is_empty()
+        || key.len() > MAX_CALLED_NUMBER_BYTES
+        || message.blob.as_ref().is_none_or(String::is_empty)
+    {
         return Err(cause::MISSING);
     }
     let figure = |name: &str, usual: f64| figures.get(name).map_or(Some(usual), |v| v.parse::<f64>().ok());
@@ -86,6 +89,6 @@
 }
 
 /// The call of this number, as the lines name it.
-pub(crate) fn tag(call: CallId) -> Tag {
+pub(crate) fn tag_of_call(call: CallId) -> Tag {
     Tag(call.0)
 }
--- a/crates/fawnrouter-node/src/switch_list.rs
+++ b/crates/fawnrouter-node/src/switch_list.rs
@@ -13,7 +13,7 @@
 pub const LIST_DNS_NAME: &str = "_app._tcp.cluster.lan";
 
 /// The most core switches that a list may name; a longer one is refused whole.
-const MAX_LISTED: usize = 4096;
+const MAX_LISTED_SWITCHES: usize = 4096;
 
 /// Why a list cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -39,7 +39,7 @@
     #[error("the answer names no core switch")]
     Empty,
     /// Too many core switches.
-    #[error("the list names more than {MAX_LISTED} core switches")]
+    #[error("the list names more than {MAX_LISTED_SWITCHES} core switches")]
     TooMany,
 }
 
@@ -67,7 +67,7 @@
     pub switches: BTreeMap<String, ListedSwitch>,
 }
 
-fn started(unix_ms: u64) -> Option<Time> {
+fn start_time(unix_ms: u64) -> Option<Time> {
     (unix_ms > 0).then(|| Time(Duration::from_millis(unix_ms)))
 }
 
@@ -115,7 +115,7 @@
                     zone: field(&instance, "zone", "a zone's name", text)?,
                     cell: Cell(field(&instance, "cell", "a number", number)?),
                     state,
-                    started: started(field(
+                    started: start_time(field(
                         &instance,
                         "startedAtMs",
                         "Unix milliseconds or 0",
@@ -126,7 +126,7 @@
                 pool.switches.insert(id, listed);
             }
         }
-        if pool.switches.len() > MAX_LISTED {
+        if pool.switches.len() > MAX_LISTED_SWITCHES {
             return Err(PoolError::TooMany);
         }
         Ok(pool)
@@ -168,11 +168,11 @@
                 zone: zone.clone(),
                 cell: Cell(cell.ok_or_else(|| wrong("TXT has no cell"))?),
                 state: if *priority == 0 { ServerState::Ready } else { ServerState::Draining },
-                started: started(figure("started").ok_or_else(|| wrong("TXT has no start time"))?),
+                started: start_time(figure("started").ok_or_else(|| wrong("TXT has no start time"))?),
                 address: SocketAddr::from((*host, *port)),
             };
             pool.switches.insert(id.clone(), listed);
-            if pool.switches.len() > MAX_LISTED {
+            if pool.switches.len() > MAX_LISTED_SWITCHES {
                 return Err(PoolError::TooMany);
             }
         }
@@ -183,13 +183,13 @@
 
 /// Ids as numbers. A number is never given to another id, and an id that has been forgotten gets a new one.
 #[derive(Debug, Default)]
-pub(crate) struct Ids {
+pub(crate) struct ServerIds {
     numbers: BTreeMap<String, ServerId>,
     next: u32,
 }
 
-impl Ids {
-    pub fn number(&mut self, id: &str) -> ServerId {
+impl ServerIds {
+    pub fn get_or_assign(&mut self, id: &str) -> ServerId {
         if let Some(number) = self.numbers.get(id) {
             return *number;
         }
@@ -198,17 +198,17 @@
         ServerId(self.next)
     }
 
-    pub fn known(&self, id: &str) -> Option<ServerId> {
+    pub fn get(&self, id: &str) -> Option<ServerId> {
         self.numbers.get(id).copied()
     }
 
-    pub fn forget(&mut self, id: &str) {
+    pub fn remove(&mut self, id: &str) {
         self.numbers.remove(id);
     }
 }
 
 /// The controller's entry for what is listed.
-pub(crate) fn entry(id: ServerId, listed: &ListedSwitch) -> ServerEntry {
+pub(crate) fn server_entry(id: ServerId, listed: &ListedSwitch) -> ServerEntry {
     ServerEntry {
         id,
         zone: listed.zone.as_str().into(),
