--- a/crates/fawnrouter-bootinfo/tests/reports.rs
+++ b/crates/fawnrouter-bootinfo/tests/reports.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 
 #[test]
-fn a_report_in_a_line_is_read_as_in_the_simulators_list_and_nonsense_is_left_out() {
+fn text_reports_are_read_like_json_reports_and_invalid_figures_are_skipped() {
     let boot = json!({"balancers": 1, "stats": {"names": ["free", "size"]},
         "classes": [{"name": "voice", "onTimeNs": 1, "hardLimitNs": 1}]});
     let (_, names) = settings(&boot).unwrap();
--- a/crates/fawnrouter-bootinfo/tests/settings.rs
+++ b/crates/fawnrouter-bootinfo/tests/settings.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn every_setting_arrives_where_it_belongs() {
+fn every_setting_is_translated_to_its_field() {
     let (s, names) = settings(&full()).unwrap();
     let ms = Duration::from_millis;
     assert_eq!((s.gateways, s.me, s.tick, s.over_share_worth), (9, PeerId(8), ms(4), 0.3));
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn what_may_be_left_out_or_null_forbids_nothing_and_permits_nothing() {
+fn absent_and_null_settings_mean_no_limit_and_no_permission() {
     let mut nulls = least();
     for key in
         ["me", "parties", "contract", "familyInfo", "policyLimits", "stats", "registryMode", "overShareWorth"]
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_limit_of_0_is_no_limit_and_one_beyond_all_sense_is_taken() {
+fn limit_of_0_means_no_limit_and_huge_limits_are_accepted() {
     for (n, attempts) in [(0, u32::MAX), (1, 1), (u64::MAX, u32::MAX)] {
         let limits =
             json!({"maxAttempts": n, "maxOpen": n, "multiplex": n, "dialTimeoutNs": n, "connIdleNs": n});
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn fields_that_are_not_known_are_passed_over_wherever_they_stand() {
+fn unknown_fields_are_ignored_at_every_level() {
     let mut boot = full();
     let odd = json!([{"anything": [null, "x"]}]);
     for place in ["", "/classes/0", "/parties/1", "/contract", "/familyInfo", "/policyLimits", "/stats"]
@@ -155,13 +155,13 @@
 }
 
 #[test]
-fn a_word_for_an_effect_that_is_not_known_counts_as_harm() {
+fn unknown_effect_counts_as_unsafe() {
     let boot = with(full(), "/classes/0/effect", json!("explodes"));
     assert_eq!(settings(&boot).unwrap().0.classes[0].effect, Effect::Unsafe);
 }
 
 #[test]
-fn a_mesh_has_its_own_exchange_and_a_list_that_is_asked_for_is() {
+fn mesh_topology_and_ask_mode_are_read() {
     let family = json!({"topology": "mesh", "homeNo": 3, "resendNs": 400_000_000});
     let boot = with(with(least(), "/familyInfo", family), "/registryMode", json!("ask"));
     let (s, _) = settings(&boot).unwrap();
@@ -170,12 +170,12 @@
 }
 
 #[test]
-fn a_multiple_of_0_says_nothing_where_nothing_is_cold() {
+fn fall_multiple_of_0_is_accepted_without_a_cold_time() {
     assert!(settings(&with(least(), "/contract", json!({"fallMultiple": 0, "coldNs": 0}))).is_ok());
 }
 
 #[test]
-fn what_is_missing_is_named_with_what_to_add() {
+fn missing_settings_are_named_with_what_to_add() {
     let without = |place: &str| said(&with(full(), place, Value::Null));
     assert_eq!(without("/balancers"), "balancers: is missing; add the number of gateways");
     assert_eq!(without("/classes"), "classes: is missing; add a list of the classes of call");
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn what_is_of_the_wrong_kind_is_named_with_the_right_one() {
+fn settings_of_the_wrong_type_are_named_with_the_right_type() {
     let nanos = "a whole number of nanoseconds, 0 or more";
     let small = "a whole number from 0 to 4294967295";
     for (place, value, told) in [
@@ -269,7 +269,7 @@
 }
 
 #[test]
-fn what_is_out_of_range_is_named_with_what_it_must_be() {
+fn settings_out_of_range_are_named_with_the_range() {
     let nanos = "a whole number of nanoseconds, 0 or more";
     let above = "a whole number of nanoseconds above 0";
     for (place, value, told) in [
@@ -357,7 +357,7 @@
 }
 
 #[test]
-fn what_contradicts_another_setting_is_named_with_it_and_a_way_out() {
+fn conflicting_settings_are_named_together_with_a_remedy() {
     for (place, value, told) in [
         (
             "/me",
@@ -406,7 +406,7 @@
 }
 
 #[test]
-fn a_long_or_many_lined_value_is_shown_short_and_on_one_line() {
+fn long_or_multiline_values_are_abbreviated_to_one_line() {
     let told = said(&with(full(), "/contract", json!("é\n".repeat(500))));
     assert!(
         told.starts_with("contract: is \"é\\né") && told.ends_with("...; it must be an object"),
--- a/crates/fawnrouter-dns/tests/messages.rs
+++ b/crates/fawnrouter-dns/tests/messages.rs
@@ -29,13 +29,13 @@
 }
 
 #[test]
-fn a_query_is_written_as_the_rfc_draws_it() {
+fn query_is_encoded_as_in_rfc_1035() {
     let bytes = query(0xbeef, &name("a.bc"), RecordType::Srv);
     assert_eq!(bytes, b"\xbe\xef\0\0\0\x01\0\0\0\0\0\0\x01a\x02bc\0\0\x21\0\x01");
 }
 
 #[test]
-fn srv_address_text_and_serial_are_read_through_compressed_names() {
+fn srv_a_txt_and_soa_records_are_read_through_compressed_names() {
     let answer = read(&good()).unwrap();
     let target = name("s1.east.lan");
     let srv = RecordData::Srv { priority: 0, weight: 40, port: 5060, target: target.clone() };
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn an_answer_cut_anywhere_or_with_a_byte_too_many_is_an_error() {
+fn truncated_response_or_trailing_byte_is_an_error() {
     let message = good();
     for cut in 0..message.len() {
         assert!(read(&message[..cut]).is_err(), "cut at {cut}");
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn another_id_question_flag_or_failure_is_told_apart() {
+fn wrong_id_question_flags_or_response_code_give_distinct_errors() {
     let changed = |at: usize, to: u8| {
         let mut message = good();
         message[at] = to;
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn pointers_in_a_ring_or_forward_are_refused() {
+fn circular_and_forward_pointers_are_rejected() {
     let head = |name: &[u8]| [&[0x12, 0x34, 0x80, 0, 0, 1, 0, 0, 0, 0, 0, 0], name].concat();
     for ring in [b"\xc0\x0c".as_slice(), b"\x01a\xc0\x0c", b"\xc0\x0e\xc0\x0c", b"\xc0\xff"] {
         assert_eq!(read(&head(ring)), Err(ResponseError::Name(NameError::InvalidPointer)), "{ring:?}");
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn names_out_of_bounds_are_refused() {
+fn invalid_names_are_rejected() {
     assert_eq!("".parse::<Name>(), Err(NameError::InvalidLabel));
     assert_eq!("a..b".parse::<Name>(), Err(NameError::InvalidLabel));
     assert_eq!("x".repeat(64).parse::<Name>(), Err(NameError::InvalidLabel));
@@ -91,12 +91,12 @@
 
 proptest! {
     #[test]
-    fn no_bytes_bring_the_reader_down(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
+    fn random_bytes_never_panic_the_reader(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
         let _ = read(&bytes);
     }
 
     #[test]
-    fn a_good_answer_with_bytes_changed_is_read_or_refused(changes in prop::collection::vec((0usize..150, any::<u8>()), 1..6)) {
+    fn valid_response_with_changed_bytes_never_panics_the_reader(changes in prop::collection::vec((0usize..150, any::<u8>()), 1..6)) {
         let mut message = good();
         for (at, byte) in changes {
             let at = at % message.len();
@@ -106,7 +106,7 @@
     }
 
     #[test]
-    fn a_name_is_written_and_read_back(labels in prop::collection::vec("[a-z0-9_-]{1,20}", 1..8)) {
+    fn encoded_names_are_read_back(labels in prop::collection::vec("[a-z0-9_-]{1,20}", 1..8)) {
         let name = name(&labels.join("."));
         let message = query(0x1234, &name, RecordType::Srv);
         let mut answer = message.clone();
--- a/crates/fawnrouter-jsonl/tests/lines.rs
+++ b/crates/fawnrouter-jsonl/tests/lines.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn the_pages_examples_are_read_and_written_back_to_the_byte() {
+fn example_lines_are_decoded_and_encoded_unchanged() {
     let messages = all(format!("{START}\n{REFUSED}\n").as_bytes()).unwrap();
     assert_eq!(messages[0].opts["left"].as_u64(), Some(1500));
     assert_eq!((messages[1].verb, messages[1].rc), (Verb::Finish, Some(34)));
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_stream_cut_at_any_byte_gives_the_same_messages() {
+fn stream_split_at_any_byte_gives_the_same_messages() {
     let stream = format!("{START}\n\n{REFUSED}\r\n{START}\n");
     let whole = all(stream.as_bytes()).unwrap();
     assert_eq!(whole.len(), 3);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_line_of_16_kib_is_read_and_one_byte_more_or_no_end_is_refused() {
+fn line_of_16_kib_is_accepted_and_a_longer_or_unterminated_one_is_an_error() {
     let frame = r#"{"verb":"START","tag":"9b1f03aa5c7e2d41","blob":""}"#.len() + 1;
     let line = |pad: usize| {
         let blob = "x".repeat(pad);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_faulty_line_ends_the_stream_and_names_the_call_where_it_can() {
+fn malformed_line_ends_the_stream_and_reports_the_tag_if_it_has_one() {
     let bad = START.replace("{\"class\":\"voice\",\"left\":\"1500\"}", "[1]");
     let mut decoder = Decoder::new();
     decoder.push(format!("{bad}\n{REFUSED}\n").as_bytes());
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn figures_are_read_as_text_or_number_and_nothing_else_passes_for_one() {
+fn numbers_are_read_from_text_or_number_and_nothing_else() {
     let read = |value: &str| {
         let line = format!("{{\"verb\":\"ECHO\",\"tag\":\"0000000000000001\",\"opts\":{{\"n\":{value}}}}}\n");
         all(line.as_bytes()).map(|m| m[0].opts["n"].as_u64())
@@ -89,7 +89,7 @@
 
 proptest! {
     #[test]
-    fn any_bytes_give_messages_or_a_fault_and_never_hold_more_than_a_line(parts in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..4000), 0..12)) {
+    fn any_bytes_give_messages_or_an_error_and_buffer_less_than_a_line(parts in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..4000), 0..12)) {
         let mut decoder = Decoder::new();
         for part in parts {
             decoder.push(&part);
@@ -99,7 +99,7 @@
     }
 
     #[test]
-    fn a_good_line_with_any_byte_changed_does_no_harm(at in 0usize..START.len(), byte in any::<u8>()) {
+    fn valid_line_with_any_byte_changed_decodes_or_fails_cleanly(at in 0usize..START.len(), byte in any::<u8>()) {
         let mut bytes = format!("{START}\n").into_bytes();
         bytes[at] = byte;
         if let Ok(messages) = all(&bytes) {
@@ -114,7 +114,7 @@
     }
 
     #[test]
-    fn what_is_written_is_read_back(tag in any::<u64>(), blob in ".*", value in ".*", rc in any::<i64>()) {
+    fn encoded_messages_decode_to_themselves(tag in any::<u64>(), blob in ".*", value in ".*", rc in any::<i64>()) {
         prop_assume!(blob.len() + value.len() < 2000);
         let message = Message::new(Verb::Finish, Tag(tag)).with_cause(rc).with_option("wait", value).with_description(blob);
         let mut bytes = Vec::new();
--- a/crates/fawnrouter-machine/src/backoff.rs
+++ b/crates/fawnrouter-machine/src/backoff.rs
@@ -38,7 +38,7 @@
     use super::*;
 
     #[test]
-    fn pauses_double_up_to_their_bound_and_begin_anew_after_success() {
+    fn delays_double_up_to_the_maximum_and_restart_after_success() {
         let settings = BackoffSettings { initial: Duration::from_millis(100), max: Duration::from_secs(1) };
         let mut backoff = Backoff::default();
         let pauses: Vec<u128> = (0..6).map(|_| backoff.next_pause(&settings, 1.0).as_millis()).collect();
--- a/crates/fawnrouter-node/src/client_connections.rs
+++ b/crates/fawnrouter-node/src/client_connections.rs
@@ -171,7 +171,7 @@
     }
 
     #[test]
-    fn crowds_that_connect_or_pass_the_test_push_out_nobody_with_calls() {
+    fn connections_that_only_connect_or_test_evict_no_client_with_calls() {
         let mut connections = ClientConnections::new(4);
         (1..=4).for_each(|n| assert_eq!(connections.admit(at(n), ClientId(n)), Admission::Admitted));
         [1, 2].into_iter().for_each(|n| connections.count_established(ClientId(n), true));
@@ -201,7 +201,7 @@
     }
 
     #[test]
-    fn room_is_made_by_the_silent_first_then_by_the_longest_idle_and_never_by_the_busy() {
+    fn silent_connections_are_evicted_first_then_longest_idle_and_never_busy_ones() {
         let mut connections = ClientConnections::new(3);
         for n in 1..=3 {
             assert_eq!(connections.admit(at(n), ClientId(n)), Admission::Admitted);
@@ -221,7 +221,7 @@
     }
 
     #[test]
-    fn silence_and_half_lines_are_overdue_but_not_with_a_set_up_open() {
+    fn silent_and_partial_line_connections_are_overdue_unless_a_set_up_is_open() {
         let mut connections = ClientConnections::new(3);
         connections.admit(at(0), ClientId(1));
         assert!(
--- a/crates/fawnrouter-node/src/links.rs
+++ b/crates/fawnrouter-node/src/links.rs
@@ -1,8 +1,10 @@
-//! Connections to core switches: which set-up goes on which, how many there are, when a lost one is opened again.
+//! Connections to core switches: which one a set-up is sent on, how many are kept, and when a lost one is
+//! opened again.
 //!
-//! Several to each, since one spoilt answer makes a connection useless with all set-ups on it. A set-up goes on the
-//! connection with the fewest, and never on one that carried an attempt of the same call whose end the core switch has
-//! not told: the id does not tell attempts apart, the connection does.
+//! Each core switch gets several connections, because one unusable answer ends its connection and all set-ups
+//! on it. A set-up goes on the connection with the fewest open set-ups, and never on one that carried an
+//! attempt of the same call that the core switch has not answered: the call's id is the same for all its
+//! attempts, so only the connection tells them apart.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -12,46 +14,51 @@
 use fawnrouter_jsonl::Tag;
 use fawnrouter_machine::{Backoff, BackoffSettings};
 
-/// A connection to a core switch. Numbers are never used again.
+/// A connection to a core switch. Ids are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinkId(pub u64);
 
-/// Connections that are kept up to one that takes set-ups. Hundreds of gateways see each core switch once in some
-/// seconds: a second one that nothing is sent on is paid for by all of them and holds a place there.
+/// Connections that are kept open to a switch that takes set-ups. Hundreds of gateways send to each core
+/// switch once every few seconds, so a second unused connection would cost all of them, and take a place at
+/// the switch.
 const MIN_LINKS_PER_SWITCH: usize = 1;
-/// Set-ups that share a connection before another is opened: what is lost with one spoilt answer.
+/// Open set-ups on a connection at which another one is opened. It bounds how many set-ups are lost with one
+/// unusable answer.
 const SET_UPS_PER_SHARED_LINK: usize = 2;
-/// Connections to one core switch at the most; more set-ups than that at once share.
+/// Most connections to one core switch. Beyond that, set-ups share connections.
 const MAX_LINKS_PER_SWITCH: usize = 8;
-/// Connections that are opened at once to one that does not answer.
+/// Most concurrent connection attempts to one core switch that does not answer.
 const MAX_DIALS_PER_SWITCH: usize = 2;
-/// Pauses between lost connections and the next ones.
+/// Delays between a lost connection and the next attempt.
 const DIAL_BACKOFF: BackoffSettings =
     BackoffSettings { initial: Duration::from_millis(40), max: Duration::from_millis(500) };
-/// Share of the platform's idle time after which an idle connection is replaced, so that no set-up crosses its close.
+/// Fraction of the platform's idle timeout after which an idle connection is replaced, so that no set-up
+/// crosses the switch's close.
 const IDLE_REPLACE_FRACTION: f64 = 0.7;
-/// Attempts that were given up are remembered so long on their connection, and so many.
-const SPENT: (Duration, usize) = (Duration::from_secs(12), 256);
-/// Releases that wait for a connection, to one core switch; beyond it the oldest go unsaid.
+/// How long a connection remembers attempts that ended without the switch's answer.
+const ENDED_ATTEMPT_LIFETIME: Duration = Duration::from_secs(12);
+/// Most ended attempts that one connection remembers.
+const MAX_ENDED_ATTEMPTS: usize = 256;
+/// Most releases that wait for a connection to one core switch. Beyond that the oldest are dropped unsent.
 const MAX_PENDING_RELEASES: usize = 1024;
 
-/// What a core switch needs connections for.
+/// What connections to a core switch are needed for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LinkNeed {
-    /// It takes set-ups.
+    /// The switch takes set-ups.
     SetUps,
-    /// It may still say something.
+    /// The switch may still release calls.
     Releases,
-    /// Nothing.
+    /// No connection is needed.
     None,
 }
 
-/// An attempt on a connection that is over for this gateway.
+/// An attempt that the gateway has ended and the core switch has not answered.
 #[derive(Clone, Copy, Debug)]
 struct EndedAttempt {
     ended_at: Time,
     tag: Tag,
-    /// The core switch has been told that it is given up.
+    /// The core switch has been sent a release for it.
     released: bool,
 }
 
@@ -59,15 +66,15 @@
 pub(crate) struct Link {
     pub server: ServerId,
     pub up: bool,
-    /// Set-ups out on it.
+    /// Set-ups sent on this connection that are still open.
     pub open_set_ups: BTreeSet<Tag>,
     ended_attempts: VecDeque<EndedAttempt>,
     last_used: Time,
 }
 
 impl Link {
-    /// An attempt on it is over. Unless the core switch has told its end, something may still come of it; `released`: it
-    /// is told now that nothing is wanted of it any more.
+    /// Ends an attempt on this connection. Unless the core switch has `answered`, a late answer may still
+    /// arrive; `released` says that a release is being sent to the switch now.
     pub fn end_attempt(&mut self, now: Time, tag: Tag, answered: bool, released: bool) {
         if !self.open_set_ups.remove(&tag) {
             return;
@@ -77,55 +84,55 @@
             return;
         }
         self.ended_attempts.push_back(EndedAttempt { ended_at: now, tag, released });
-        while self.ended_attempts.len() > SPENT.1
-            || self.ended_attempts.front().is_some_and(|s| now.since(s.ended_at) > SPENT.0)
+        while self.ended_attempts.len() > MAX_ENDED_ATTEMPTS
+            || self.ended_attempts.front().is_some_and(|s| now.since(s.ended_at) > ENDED_ATTEMPT_LIFETIME)
         {
             self.ended_attempts.pop_front();
         }
     }
 
-    fn has_carried(&self, tag: Tag) -> bool {
+    fn carried_attempt_of(&self, tag: Tag) -> bool {
         self.open_set_ups.contains(&tag) || self.ended_attempts.iter().any(|s| s.tag == tag)
     }
 
-    /// Whether a call that comes to stand by an attempt that is over is to be released: once.
+    /// Whether a late answer to an ended attempt must be released. True once per attempt.
     pub fn mark_late_release(&mut self, tag: Tag) -> bool {
         let unreleased = self.ended_attempts.iter_mut().find(|s| s.tag == tag && !s.released);
         unreleased.is_some_and(|s| !std::mem::replace(&mut s.released, true))
     }
 }
 
-/// One core switch as far as connections go.
+/// The connections to one core switch.
 #[derive(Debug)]
 pub(crate) struct SwitchLinks {
     pub address: SocketAddr,
     pub links: BTreeSet<LinkId>,
-    /// Set-ups that wait for a connection, in order.
+    /// Set-ups that wait for a connection, oldest first.
     pub waiting_set_ups: VecDeque<Tag>,
-    /// Releases that wait for one.
+    /// Releases that wait for a connection.
     pending_releases: VecDeque<(Tag, i64)>,
     backoff: Backoff,
     pub next_dial_at: Time,
 }
 
-/// All connections.
+/// The connections to all core switches.
 #[derive(Debug)]
 pub(crate) struct Links {
     pub links: BTreeMap<LinkId, Link>,
     pub switches: BTreeMap<ServerId, SwitchLinks>,
-    /// Connections that there may be in all.
+    /// Most connections in total.
     max_links: usize,
     max_set_ups_per_link: usize,
     replace_idle_after: Duration,
     next_id: u64,
 }
 
-/// Where a set-up goes.
+/// Where a set-up is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LinkChoice {
     /// On this connection.
     Use(LinkId),
-    /// On the next that comes up.
+    /// On the next connection that comes up.
     Wait,
 }
 
@@ -162,21 +169,23 @@
         self.links_to(server).any(|(_, l)| l.up)
     }
 
-    /// The connection for a set-up.
+    /// Chooses the connection for a set-up.
     pub fn choose_for_set_up(&self, server: ServerId, tag: Tag) -> LinkChoice {
-        let fit = self
-            .links_to(server)
-            .filter(|(_, l)| l.up && l.open_set_ups.len() < self.max_set_ups_per_link && !l.has_carried(tag));
-        fit.min_by_key(|(id, l)| (l.open_set_ups.len(), *id))
+        let usable = self.links_to(server).filter(|(_, l)| {
+            l.up && l.open_set_ups.len() < self.max_set_ups_per_link && !l.carried_attempt_of(tag)
+        });
+        usable
+            .min_by_key(|(id, l)| (l.open_set_ups.len(), *id))
             .map_or(LinkChoice::Wait, |(id, _)| LinkChoice::Use(id))
     }
 
-    /// A connection for a release: any that is up, as a standing call is bound to none.
+    /// Chooses a connection for a release: any that is up, since an established call is not bound to a
+    /// connection.
     pub fn choose_for_release(&self, server: ServerId) -> Option<LinkId> {
         self.links_to(server).find(|(_, l)| l.up).map(|(id, _)| id)
     }
 
-    /// A release that waits for a connection.
+    /// Queues a release until a connection is available.
     pub fn add_pending_release(&mut self, server: ServerId, tag: Tag, cause: i64) {
         if let Some(switch) = self.switches.get_mut(&server) {
             switch.pending_releases.push_back((tag, cause));
@@ -186,12 +195,13 @@
         }
     }
 
-    /// What waited to be released there.
+    /// Takes all releases that wait for a connection to the switch.
     pub fn take_pending_releases(&mut self, server: ServerId) -> Vec<(Tag, i64)> {
         self.switches.get_mut(&server).map(|s| s.pending_releases.drain(..).collect()).unwrap_or_default()
     }
 
-    /// A new attempt of the call goes there: an old release must not end it.
+    /// Drops a queued release, because a new attempt of the call is sent to the switch and must not be ended
+    /// by it.
     pub fn drop_pending_release(&mut self, server: ServerId, tag: Tag) {
         if let Some(switch) = self.switches.get_mut(&server) {
             switch.pending_releases.retain(|(t, _)| *t != tag);
@@ -213,17 +223,17 @@
         let wanted = match need {
             LinkNeed::None if switch.waiting_set_ups.is_empty() && switch.pending_releases.is_empty() => 0,
             LinkNeed::None | LinkNeed::Releases => 1,
-            // What waits although some are up can use none of those: all have carried its call.
+            // Set-ups wait although connections are up only if all of those have carried their call.
             LinkNeed::SetUps if !switch.waiting_set_ups.is_empty() => {
                 (up + switch.waiting_set_ups.len()).clamp(MIN_LINKS_PER_SWITCH, MAX_LINKS_PER_SWITCH)
             }
-            // One more than are shared: the next set-up need not be the third on any.
+            // One more than are shared, so that the next set-up need not be the third on any connection.
             LinkNeed::SetUps => (shared + 1).clamp(MIN_LINKS_PER_SWITCH, MAX_LINKS_PER_SWITCH),
         };
-        // Each core switch has its part of the whole.
-        let part = (self.max_links / self.switches.len().max(1)).max(1);
+        // The total is divided evenly among the core switches.
+        let max_per_switch = (self.max_links / self.switches.len().max(1)).max(1);
         let room = self.max_links.saturating_sub(self.links.len());
-        let missing = wanted.min(part).saturating_sub(up + opening);
+        let missing = wanted.min(max_per_switch).saturating_sub(up + opening);
         if now < switch.next_dial_at {
             0
         } else {
@@ -231,12 +241,13 @@
         }
     }
 
-    /// Whether one more connection may be tried, beyond those that are wanted: none is under way, and there is room.
+    /// Whether a connection beyond the needed ones may be opened: no other is being opened, and the total is
+    /// not reached.
     pub fn may_open_extra_link(&self, server: ServerId) -> bool {
         self.links.len() < self.max_links && self.links_to(server).all(|(_, l)| l.up)
     }
 
-    /// A connection is being opened.
+    /// Registers a connection that is being opened.
     pub fn start_dial(&mut self, now: Time, server: ServerId) -> LinkId {
         self.next_id += 1;
         let id = LinkId(self.next_id);
@@ -254,7 +265,7 @@
         id
     }
 
-    /// It is up; whose it is.
+    /// Marks the connection as up and returns the core switch that it leads to.
     pub fn link_up(&mut self, now: Time, id: LinkId) -> Option<ServerId> {
         let link = self.links.get_mut(&id)?;
         (link.up, link.last_used) = (true, now);
@@ -264,7 +275,8 @@
         Some(link.server)
     }
 
-    /// It is no more. After a failure the next is opened no sooner than after a pause; `unit` places it.
+    /// Removes a connection. After a failure the next one waits for the back-off delay; `unit`, a random
+    /// number from 0 to 1, places the delay in its range.
     pub fn remove_link(&mut self, now: Time, id: LinkId, failed: bool, unit: f64) -> Option<Link> {
         let link = self.links.remove(&id)?;
         if let Some(switch) = self.switches.get_mut(&link.server) {
@@ -277,7 +289,7 @@
         Some(link)
     }
 
-    /// Connections that carry nothing, to core switches for which nothing waits.
+    /// Connections without open set-ups, to core switches for which nothing is queued.
     pub fn idle_links(&self) -> impl Iterator<Item = (LinkId, ServerId)> {
         let wanted = |s: &ServerId| {
             self.switches
@@ -289,24 +301,24 @@
         idle.map(|(id, l)| (*id, l.server))
     }
 
-    /// Whether a release waits for a connection, to whichever core switch.
+    /// Whether a release waits for a connection to any core switch.
     pub fn has_pending_releases(&self) -> bool {
         self.switches.values().any(|s| !s.pending_releases.is_empty())
     }
 
-    /// Connections that have been idle for long enough to be replaced.
+    /// Connections that have been idle long enough to be replaced.
     pub fn links_idle_too_long(&self, now: Time) -> Vec<LinkId> {
-        let stale =
+        let idle_too_long =
             |l: &Link| l.up && l.open_set_ups.is_empty() && now.since(l.last_used) >= self.replace_idle_after;
-        self.links.iter().filter(|(_, l)| stale(l)).map(|(id, _)| *id).collect()
+        self.links.iter().filter(|(_, l)| idle_too_long(l)).map(|(id, _)| *id).collect()
     }
 
-    /// Set-ups waiting for a connection to this switch, oldest first, are over.
+    /// Takes all set-ups that wait for a connection to this switch, oldest first.
     pub fn take_queued_set_ups(&mut self, server: ServerId) -> Vec<Tag> {
         self.switches.get_mut(&server).map(|s| s.waiting_set_ups.drain(..).collect()).unwrap_or_default()
     }
 
-    /// This set-up waits for the next connection that comes up.
+    /// Queues a set-up for the next connection that comes up.
     pub fn queue_set_up(&mut self, server: ServerId, tag: Tag) {
         if let Some(switch) = self.switches.get_mut(&server) {
             switch.waiting_set_ups.push_back(tag);
--- a/crates/fawnrouter-node/src/list_query.rs
+++ b/crates/fawnrouter-node/src/list_query.rs
@@ -93,7 +93,7 @@
     }
 
     #[test]
-    fn the_latest_questions_may_be_answered_once_each_and_a_failure_leaves_one_open() {
+    fn recent_queries_accept_one_response_each_and_stay_open_after_a_failure() {
         let mut ask = Ask::new();
         let now = Time::from_nanos(0);
         let asked: Vec<Vec<u8>> = (1..=5).map(|id| ask.next_query(now, id).datagram).collect();
--- a/crates/fawnrouter-node/src/liveness.rs
+++ b/crates/fawnrouter-node/src/liveness.rs
@@ -1,95 +1,106 @@
-//! When a core switch's standing calls count as over though nobody said so: its process died, its machine went silent,
-//! or it can no longer tell. A lost connection alone proves nothing, as connections are reset for other reasons.
+//! Decides when the established calls at a core switch count as ended although the switch sent no release:
+//! its process died, its machine stopped answering, or it can no longer send releases. A lost connection
+//! alone proves nothing, because connections are also reset for other reasons.
 //!
-//! Two things are told apart. A **byte** shows that something is there. A **proof** shows that its releases reach this
-//! gateway: a connection that it accepts, its state, the release of a call. A switch at the end of its drain still passes
-//! tests, answers late set-ups and refuses others on its old connections, but takes no new one and tells no end of a
-//! call; those that stand are cut some seconds later, when it stops. So its calls are left alone for as long as the
-//! page allows and no longer.
+//! Two kinds of evidence are kept apart. A **byte** shows that something is running there. A **proof** shows
+//! that the switch's releases reach this gateway: a connection that it accepts, a state report, the release
+//! of a call. A switch at the end of its drain still passes tests, answers late set-ups and refuses others on
+//! its old connections, but accepts no new connection and sends no releases; its established calls are cut
+//! some seconds later, when it stops. So its calls are kept for as long as the platform's 8 s limit (below)
+//! allows and no longer.
 //!
-//! What counts as the end:
-//! * every connection refused for [`REFUSED_FOR`] and not a byte meanwhile, although it was asked: the process is dead;
-//! * no proof for [`UNTOLD_FOR`] and a connection refused in that time: ends may have gone untold;
-//! * not a byte and no new connection for [`SILENT_FOR`], although it was asked ([`ASK_AFTER`]): the machine is silent;
-//! * the list no longer names it, and no call of its was released for [`GONE_FOR`]: its address may be another's by
-//!   then, so that nothing else that comes from there counts.
+//! A switch counts as dead when
+//! * every connection was refused for [`REFUSED_TIMEOUT`] and not a byte arrived meanwhile, although it was
+//!   probed: the process is dead;
+//! * there was no proof for [`NO_PROOF_TIMEOUT`] and a connection was refused in that time: releases may have
+//!   been lost;
+//! * no byte and no new connection arrived for [`SILENCE_TIMEOUT`], although it was probed ([`PROBE_AFTER`]):
+//!   the machine does not answer;
+//! * the list no longer names it, and it released no call for [`UNLISTED_TIMEOUT`]: its address may belong to
+//!   another switch by then, so nothing else that comes from there counts.
 //!
-//! So that a refusal is seen at all, a connection is tried though others are up when proofs stay out
-//! ([`DOUBT_DRAINING`], [`DOUBT_READY`]), and when one that was up is lost: a release that was written to it comes again
-//! on the next one opened, and only there.
+//! So that a refusal is seen at all, a new connection is tried even if others are up when there has been no
+//! proof for a while ([`RECONNECT_AFTER_DRAINING`], [`RECONNECT_AFTER_READY`]), and when a connection that
+//! was up is lost: a switch repeats a release that it wrote to a lost connection on the next new one, and
+//! only there.
 //!
-//! The page wants callers told within 8 s of an end that nobody tells. The longest ways: 7.0 s without a proof (which
-//! came before the end), 6.5 s of silence, or the list's 4.5 s at the latest and 2.5 s more.
+//! Callers must be told within 8 s of the end of a call that the switch does not release. The longest delays
+//! are 7.0 s without a proof (the last proof came before the end), 6.5 s of silence, and the list's delay of
+//! at most 4.5 s plus 2.5 s.
 
 use std::time::Duration;
 
 use fawnrouter::{ServerState, Time};
 
-/// Connections were refused for this long, and none came up: nobody listens any more. Longer than a restart of a
-/// listener takes, short enough for callers to hear within the page's 8 s.
+/// Time without any accepted connection after which the process counts as dead. Longer than a listener needs
+/// to restart, and short enough to tell callers within 8 s.
 const REFUSED_TIMEOUT: Duration = Duration::from_millis(1500);
-/// No proof for this long, and no new connection to be had: the page's 8 s less one to tell the callers in.
+/// Time without a proof, with a refused connection in it, after which calls count as ended: the limit of 8 s
+/// less 1 s to tell the callers.
 const NO_PROOF_TIMEOUT: Duration = Duration::from_millis(7000);
-/// Nothing was heard for this long: it is asked, as an idle switch may have nothing to say.
+/// Time without a byte after which the switch is probed, as an idle switch may have nothing to send.
 const PROBE_AFTER: Duration = Duration::from_millis(2000);
-/// Between two questions.
+/// Time between two probes.
 const PROBE_INTERVAL: Duration = Duration::from_millis(1000);
-/// Nothing was heard for this long although it was asked: the page's 8 s less the time to tell the callers. A
-/// processor that is only jammed answers something in that time.
+/// Time without a byte, in spite of probes, after which the machine counts as dead: the limit of 8 s less the
+/// time to tell the callers. An overloaded processor still answers something in that time.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(6500);
-/// The same for one that the list no longer names.
+/// The same for a switch that the list no longer names.
 const UNLISTED_TIMEOUT: Duration = Duration::from_millis(2500);
-/// No proof for this long from one that drains: it may tell no ends any more. As [`ASK_AFTER`].
+/// Time without a proof after which a new connection to a draining switch is tried, as it may no longer send
+/// releases. As [`PROBE_AFTER`].
 const RECONNECT_AFTER_DRAINING: Duration = PROBE_AFTER;
-/// No proof for this long from any other: the list may be late. Half of the page's 8 s: rare, as each try is a
-/// connection, and in time for [`UNTOLD_FOR`].
+/// Time without a proof after which a new connection to any other switch is tried, as the list may be late.
+/// Half of the limit of 8 s: seldom, because each try costs a connection, and in time for
+/// [`NO_PROOF_TIMEOUT`].
 const RECONNECT_AFTER_READY: Duration = Duration::from_millis(4000);
-/// Between two connections that are tried for a proof.
+/// Time between two connections that are opened to get a proof.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(1000);
-/// Between two looks at the least.
+/// Shortest time between two checks.
 const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What to do about a core switch.
+/// The result of a check of a core switch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Verdict {
-    /// What stood there is over.
+    /// The established calls at the switch have ended.
     Dead,
-    /// Look again.
+    /// The switch may be alive; check it again.
     Alive {
-        /// Test it now.
+        /// Send a test now.
         probe: bool,
-        /// Try a connection now, even if others are up.
+        /// Try a new connection now, even if others are up.
         connect: bool,
-        /// When to look again.
+        /// When to check again.
         next_check: Time,
     },
 }
 
-/// What was seen of it.
+/// Something received from a core switch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Evidence {
-    /// It sent something that shows no more than that somebody is there.
+    /// Any message that proves no more than that something is running there.
     AnyByte,
-    /// It told its state.
+    /// The switch reported its load.
     StateReport,
     /// A new connection came up.
     Connected,
-    /// A call that stood there was released.
+    /// The switch released an established call.
     CallRelease,
 }
 
-/// What was seen of one core switch.
+/// What is known about whether one core switch is alive.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Liveness {
     last_byte: Time,
     last_proof: Time,
     probed_at: Option<Time>,
     connect_tried_at: Option<Time>,
-    /// Refused since then without a byte between.
+    /// Since when connections are refused without a byte received in between.
     refused_since: Option<Time>,
     /// A connection was refused since the last proof.
     refused_since_proof: bool,
-    /// A connection that was up is lost, and none came up since: what was written to it may be lost too.
+    /// A connection that was up was lost and no new one came up since, so what was written to it may be lost
+    /// too.
     connection_lost: bool,
     draining: bool,
     unlisted_since: Option<Time>,
@@ -110,7 +121,7 @@
         }
     }
 
-    /// It showed a sign of life.
+    /// Records that something was received from the switch.
     pub fn record(&mut self, now: Time, evidence: Evidence) {
         if self.unlisted_since.is_some() && evidence != Evidence::CallRelease {
             return;
@@ -124,24 +135,24 @@
         }
     }
 
-    /// It refused a connection.
+    /// Records that the switch refused a connection.
     pub fn connection_refused(&mut self, now: Time) {
         self.refused_since = self.refused_since.or(Some(now));
         self.refused_since_proof = true;
     }
 
-    /// A connection that was up is no more.
+    /// Records that a connection that was up is lost.
     pub fn connection_lost(&mut self) {
         self.connection_lost = true;
     }
 
-    /// What the list says of it; `None`: it is not there.
+    /// Records the state in the list; `None`: the switch is not listed.
     pub fn set_listed_state(&mut self, now: Time, state: Option<ServerState>) {
         self.draining = state != Some(ServerState::Ready);
         self.unlisted_since = if state.is_some() { None } else { self.unlisted_since.or(Some(now)) };
     }
 
-    /// When it has to be taken for dead if nothing changes, and whether it must have been asked before.
+    /// When the switch counts as dead if nothing changes, and whether it must have been probed before.
     fn death_deadline(&self) -> (Time, bool) {
         let silent = match self.unlisted_since {
             Some(gone) => gone.max(self.last_proof).plus(UNLISTED_TIMEOUT),
@@ -156,17 +167,17 @@
         }
     }
 
-    /// Judges one with calls that stand there.
+    /// Checks a switch at which calls are established.
     pub fn check(&mut self, now: Time) -> Verdict {
         let (deadline, must_have_probed) = self.death_deadline();
-        // A process that stood still has heard nothing meanwhile: silence counts after a question only.
+        // If this process was suspended it received nothing meanwhile, so silence counts only after a probe.
         if now >= deadline && (!must_have_probed || self.probed_at.is_some_and(|probed_at| probed_at < now)) {
             return Verdict::Dead;
         }
         let probe_at = match (self.probed_at, self.unlisted_since) {
             (Some(probed_at), _) => probed_at.plus(PROBE_INTERVAL),
             (None, Some(_)) => now,
-            // Whether those connections that are up are answered tells a dead process from one that only drains.
+            // Answers on the connections that are up distinguish a draining switch from a dead process.
             (None, None) if self.refused_since.is_some() => now,
             (None, None) => self.last_byte.plus(PROBE_AFTER),
         };
@@ -201,7 +212,8 @@
         Time(Duration::from_millis(ms))
     }
 
-    /// Judges as often as it asks for, from `from` on; when it is found dead. `on_knock` is told of tries.
+    /// Runs the checks when they are due, from `from` on, and returns the time at which the switch counts as
+    /// dead. `on_connect` is called for each connection that is tried.
     fn time_of_death_with(
         liveness: &mut Liveness,
         from: u64,
@@ -233,7 +245,7 @@
     }
 
     #[test]
-    fn refusals_for_a_while_are_a_death_and_one_that_ends_is_none() {
+    fn process_counts_as_dead_after_refusing_connections_for_a_while() {
         let mut liveness = Liveness::new(at(0));
         liveness.connection_refused(at(100));
         assert!(probes(liveness.check(at(100))), "it is asked at once");
@@ -246,12 +258,13 @@
     }
 
     #[test]
-    fn silence_is_a_death_only_after_questions_and_within_eight_seconds() {
+    fn silent_machine_counts_as_dead_within_eight_seconds_but_only_after_probes() {
         let mut liveness = Liveness::new(at(0));
         assert!(!probes(liveness.check(at(1999))));
         assert!(probes(liveness.check(at(2000))));
         assert_eq!(time_of_death(&mut liveness, 2000, 9000), Some(6500));
-        // This process stood still: what it did not hear meanwhile is no silence of the other's.
+        // This process was suspended: what it did not receive meanwhile does not count as the switch's
+        // silence.
         let mut liveness = Liveness::new(at(0));
         assert!(probes(liveness.check(at(9000))));
         liveness.record(at(9010), Evidence::AnyByte);
@@ -259,7 +272,7 @@
     }
 
     #[test]
-    fn one_that_left_the_list_is_asked_at_once_and_believed_sooner() {
+    fn unlisted_switch_is_probed_at_once_and_counts_as_dead_sooner() {
         let mut liveness = Liveness::new(at(0));
         liveness.set_listed_state(at(10), None);
         assert!(probes(liveness.check(at(10))));
@@ -267,7 +280,7 @@
     }
 
     #[test]
-    fn what_comes_from_the_address_of_one_that_is_gone_keeps_nothing_alive_but_its_releases_do() {
+    fn only_releases_keep_an_unlisted_switch_alive() {
         use Evidence::{AnyByte, CallRelease, Connected, StateReport};
         for (sign, dead) in [(AnyByte, 2500), (StateReport, 2500), (Connected, 2500), (CallRelease, 4500)] {
             let mut liveness = Liveness::new(at(0));
@@ -279,12 +292,12 @@
     }
 
     #[test]
-    fn calls_on_one_that_passes_tests_and_accepts_nobody_are_over_as_late_as_the_page_allows() {
+    fn switch_that_passes_tests_but_refuses_connections_counts_as_dead_after_seven_seconds() {
         for state in [ServerState::Draining, ServerState::Ready] {
             let mut liveness = Liveness::new(at(0));
             liveness.set_listed_state(at(0), Some(state));
             let dies = time_of_death_with(&mut liveness, 0, 20_000, |liveness, now| {
-                // Refused on the new connection, and answered on an old one.
+                // Refused on the new connection, answered on an old one.
                 liveness.connection_refused(now);
                 liveness.record(now, Evidence::AnyByte);
             });
@@ -293,7 +306,7 @@
     }
 
     #[test]
-    fn one_that_accepts_connections_is_tried_from_time_to_time_and_lives() {
+    fn switch_that_accepts_connections_is_reconnected_periodically_and_stays_alive() {
         for (state, tries) in [(ServerState::Draining, 19), (ServerState::Ready, 9)] {
             let tried = std::cell::Cell::new(0);
             let mut liveness = Liveness::new(at(0));
@@ -307,7 +320,7 @@
     }
 
     #[test]
-    fn a_lost_connection_is_followed_by_another_at_once_and_not_in_a_hurry() {
+    fn lost_connection_is_replaced_at_once_but_not_repeatedly() {
         let connects = |v: Verdict| matches!(v, Verdict::Alive { connect: true, .. });
         let mut liveness = Liveness::new(at(0));
         assert!(!connects(liveness.check(at(100))));
--- a/crates/fawnrouter-node/tests/calls.rs
+++ b/crates/fawnrouter-node/tests/calls.rs
@@ -9,7 +9,7 @@
 const REFUSED: (Verb, Option<i64>) = (Verb::Finish, Some(34));
 
 #[test]
-fn a_call_goes_through_with_its_descriptions_unchanged_and_its_release_is_passed_on() {
+fn call_is_forwarded_with_unchanged_descriptions_and_its_release_is_forwarded() {
     let mut rig = Rig::new(2);
     let client = rig.connect();
     let link = rig.standing(client, 7);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_full_switch_is_left_at_once_for_another() {
+fn call_refused_by_a_full_switch_goes_to_another_at_once() {
     let mut rig = Rig::new(2);
     let client = rig.connect();
     rig.call(client, 7, 3000);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn what_is_late_for_an_attempt_that_was_given_up_is_neither_passed_on_nor_taken_for_the_next() {
+fn late_answer_to_an_ended_attempt_is_neither_forwarded_nor_taken_for_the_next_attempt() {
     let mut rig = Rig::new(1);
     let client = rig.connect();
     rig.call(client, 7, 3000);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_call_that_nobody_answers_gets_one_refusal_in_time_and_its_set_up_is_withdrawn() {
+fn unanswered_call_gets_one_refusal_in_time_and_its_set_up_is_withdrawn() {
     let mut rig = Rig::new(1);
     let client = rig.connect();
     rig.call(client, 7, 1500);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_spoilt_line_ends_its_connection_and_each_set_up_on_it_once_and_frees_the_switch() {
+fn malformed_line_closes_the_connection_and_releases_each_set_up_on_it_once() {
     let mut rig = Rig::new(1);
     let client = rig.connect();
     // So many that connections are shared.
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn an_answer_without_a_description_and_a_release_without_a_cause_are_spoilt() {
+fn answer_without_description_and_release_without_cause_close_the_connection() {
     for line in [
         r#"{"verb":"STARTED","tag":"0000000000000007","opts":{}}"#,
         r#"{"verb":"STARTED","tag":"0000000000000007","opts":{},"blob":""}"#,
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn an_answer_under_an_unknown_id_is_dropped_and_the_good_one_behind_it_counts() {
+fn answer_with_unknown_tag_is_dropped_and_the_next_valid_one_counts() {
     let mut rig = Rig::new(1);
     let client = rig.connect();
     rig.call(client, 7, 3000);
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_refused_connection_proves_that_nothing_ran_and_the_call_goes_on_at_once() {
+fn refused_connection_does_not_end_the_call() {
     let mut rig = Rig::with(&[("s-1", 7001, "Ready", 0)]);
     rig.refusing.push(7001);
     rig.all_broken(7001);
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn what_waits_for_a_connection_is_not_written_once_its_switch_drains() {
+fn queued_set_up_is_not_sent_to_a_draining_switch() {
     let mut rig = Rig::with(&[("s-1", 7001, "Ready", 0)]);
     rig.silent.push(7001);
     rig.all_broken(7001);
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn a_callers_release_reaches_the_switch_whatever_connection_it_comes_on() {
+fn release_by_a_caller_reaches_the_switch_from_any_of_its_connections() {
     let mut rig = Rig::new(1);
     let client = rig.connect();
     rig.standing(client, 7);
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn a_release_with_no_connection_to_the_switch_goes_out_on_the_next_one() {
+fn release_without_a_connection_is_sent_on_the_next_one() {
     let mut rig = Rig::new(1);
     let client = rig.connect();
     rig.standing(client, 7);
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn a_release_finds_a_caller_on_another_connection_or_the_next_and_never_a_stranger() {
+fn release_reaches_a_caller_on_another_or_the_next_connection_and_never_a_client_without_calls() {
     let mut rig = Rig::new(1);
     let (first, stranger) = (rig.connect(), rig.connect());
     rig.client_says(stranger, r#"{"verb":"ECHO","tag":"00000000000000aa","opts":{},"rc":0}"#);
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_call_told_again_after_a_restart_is_released_even_if_the_switch_was_first() {
+fn restored_call_is_released_even_if_the_switch_released_it_first() {
     let told = |tag: u64, at: &str| {
         format!(
             r#"{{"verb":"START","tag":"{tag:016x}","opts":{{"class":"voice","extras":"at:{at}"}},"blob":"x"}}"#
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn callers_hear_of_a_dead_process_and_a_silent_machine_within_8_s_and_nothing_of_a_reset() {
+fn callers_are_notified_of_a_dead_process_or_silent_machine_within_8_s_but_not_of_a_reset() {
     // A process that died refuses connections.
     let mut rig = Rig::new(2);
     let client = rig.connect();
@@ -278,7 +278,7 @@
 }
 
 #[test]
-fn a_new_start_cuts_what_stood_before_it_and_nothing_else() {
+fn restarted_switch_loses_only_calls_established_before_its_start() {
     let mut rig = Rig::new(1);
     let client = rig.connect();
     rig.standing(client, 7);
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn a_new_id_at_an_old_address_has_connections_of_its_own() {
+fn new_switch_at_an_old_address_gets_its_own_connections() {
     let mut rig = Rig::with(&[("s-1", 7001, "Ready", 0)]);
     let old: Vec<LinkId> = rig.up.keys().copied().collect();
     rig.input(Input::ConfiguredList(pool(2, &[("s-2", 7001, "Ready", START_MS)])));
@@ -307,7 +307,7 @@
 }
 
 #[test]
-fn an_older_list_changes_nothing() {
+fn older_list_changes_nothing() {
     let mut rig = Rig::new(1);
     rig.input(Input::ConfiguredList(pool(5, &[("s-1", 7001, "Ready", 0), ("s-2", 7002, "Ready", 0)])));
     rig.input(Input::ConfiguredList(pool(4, &[("s-1", 7001, "Terminating", 0)])));
@@ -318,7 +318,7 @@
 }
 
 #[test]
-fn set_ups_that_make_no_sense_are_failed_at_once_and_reach_no_switch() {
+fn invalid_set_ups_fail_at_once_and_reach_no_switch() {
     let mut rig = Rig::new(1);
     let client = rig.connect();
     let good = start(1, 3000);
@@ -353,7 +353,7 @@
 }
 
 #[test]
-fn lines_that_are_no_messages_get_an_error_and_a_close() {
+fn invalid_lines_get_an_error_and_a_close() {
     let wrong = [
         "{\"verb\":\"START\"}",
         "nonsense",
@@ -372,7 +372,7 @@
 }
 
 #[test]
-fn the_id_of_an_open_or_standing_call_on_another_connection_disturbs_and_answers_nothing() {
+fn tag_of_an_existing_call_used_on_another_connection_does_not_affect_the_call() {
     let mut rig = Rig::new(1);
     let (owner, other) = (rig.connect(), rig.connect());
     rig.call(owner, 7, 3000);
@@ -391,7 +391,7 @@
 }
 
 #[test]
-fn a_caller_that_gives_up_or_goes_is_told_nothing_and_the_switch_is_freed() {
+fn abandoned_call_gets_no_answer_and_its_set_up_is_released() {
     let mut rig = Rig::new(2);
     let (one, two) = (rig.connect(), rig.connect());
     rig.call(one, 7, 3000);
@@ -410,7 +410,7 @@
 }
 
 #[test]
-fn silent_clients_and_half_lines_are_closed_within_3_s_and_callers_in_a_set_up_are_not() {
+fn silent_clients_and_partial_lines_are_closed_within_3_s_unless_a_set_up_is_open() {
     let mut rig = Rig::new(1);
     let (silent, half, caller) = (rig.connect(), rig.connect(), rig.connect());
     rig.input(Input::ClientBytesRead { client: half, partial_line: true });
@@ -421,7 +421,7 @@
 }
 
 #[test]
-fn hundreds_of_connections_without_calls_push_out_no_caller() {
+fn hundreds_of_connections_without_calls_evict_no_caller() {
     let mut rig = Rig::new(2);
     let caller = rig.connect();
     rig.call(caller, 7, 8000);
@@ -440,7 +440,7 @@
 }
 
 #[test]
-fn the_test_passes_until_sigterm_and_what_was_taken_is_answered_before_the_end() {
+fn tests_fail_after_sigterm_and_accepted_calls_are_answered_before_shutdown() {
     let mut rig = Rig::new(1);
     let client = rig.connect();
     let echo = r#"{"verb":"ECHO","tag":"00000000000000aa","opts":{},"rc":0}"#;
@@ -467,7 +467,7 @@
 }
 
 #[test]
-fn callers_connections_stay_open_until_nothing_is_owed_and_are_closed_in_order_before_the_end() {
+fn client_connections_stay_open_until_all_calls_are_answered_and_are_closed_before_shutdown_ends() {
     let mut rig = Rig::new(1);
     let (busy, idle) = (rig.connect(), rig.connect());
     let standing = rig.standing(idle, 6);
@@ -491,7 +491,7 @@
 }
 
 #[test]
-fn more_open_calls_than_the_settings_allow_are_refused_with_a_time_to_come_back() {
+fn calls_beyond_the_open_call_limit_are_refused_with_a_retry_time() {
     let mut rig = Rig::new(1);
     let client = rig.connect();
     for tag in 1..=1001 {
@@ -503,7 +503,7 @@
 }
 
 #[test]
-fn idle_connections_are_replaced_before_the_platform_closes_them() {
+fn idle_connections_are_replaced_before_the_idle_timeout() {
     let mut rig = Rig::new(1);
     let first: Vec<LinkId> = rig.up.keys().copied().collect();
     rig.pass(59_000);
@@ -512,7 +512,7 @@
 }
 
 #[test]
-fn a_draining_switch_is_dialled_only_while_a_call_stands_there() {
+fn draining_switch_is_dialled_only_while_it_has_an_established_call() {
     let dials = |rig: &Rig, port: u16| {
         let opened = rig.seen.iter().filter(|(_, o)| match o {
             Output::OpenLink { address, .. } => address.port() == port,
@@ -539,7 +539,7 @@
 }
 
 #[test]
-fn a_long_day_of_new_switches_clients_and_calls_leaves_nothing_behind() {
+fn many_new_switches_clients_and_calls_leave_no_state_behind() {
     let mut rig = Rig::new(1);
     let port = |n: u64| 7001 + (n % 3) as u16;
     for n in 1..300u64 {
@@ -562,7 +562,7 @@
 }
 
 #[test]
-fn dials_that_hang_do_not_pile_up() {
+fn hanging_dials_do_not_accumulate() {
     let mut rig = Rig::new(1);
     rig.silent.push(7001);
     rig.all_broken(7001);
@@ -583,7 +583,7 @@
 }
 
 #[test]
-fn a_call_that_one_switch_fails_again_and_again_waits_for_no_connection() {
+fn call_that_a_switch_fails_repeatedly_never_waits_for_a_connection() {
     let mut rig = Rig::new(1);
     let client = rig.connect();
     rig.call(client, 7, 3000);
@@ -596,7 +596,7 @@
 }
 
 #[test]
-fn a_call_whose_attempts_all_broke_off_gets_a_fresh_connection() {
+fn call_with_reset_attempts_gets_a_fresh_connection_each_time() {
     let mut rig = Rig::new(1);
     let client = rig.connect();
     rig.call(client, 7, 8000);
@@ -612,7 +612,7 @@
 }
 
 #[test]
-fn free_circuits_that_a_switch_tells_reach_the_decisions() {
+fn reported_free_circuits_reach_the_controller() {
     let mut rig = Rig::new(1);
     let client = rig.connect();
     let link = rig.standing(client, 7);
@@ -628,7 +628,7 @@
 }
 
 #[test]
-fn callers_hear_in_time_of_a_process_that_stopped_but_still_passes_tests_on_old_connections() {
+fn callers_are_notified_in_time_of_a_stopped_process_that_still_passes_tests_on_old_connections() {
     for state in ["Draining", "Ready"] {
         let mut rig = Rig::new(2);
         let client = rig.connect();
@@ -658,7 +658,7 @@
 }
 
 #[test]
-fn a_new_switch_at_the_address_of_one_that_is_gone_keeps_none_of_its_calls_alive() {
+fn new_switch_at_the_address_of_a_removed_one_keeps_none_of_its_calls_alive() {
     let mut rig = Rig::with(&[("s-1", 7001, "Ready", 0), ("s-2", 7002, "Ready", 0)]);
     let client = rig.connect();
     let link = rig.standing(client, 7);
@@ -677,7 +677,7 @@
 }
 
 #[test]
-fn what_a_draining_switch_wrote_to_a_lost_connection_is_fetched_on_a_new_one_though_another_is_up() {
+fn release_lost_with_a_draining_switchs_connection_arrives_on_a_new_one_although_another_is_up() {
     let mut rig = Rig::with(&[("s-1", 7001, "Ready", 0)]);
     let client = rig.connect();
     let first = rig.standing(client, 7);
--- a/crates/fawnrouter-node/tests/edges.rs
+++ b/crates/fawnrouter-node/tests/edges.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn five_lost_answers_in_a_row_are_heard_before_a_change_counts_as_told_and_nine_before_the_grace_is_over() {
+fn query_interval_tolerates_five_lost_responses_within_1500_ms_and_nine_within_the_grace() {
     let times = questions(10_000);
     for (k, asked) in times.iter().enumerate().take(20) {
         // The change comes right behind the answer to question k; all but the last question until then are lost.
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn silence_of_the_name_server_slows_no_question_and_its_first_answer_is_taken() {
+fn silent_name_server_delays_no_query_and_its_first_response_is_accepted() {
     let mut ask = Ask::new();
     let mut last = Vec::new();
     for n in 0..18u64 {
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn what_is_told_holds_in_the_turn_in_which_it_comes_for_calls_held_waiting_and_new() {
+fn list_change_takes_effect_at_once_for_held_waiting_and_new_calls() {
     let ready = [("s-1", 7001, "Ready", 0), ("s-2", 7002, "Ready", 0)];
     for told in ["Terminating", "Gone"] {
         let mut rig = Rig::with(&ready);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_connection_that_comes_up_too_late_costs_its_set_up_one_dial_and_carries_nothing_stale() {
+fn connection_that_comes_up_too_late_delays_its_set_up_by_one_dial_and_carries_nothing_stale() {
     let mut rig = Rig::new(2);
     rig.silent.push(7001);
     rig.all_broken(7001);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_connection_that_comes_up_late_but_in_time_takes_what_waits_and_proves_nobody_dead() {
+fn connection_that_comes_up_late_but_in_time_carries_the_queued_set_up_and_its_switch_stays_alive() {
     let mut rig = Rig::with(&[("s-1", 7001, "Ready", 0)]);
     let client = rig.connect();
     rig.standing(client, 6);
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn a_second_answer_some_ms_late_changes_nothing_whatever_it_is_and_whenever_it_comes() {
+fn duplicate_answers_change_nothing() {
     // Of an answer: while the call stands, and after its end.
     let mut rig = Rig::new(1);
     let client = rig.connect();
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn a_reset_under_a_set_up_is_kept_apart_from_the_answer_that_crosses_it() {
+fn reset_during_a_set_up_is_distinguished_from_the_answer_that_crosses_it() {
     let mut rig = Rig::new(2);
     let client: ClientId = rig.connect();
     rig.call(client, 7, 4000);
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn an_idle_connection_is_given_up_before_its_core_switch_closes_it_however_short_the_idle_time() {
+fn idle_connection_is_closed_before_the_idle_timeout_however_short() {
     for idle_ms in [1000, 2000, 60_000] {
         let usual = config(&known(1, &[("s-1", 7001, "Ready", 0)]));
         let of = usual.replace("\"connIdleNs\":60000000000", &format!("\"connIdleNs\":{idle_ms}000000"));
--- a/crates/fawnrouter-node/tests/inbox.rs
+++ b/crates/fawnrouter-node/tests/inbox.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_set_up_that_is_given_up_behind_hundreds_of_others_is_known_before_it_is_looked_at() {
+fn set_up_withdrawn_behind_hundreds_of_others_is_marked_before_it_is_popped() {
     let mut intake = Inbox::default();
     (1..=500).for_each(|tag| intake.push(message(&start(tag, 3000))));
     (1..=499).for_each(|tag| intake.push(message(&finish(tag, 16))));
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn the_same_id_again_at_once_is_another_set_up_and_one_already_handed_on_is_given_up_as_usual() {
+fn reused_tag_is_another_set_up_and_a_popped_one_is_ended_by_its_finish() {
     let mut intake = Inbox::default();
     for line in [start(7, 3000), finish(7, 16), start(7, 3000)] {
         intake.push(message(&line));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_clients_end_gives_up_all_that_it_has_set_up_and_nothing_that_it_releases() {
+fn client_disconnect_withdraws_its_set_ups_but_not_its_releases() {
     let mut intake = Inbox::default();
     for line in [start(1, 3000), finish(6, 16), start(1, 3000), start(2, 3000)] {
         intake.push(message(&line));
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn nothing_is_tried_for_a_set_up_given_up_unread_and_its_caller_hears_that_it_is_over() {
+fn withdrawn_set_up_is_never_attempted_and_its_caller_gets_finished() {
     let mut rig = Rig::new(1);
     let client = rig.connect();
     rig.input(Input::SetUpWithdrawn { client, message: message(&start(7, 3000)) });
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_caller_that_ends_is_gone_at_once_and_what_it_released_before_still_holds() {
+fn half_closed_client_loses_its_set_ups_at_once_but_its_earlier_releases_count() {
     let mut rig = Rig::new(1);
     let client = rig.connect();
     rig.standing(client, 6);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_set_up_taken_back_from_the_outbox_of_a_switch_that_drains_goes_elsewhere_at_once() {
+fn set_up_recalled_from_a_draining_switch_is_sent_elsewhere_at_once() {
     let mut rig = Rig::new(2);
     let client = rig.connect();
     rig.call(client, 7, 4000);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn every_descriptor_is_somebodys_before_any_is_taken() {
+fn descriptor_shares_cover_callers_and_links_within_the_limit() {
     for descriptors in 64..=4096 {
         let shares = DescriptorShares::divide(descriptors);
         let dealt = shares.max_client_connections() + shares.links;
--- a/crates/fawnrouter-node/tests/recorded.rs
+++ b/crates/fawnrouter-node/tests/recorded.rs
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn the_same_inputs_give_the_same_outputs_to_the_byte() {
+fn same_inputs_give_byte_identical_outputs() {
     for (stop, name) in [(false, "in service"), (true, "with an end")] {
         let (mut digest, mut stood) = (DefaultHasher::new(), 0);
         for seed in 1..=30 {
--- a/crates/fawnrouter-node/tests/rules.rs
+++ b/crates/fawnrouter-node/tests/rules.rs
@@ -292,7 +292,7 @@
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(25), ..ProptestConfig::default() })]
 
     #[test]
-    fn the_rules_hold_whatever_happens_in_whatever_order(steps in prop::collection::vec(step(), 1..250)) {
+    fn rules_hold_for_any_sequence_of_inputs(steps in prop::collection::vec(step(), 1..250)) {
         run(steps)?;
     }
 }
--- a/crates/fawnrouter-node/tests/settings.rs
+++ b/crates/fawnrouter-node/tests/settings.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn each_field_that_is_missing_or_wrong_is_named_with_what_it_must_be() {
+fn missing_and_invalid_fields_are_named_with_what_they_must_be() {
     const ADDRESS: &str = "an address and a port, as 10.";
     for (place, value, field, wanted) in [
         ("/name", None, "name: is missing;", "the gateway's name"),
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn text_that_is_no_json_object_is_told_with_line_and_column() {
+fn invalid_json_is_reported_with_line_and_column() {
     let told = |text: &[u8]| Boot::read(text).unwrap_err().to_string();
     assert!(told(b"{\"name\":\n").contains("line 2 column 0"), "{}", told(b"{\"name\":\n"));
     // A figure that no number can hold, and one that JSON does not know.
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn the_decision_modules_own_refusals_never_come_after_the_translations() {
+fn invalid_settings_are_rejected_by_the_translation_before_the_controller() {
     // What the module refuses is refused before, with the path in the file; the module is the second guard.
     for (place, value) in [
         ("/settings/contract/coldFrom", json!(1.5)),
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn the_decision_module_itself_refuses_what_no_translation_should_hand_it() {
+fn controller_rejects_invalid_settings_itself() {
     let refused = |change: fn(&mut Settings)| {
         let mut boot = read(&good()).unwrap();
         change(&mut boot.settings);
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn fields_that_are_not_known_are_passed_over() {
+fn unknown_fields_are_ignored() {
     let mut config = good();
     for place in ["", "/limits", "/settings", "/settings/classes/0", "/settings/contract"] {
         config.pointer_mut(place).unwrap()["newField"] = json!({"any": [1, null]});
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn the_most_and_the_least_that_can_be_told_makes_a_gateway() {
+fn smallest_and_largest_settings_start_a_gateway() {
     let least = json!({"balancers": 1, "classes": [{"name": "voice", "onTimeNs": 1, "hardLimitNs": 1}]});
     let most = json!({
         "balancers": u32::MAX, "me": u32::MAX - 1, "tickNs": u64::MAX, "overShareWorth": 1e300,
