--- a/crates/fawnrouter-node/src/boot.rs
+++ b/crates/fawnrouter-node/src/boot.rs
@@ -1,4 +1,4 @@
-//! The configuration file of the platform (its page DEPLOY).
+//! The platform's configuration file.
 
 use std::net::SocketAddr;
 
@@ -8,30 +8,30 @@
 
 use crate::switch_list::{Pool, PoolError};
 
-/// What is wrong with a configuration; each text names the field and what would be right.
+/// What is wrong with a configuration. Each text names the field and what it must be.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum BootError {
-    /// Not JSON; serde_json's text names line and column.
+    /// Not JSON; the text of serde_json names line and column.
     #[error("not JSON: {0}; it must be one object")]
     InvalidJson(String),
-    /// A field is missing or of the wrong kind.
+    /// A field is missing or of the wrong type.
     #[error("{field}: is {found}; it must be {wanted}")]
     InvalidField {
-        /// Which.
+        /// Name of the field.
         field: &'static str,
-        /// What is there.
+        /// What the field holds, abbreviated, or "missing".
         found: String,
-        /// What should be.
+        /// What it must be.
         wanted: &'static str,
     },
-    /// The settings object is wrong.
+    /// The settings object is invalid.
     #[error("settings.{0}")]
     InvalidSettings(#[from] BootInfoError),
-    /// The decision module refuses the settings.
+    /// The controller rejects the settings.
     #[error("settings: {0}")]
     RejectedSettings(#[from] SettingsError),
-    /// The list of the start is wrong.
+    /// The initial list of core switches is invalid.
     #[error("known: {0}")]
     InvalidKnownList(#[from] PoolError),
 }
@@ -41,21 +41,21 @@
 pub struct Boot {
     /// The gateway's name.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub listen: SocketAddr,
     /// Seed of all random numbers.
     pub seed: u64,
-    /// Descriptors that the process may hold.
+    /// Number of descriptors that the process may hold.
     pub descriptors: usize,
-    /// Where the name server is asked.
+    /// Address of the name server.
     pub nameserver: SocketAddr,
-    /// The list of the start.
+    /// The initial list of core switches.
     pub known: Pool,
-    /// The decisions' settings.
+    /// Settings of the controller.
     pub settings: Settings,
-    /// The names that calls carry.
+    /// Ids of the names that calls carry.
     pub names: NameIndex,
-    /// What the settings say of connections.
+    /// Settings of connections.
     pub connections: ConnectionSettings,
 }
 
@@ -86,10 +86,10 @@
 }
 
 impl Boot {
-    /// Reads a configuration.
+    /// Reads and checks a configuration.
     ///
     /// # Errors
-    /// Names the first thing that is wrong.
+    /// Names the first fault.
     pub fn read(text: &[u8]) -> Result<Self, BootError> {
         let value: Value = serde_json::from_slice(text).map_err(|e| BootError::InvalidJson(e.to_string()))?;
         let Value::Object(map) = &value else { return Err(BootError::InvalidJson("no object".to_owned())) };
--- a/crates/fawnrouter-node/src/calls.rs
+++ b/crates/fawnrouter-node/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls and what is remembered of them.
+//! Open and established calls, and what is remembered of ended ones.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -8,23 +8,30 @@
 use crate::client_connections::ClientId;
 use crate::links::LinkId;
 
-/// An attempt that is out.
+/// A set-up that was written to a core switch.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct SentSetUp {
+    pub link: LinkId,
+    pub at: Time,
+}
+
+/// An attempt that has not ended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Attempt {
     pub no: AttemptNo,
     pub server: ServerId,
     pub issued_at: Time,
-    /// On which connection, and when it was written there; `None`: it waits for one.
-    pub sent: Option<(LinkId, Time)>,
-    /// When it has timed out.
+    /// `None`: the set-up waits for a connection.
+    pub sent: Option<SentSetUp>,
+    /// When the attempt times out.
     pub timeout_at: Time,
 }
 
-/// A call that is owed its answer.
+/// A call whose caller waits for an answer.
 #[derive(Debug)]
 pub(crate) struct OpenCall {
     pub client: ClientId,
-    /// The caller waits until then.
+    /// When the caller stops waiting.
     pub deadline: Time,
     pub class: String,
     pub called_number: String,
@@ -33,34 +40,34 @@
     pub attempt: Option<Attempt>,
 }
 
-/// A call that stands.
+/// An established call.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EstablishedCall {
     pub client: ClientId,
     pub server: ServerId,
-    /// The attempt by which it came to stand; `None`: told by its caller.
+    /// The attempt that established the call; `None`: reported by its caller.
     pub attempt: Option<AttemptNo>,
-    /// Since when it is known to stand.
+    /// Since when the call is known to be established.
     pub since: Time,
 }
 
-/// What is remembered of a call that ended.
+/// What is remembered of an ended call.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct EndedCall {
-    /// No attempt under its id before this time: a core switch may still hold one.
+    /// No new attempt under the call's tag before this time, as a core switch may still hold the old one.
     pub barred_until: Option<Time>,
-    /// With what it was released towards its caller, if it stood.
+    /// The cause of the release sent to the caller, if the call was established.
     pub release_cause: Option<i64>,
 }
 
-/// What is remembered of this many ended calls, and releases of calls that nobody has named: enough for the answers
-/// and releases that cross (some seconds at some hundred calls a second).
+/// Number of ended calls, and of releases of unknown calls, that are remembered: enough for answers and
+/// releases that cross, which is some seconds at some hundred calls a second.
 const MAX_REMEMBERED_CALLS: usize = 2048;
 
-/// The most standing calls; one more is released at once. Some 100 bytes each.
+/// Most established calls; a further one is released at once. Each takes some 100 bytes.
 pub(crate) const MAX_ESTABLISHED_CALLS: usize = 50_000;
 
-/// A bounded memory of tags; beyond the bound the oldest is forgotten.
+/// A map by tag with bounded size; the oldest entries are dropped first.
 #[derive(Debug)]
 pub(crate) struct RecentCalls<T> {
     by_tag: BTreeMap<Tag, (u64, T)>,
@@ -108,12 +115,12 @@
     /// Open calls of each client.
     pub open_by_client: BTreeMap<ClientId, BTreeSet<Tag>>,
     pub established: BTreeMap<Tag, EstablishedCall>,
-    /// Standing calls at each core switch.
+    /// Established calls at each core switch.
     pub established_by_server: BTreeMap<ServerId, BTreeSet<Tag>>,
-    /// Calls that ended lately.
+    /// Calls that ended recently.
     pub recently_ended: RecentCalls<EndedCall>,
-    /// Releases by core switches of calls that are not known: after a restart the release may come before the
-    /// caller has told that the call stands.
+    /// Releases from core switches of unknown calls. After a restart of the gateway a release may arrive
+    /// before the caller has reported the call as established.
     pub unknown_releases: RecentCalls<i64>,
 }
 
@@ -123,7 +130,7 @@
         self.open.insert(tag, open);
     }
 
-    /// The call is owed nothing more.
+    /// Removes an open call, which needs no further answer.
     pub fn remove_open(&mut self, tag: Tag) -> Option<OpenCall> {
         let open = self.open.remove(&tag)?;
         if let Some(tags) = self.open_by_client.get_mut(&open.client) {
@@ -141,7 +148,7 @@
         self.established.insert(tag, call);
     }
 
-    /// The call stands no longer, and is released towards its caller with this cause.
+    /// Removes an established call, and remembers the cause of its release to the caller.
     pub fn remove_established(&mut self, tag: Tag, release_cause: Option<i64>) -> Option<EstablishedCall> {
         let call = self.established.remove(&tag)?;
         if let Some(tags) = self.established_by_server.get_mut(&call.server) {
--- a/crates/fawnrouter-node/src/client_connections.rs
+++ b/crates/fawnrouter-node/src/client_connections.rs
@@ -1,58 +1,59 @@
-//! Which client's connection is closed, when and why.
+//! Which client connection is closed, when and why.
 //!
-//! A connection with a set-up open is never closed for room or for silence. The others go in this order when room is
-//! needed: those that have never said anything whole, those that have had no call, those that have had one, those on
-//! which a standing call's release is awaited; among equals the one that has been idle longest.
+//! A connection with an open set-up is never closed to make room or for silence. When room is needed the
+//! others go in this order: those that never sent a whole message, those without a call, those that had one,
+//! those on which the release of an established call is still to be sent; among equals the one that has been
+//! idle longest.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use fawnrouter::Time;
 
-/// A client's connection, as the driver numbers it. Numbers are never used again.
+/// A client's connection, numbered by the driver. Ids are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClientId(pub u64);
 
-/// A connection that has said nothing whole is closed after this long, and so is one that has left half a line lying:
-/// the page owes bad clients an end within 3 s.
+/// A connection is closed after this long without a whole message, or with an incomplete line. The platform
+/// requires misbehaving clients to be disconnected within 3 s.
 pub(crate) const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// What a connection has been good for. Guards against crowds that only connect, or only ask for the test: they push
-/// out nobody who has calls.
+/// What a connection has been used for. Ordered, so that clients that only connect or only send tests,
+/// however many, evict nobody who has calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Usage {
-    /// It has said nothing whole.
+    /// It has not sent a whole message.
     Silent,
-    /// It has, but no call of its stood.
+    /// It has sent a message, but none of its calls was established.
     SentMessage,
-    /// A call stood that came on it, or was told on it.
+    /// A call was established on it, or reported on it as established.
     CarriedCall,
 }
 
 #[derive(Debug)]
 struct ClientConnection {
     usage: Usage,
-    /// Since when something whole is missing: from its arrival on, or since half a line came.
+    /// Since when a whole message is missing: from its arrival, or since an incomplete line came.
     incomplete_since: Option<Time>,
     idle_since: Time,
-    /// Set-ups open on it.
+    /// Open set-ups on this connection.
     open_set_ups: usize,
-    /// Standing calls whose release is to be told on it.
+    /// Established calls whose release is to be sent on it.
     established_calls: usize,
 }
 
-/// Whether a connection gets a seat.
+/// Whether a connection is admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Admission {
     /// There is room.
     Admitted,
-    /// There is room once this one is closed.
+    /// There is room once this connection is closed.
     AdmittedInPlaceOf(ClientId),
-    /// All are busy.
+    /// All connections have open set-ups.
     Full,
 }
 
-/// The clients' connections.
+/// The client connections that are being served.
 #[derive(Debug)]
 pub(crate) struct ClientConnections {
     max_connections: usize,
@@ -68,7 +69,7 @@
         self.connections.len()
     }
 
-    /// Those that have a seat.
+    /// The ids of all connections that are served.
     pub fn ids(&self) -> Vec<ClientId> {
         self.connections.keys().copied().collect()
     }
@@ -77,13 +78,13 @@
         self.connections.contains_key(&client)
     }
 
-    /// A connection has been accepted.
+    /// Admits a new connection if there is room.
     pub fn admit(&mut self, now: Time, client: ClientId) -> Admission {
         let mut admission = Admission::Admitted;
         if self.connections.len() >= self.max_connections {
-            let free = self.connections.iter().filter(|(_, s)| s.open_set_ups == 0);
+            let free = self.connections.iter().filter(|(_, c)| c.open_set_ups == 0);
             let Some((evicted, _)) =
-                free.min_by_key(|(id, s)| (s.usage, s.established_calls > 0, s.idle_since, **id))
+                free.min_by_key(|(id, c)| (c.usage, c.established_calls > 0, c.idle_since, **id))
             else {
                 return Admission::Full;
             };
@@ -104,7 +105,7 @@
         self.connections.remove(&client).is_some()
     }
 
-    /// Something whole came.
+    /// Records that a whole message arrived.
     pub fn message_received(&mut self, now: Time, client: ClientId) {
         if let Some(connection) = self.connections.get_mut(&client) {
             (connection.usage, connection.incomplete_since, connection.idle_since) =
@@ -112,36 +113,37 @@
         }
     }
 
-    /// Whether a part of a line lies there after what has been read. Each read that leaves one begins the time anew
-    /// for a connection that has spoken: a caller that is slow to be scheduled still gets on.
+    /// Records whether an incomplete line is left after a read. Each read that leaves one restarts the time
+    /// of a connection that has sent a message before, so that a caller whose process is slow to be scheduled
+    /// is not cut off.
     pub fn set_partial_line(&mut self, now: Time, client: ClientId, partial: bool) {
-        if let Some(connection) = self.connections.get_mut(&client).filter(|s| s.usage > Usage::Silent) {
+        if let Some(connection) = self.connections.get_mut(&client).filter(|c| c.usage > Usage::Silent) {
             connection.incomplete_since = partial.then_some(now);
         }
     }
 
-    /// A set-up opened or ended on it.
+    /// Records that a set-up on the connection opened or ended.
     pub fn set_open_set_ups(&mut self, now: Time, client: ClientId, open: usize) {
         if let Some(connection) = self.connections.get_mut(&client) {
             (connection.open_set_ups, connection.idle_since) = (open, now);
         }
     }
 
-    /// When it is to be looked at next, if it owes something.
+    /// When the connection is overdue, if a whole message is missing.
     pub fn silence_deadline(&self, client: ClientId) -> Option<Time> {
         self.connections
             .get(&client)
-            .and_then(|s| s.incomplete_since)
+            .and_then(|c| c.incomplete_since)
             .map(|since| since.plus(SILENCE_TIMEOUT))
     }
 
-    /// Whether it has kept silent too long.
+    /// Whether it has been silent too long.
     pub fn is_overdue(&self, now: Time, client: ClientId) -> bool {
-        let connection = self.connections.get(&client).filter(|s| s.open_set_ups == 0);
-        connection.and_then(|s| s.incomplete_since).is_some_and(|since| now.since(since) >= SILENCE_TIMEOUT)
+        let connection = self.connections.get(&client).filter(|c| c.open_set_ups == 0);
+        connection.and_then(|c| c.incomplete_since).is_some_and(|since| now.since(since) >= SILENCE_TIMEOUT)
     }
 
-    /// One more call stands whose release is to be told on it, or one less.
+    /// Counts one established call more (`added`) or less whose release is to be sent on this connection.
     pub fn count_established(&mut self, client: ClientId, added: bool) {
         if let Some(connection) = self.connections.get_mut(&client) {
             if added {
@@ -153,12 +155,12 @@
         }
     }
 
-    /// The connection on which the caller of a standing call is told of its end when the one it used is gone: callers
-    /// are one party, and a standing call is bound to no connection. One on which a call has stood, the latest used;
-    /// strangers, who only connect, are told nothing.
+    /// The connection on which the end of an established call is reported when the caller's own connection is
+    /// gone. All callers are one party, and an established call is bound to no connection. Chooses the most
+    /// recently used connection on which a call was established; clients that only connect are sent nothing.
     pub fn most_recent_caller(&self) -> Option<ClientId> {
-        let served = self.connections.iter().filter(|(_, s)| s.usage == Usage::CarriedCall);
-        served.max_by_key(|(id, s)| (s.idle_since, **id)).map(|(id, _)| *id)
+        let served = self.connections.iter().filter(|(_, c)| c.usage == Usage::CarriedCall);
+        served.max_by_key(|(id, c)| (c.idle_since, **id)).map(|(id, _)| *id)
     }
 }
 
@@ -227,7 +229,7 @@
         assert!(
             !connections.is_overdue(at(2499), ClientId(1)) && connections.is_overdue(at(2500), ClientId(1))
         );
-        // Half a line is no word: the time since its arrival counts on.
+        // An incomplete line is not a message: the time since arrival counts on.
         connections.set_partial_line(at(2000), ClientId(1), true);
         assert!(connections.is_overdue(at(2500), ClientId(1)));
         connections.message_received(at(2400), ClientId(1));
--- a/crates/fawnrouter-node/src/descriptor_shares.rs
+++ b/crates/fawnrouter-node/src/descriptor_shares.rs
@@ -1,26 +1,27 @@
-//! How the descriptors that the process may hold are divided, before any is taken.
+//! How the process's descriptors are divided, before any is used.
 //!
-//! A crowd that connects and says nothing can take its own share and no other's: the name server is asked, the
-//! configuration read and core switches are dialled whatever callers do.
+//! Clients that connect and send nothing can use up the clients' share and no other: the name server can be
+//! queried, the configuration read and core switches dialled whatever clients do.
 
-/// Descriptors that are nobody's share: three standard streams, three of the reactor's, two of the signals', the listener,
-/// the name server's socket and the next one at SIGHUP, the configuration file, the connection that is just being
-/// accepted, and three more.
+/// Descriptors outside the shares: three standard streams, three of the reactor, two for signals, the
+/// listener, the name server's socket and its replacement at SIGHUP, the configuration file, the connection
+/// that is being accepted, and three spare ones.
 const RESERVED_DESCRIPTORS: usize = 16;
 
-/// What each part may hold at once.
+/// How many descriptors each use may hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DescriptorShares {
-    /// Callers' connections that are served: a half, as callers keep to a third; less where the reserve needs it.
+    /// Clients' connections that are served: half, as callers keep to a third; fewer where the reserve needs
+    /// them.
     pub clients: usize,
     /// Connections to core switches: a quarter.
     pub links: usize,
-    /// Callers' connections on their way out: an eighth.
+    /// Clients' connections that are being closed: an eighth.
     pub closing: usize,
 }
 
 impl DescriptorShares {
-    /// The division of this many.
+    /// Divides this many descriptors.
     #[must_use]
     pub fn divide(descriptors: usize) -> Self {
         let (links, closing) = (descriptors / 4, descriptors / 8);
@@ -28,7 +29,7 @@
         Self { clients: (descriptors / 2).min(rest).max(1), links: links.max(1), closing }
     }
 
-    /// Callers' connections at once, served or on their way out.
+    /// Most client connections, served or being closed.
     #[must_use]
     pub fn max_client_connections(&self) -> usize {
         self.clients + self.closing
--- a/crates/fawnrouter-node/src/inbox.rs
+++ b/crates/fawnrouter-node/src/inbox.rs
@@ -1,42 +1,45 @@
-//! What a client has sent and nobody has looked at yet.
+//! Messages that a client has sent and the gateway has not processed yet.
 //!
-//! All that lies in a connection's socket is read before any of it is handed on, up to a limit: what a caller has given up
-//! behind hundreds of other lines, or by its end, is known then before it is tried.
+//! All that is in a connection's socket is read, up to a limit, before any of it is processed. So a set-up
+//! that its caller withdrew hundreds of lines later, or by disconnecting, is known to be withdrawn before it
+//! is attempted.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use fawnrouter_jsonl::{Message, Tag, Verb};
 
-/// The next thing to be looked at.
+/// The next message to be processed.
 #[derive(Debug)]
 pub enum QueuedMessage {
-    /// As it came.
+    /// A message as it was received.
     Live(Message),
-    /// A set-up that has been given up since.
+    /// A set-up that has been withdrawn since.
     Withdrawn(Message),
 }
 
 /// Messages of one connection, in order.
 #[derive(Debug, Default)]
 pub struct Inbox {
-    /// What ends a call that was set up before: it goes ahead of all else, so that no attempt is made meanwhile.
+    /// Messages that end a call set up earlier. They go before all others, so that no attempt of the call is
+    /// made meanwhile.
     finishes: VecDeque<Message>,
+    /// All other messages, each with whether it is a set-up that has been withdrawn.
     queue: VecDeque<(Message, bool)>,
-    /// How many have been handed on, so that places hold.
+    /// Number of messages taken from `queue`, so that positions stay valid.
     popped: u64,
-    /// The place of each call's last set-up that has not been given up.
+    /// The position of each call's last set-up that is not withdrawn.
     latest_set_ups: BTreeMap<Tag, u64>,
 }
 
 impl Inbox {
-    /// Adds a message that was read.
+    /// Adds a received message.
     pub fn push(&mut self, message: Message) {
         match message.verb {
             Verb::Start => {
                 self.latest_set_ups.insert(message.tag, self.popped + self.queue.len() as u64);
             }
             Verb::Finish => match self.latest_set_ups.remove(&message.tag) {
-                Some(place) => self.withdraw(place),
+                Some(position) => self.withdraw(position),
                 None => return self.finishes.push_back(message),
             },
             _ => {}
@@ -44,32 +47,32 @@
         self.queue.push_back((message, false));
     }
 
-    /// The client has gone: what it has set up is given up.
+    /// Withdraws all set-ups, because the client has disconnected.
     pub fn withdraw_all(&mut self) {
         self.latest_set_ups.clear();
         let set_ups = self.queue.iter_mut().filter(|(message, _)| message.verb == Verb::Start);
         set_ups.for_each(|(_, withdrawn)| *withdrawn = true);
     }
 
-    fn withdraw(&mut self, place: u64) {
-        let at = place.checked_sub(self.popped).and_then(|at| usize::try_from(at).ok());
+    fn withdraw(&mut self, position: u64) {
+        let at = position.checked_sub(self.popped).and_then(|at| usize::try_from(at).ok());
         if let Some((_, withdrawn)) = at.and_then(|at| self.queue.get_mut(at)) {
             *withdrawn = true;
         }
     }
 
-    /// Whether nothing is left to be looked at.
+    /// Whether no message is left.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.finishes.is_empty() && self.queue.is_empty()
     }
 
-    /// The next that ends a call set up before.
+    /// Takes the next message that ends a call set up earlier.
     pub fn pop_finish(&mut self) -> Option<Message> {
         self.finishes.pop_front()
     }
 
-    /// The next: what ends a call, then all else, each in the order in which they came.
+    /// Takes the next message: first those that end a call, then all others, each in order of arrival.
     pub fn pop(&mut self) -> Option<QueuedMessage> {
         if let Some(message) = self.pop_finish() {
             return Some(QueuedMessage::Live(message));
--- a/crates/fawnrouter-node/src/lib.rs
+++ b/crates/fawnrouter-node/src/lib.rs
@@ -1,20 +1,20 @@
 #![forbid(unsafe_code)]
-//! The gateway on the users' platform as a state machine: their JSON lines in, their JSON lines out, the same
-//! [`fawnrouter::Controller`] in the middle that the simulator drives. No socket, no clock, no unseeded randomness.
+//! The gateway on the platform as a state machine: JSON lines from clients and core switches in, JSON lines out,
+//! around the same [`fawnrouter::Controller`] that the simulator drives. No socket, no clock, no unseeded randomness.
 //!
 //! | module | what it does |
 //! | --- | --- |
-//! | `boot` | the configuration file, checked whole before anything of it is used |
-//! | `switch_list` | the list of core switches from `known` and from DNS answers; ids as numbers |
-//! | `list_query` | what is asked of the name server, and which datagram is its answer |
-//! | `request` | whether a set-up makes sense, and what it says |
-//! | `links` | connections to core switches: which set-up on which, how many, when again |
-//! | `liveness` | when a core switch's standing calls count as cut though nobody said so |
-//! | `inbox` | what a client has sent and nobody has looked at yet: what is given up before it is tried |
-//! | `descriptor_shares` | how the descriptors are divided, before any is taken |
-//! | `client_connections` | which client's connection is closed, when and why |
-//! | `calls` | calls, open and standing, and what is remembered of those that ended |
-//! | `node` | inputs, the controller's events and actions, what comes due; a file each for callers, attempts, connections, standing calls, the list |
+//! | `boot` | reads the configuration file and checks all of it before any of it is used |
+//! | `switch_list` | the list of core switches from `known` and from DNS responses; numbers for ids |
+//! | `list_query` | queries to the name server, and which datagrams answer them |
+//! | `request` | validates set-ups and reads what they ask for |
+//! | `links` | connections to core switches: which set-up goes on which, how many there are, when to reconnect |
+//! | `liveness` | when a core switch's established calls count as ended although it sent no release |
+//! | `inbox` | messages of a client that are not processed yet: which set-ups are withdrawn before they are attempted |
+//! | `descriptor_shares` | how the descriptors are divided, before any is used |
+//! | `client_connections` | which client connection is closed, when and why |
+//! | `calls` | open and established calls, and what is remembered of ended ones |
+//! | `node` | inputs, the controller's events and actions, timers; a file each for callers, attempts, connections, established calls, the list and the shutdown |
 
 mod boot;
 mod calls;
--- a/crates/fawnrouter-node/src/list_query.rs
+++ b/crates/fawnrouter-node/src/list_query.rs
@@ -1,7 +1,8 @@
-//! What is asked of the name server, and which datagram is its answer.
+//! Queries to the name server for the list of core switches, and which datagrams answer them.
 //!
-//! Questions go out at a steady pace, whether the last was answered or not: a lost answer then costs one pace. The
-//! latest few may still be answered, so that an answer that takes longer than a pace is of use.
+//! Queries are sent at a fixed interval whether or not the last one was answered, so a lost response delays
+//! news by one interval. The last few queries may still be answered, so that a response that takes longer
+//! than an interval is of use.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,33 +12,34 @@
 
 use crate::switch_list::LIST_DNS_NAME;
 
-/// Between two questions: news is at most this old when it is heard, while the page counts it as told after 1.5 s.
+/// Time between two queries. News is at most this old when it arrives; the platform expects the gateway to
+/// know of a change after 1.5 s.
 const QUERY_INTERVAL: Duration = Duration::from_millis(250);
-/// Questions that may still be answered: those of the last second.
+/// Queries that may still be answered: those of the last second.
 const MAX_OPEN_QUERIES: usize = 4;
 
 /// Why a datagram is not used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum AskError {
-    /// It answers no question that is still open.
+    /// No open query has this id.
     #[error("the answer is to no question that is open")]
     NoOpenQuery,
-    /// It cannot be read or relied on.
+    /// The response cannot be read or is not usable.
     #[error(transparent)]
     InvalidResponse(#[from] ResponseError),
 }
 
-/// A question to be sent.
+/// A query to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListQuery {
-    /// The datagram.
+    /// The encoded query.
     pub datagram: Vec<u8>,
-    /// When the next is to be sent.
+    /// When the next query is to be sent.
     pub next_at: Time,
 }
 
-/// The questions to one name server.
+/// The open queries to one name server.
 #[derive(Debug)]
 pub struct Ask {
     name: Name,
@@ -51,15 +53,15 @@
 }
 
 impl Ask {
-    /// Nothing has been asked.
+    /// Creates a state without open queries.
     #[must_use]
     pub fn new() -> Self {
-        // The name is a constant that is one; a wrong one would be found by the first test.
+        // The name is a valid constant; every test would find an invalid one.
         let name = LIST_DNS_NAME.parse().unwrap_or_else(|_| unreachable!("{LIST_DNS_NAME} is a name"));
         Self { name, open_ids: VecDeque::new() }
     }
 
-    /// The next question; `id` is a number that nobody can guess (RFC 5452 §4).
+    /// Returns the next query. `id` must be unpredictable (RFC 5452 §4).
     pub fn next_query(&mut self, now: Time, id: u16) -> ListQuery {
         self.open_ids.push_back(id);
         if self.open_ids.len() > MAX_OPEN_QUERIES {
@@ -68,11 +70,11 @@
         ListQuery { datagram: query(id, &self.name, RecordType::Srv), next_at: now.plus(QUERY_INTERVAL) }
     }
 
-    /// Reads a datagram of the name server's. A question whose answer is useless stays open: the good one may come
-    /// behind it.
+    /// Reads a datagram from the name server. A query whose response is unusable stays open, because a valid
+    /// response may follow.
     ///
     /// # Errors
-    /// Says why it is not used.
+    /// Says why the datagram is not used.
     pub fn accept_response(&mut self, datagram: &[u8]) -> Result<Response, AskError> {
         let id = datagram.get(..2).and_then(|b| b.try_into().ok()).map(u16::from_be_bytes);
         let id = id.filter(|id| self.open_ids.contains(id)).ok_or(AskError::NoOpenQuery)?;
--- a/crates/fawnrouter-node/src/liveness.rs
+++ b/crates/fawnrouter-node/src/liveness.rs
@@ -248,7 +248,7 @@
     fn process_counts_as_dead_after_refusing_connections_for_a_while() {
         let mut liveness = Liveness::new(at(0));
         liveness.connection_refused(at(100));
-        assert!(probes(liveness.check(at(100))), "it is asked at once");
+        assert!(probes(liveness.check(at(100))), "it is probed at once");
         liveness.connection_refused(at(900));
         assert_eq!(time_of_death(&mut liveness, 900, 5000), Some(1600));
         let mut liveness = Liveness::new(at(0));
@@ -331,7 +331,10 @@
                 && connects(liveness.check(at(1100)))
         );
         liveness.record(at(1200), Evidence::StateReport);
-        assert!(connects(liveness.check(at(2100))), "an old connection brings back nothing that was lost");
+        assert!(
+            connects(liveness.check(at(2100))),
+            "a report on an old connection recovers nothing that was lost"
+        );
         liveness.record(at(2200), Evidence::Connected);
         assert!(!connects(liveness.check(at(4000))));
     }
--- a/crates/fawnrouter-node/src/node.rs
+++ b/crates/fawnrouter-node/src/node.rs
@@ -1,5 +1,5 @@
-//! Inputs, the controller's events and actions, and what comes due. What concerns attempts, connections to core
-//! switches, standing calls, callers, the list and the end has a file each.
+//! The gateway's state machine: inputs, the controller's events and actions, and timers. Attempts,
+//! connections to core switches, established calls, callers, the list and the shutdown have a file each.
 
 mod attempts;
 mod callers;
@@ -30,25 +30,26 @@
 use crate::request::{self, cause};
 use crate::switch_list::{ListedSwitch, Pool, ServerIds};
 
-/// Causes of a test's answer ("test passed, failed: cause 1 or 0").
+/// Causes in the answer to a test.
 const TEST_PASSED: i64 = 1;
 const TEST_FAILED: i64 = 0;
-/// An answer that the decisions have not given by then is a failure: so long before the caller's time is up.
+/// A call that the controller has not answered this long before its deadline is failed.
 const FINAL_ANSWER_MARGIN: Duration = Duration::from_millis(25);
-/// A client that is overdue and has a set-up open is looked at again after this time.
+/// An overdue client with an open set-up is checked again after this time.
 const CLIENT_RECHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Between two looks for connections that are idle for too long, at the most; and the share of the platform's idle time
-/// that they are apart at the most. Guards against a connection that is found idle only as its core switch closes it.
+/// Longest time between two checks for idle connections.
 const MAX_HOUSEKEEPING_INTERVAL: Duration = Duration::from_secs(1);
+/// Longest time between two checks as a fraction of the platform's idle timeout. With less frequent checks a
+/// connection could be found idle only when its core switch closes it.
 const HOUSEKEEPING_IDLE_FRACTION: f64 = 0.1;
 /// A test without an answer is forgotten after this time.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Releases towards a client that has no connection wait this long for one: the page's 8 s and a margin.
+/// How long releases wait for a caller's connection: the platform's limit of 8 s and a margin.
 const PENDING_NOTICE_LIFETIME: Duration = Duration::from_secs(10);
-/// The most of those.
+/// Most releases that wait for a caller's connection.
 const MAX_PENDING_NOTICES: usize = 4096;
 
-/// What comes due.
+/// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum TimerKey {
     ControllerTimer(TimerId),
@@ -61,6 +62,24 @@
     Shutdown,
 }
 
+/// A release of an established call that waits for a caller's connection.
+#[derive(Debug)]
+struct PendingNotice {
+    since: Time,
+    tag: Tag,
+    line: Vec<u8>,
+}
+
+/// A test sent to a core switch and not answered yet.
+#[derive(Debug)]
+struct Probe {
+    server: ServerId,
+    sent_at: Time,
+    /// Requested by the controller, which then gets the result; otherwise sent by the liveness check.
+    by_controller: bool,
+}
+
+/// A core switch that is listed or still has calls.
 #[derive(Debug)]
 struct Server {
     id: String,
@@ -80,22 +99,23 @@
     calls: Calls,
     links: Links,
     client_connections: ClientConnections,
-    /// Clients whose connections are on their way out: their set-ups are not taken any more, and what they end is. With
-    /// what is said to one that turns out to have sent nothing whole.
+    /// Clients whose connections are being closed: they may no longer set up calls, but what they release is
+    /// released. With the error to send to a client that turns out to have sent no whole message.
     closing_clients: BTreeMap<ClientId, Option<Vec<u8>>>,
-    /// Releases that wait for a connection of a caller's.
-    pending_notices: VecDeque<(Time, Tag, Vec<u8>)>,
+    /// Releases that wait for a caller's connection.
+    pending_notices: VecDeque<PendingNotice>,
     servers: BTreeMap<ServerId, Server>,
     server_ids: ServerIds,
     list_serial: Option<u32>,
-    probes: BTreeMap<Tag, (ServerId, Time, bool)>,
+    probes: BTreeMap<Tag, Probe>,
     timers: TimerQueue<TimerKey>,
-    /// Between two looks for idle connections.
+    /// Time between two checks for idle connections.
     housekeeping_interval: Duration,
     events: VecDeque<Event>,
     stop_requested_at: Option<Time>,
-    /// Since when, at the end, nothing is owed but releases that wait for a connection.
+    /// Since when, during shutdown, nothing is left but releases that wait for a connection.
     drained_since: Option<Time>,
+    /// The shutdown is over, and [`Output::Done`] was returned.
     done: bool,
     counters: Counters,
     outputs: Vec<Output>,
@@ -119,16 +139,16 @@
 }
 
 impl Node {
-    /// A gateway with the decision module inside.
+    /// A gateway with the controller.
     ///
     /// # Errors
-    /// Where the module refuses the settings.
+    /// When the controller rejects the settings.
     pub fn new(settings: NodeSettings) -> Result<Self, SettingsError> {
         let controller = Controller::new(settings.controller_settings.clone(), settings.seed)?;
         Ok(Self::with_controller(settings, Box::new(controller)))
     }
 
-    /// The same around other decisions.
+    /// A gateway with something else in place of the controller.
     #[must_use]
     pub fn with_controller(settings: NodeSettings, controller: Box<dyn Decide>) -> Self {
         Self {
@@ -136,7 +156,7 @@
             controller_settings: settings.controller_settings,
             names: settings.names,
             connections: settings.connections,
-            // Another stream than the controller's, which has the seed itself.
+            // Another stream than that of the controller, which is seeded with the seed itself.
             rng: ChaCha8Rng::seed_from_u64(settings.seed ^ 0x6e6f_6465),
             now: Time::default(),
             calls: Calls::default(),
@@ -171,7 +191,8 @@
         self.counters
     }
 
-    /// What is held now: open calls, standing calls, clients' connections, connections to core switches, switches.
+    /// Sizes of the state: open calls, established calls, client connections, connections to core switches,
+    /// core switches.
     #[must_use]
     pub fn held(&self) -> [usize; 5] {
         [
@@ -183,13 +204,13 @@
         ]
     }
 
-    /// When [`Input::Wake`] is wanted.
+    /// When [`Input::Wake`] is due.
     #[must_use]
     pub fn next_wake(&self) -> Option<Time> {
         self.timers.next_at()
     }
 
-    /// Takes an input at the clock's reading `now` (time since the Unix epoch) and appends what is to be done.
+    /// Processes an input at time `now` (since the Unix epoch) and appends the resulting outputs.
     pub fn handle(&mut self, now: Time, input: Input, outputs: &mut Vec<Output>) {
         self.now = self.now.max(now);
         if !self.timers.is_set(TimerKey::Housekeeping) {
@@ -223,8 +244,8 @@
                     self.outputs.push(Output::ToClient { client, line });
                 }
             }
-            Input::ClientBytesRead { client, partial_line: half } => {
-                self.client_connections.set_partial_line(self.now, client, half);
+            Input::ClientBytesRead { client, partial_line } => {
+                self.client_connections.set_partial_line(self.now, client, partial_line);
                 self.schedule_client_check(client);
             }
             Input::ClientDecodeError { client, fault } => self.client_decode_error(client, &fault),
@@ -262,8 +283,7 @@
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    // ---- The decisions ----------------------------------------------------------------------------------------
-    /// Gives the controller what happened and carries out what it says, until nothing more happens.
+    /// Passes the queued events to the controller and carries out its actions, until no event is left.
     fn run_controller(&mut self) {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
@@ -314,13 +334,12 @@
                     });
                 }
             }
-            // The platform's gateways have no way to write to each other, and its list is polled anyway.
+            // The platform's gateways cannot write to each other, and the list is polled anyway.
             Action::Tell { .. } | Action::Subscribe | Action::FetchList => {}
             Action::Log(line) => self.log(line),
         }
     }
 
-    // ---- Time -------------------------------------------------------------------------------------------------
     fn timer_expired(&mut self, key: TimerKey) {
         match key {
             TimerKey::ControllerTimer(timer) => self.events.push_back(Event::Timer(timer)),
@@ -333,7 +352,7 @@
             TimerKey::CallDeadline(tag) => {
                 let Some(open) = self.calls.open.get(&tag) else { return };
                 if self.now < open.deadline {
-                    // The decisions end each call before this; only a process that stood still comes here.
+                    // The controller ends each call before this, unless this process was suspended.
                     self.counters.failed += 1;
                     self.events.push_back(Event::Lapsed(CallId(tag.0)));
                     self.end_open_call(
@@ -366,7 +385,7 @@
             self.close_link(link);
         }
         let now = self.now;
-        self.pending_notices.retain(|(told, _, _)| now.since(*told) < PENDING_NOTICE_LIFETIME);
+        self.pending_notices.retain(|notice| now.since(notice.since) < PENDING_NOTICE_LIFETIME);
         for server in self.servers.keys().copied().collect::<Vec<_>>() {
             self.forget_if_unused(server);
         }
--- a/crates/fawnrouter-node/src/node/attempts.rs
+++ b/crates/fawnrouter-node/src/node/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: one set-up of a call to one core switch, from the decision to its end.
+//! Attempts: one set-up of a call at one core switch, from the controller's decision to its end.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use fawnrouter_jsonl::{Message, Tag, Verb};
 
 use super::{Node, Output, TimerKey};
-use crate::calls::Attempt;
+use crate::calls::{Attempt, SentSetUp};
 use crate::links::{LinkChoice, LinkId};
 use crate::request::cause;
 
@@ -34,12 +34,12 @@
         self.open_missing_links(server);
     }
 
-    /// Writes the set-up of the call's attempt.
+    /// Sends the set-up of the call's current attempt.
     pub(super) fn send_set_up(&mut self, tag: Tag, link: LinkId) {
         let now = self.now;
         let Some(open) = self.calls.open.get_mut(&tag) else { return };
         let Some(attempt) = &mut open.attempt else { return };
-        attempt.sent = Some((link, now));
+        attempt.sent = Some(SentSetUp { link, at: now });
         let left = attempt.timeout_at.since(now).as_millis().max(1);
         let start = Message::new(Verb::Start, tag)
             .with_option("class", &open.class)
@@ -56,13 +56,14 @@
         self.outputs.push(Output::SetUp { client, link, tag, line: encode_line(&start) });
     }
 
-    /// Gives up the attempt that is out, if there is one: the core switch hears of it where the set-up was written, and
-    /// nothing where it still lay in this process. What the switch says of it from now on is dropped.
+    /// Withdraws the current attempt, if there is one. The core switch is sent a release if the set-up was
+    /// written, and nothing if the set-up was still in this process. Whatever the switch sends about the
+    /// attempt from now on is dropped.
     pub(super) fn withdraw_attempt(&mut self, tag: Tag) {
         let Some(attempt) = self.calls.open.get(&tag).and_then(|c| c.attempt) else { return };
         match attempt.sent {
             None => self.links.remove_queued_set_up(attempt.server, tag),
-            Some((link, _)) => {
+            Some(SentSetUp { link, .. }) => {
                 if let Some(l) = self.links.links.get_mut(&link) {
                     l.end_attempt(self.now, tag, false, true);
                     let line = encode_line(&Message::new(Verb::Finish, tag).with_cause(cause::CLEARING));
@@ -75,13 +76,13 @@
         self.timers.clear(TimerKey::AttemptTimeout(tag));
     }
 
-    /// The attempt that was out ended without the core switch's word.
+    /// Ends the current attempt without an answer from the core switch.
     pub(super) fn attempt_failed(&mut self, tag: Tag, outcome: Outcome, note: Note) {
         self.end_attempt(tag, outcome, note, Report::default(), false);
     }
 
-    /// Tells the controller how the attempt that was out ended; `told`: by the core switch's word, so that nothing more
-    /// comes of it.
+    /// Reports the end of the current attempt to the controller; `answered` says that the core switch ended
+    /// it, so that nothing more arrives for it.
     pub(super) fn end_attempt(
         &mut self,
         tag: Tag,
@@ -94,15 +95,15 @@
         let Some(attempt) = self.calls.open.get_mut(&tag).and_then(|c| c.attempt.take()) else { return };
         self.timers.clear(TimerKey::AttemptTimeout(tag));
         match attempt.sent {
-            Some((link, _)) => {
+            Some(SentSetUp { link, .. }) => {
                 if let Some(link) = self.links.links.get_mut(&link) {
                     link.end_attempt(now, tag, answered, false);
                 }
             }
             None => self.links.remove_queued_set_up(attempt.server, tag),
         }
-        // From the writing on, so that the time is the core switch's and not this gateway's.
-        let since = attempt.sent.map_or(attempt.issued_at, |(_, written)| written);
+        // Counted from the write, so that the time is the core switch's and not this gateway's.
+        let since = attempt.sent.map_or(attempt.issued_at, |sent| sent.at);
         self.events.push_back(Event::Closed {
             call: CallId(tag.0),
             attempt: attempt.no,
@@ -115,10 +116,11 @@
         });
     }
 
-    /// A set-up has been taken back from the outbox before a byte of it was written: the core switch never sees it.
+    /// A set-up was taken back from the outbox before a byte of it was written, so the core switch never sees
+    /// it.
     pub(super) fn set_up_recalled(&mut self, link: LinkId, tag: Tag) {
-        let out = self.calls.open.get(&tag).and_then(|c| c.attempt);
-        if out.and_then(|a| a.sent).is_some_and(|(at, _)| at == link) {
+        let attempt = self.calls.open.get(&tag).and_then(|c| c.attempt);
+        if attempt.and_then(|a| a.sent).is_some_and(|sent| sent.link == link) {
             self.end_attempt(tag, Outcome::Moot, Note::None, Report::default(), true);
         }
     }
--- a/crates/fawnrouter-node/src/node/callers.rs
+++ b/crates/fawnrouter-node/src/node/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: their connections, their set-ups, and what they are told.
+//! Callers: their connections, their set-ups, and what is sent to them.
 
 use std::collections::BTreeSet;
 
@@ -7,15 +7,15 @@
 
 use super::attempts::encode_line;
 use super::{
-    CLIENT_RECHECK_INTERVAL, FINAL_ANSWER_MARGIN, MAX_PENDING_NOTICES, Node, Output, TEST_FAILED,
-    TEST_PASSED, TimerKey,
+    CLIENT_RECHECK_INTERVAL, FINAL_ANSWER_MARGIN, MAX_PENDING_NOTICES, Node, Output, PendingNotice,
+    TEST_FAILED, TEST_PASSED, TimerKey,
 };
 use crate::calls::{EndedCall, EstablishedCall, MAX_ESTABLISHED_CALLS, OpenCall};
 use crate::client_connections::{Admission, ClientId};
 use crate::request::{self, Request, cause};
 
 impl Node {
-    /// The one final answer of a call that does not stand. An attempt that is out is withdrawn.
+    /// Sends the single final answer of a call that is not established, and withdraws its current attempt.
     pub(super) fn end_open_call(&mut self, tag: Tag, finish: Message) {
         if !self.calls.open.contains_key(&tag) {
             return;
@@ -26,7 +26,7 @@
         }
     }
 
-    /// A call is owed no answer any more.
+    /// Removes a call that needs no further answer.
     pub(super) fn remove_open_call(&mut self, tag: Tag) -> Option<OpenCall> {
         let open = self.calls.remove_open(tag)?;
         self.timers.clear(TimerKey::CallDeadline(tag));
@@ -43,7 +43,8 @@
 
     pub(super) fn client_connected(&mut self, client: ClientId) {
         if self.done {
-            // It lay in the listener's queue at the end: what it has sent is answered, and it is closed in order.
+            // The connection was in the listener's queue at shutdown: what it has sent is answered, then it
+            // is closed in order.
             return self.start_closing(client);
         }
         match self.client_connections.admit(self.now, client) {
@@ -61,17 +62,18 @@
         self.schedule_client_check(client);
     }
 
-    /// A call stands for this client: what waited to be told to a caller can be told now.
+    /// Counts a call established for this client. Releases that waited for a caller's connection are sent on
+    /// it.
     pub(super) fn call_established_for(&mut self, client: ClientId) {
         self.client_connections.count_established(client, true);
         if self.client_connections.contains(client) {
-            for (_, tag, line) in std::mem::take(&mut self.pending_notices) {
+            for PendingNotice { tag, line, .. } in std::mem::take(&mut self.pending_notices) {
                 self.outputs.push(Output::NotifyCaller { client, tag, line });
             }
         }
     }
 
-    /// Has it looked at when it is overdue.
+    /// Sets the timer for the check whether the client is overdue.
     pub(super) fn schedule_client_check(&mut self, client: ClientId) {
         match self.client_connections.silence_deadline(client) {
             Some(due) => self
@@ -81,7 +83,7 @@
         }
     }
 
-    /// An error without a call, and the end.
+    /// Sends an error, for the call if there is one, and closes the connection.
     pub(super) fn close_with_error(&mut self, client: ClientId, tag: Option<Tag>, rc: i64, why: &str) {
         let line = match tag {
             Some(tag) => {
@@ -93,9 +95,9 @@
         self.close_client(client, why);
     }
 
-    /// An end with an error, which is said only if nothing whole turns out to have come: a set-up that lies unread is
-    /// answered instead. Guards against a connection that counts as silent, or has no place, while this process has not
-    /// looked at what it sent.
+    /// Closes the connection with an error that is sent only if no whole message turns out to have arrived; a
+    /// set-up that was not read yet is answered instead. Without this, a connection could be taken for
+    /// silent, or turned away for lack of room, although it sent a set-up that this process had not read.
     pub(super) fn close_with_error_if_unused(&mut self, client: ClientId, rc: i64, why: &str) {
         self.close_client(client, why);
         self.closing_clients.insert(client, Some(error_without_tag(rc, why)));
@@ -108,7 +110,7 @@
         self.start_closing(client);
     }
 
-    /// The connection is to be closed in order; what has come on it is still looked at.
+    /// Closes the connection in order; what has arrived on it is still processed.
     pub(super) fn start_closing(&mut self, client: ClientId) {
         self.outputs.push(Output::CloseClient { client });
         self.closing_clients.insert(client, None);
@@ -130,7 +132,7 @@
             return;
         }
         self.counters.invalid += 1;
-        // The tag of an open call is not answered with another line's fault.
+        // The error of a faulty line must not be sent as the answer of an existing call.
         let tag = fault.tag().filter(|tag| !self.is_known_call(*tag));
         self.close_with_error(client, tag, cause::INVALID, &fault.to_string());
     }
@@ -139,7 +141,7 @@
         self.calls.open.contains_key(&tag) || self.calls.established.contains_key(&tag)
     }
 
-    /// The caller waits no longer.
+    /// Ends a call whose caller no longer waits.
     pub(super) fn abandon_call(&mut self, tag: Tag) {
         if !self.calls.open.contains_key(&tag) {
             return;
@@ -154,13 +156,14 @@
         self.calls.recently_ended.insert(tag, EndedCall { barred_until, release_cause: None });
     }
 
-    /// What was said of a call that stood had not been written when its caller's connection ended. A call whose answer was
-    /// not heard is given up at its core switch; a release is told on another connection. Guards against calls that stand
-    /// for callers who have gone, and releases that nobody hears.
+    /// A message about an established or ended call was not written before its caller's connection ended. A
+    /// call whose answer was not delivered is released at its core switch; a release is sent on another
+    /// connection. Without this, calls would stay established for callers who have gone, and releases would
+    /// be lost.
     pub(super) fn not_delivered(&mut self, tag: Tag) {
-        if let Some(standing) = self.calls.remove_established(tag, None) {
-            self.report_established_end(tag, standing, Outcome::Cancelled);
-            self.release_at_switch(standing.server, tag, cause::CLEARING);
+        if let Some(call) = self.calls.remove_established(tag, None) {
+            self.report_established_end(tag, call, Outcome::Cancelled);
+            self.release_at_switch(call.server, tag, cause::CLEARING);
         } else if let Some(rc) = self.calls.recently_ended.get(tag).and_then(|e| e.release_cause) {
             self.calls.recently_ended.insert(tag, EndedCall::default());
             self.notify_release(None, tag, rc);
@@ -173,7 +176,8 @@
             Verb::Start => self.handle_start(client, message),
             Verb::Finish => self.handle_finish(client, &message),
             Verb::Echo => {
-                // A gateway that ends fails the test, so that the front turns to others.
+                // A gateway that shuts down fails the test, so that the front end sends calls to other
+                // gateways.
                 let rc = if self.stop_requested_at.is_none() { TEST_PASSED } else { TEST_FAILED };
                 self.send_to_client(client, &Message::new(Verb::Echoed, tag).with_cause(rc));
             }
@@ -192,8 +196,9 @@
         self.schedule_client_check(client);
     }
 
-    /// What comes on a connection that is on its way out: it was sent before its caller could know, or crossed the close.
-    /// Set-ups are refused, so that each has its answer; what ends a call or tells of one holds as on any connection.
+    /// Processes a message on a connection that is being closed: it was sent before its caller could know, or
+    /// crossed the close. Set-ups are refused, so that each gets its answer; releases and reports of
+    /// established calls count as on any connection.
     pub(super) fn message_while_closing(&mut self, client: ClientId, message: Message) {
         self.closing_clients.insert(client, None);
         match message.verb {
@@ -201,7 +206,9 @@
             Verb::Start if !self.is_known_call(message.tag) => {
                 let read = request::read(&message, &self.controller_settings, &self.names);
                 match read {
-                    Ok(Request::Established(at)) => self.restore_established(client, message.tag, &at),
+                    Ok(Request::Established(switch)) => {
+                        self.restore_established(client, message.tag, &switch)
+                    }
                     Ok(Request::New(_)) => {
                         self.counters.refused += 1;
                         let refusal = self.congestion_refusal(message.tag);
@@ -219,8 +226,9 @@
         }
     }
 
-    /// A set-up that was given up before it was looked at: nothing is tried for it. Guards against attempts for callers
-    /// who have gone while their lines lay unread, as behind hundreds of others or while this process stood still.
+    /// A set-up that was withdrawn before it was processed: it is not attempted. Otherwise there would be
+    /// attempts for callers who have gone while their lines were unread, as behind hundreds of others or
+    /// while this process was suspended.
     pub(super) fn set_up_withdrawn(&mut self, client: ClientId, message: Message) {
         let tag = message.tag;
         match request::read(&message, &self.controller_settings, &self.names) {
@@ -230,28 +238,29 @@
                 self.calls.recently_ended.insert(tag, EndedCall::default());
             }
             _ if self.client_connections.contains(client) => self.handle_start(client, message),
-            Ok(Request::Established(at)) => self.restore_established(client, tag, &at),
+            Ok(Request::Established(switch)) => self.restore_established(client, tag, &switch),
             _ => {}
         }
     }
 
-    /// "Refused" of the gateway itself, with a time to come back where callers heed one.
+    /// A refusal by the gateway itself, with a retry time if callers use one.
     fn congestion_refusal(&self, tag: Tag) -> Message {
         let refusal = Message::new(Verb::Finish, tag).with_cause(cause::CONGESTION);
         let wait = self.controller_settings.limits.max_retry_after.as_millis();
-        let told = self.controller_settings.limits.retry_after && wait > 0;
-        if told { refusal.with_option("wait", wait) } else { refusal }
+        let with_retry_time = self.controller_settings.limits.retry_after && wait > 0;
+        if with_retry_time { refusal.with_option("wait", wait) } else { refusal }
     }
 
     pub(super) fn handle_start(&mut self, client: ClientId, message: Message) {
         let tag = message.tag;
         let wrong = |rc| Message::new(Verb::Finish, tag).with_cause(rc);
         let read = request::read(&message, &self.controller_settings, &self.names);
-        if let Ok(Request::Established(at)) = &read {
-            return self.restore_established(client, tag, at);
+        if let Ok(Request::Established(switch)) = &read {
+            return self.restore_established(client, tag, switch);
         }
         if self.is_known_call(tag) {
-            // The first call of this id is neither disturbed nor answered: this connection alone is ended.
+            // The existing call with this tag is neither affected nor answered; only this connection is
+            // closed.
             self.counters.invalid += 1;
             return self.close_with_error(
                 client,
@@ -268,7 +277,7 @@
                 return self.send_to_client(client, &wrong(rc));
             }
         };
-        // An id that was just used and given up: the guard holds for it, whoever calls.
+        // The guard time of a recently withdrawn tag applies to every caller.
         let barred = self
             .calls
             .recently_ended
@@ -295,19 +304,19 @@
         self.events.push_back(Event::Call(new));
     }
 
-    /// A caller tells of a call that stands: it expects no answer, only the release in its time.
-    pub(super) fn restore_established(&mut self, client: ClientId, tag: Tag, at: &str) {
-        if let Some(standing) = self.calls.established.get_mut(&tag) {
-            let before = std::mem::replace(&mut standing.client, client);
+    /// A caller reports an established call. It expects no answer, only the release when the call ends.
+    pub(super) fn restore_established(&mut self, client: ClientId, tag: Tag, switch: &str) {
+        if let Some(call) = self.calls.established.get_mut(&tag) {
+            let before = std::mem::replace(&mut call.client, client);
             self.client_connections.count_established(before, false);
             return self.call_established_for(client);
         }
-        // It is being set up here, and will be known to stand by its core switch's word.
+        // The call is being set up here; it counts as established once its core switch answers.
         if self.calls.open.contains_key(&tag) {
             return;
         }
         let released = self.calls.unknown_releases.remove(tag);
-        let server = self.server_ids.get(at).filter(|s| self.servers.contains_key(s));
+        let server = self.server_ids.get(switch).filter(|s| self.servers.contains_key(s));
         match (server, released) {
             (Some(server), None) if self.calls.established.len() < MAX_ESTABLISHED_CALLS => {
                 self.calls
@@ -316,7 +325,7 @@
                 self.open_missing_links(server);
                 self.schedule_liveness_check(server);
             }
-            // It is over already, or its core switch is.
+            // The call has ended already, or its core switch is gone.
             (_, released) => {
                 let rc = released.unwrap_or(cause::TEMPORARY_FAILURE);
                 self.send_to_client(client, &Message::new(Verb::Finish, tag).with_cause(rc));
@@ -324,19 +333,19 @@
         }
     }
 
-    /// A caller gives up a set-up or releases what stands.
+    /// A caller withdraws a set-up or releases an established call.
     pub(super) fn handle_finish(&mut self, client: ClientId, message: &Message) {
         let tag = message.tag;
         if let Some(open) = self.calls.open.get(&tag) {
-            // Only the connection of the set-up can give it up: an id alone is no proof.
+            // Only the connection of the set-up may withdraw it; the tag alone proves nothing.
             if open.client == client {
                 self.abandon_call(tag);
                 self.send_to_client(client, &Message::new(Verb::Finished, tag));
             }
-        } else if let Some(standing) = self.calls.remove_established(tag, None) {
+        } else if let Some(call) = self.calls.remove_established(tag, None) {
             let rc = message.rc.unwrap_or(cause::CLEARING);
-            self.report_established_end(tag, standing, Outcome::Cancelled);
-            self.release_at_switch(standing.server, tag, rc);
+            self.report_established_end(tag, call, Outcome::Cancelled);
+            self.release_at_switch(call.server, tag, rc);
             self.send_to_client(client, &Message::new(Verb::Finished, tag));
         } else if self.calls.recently_ended.contains(tag) {
             self.send_to_client(client, &Message::new(Verb::Finished, tag));
@@ -349,14 +358,15 @@
         }
     }
 
-    /// Writes to a client, if it is there.
+    /// Writes to a client if it is connected.
     pub(super) fn send_to_client(&mut self, client: ClientId, message: &Message) {
         if self.client_connections.contains(client) || self.closing_clients.contains_key(&client) {
             self.outputs.push(Output::ToClient { client, line: encode_line(message) });
         }
     }
 
-    /// Tells the caller of a standing call that it is over; where its connection is gone, on another, or on the next.
+    /// Notifies the caller of an established call of its end; if the caller's connection is gone, on another
+    /// connection or the next one.
     pub(super) fn notify_release(&mut self, client: Option<ClientId>, tag: Tag, rc: i64) {
         let line = encode_line(&Message::new(Verb::Finish, tag).with_cause(rc));
         match client
@@ -365,7 +375,7 @@
         {
             Some(client) => self.outputs.push(Output::NotifyCaller { client, tag, line }),
             None => {
-                self.pending_notices.push_back((self.now, tag, line));
+                self.pending_notices.push_back(PendingNotice { since: self.now, tag, line });
                 if self.pending_notices.len() > MAX_PENDING_NOTICES {
                     self.pending_notices.pop_front();
                 }
@@ -374,7 +384,7 @@
     }
 }
 
-/// An error that names no call.
+/// An error message without a tag.
 fn error_without_tag(rc: i64, why: &str) -> Vec<u8> {
     let line = serde_json::json!({"verb": "FINISH", "opts": {"error": why}, "rc": rc});
     format!("{line}\n").into_bytes()
--- a/crates/fawnrouter-node/src/node/established.rs
+++ b/crates/fawnrouter-node/src/node/established.rs
@@ -1,4 +1,4 @@
-//! Calls that stand: what ends them, and who is told.
+//! Established calls: what ends them, and who is notified.
 
 use fawnrouter::{CallId, Event, Note, Outcome, Report, ServerId, Time};
 use fawnrouter_jsonl::{Message, Tag, Verb};
@@ -10,7 +10,7 @@
 use crate::request::cause;
 
 impl Node {
-    /// Judges whether what stands at a core switch still does.
+    /// Checks whether the calls established at a core switch still exist.
     pub(super) fn check_liveness(&mut self, server: ServerId) {
         let Some(s) = self.servers.get_mut(&server) else { return };
         if !self.calls.has_established_at(server) {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// What stands at a core switch is cut, all of it or what stood before its new start.
+    /// Ends the calls established at a core switch: all of them, or those established before its restart.
     pub(super) fn lose_established_calls(&mut self, server: ServerId, before: Option<Time>, why: &str) {
         let tags = self.calls.established_by_server.get(&server).cloned().unwrap_or_default();
         let old =
@@ -48,7 +48,8 @@
         self.log(format!("core switch {} {why}: {} standing calls are cut", server.0, tags.len()));
         for tag in tags {
             self.release_established(tag, cause::TEMPORARY_FAILURE);
-            // Should it be alive all the same, it must not keep what its caller has been told is over.
+            // If the switch is alive after all, it must not keep a call whose caller was told that it has
+            // ended.
             self.links.add_pending_release(server, tag, cause::TEMPORARY_FAILURE);
         }
     }
@@ -57,32 +58,32 @@
         let now = self.now;
         let Some(deadline) = self.calls.open.get(&tag).map(|c| c.deadline) else { return };
         if now >= deadline {
-            // Too late for the caller, which hears nothing more.
+            // Too late for the caller, which gets no further answer.
             return self.abandon_call(tag);
         }
         if self.calls.established.len() >= MAX_ESTABLISHED_CALLS {
             return self.end_open_call(tag, Message::new(Verb::Finish, tag).with_cause(cause::CONGESTION));
         }
         let Some(open) = self.remove_open_call(tag) else { return };
-        if let Some((link, written)) = attempt.sent {
-            if let Some(link) = self.links.links.get_mut(&link) {
+        if let Some(sent) = attempt.sent {
+            if let Some(link) = self.links.links.get_mut(&sent.link) {
                 link.end_attempt(now, tag, true, false);
             }
             self.events.push_back(Event::Standing {
                 call: CallId(tag.0),
                 attempt: attempt.no,
                 server: attempt.server,
-                took: now.since(written),
+                took: now.since(sent.at),
             });
         }
         self.counters.established += 1;
-        let standing = EstablishedCall {
+        let call = EstablishedCall {
             client: open.client,
             server: attempt.server,
             attempt: Some(attempt.no),
             since: now,
         };
-        self.calls.add_established(tag, standing);
+        self.calls.add_established(tag, call);
         let (client, line) =
             (open.client, encode_line(&Message::new(Verb::Started, tag).with_description(blob)));
         if self.client_connections.contains(client) {
@@ -92,14 +93,14 @@
         self.schedule_liveness_check(attempt.server);
     }
 
-    /// Something stands there now: it is looked at from time to time.
+    /// Starts the periodic liveness checks of a switch that now has an established call.
     pub(super) fn schedule_liveness_check(&mut self, server: ServerId) {
         if !self.timers.is_set(TimerKey::LivenessCheck(server)) {
             self.check_liveness(server);
         }
     }
 
-    /// A standing call is over by the core switch's word, or because it is lost there. Its client is told.
+    /// Ends an established call that its core switch released or lost, and notifies its caller.
     pub(super) fn release_established(&mut self, tag: Tag, rc: i64) {
         let Some(call) = self.calls.remove_established(tag, Some(rc)) else { return };
         let outcome = if rc == cause::CLEARING { Outcome::Ended } else { Outcome::Reset };
--- a/crates/fawnrouter-node/src/node/interface.rs
+++ b/crates/fawnrouter-node/src/node/interface.rs
@@ -1,4 +1,4 @@
-//! What the gateway is told and what it says.
+//! Inputs, outputs, settings and counters of the gateway.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,25 +14,25 @@
 use crate::links::LinkId;
 use crate::switch_list::Pool;
 
-/// All that a gateway is told at its start.
+/// The settings of a gateway.
 #[derive(Debug)]
 pub struct NodeSettings {
-    /// The decisions' settings.
+    /// Settings of the controller.
     pub controller_settings: Settings,
-    /// The names that calls carry.
+    /// Ids of the names that calls carry.
     pub names: NameIndex,
-    /// What the settings say of connections.
+    /// Settings of connections.
     pub connections: ConnectionSettings,
-    /// Clients' connections at the most.
+    /// Most client connections.
     pub max_clients: usize,
-    /// Connections to core switches at the most.
+    /// Most connections to core switches.
     pub max_links: usize,
     /// Seed of all random numbers.
     pub seed: u64,
 }
 
 impl NodeSettings {
-    /// What a configuration says, with its descriptors divided as [`Shares`] has it.
+    /// Settings from a configuration, with its descriptors divided by [`DescriptorShares`].
     #[must_use]
     pub fn new(boot: &Boot) -> Self {
         let shares = DescriptorShares::divide(boot.descriptors);
@@ -50,213 +50,216 @@
 /// How a connection to a core switch ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkEnd {
-    /// It was refused: nobody listens.
+    /// It was refused: nothing listens at the address.
     Refused,
     /// It did not come up in time, or could not be made.
     Unreachable,
-    /// It was up, and is closed or reset.
+    /// It was up and was closed or reset.
     Broken,
 }
 
-/// What happened.
+/// An event for the gateway.
 #[derive(Debug)]
 pub enum Input {
     /// A client connected.
     ClientConnected {
-        /// Its number.
+        /// Id of the new connection.
         client: ClientId,
     },
-    /// A client sent something whole.
+    /// A client sent a message.
     ClientMessage {
-        /// Which.
+        /// The sender.
         client: ClientId,
-        /// What.
+        /// The message.
         message: Message,
     },
-    /// A set-up that its caller had given up, or left behind with its connection, before anybody looked at it.
+    /// A client's set-up that was withdrawn, or whose caller disconnected, before it was processed.
     SetUpWithdrawn {
-        /// Which client.
+        /// The sender.
         client: ClientId,
         /// The set-up.
         message: Message,
     },
-    /// A client ended its side; what it had sent before comes behind this, and then [`Input::ClientDown`].
+    /// A client closed its sending side. Messages that it sent before follow, and then
+    /// [`Input::ClientDisconnected`].
     ClientHalfClosed {
-        /// Which.
+        /// The client.
         client: ClientId,
     },
-    /// A connection ended before a byte of this was written ([`Output::Tell`]).
+    /// A connection ended before a byte of this message was written ([`Output::NotifyCaller`]).
     NotDelivered {
-        /// Of which call.
+        /// The call that the message was about.
         tag: Tag,
     },
-    /// All that had come on a connection that is to be closed has been handed on.
+    /// All messages that had arrived on a connection that is to be closed have been passed on.
     ClientFullyRead {
-        /// Which.
+        /// The client.
         client: ClientId,
     },
-    /// A client's bytes have been read; whether a part of a line lies there.
+    /// A client's bytes have been read.
     ClientBytesRead {
-        /// Which.
+        /// The client.
         client: ClientId,
-        /// Part of a line is there.
+        /// Whether an incomplete line is left.
         partial_line: bool,
     },
-    /// A client sent what is no message.
+    /// A client sent a line that is not a message.
     ClientDecodeError {
-        /// Which.
+        /// The client.
         client: ClientId,
-        /// What is wrong.
+        /// What is wrong with the line.
         fault: DecodeError,
     },
     /// A client's connection ended.
     ClientDisconnected {
-        /// Which.
+        /// The client.
         client: ClientId,
     },
     /// A connection to a core switch is up.
     LinkUp {
-        /// Which.
+        /// The connection.
         link: LinkId,
     },
-    /// A core switch sent something whole.
+    /// A core switch sent a message.
     LinkMessage {
-        /// On which connection.
+        /// The connection that it arrived on.
         link: LinkId,
-        /// What.
+        /// The message.
         message: Message,
     },
-    /// A core switch sent what is no message.
+    /// A core switch sent a line that is not a message.
     LinkDecodeError {
-        /// On which connection.
+        /// The connection that it arrived on.
         link: LinkId,
-        /// What is wrong.
+        /// What is wrong with the line.
         fault: DecodeError,
     },
     /// A connection to a core switch ended or did not come up.
     LinkDown {
-        /// Which.
+        /// The connection.
         link: LinkId,
-        /// How.
+        /// How it ended.
         end: LinkEnd,
     },
-    /// After [`Output::Recall`]: not a byte of this set-up had been written, and none will be.
+    /// Answer to [`Output::RecallSetUps`]: no byte of this set-up was written, and none will be.
     SetUpRecalled {
-        /// On which connection it lay.
+        /// The connection that it was queued on.
         link: LinkId,
-        /// Whose set-up.
+        /// The call of the set-up.
         tag: Tag,
     },
-    /// The name server answered.
+    /// The name server answered a query for the list.
     ListResponse(Response),
-    /// A new configuration holds this list.
+    /// The list in a new configuration.
     ConfiguredList(Pool),
-    /// The gateway is to end.
+    /// The gateway is to shut down.
     Stop,
-    /// Something is due.
+    /// The time of [`Node::next_wake`](crate::Node::next_wake) has come.
     Wake,
 }
 
-/// What is to be done, in this order.
+/// An action for the driver. Actions are carried out in order.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Output {
     /// Write to a client.
     ToClient {
-        /// Which.
+        /// The receiver.
         client: ClientId,
-        /// A line.
+        /// The encoded message.
         line: Vec<u8>,
     },
-    /// Write to a client what concerns a call that stands or stood; say so if its connection ends before a byte of it is
-    /// written ([`Input::Unheard`]).
+    /// Write a message about a call that is or was established to a client; report [`Input::NotDelivered`] if
+    /// its connection ends before a byte of the message is written.
     NotifyCaller {
-        /// Which client.
+        /// The receiver.
         client: ClientId,
-        /// Of which call.
+        /// The call that the message is about.
         tag: Tag,
-        /// A line.
+        /// The encoded message.
         line: Vec<u8>,
     },
-    /// Take what has come on a client's connection, say that it is read out ([`Input::ClientReadOut`]), write what waits,
-    /// then close it in order.
+    /// Read what has arrived on a client's connection, report [`Input::ClientFullyRead`], write what is
+    /// queued, then close it in order.
     CloseClient {
-        /// Which.
+        /// The client.
         client: ClientId,
     },
     /// Open a connection to a core switch.
     OpenLink {
-        /// Its number.
+        /// Id of the new connection.
         link: LinkId,
-        /// Where to.
+        /// Address of the core switch.
         address: SocketAddr,
-        /// It must be up within this time.
+        /// The connection must be up within this time.
         within: Duration,
     },
     /// Write to a core switch.
     ToLink {
-        /// On which connection.
+        /// The connection to write on.
         link: LinkId,
-        /// A line.
+        /// The encoded message.
         line: Vec<u8>,
     },
-    /// Write a set-up to a core switch, unless its caller has left it by then.
+    /// Write a set-up to a core switch, unless its caller has disconnected or withdrawn it by then.
     SetUp {
-        /// Whose it is.
+        /// The caller of the set-up.
         client: ClientId,
-        /// On which connection.
+        /// The connection to write on.
         link: LinkId,
-        /// Whose set-up.
+        /// The call of the set-up.
         tag: Tag,
-        /// A line.
+        /// The encoded message.
         line: Vec<u8>,
     },
-    /// Take that set-up back if not a byte of it has been written, and write nothing; else write this.
+    /// Take the set-up back if no byte of it has been written, and write nothing; otherwise write this
+    /// release.
     CancelSetUp {
-        /// On which connection.
+        /// The connection that the set-up was sent on.
         link: LinkId,
-        /// Whose set-up.
+        /// The call of the set-up.
         tag: Tag,
-        /// A line that gives it up.
+        /// The encoded release.
         line: Vec<u8>,
     },
-    /// Take back every set-up on this connection of which not a byte has been written, and say which they were
-    /// ([`Input::Recalled`]).
+    /// Take back every set-up on this connection of which no byte has been written, and report each with
+    /// [`Input::SetUpRecalled`].
     RecallSetUps {
-        /// Which connection.
+        /// The connection.
         link: LinkId,
     },
-    /// Close a connection to a core switch. Set-ups of which not a byte has been written are dropped, all else is written.
+    /// Close a connection to a core switch. Set-ups of which no byte has been written are dropped; everything
+    /// else is written.
     CloseLink {
-        /// Which.
+        /// The connection.
         link: LinkId,
     },
-    /// A line for the operators.
+    /// A log line for operators.
     Log(String),
-    /// Nothing is owed any more, and all callers' connections have been closed: the gateway may end.
+    /// All calls are answered and all client connections are closed: the process may end.
     Done,
 }
 
 /// Counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Set-ups taken.
+    /// Set-ups accepted.
     pub accepted: u64,
-    /// Calls that stood.
+    /// Calls established.
     pub established: u64,
-    /// Refused.
+    /// Calls refused.
     pub refused: u64,
-    /// Failed.
+    /// Calls failed.
     pub failed: u64,
-    /// Given up by their callers.
+    /// Calls abandoned by their callers.
     pub abandoned: u64,
-    /// Set-ups that made no sense.
+    /// Invalid set-ups and messages from clients.
     pub invalid: u64,
     /// Attempts sent.
     pub attempts: u64,
-    /// Standing calls that a core switch lost.
+    /// Established calls lost by a core switch.
     pub calls_lost: u64,
-    /// Answers that could not be read or used.
+    /// Messages from core switches that could not be read or used.
     pub invalid_responses: u64,
-    /// Connections of clients that got no seat or had to leave theirs.
+    /// Client connections that were not admitted or were closed to make room.
     pub evicted_clients: u64,
 }
--- a/crates/fawnrouter-node/src/node/switch_links.rs
+++ b/crates/fawnrouter-node/src/node/switch_links.rs
@@ -1,4 +1,4 @@
-//! Connections to core switches and what comes on them.
+//! Connections to core switches and the messages that arrive on them.
 
 use std::time::Duration;
 
@@ -6,16 +6,16 @@
 use fawnrouter_jsonl::{Message, Tag, Verb};
 use rand_core::RngCore;
 
-use super::{LinkEnd, Node, Output, PROBE_TIMEOUT, TEST_PASSED, TimerKey};
+use super::{LinkEnd, Node, Output, PROBE_TIMEOUT, Probe, TEST_PASSED, TimerKey};
 use crate::links::{LinkChoice, LinkId, LinkNeed};
 use crate::liveness::Evidence;
 use crate::request::cause;
 
 impl Node {
-    /// What connections to a core switch are needed for. One that drains has nothing to say where no call of this
-    /// gateway's stands there. Guards against connections that hundreds of restarted gateways open to switches on
-    /// their way out, and again when those are gone. Could do harm where a caller names a call that stands there: the
-    /// connection is opened then, some milliseconds later.
+    /// What connections to a core switch are needed for. A draining switch has nothing to send if no call of
+    /// this gateway is established there. Without this rule hundreds of restarted gateways would connect to
+    /// switches that are shutting down, and again when those are gone. Its cost: when a caller reports an
+    /// established call at such a switch, the connection is opened only then, some milliseconds later.
     pub(super) fn link_need(&self, server: ServerId) -> LinkNeed {
         let listed = self.servers.get(&server).and_then(|s| s.listed.as_ref());
         match listed.map(|l| l.state) {
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Opens the connections that a core switch is short of.
+    /// Opens the connections that a core switch lacks.
     pub(super) fn open_missing_links(&mut self, server: ServerId) {
         let need = self.link_need(server);
         for _ in 0..self.links.missing_links(self.now, server, need) {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Begins a connection.
+    /// Starts to open a connection.
     pub(super) fn dial(&mut self, server: ServerId) {
         let Some(address) = self.links.switches.get(&server).map(|s| s.address) else { return };
         let link = self.links.start_dial(self.now, server);
@@ -52,7 +52,7 @@
             self.send_to_switch(link, &Message::new(Verb::Finish, tag).with_cause(rc));
         }
         for tag in self.links.take_queued_set_ups(server) {
-            // What is over by now ends in this turn, and is not sent before.
+            // An attempt that has timed out by now is ended in this step, and not sent before.
             let in_time =
                 self.calls.open.get(&tag).and_then(|c| c.attempt).is_some_and(|a| self.now < a.timeout_at);
             match self.links.choose_for_set_up(server, tag) {
@@ -63,13 +63,13 @@
         self.open_missing_links(server);
     }
 
-    /// Closes a connection that carries nothing any more.
+    /// Closes a connection that carries no set-up.
     pub(super) fn close_link(&mut self, link: LinkId) {
         self.outputs.push(Output::CloseLink { link });
         self.remove_link(link, false);
     }
 
-    /// A spoilt answer: the connection is of no further use, nor are the set-ups on it.
+    /// Closes a connection after an unusable message. The set-ups on it cannot be answered any more.
     pub(super) fn close_faulty_link(&mut self, link: LinkId, why: &str) {
         self.counters.invalid_responses += 1;
         if let Some(l) = self.links.links.get(&link) {
@@ -89,7 +89,7 @@
             s.liveness.connection_refused(now);
         }
         self.remove_link(link, true);
-        // Nobody there to wait for: those that wait for a connection have failed to get one.
+        // The switch cannot be reached, so the set-ups that wait for a connection have failed to get one.
         if end != LinkEnd::Broken && !self.links.has_link_up(server) {
             for tag in self.links.take_queued_set_ups(server) {
                 self.attempt_failed(tag, Outcome::ConnectFailed, Note::None);
@@ -97,12 +97,12 @@
         }
     }
 
-    /// A connection is no more: each set-up out on it has been reset, once. It may stand all the same, as an answer
-    /// may have been spoilt or lost, so it is released on another connection.
+    /// Removes a connection. Each set-up on it is reset, once. Such a call may have been established all the
+    /// same, as its answer may have been damaged or lost, so it is released on another connection.
     pub(super) fn remove_link(&mut self, link: LinkId, failed: bool) {
         let unit = self.random_unit();
         let Some(gone) = self.links.remove_link(self.now, link, failed, unit) else { return };
-        // What it wrote last may be lost with the connection, and comes again on the next one opened.
+        // What the switch wrote last may be lost with the connection; it is repeated on the next one opened.
         if gone.up
             && (failed || self.link_need(gone.server) != LinkNeed::SetUps)
             && let Some(s) = self.servers.get_mut(&gone.server)
@@ -121,24 +121,24 @@
         let Some(l) = self.links.links.get(&link) else { return };
         let (server, tag, now) = (l.server, message.tag, self.now);
         let finish = message.verb == Verb::Finish;
-        let stood = finish && self.calls.established.get(&tag).is_some_and(|s| s.server == server);
+        let was_established = finish && self.calls.established.get(&tag).is_some_and(|s| s.server == server);
         let evidence = match message.verb {
             Verb::Load => Evidence::StateReport,
-            Verb::Finish if stood => Evidence::CallRelease,
+            Verb::Finish if was_established => Evidence::CallRelease,
             _ => Evidence::AnyByte,
         };
         self.record_evidence(server, evidence);
-        // Free circuits and the like come by themselves, or with an answer.
+        // Figures such as free circuits arrive in a message of their own or with an answer.
         let report = message.opts.get("load").and_then(|l| l.as_str()).map(fawnrouter_bootinfo::parse_report);
-        let here = self
+        let current_attempt = self
             .calls
             .open
             .get(&tag)
             .and_then(|c| c.attempt)
-            .filter(|a| a.sent.is_some_and(|(at, _)| at == link));
+            .filter(|a| a.sent.is_some_and(|sent| sent.link == link));
         match message.verb {
             Verb::Started => {
-                let Some(attempt) = here else { return self.late_answer(link, server, tag) };
+                let Some(attempt) = current_attempt else { return self.late_answer(link, server, tag) };
                 match message.blob {
                     Some(blob) if !blob.is_empty() => self.call_established(tag, attempt, blob),
                     _ => self.close_faulty_link(link, "an answer without a description"),
@@ -148,7 +148,7 @@
                 let Some(rc) = message.rc else {
                     return self.close_faulty_link(link, "a release without a cause");
                 };
-                if here.is_some() {
+                if current_attempt.is_some() {
                     let note = match message.opts.get("note").and_then(|n| n.as_str()) {
                         Some("group_full") => Note::NoCircuit,
                         Some("processor_full") => Note::ProcessorFull(None),
@@ -156,15 +156,15 @@
                         _ => Note::None,
                     };
                     let outcome = match rc {
-                        34 => Outcome::Full,
-                        17 | 47 => Outcome::Error,
-                        102 => Outcome::Moot,
+                        cause::NO_CIRCUIT => Outcome::Full,
+                        cause::USER_BUSY | cause::RESOURCE_UNAVAILABLE => Outcome::Error,
+                        cause::TIMER_EXPIRY => Outcome::Moot,
                         _ => Outcome::Reset,
                     };
                     let answered = outcome != Outcome::Reset;
                     return self.end_attempt(tag, outcome, note, report.unwrap_or_default(), answered);
                 }
-                if stood {
+                if was_established {
                     self.send_to_switch(link, &Message::new(Verb::Finished, tag));
                     self.release_established(tag, rc);
                 } else if !self.calls.open.contains_key(&tag) && !self.calls.recently_ended.contains(tag) {
@@ -173,12 +173,12 @@
                 }
             }
             Verb::Echoed => {
-                if let Some((server, sent, asked)) = self.probes.remove(&tag)
-                    && asked
+                if let Some(probe) = self.probes.remove(&tag)
+                    && probe.by_controller
                 {
-                    let (ok, took) = (message.rc == Some(TEST_PASSED), now.since(sent));
+                    let (ok, took) = (message.rc == Some(TEST_PASSED), now.since(probe.sent_at));
                     let report = report.unwrap_or_default();
-                    self.events.push_back(Event::Probed { server, ok, took, report });
+                    self.events.push_back(Event::Probed { server: probe.server, ok, took, report });
                 }
             }
             Verb::Load => {
@@ -190,11 +190,12 @@
         }
     }
 
-    /// An answer to an attempt that is over: the call that stands there is nobody's. Left alone where the call stands at
-    /// that core switch by another attempt, whose second copy this may be.
+    /// Handles a late answer to an ended attempt: nobody uses the call established by it, so it is released.
+    /// Not so if the call is established at that core switch by another attempt, of whose answer this may be
+    /// a duplicate.
     fn late_answer(&mut self, link: LinkId, server: ServerId, tag: Tag) {
-        let stands = self.calls.established.get(&tag).is_some_and(|s| s.server == server);
-        if !stands && self.links.links.get_mut(&link).is_some_and(|l| l.mark_late_release(tag)) {
+        let is_established = self.calls.established.get(&tag).is_some_and(|s| s.server == server);
+        if !is_established && self.links.links.get_mut(&link).is_some_and(|l| l.mark_late_release(tag)) {
             self.send_to_switch(link, &Message::new(Verb::Finish, tag).with_cause(cause::CLEARING));
         }
     }
@@ -206,12 +207,12 @@
     }
 
     /// Sends a test; `false` if there is no connection for it.
-    pub(super) fn probe(&mut self, server: ServerId, asked: bool) -> bool {
+    pub(super) fn probe(&mut self, server: ServerId, by_controller: bool) -> bool {
         let Some(link) = self.links.choose_for_release(server) else { return false };
         let now = self.now;
-        self.probes.retain(|_, (_, sent, _)| now.since(*sent) < PROBE_TIMEOUT);
+        self.probes.retain(|_, probe| now.since(probe.sent_at) < PROBE_TIMEOUT);
         let tag = Tag(self.rng.next_u64());
-        self.probes.insert(tag, (server, now, asked));
+        self.probes.insert(tag, Probe { server, sent_at: now, by_controller });
         self.send_to_switch(link, &Message::new(Verb::Echo, tag).with_cause(0));
         true
     }
--- a/crates/fawnrouter-node/src/node/switch_list.rs
+++ b/crates/fawnrouter-node/src/node/switch_list.rs
@@ -1,4 +1,4 @@
-//! The list of core switches.
+//! Changes of the list of core switches.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 use crate::switch_list::{Pool, server_entry};
 
 impl Node {
-    /// A core switch that is not listed and holds nothing is forgotten, with its number.
+    /// Forgets a core switch, and its number, if it is not listed and has no calls.
     pub(super) fn forget_if_unused(&mut self, server: ServerId) {
         let listed = self.servers.get(&server).is_none_or(|s| s.listed.is_some());
         if listed
@@ -36,7 +36,7 @@
     }
 
     pub(super) fn apply_list(&mut self, pool: &Pool) {
-        // Serials are compared as RFC 1982 has it; the numbers start at 1 and never wrap in practice.
+        // Serials are compared as in RFC 1982; the numbers start at 1 and never wrap in practice.
         if self.list_serial.is_some_and(|seen| pool.serial.wrapping_sub(seen) as i32 <= 0) {
             return;
         }
@@ -56,23 +56,28 @@
             let before = s.listed.replace(listed.clone());
             s.liveness.set_listed_state(self.now, Some(listed.state));
             self.links.switch_entry(server, listed.address).address = listed.address;
-            // One that had left the list and is back may have started anew meanwhile. Guards against calls that stood
-            // before that start and of which nobody would be told any more.
+            // A switch that had left the list and is back may have restarted meanwhile. Without this check
+            // the callers of calls established before that start would never be notified of their end.
             let has_new_start =
                 before.map_or(listed.started.is_some(), |before| before.started != listed.started);
             if has_new_start {
-                self.lose_established_calls(server, listed.started, "has started anew");
+                self.lose_established_calls(server, listed.started, "has restarted");
             }
         }
         let gone: BTreeSet<ServerId> = self.servers.keys().copied().filter(|s| !seen.contains(s)).collect();
         self.events.push_back(Event::List { kind, entries });
         self.run_controller();
-        // A new core switch listens where one listened that is gone: nothing there is the old one's any more. Guards
-        // against its answers and connections being taken for signs of the old one's life.
+        // A new core switch listens at the address of one that is gone, so nothing there belongs to the old
+        // one. Without this check its answers and connections would count as evidence that the old one is
+        // alive.
         let taken: BTreeSet<SocketAddr> = pool.switches.values().map(|l| l.address).collect();
         for server in gone.iter().copied() {
             if self.links.switches.get(&server).is_some_and(|switch| taken.contains(&switch.address)) {
-                self.lose_established_calls(server, None, "is gone and its address is another's");
+                self.lose_established_calls(
+                    server,
+                    None,
+                    "is gone and its address belongs to another switch",
+                );
             }
         }
         for server in self.servers.keys().copied().collect::<Vec<_>>() {
@@ -82,17 +87,19 @@
                 s.listed = None;
                 s.liveness.set_listed_state(self.now, None);
             }
-            // What has not been written yet must not go there any more.
+            // Set-ups that have not been sent must not go to this switch any more.
             if self.link_need(server) != LinkNeed::SetUps {
                 for tag in self.links.take_queued_set_ups(server) {
                     self.attempt_failed(tag, Outcome::Moot, Note::None);
                 }
-                // A peer that does not read leaves set-ups in the outbox, and might take them after the grace.
+                // A peer that does not read leaves set-ups in the outbox, and might accept them after the
+                // grace period.
                 let carrying =
                     self.links.links.iter().filter(|(_, l)| l.server == server && !l.open_set_ups.is_empty());
                 self.outputs.extend(carrying.map(|(link, _)| Output::RecallSetUps { link: *link }));
             }
-            // Where nothing stands and nothing is out there is nothing more to hear: the place is another's.
+            // Without established calls and open set-ups there is nothing more to receive, and the place at
+            // the switch is needed by others.
             if self.link_need(server) == LinkNeed::None {
                 let idle: Vec<LinkId> =
                     self.links.idle_links().filter(|(_, s)| *s == server).map(|(l, _)| l).collect();
--- a/crates/fawnrouter-node/src/request.rs
+++ b/crates/fawnrouter-node/src/request.rs
@@ -1,4 +1,4 @@
-//! Whether a set-up makes sense, and what it says (the platform's page PROTOCOL, "Callers to gateways").
+//! Validates set-ups from callers and reads what they ask for.
 
 use std::time::Duration;
 
@@ -6,16 +6,20 @@
 use fawnrouter_bootinfo::NameIndex;
 use fawnrouter_jsonl::{Message, Tag};
 
-/// Causes of ITU-T Q.850 that this gateway gives.
+/// ITU-T Q.850 causes that this gateway sends.
 pub(crate) mod cause {
     /// Normal call clearing.
     pub const CLEARING: i64 = 16;
-    /// No circuit available: "refused, trying again is harmless".
+    /// User busy.
+    pub const USER_BUSY: i64 = 17;
+    /// No circuit available: refused, and trying again is harmless.
     pub const NO_CIRCUIT: i64 = 34;
     /// Temporary failure.
     pub const TEMPORARY_FAILURE: i64 = 41;
-    /// Switching equipment congestion: as 34, said of the gateway itself.
+    /// Switching equipment congestion: as 34, but of the gateway itself.
     pub const CONGESTION: i64 = 42;
+    /// Resource unavailable, unspecified.
+    pub const RESOURCE_UNAVAILABLE: i64 = 47;
     /// Invalid call reference value.
     pub const INVALID_REFERENCE: i64 = 81;
     /// Mandatory information element is missing.
@@ -24,9 +28,11 @@
     pub const NO_SUCH_MESSAGE: i64 = 97;
     /// Invalid information element contents.
     pub const INVALID: i64 = 100;
+    /// Recovery on timer expiry.
+    pub const TIMER_EXPIRY: i64 = 102;
 }
 
-/// The longest number called, in bytes: far beyond what E.164 or any key of the page needs.
+/// Longest called number in bytes, far more than E.164 or any key of the platform needs.
 const MAX_CALLED_NUMBER_BYTES: usize = 256;
 
 /// What a set-up asks for.
@@ -34,30 +40,30 @@
 pub(crate) enum Request {
     /// A new call.
     New(NewCall),
-    /// A call that stands at this core switch, told again.
+    /// A call that is already established at the switch with this id, reported again by its caller.
     Established(String),
 }
 
 /// Reads a set-up.
 ///
 /// # Errors
-/// The cause to release it with.
+/// The cause to release the call with.
 pub(crate) fn read(message: &Message, settings: &Settings, names: &NameIndex) -> Result<Request, i64> {
     let option = |name: &str| message.opts.get(name);
     let extras = option("extras").map_or(Some(""), |v| v.as_str()).ok_or(cause::INVALID)?;
-    let mut figures = std::collections::BTreeMap::new();
+    let mut extra_values = std::collections::BTreeMap::new();
     for pair in extras.split(';').filter(|p| !p.is_empty()) {
         let (name, value) = pair.split_once(':').ok_or(cause::INVALID)?;
-        figures.insert(name, value);
+        extra_values.insert(name, value);
     }
-    if let Some(at) = figures.get("at") {
-        return Ok(Request::Established((*at).to_owned()));
+    if let Some(switch) = extra_values.get("at") {
+        return Ok(Request::Established((*switch).to_owned()));
     }
     let name = option("class").ok_or(cause::MISSING)?.as_str().ok_or(cause::INVALID)?;
     let class = names.class_id(name).ok_or(cause::INVALID)?;
     let left =
         option("left").ok_or(cause::MISSING)?.as_u64().map(Duration::from_millis).ok_or(cause::INVALID)?;
-    // A try is a part of the time that its class may take in all.
+    // The time of one try is part of the total time of its class.
     if left.is_zero() || left > settings.classes[class.0].deadline {
         return Err(cause::INVALID);
     }
@@ -68,7 +74,8 @@
     {
         return Err(cause::MISSING);
     }
-    let figure = |name: &str, usual: f64| figures.get(name).map_or(Some(usual), |v| v.parse::<f64>().ok());
+    let figure =
+        |name: &str, default: f64| extra_values.get(name).map_or(Some(default), |v| v.parse::<f64>().ok());
     let width =
         figure("width", 1.0).filter(|w| w.is_finite() && *w > 0.0 && *w <= 1e6).ok_or(cause::INVALID)?;
     let whole = |x: &f64| x.is_finite() && x.fract() == 0.0;
@@ -88,7 +95,7 @@
     }))
 }
 
-/// The call of this number, as the lines name it.
+/// The tag that stands for the call in messages.
 pub(crate) fn tag_of_call(call: CallId) -> Tag {
     Tag(call.0)
 }
--- a/crates/fawnrouter-node/src/switch_list.rs
+++ b/crates/fawnrouter-node/src/switch_list.rs
@@ -1,5 +1,5 @@
-//! The list of core switches, from the configuration's events and from the name server's answers (RFC 1035, RFC 2782;
-//! the platform's page PROTOCOL says what the records mean).
+//! The list of core switches, from the events in the configuration and from the name server's responses (RFC
+//! 1035, RFC 2782).
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -9,61 +9,62 @@
 use fawnrouter_dns::{Name, RecordData, Response};
 use serde_json::Value;
 
-/// The name whose SRV records are the list.
+/// The domain name whose SRV records are the list.
 pub const LIST_DNS_NAME: &str = "_app._tcp.cluster.lan";
 
-/// The most core switches that a list may name; a longer one is refused whole.
+/// Most core switches that a list may name; a longer list is rejected as a whole.
 const MAX_LISTED_SWITCHES: usize = 4096;
 
 /// Why a list cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum PoolError {
-    /// An event of the configuration is not of the form that the page shows.
+    /// An event in the configuration is malformed.
     #[error("{field} is {found}; it must be {wanted}")]
     InvalidEvent {
-        /// Which field.
+        /// Name of the field.
         field: &'static str,
-        /// What is there.
+        /// What the field holds.
         found: String,
-        /// What should be.
+        /// What it must be.
         wanted: &'static str,
     },
-    /// The answer has no serial.
+    /// The response has no serial.
     #[error("the answer has no SOA record in its authority section")]
     NoSerial,
-    /// A record that the list needs is missing or makes no sense.
+    /// A required record is missing or invalid.
     #[error("{0}: {1}")]
     InvalidRecord(String, &'static str),
-    /// No core switch at all: never true of a service, and more likely a fault of the name server's.
+    /// The list is empty. A service always has core switches, so this is more likely a fault of the name
+    /// server.
     #[error("the answer names no core switch")]
     Empty,
-    /// Too many core switches.
+    /// The list names too many core switches.
     #[error("the list names more than {MAX_LISTED_SWITCHES} core switches")]
     TooMany,
 }
 
-/// What the list says of one core switch.
+/// A core switch as the list describes it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedSwitch {
-    /// Its zone.
+    /// The switch's zone.
     pub zone: String,
-    /// Its pool.
+    /// The switch's pool.
     pub cell: Cell,
-    /// Its state; those that are gone are not listed.
+    /// The switch's state. Switches that are gone are not listed.
     pub state: ServerState,
-    /// When it last started; `None`: long ago.
+    /// When the switch last started; `None`: long ago.
     pub started: Option<Time>,
-    /// Where it listens.
+    /// The switch's address.
     pub address: SocketAddr,
 }
 
-/// A whole list and the number of the event that it holds last.
+/// A whole list and the number of the last event in it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Pool {
     /// The number of the last event.
     pub serial: u32,
-    /// By id.
+    /// The switches by id.
     pub switches: BTreeMap<String, ListedSwitch>,
 }
 
@@ -72,10 +73,10 @@
 }
 
 impl Pool {
-    /// The list that the events of a configuration add up to.
+    /// Builds the list from the events in the configuration.
     ///
     /// # Errors
-    /// Where an event is not of the form that the page shows.
+    /// Names the first malformed field.
     pub fn from_configuration(from_configuration: &Value) -> Result<Self, PoolError> {
         fn field<T>(
             at: &Value,
@@ -132,11 +133,11 @@
         Ok(pool)
     }
 
-    /// The list that an answer of the name server holds. It is taken whole or not at all: a core switch that one
-    /// record is missing of must not look gone.
+    /// Builds the list from a response of the name server. The list is used as a whole or not at all: a core
+    /// switch must not seem gone because one of its records is missing.
     ///
     /// # Errors
-    /// Names the first record that is missing or makes no sense.
+    /// Names the first record that is missing or invalid.
     pub fn from_response(answer: &Response) -> Result<Self, PoolError> {
         let serial = answer.authority.iter().find_map(|r| match r.data {
             RecordData::Soa { serial } => Some(serial),
@@ -176,12 +177,14 @@
                 return Err(PoolError::TooMany);
             }
         }
-        // Guards against a failing name server; the last list stands until one is named again.
+        // A failing name server may send an empty list; the last list is kept until a response names a switch
+        // again.
         if pool.switches.is_empty() { Err(PoolError::Empty) } else { Ok(pool) }
     }
 }
 
-/// Ids as numbers. A number is never given to another id, and an id that has been forgotten gets a new one.
+/// Numbers for the switches' ids. A number is never given to another id, and an id that was removed gets a
+/// new number.
 #[derive(Debug, Default)]
 pub(crate) struct ServerIds {
     numbers: BTreeMap<String, ServerId>,
@@ -207,7 +210,7 @@
     }
 }
 
-/// The controller's entry for what is listed.
+/// The entry for the controller.
 pub(crate) fn server_entry(id: ServerId, listed: &ListedSwitch) -> ServerEntry {
     ServerEntry {
         id,
