--- a/crates/fawnrouter-bootinfo/src/error.rs
+++ b/crates/fawnrouter-bootinfo/src/error.rs
@@ -1,64 +1,64 @@
 use serde_json::Value;
 
-/// What is wrong with the settings object. Each names the field by its path in that object.
+/// What is wrong with the settings object. Each error names the field by its path in that object.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum BootInfoError {
-    /// A field that must be there is not.
+    /// A required field is missing.
     #[error("{field}: is missing; add {wanted}")]
     Missing {
-        /// Which.
+        /// Path of the field.
         field: String,
-        /// What should be.
+        /// What to add.
         wanted: &'static str,
     },
-    /// A field is of another kind, as text where a number is wanted.
+    /// A field is of the wrong type, for example text in place of a number.
     #[error("{field}: is {found}; it must be {wanted}")]
     WrongType {
-        /// Which.
+        /// Path of the field.
         field: String,
-        /// What is there.
+        /// What it holds, abbreviated.
         found: String,
-        /// What should be.
+        /// What it must be.
         wanted: &'static str,
     },
-    /// A field is of the right kind, and no gateway can work with what it says.
+    /// A field is of the right type, but no gateway can work with its value.
     #[error("{field}: is {found}; it must be {wanted}")]
     OutOfRange {
-        /// Which.
+        /// Path of the field.
         field: String,
-        /// What is there.
+        /// What it holds, abbreviated.
         found: String,
-        /// What should be.
+        /// What it must be.
         wanted: &'static str,
     },
     /// A field contradicts another one.
     #[error("{field}: is {found}, {with}; {remedy}")]
     Conflict {
-        /// Which.
+        /// Path of the field.
         field: String,
-        /// What is there.
+        /// What it holds, abbreviated.
         found: String,
         /// What it contradicts.
         with: String,
-        /// What to do.
+        /// What to do about it.
         remedy: &'static str,
     },
 }
 
-/// Embedders that report their faults as text take this one as text too.
+/// Some users of this crate report errors as text.
 impl From<BootInfoError> for String {
     fn from(error: BootInfoError) -> Self {
         error.to_string()
     }
 }
 
-/// A value as a message shows it: on one line, and not all of a long one.
+/// Formats a value for a message: on one line, and cut off if it is long.
 #[must_use]
 pub fn abbreviated(value: &Value) -> String {
-    const MOST: usize = 60;
+    const MAX_CHARACTERS: usize = 60;
     let text = value.to_string();
-    match text.char_indices().nth(MOST) {
+    match text.char_indices().nth(MAX_CHARACTERS) {
         Some((end, _)) => format!("{}...", &text[..end]),
         None => text,
     }
--- a/crates/fawnrouter-dns/src/name.rs
+++ b/crates/fawnrouter-dns/src/name.rs
@@ -3,78 +3,80 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// The longest name on the wire, its last zero byte included.
-const MAX_NAME: usize = 255;
-const MAX_LABEL: usize = 63;
+/// Longest encoded name, including its final zero byte.
+const MAX_NAME_BYTES: usize = 255;
+const MAX_LABEL_BYTES: usize = 63;
 
-/// Why a text or bytes are no name.
+/// Why text or bytes are not a name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NameError {
     /// A label is empty or longer than 63 bytes.
-    #[error("a label of a name is empty or longer than {MAX_LABEL} bytes")]
+    #[error("a label of a name is empty or longer than {MAX_LABEL_BYTES} bytes")]
     InvalidLabel,
     /// The name is longer than 255 bytes.
-    #[error("a name is longer than {MAX_NAME} bytes")]
+    #[error("a name is longer than {MAX_NAME_BYTES} bytes")]
     TooLong,
-    /// It runs over the message's end.
-    #[error("a name runs over the end of the message")]
+    /// The name extends past the end of the message.
+    #[error("a name extends past the end of the message")]
     UnexpectedEnd,
-    /// A pointer does not point back.
-    #[error("a pointer in a name does not point back")]
+    /// A compression pointer does not point backwards.
+    #[error("a pointer in a name does not point backwards")]
     InvalidPointer,
     /// A label is not printable ASCII.
-    #[error("a label of a name holds bytes that are not printable ASCII")]
+    #[error("a label of a name contains bytes that are not printable ASCII")]
     NotPrintableAscii,
 }
 
-/// A name, label by label. Upper case is taken for lower case (RFC 1035 §2.3.3).
+/// A name as a list of labels. Upper case is converted to lower case (RFC 1035 §2.3.3).
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Name(Vec<String>);
 
 impl Name {
-    /// Its labels, the leftmost first.
+    /// The labels, the leftmost first.
     #[must_use]
     pub fn labels(&self) -> &[String] {
         &self.0
     }
 
-    /// Appends it without compression.
-    pub(crate) fn write(&self, out: &mut Vec<u8>) {
+    /// Appends the name without compression.
+    pub(crate) fn encode(&self, out: &mut Vec<u8>) {
         for label in &self.0 {
-            // Labels are 63 bytes at the most.
+            // A label has at most 63 bytes.
             out.push(label.len() as u8);
             out.extend(label.as_bytes());
         }
         out.push(0);
     }
 
-    /// Reads the name that begins at `at`; with it, where the bytes after it begin.
-    pub(crate) fn read(message: &[u8], at: usize) -> Result<(Self, usize), NameError> {
-        let (mut labels, mut length, mut after, mut at, mut before) = (Vec::new(), 1, None, at, at);
+    /// Decodes the name that starts at `start`, and returns it with the position of the byte after it.
+    pub(crate) fn decode(message: &[u8], start: usize) -> Result<(Self, usize), NameError> {
+        let (mut labels, mut name_length, mut after_name) = (Vec::new(), 1, None);
+        let (mut position, mut pointer_limit) = (start, start);
         loop {
-            let head = *message.get(at).ok_or(NameError::UnexpectedEnd)?;
-            match head {
-                0 => return Ok((Self(labels), after.unwrap_or(at + 1))),
+            let first_byte = *message.get(position).ok_or(NameError::UnexpectedEnd)?;
+            match first_byte {
+                0 => return Ok((Self(labels), after_name.unwrap_or(position + 1))),
                 1..=63 => {
-                    let bytes =
-                        message.get(at + 1..at + 1 + usize::from(head)).ok_or(NameError::UnexpectedEnd)?;
-                    length += 1 + bytes.len();
-                    if length > MAX_NAME {
+                    let bytes = message
+                        .get(position + 1..position + 1 + usize::from(first_byte))
+                        .ok_or(NameError::UnexpectedEnd)?;
+                    name_length += 1 + bytes.len();
+                    if name_length > MAX_NAME_BYTES {
                         return Err(NameError::TooLong);
                     }
-                    labels.push(label(bytes)?);
-                    at += 1 + bytes.len();
+                    labels.push(parse_label(bytes)?);
+                    position += 1 + bytes.len();
                 }
                 0xc0.. => {
-                    let low = *message.get(at + 1).ok_or(NameError::UnexpectedEnd)?;
-                    let target = usize::from(u16::from_be_bytes([head & 0x3f, low]));
-                    // Each pointer must point before the place where the part that holds it began, so that a ring
-                    // of pointers comes to an end.
-                    if target >= before {
+                    let second_byte = *message.get(position + 1).ok_or(NameError::UnexpectedEnd)?;
+                    let target = usize::from(u16::from_be_bytes([first_byte & 0x3f, second_byte]));
+                    // Each pointer must point before the start of the part of the name that contains it, so
+                    // that circular pointers end.
+                    if target >= pointer_limit {
                         return Err(NameError::InvalidPointer);
                     }
-                    after = after.or(Some(at + 2));
-                    (at, before) = (target, target);
+                    after_name = after_name.or(Some(position + 2));
+                    (position, pointer_limit) = (target, target);
                 }
                 // 0x40 and 0x80 are reserved (RFC 1035 §4.1.4).
                 _ => return Err(NameError::InvalidLabel),
@@ -83,7 +85,7 @@
     }
 }
 
-fn label(bytes: &[u8]) -> Result<String, NameError> {
+fn parse_label(bytes: &[u8]) -> Result<String, NameError> {
     if !bytes.iter().all(u8::is_ascii_graphic) {
         return Err(NameError::NotPrintableAscii);
     }
@@ -96,14 +98,14 @@
     fn from_str(text: &str) -> Result<Self, NameError> {
         let text = text.strip_suffix('.').unwrap_or(text);
         let labels = text.split('.').map(|l| {
-            if (1..=MAX_LABEL).contains(&l.len()) {
-                label(l.as_bytes())
+            if (1..=MAX_LABEL_BYTES).contains(&l.len()) {
+                parse_label(l.as_bytes())
             } else {
                 Err(NameError::InvalidLabel)
             }
         });
         let labels = labels.collect::<Result<Vec<_>, _>>()?;
-        if labels.iter().map(|l| l.len() + 1).sum::<usize>() >= MAX_NAME {
+        if labels.iter().map(|l| l.len() + 1).sum::<usize>() >= MAX_NAME_BYTES {
             return Err(NameError::TooLong);
         }
         Ok(Self(labels))
--- a/crates/fawnrouter-dns/src/read.rs
+++ b/crates/fawnrouter-dns/src/response.rs
@@ -1,42 +1,42 @@
-//! Answers.
+//! Responses.
 
 use std::net::Ipv4Addr;
 
 use crate::name::{Name, NameError};
 use crate::{CLASS_IN, RecordType};
 
-/// The longest answer that is read: UDP carries no more.
+/// Longest response; UDP carries no more.
 pub const MAX_MESSAGE_BYTES: usize = 65_535;
 
-/// Why a datagram is not the answer to a question.
+/// Why a datagram is not a usable response to a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum ResponseError {
-    /// It ends too early.
-    #[error("the message ends before its records do")]
+    /// The message ends too early.
+    #[error("the message ends within its records")]
     UnexpectedEnd,
-    /// Bytes are left over.
-    #[error("the message goes on after its records")]
+    /// Bytes are left after the last record.
+    #[error("the message has bytes after its records")]
     TrailingBytes,
-    /// A name is wrong.
+    /// A name is invalid.
     #[error(transparent)]
     Name(#[from] NameError),
-    /// It is a query, or of another opcode.
-    #[error("the message is no answer to a query")]
+    /// The message is a query, or of another opcode.
+    #[error("the message is not a response to a query")]
     NotAResponse,
-    /// It has another id than the query.
-    #[error("the answer has another id than the query")]
+    /// The id is not that of the query.
+    #[error("the response has another id than the query")]
     IdMismatch,
-    /// It answers another question.
-    #[error("the answer is to another question")]
+    /// The question is not that of the query.
+    #[error("the response is to another question")]
     QuestionMismatch,
-    /// TC: it did not fit (RFC 1035 §4.1.1).
-    #[error("the answer is truncated")]
+    /// TC: the response did not fit (RFC 1035 §4.1.1).
+    #[error("the response is truncated")]
     Truncated,
     /// RCODE: the server could not answer.
-    #[error("the name server reports failure {0}")]
+    #[error("the name server returned response code {0}")]
     ResponseCode(u8),
-    /// A record's data does not fit its type.
+    /// A record's data does not match its type.
     #[error("a record's data does not fit its type")]
     InvalidRecordData,
 }
@@ -44,22 +44,22 @@
 /// A record's data.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RecordData {
-    /// An address (RFC 1035 §3.4.1).
+    /// A host address (RFC 1035 §3.4.1).
     A(Ipv4Addr),
     /// A server (RFC 2782).
     Srv {
-        /// The lower, the sooner.
+        /// Servers of lower priority values are used first.
         priority: u16,
-        /// Share among those of one priority.
+        /// Relative share among servers of one priority.
         weight: u16,
-        /// Port.
+        /// The server's port.
         port: u16,
-        /// Host.
+        /// The server's host name.
         target: Name,
     },
-    /// Texts (RFC 1035 §3.3.14).
+    /// Character strings (RFC 1035 §3.3.14).
     Txt(Vec<Vec<u8>>),
-    /// The serial of the start of authority (RFC 1035 §3.3.13).
+    /// The start of authority (RFC 1035 §3.3.13).
     Soa {
         /// The zone's version.
         serial: u32,
@@ -68,35 +68,35 @@
     Other,
 }
 
-/// A record.
+/// A resource record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Whose it is.
+    /// The name that the record belongs to.
     pub name: Name,
-    /// What it says.
+    /// The record's data.
     pub data: RecordData,
 }
 
-/// An answer: its sections.
+/// The sections of a response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Response {
-    /// Answers.
+    /// The answer section.
     pub answers: Vec<Record>,
     /// The authority section.
     pub authority: Vec<Record>,
-    /// Additional records.
+    /// The additional section.
     pub additional: Vec<Record>,
 }
 
 struct Reader<'a> {
     message: &'a [u8],
-    at: usize,
+    position: usize,
 }
 
 impl Reader<'_> {
     fn bytes<const N: usize>(&mut self) -> Result<[u8; N], ResponseError> {
-        let bytes = self.message.get(self.at..self.at + N).ok_or(ResponseError::UnexpectedEnd)?;
-        self.at += N;
+        let bytes = self.message.get(self.position..self.position + N).ok_or(ResponseError::UnexpectedEnd)?;
+        self.position += N;
         bytes.try_into().map_err(|_| ResponseError::UnexpectedEnd)
     }
 
@@ -109,26 +109,26 @@
     }
 
     fn name(&mut self) -> Result<Name, ResponseError> {
-        let (name, after) = Name::read(self.message, self.at)?;
-        self.at = after;
+        let (name, after) = Name::decode(self.message, self.position)?;
+        self.position = after;
         Ok(name)
     }
 
     fn records(&mut self, count: u16) -> Result<Vec<Record>, ResponseError> {
-        // Not sized by the announced count: what does not follow is found missing.
+        // Not allocated by the announced count, which may be larger than what follows.
         let mut records = Vec::new();
         for _ in 0..count {
             let name = self.name()?;
             let (kind, class, _ttl) = (self.u16()?, self.u16()?, self.u32()?);
-            let end = usize::from(self.u16()?) + self.at;
+            let end = usize::from(self.u16()?) + self.position;
             if end > self.message.len() {
                 return Err(ResponseError::UnexpectedEnd);
             }
             let data = if class == CLASS_IN { self.data(kind, end)? } else { RecordData::Other };
             if matches!(data, RecordData::Other) {
-                self.at = end;
+                self.position = end;
             }
-            if self.at != end {
+            if self.position != end {
                 return Err(ResponseError::InvalidRecordData);
             }
             records.push(Record { name, data });
@@ -149,11 +149,11 @@
             }
             TXT => {
                 let mut texts = Vec::new();
-                while self.at < end {
+                while self.position < end {
                     let [length] = self.bytes::<1>()?;
-                    let text = self.message.get(self.at..self.at + usize::from(length));
+                    let text = self.message.get(self.position..self.position + usize::from(length));
                     texts.push(text.ok_or(ResponseError::UnexpectedEnd)?.to_vec());
-                    self.at += usize::from(length);
+                    self.position += usize::from(length);
                 }
                 RecordData::Txt(texts)
             }
@@ -169,20 +169,20 @@
     }
 }
 
-/// Reads the answer to the query of this id, name and type.
+/// Reads the response to the query with this id, name and type.
 ///
 /// # Errors
-/// Says why it is not that answer, or cannot be relied on.
+/// Says why the message is not that response, or not usable.
 pub fn read_response(
     message: &[u8],
     id: u16,
     name: &Name,
     kind: RecordType,
 ) -> Result<Response, ResponseError> {
-    let mut reader = Reader { message, at: 0 };
-    let (got, flags) = (reader.u16()?, reader.u16()?);
+    let mut reader = Reader { message, position: 0 };
+    let (response_id, flags) = (reader.u16()?, reader.u16()?);
     let counts = [reader.u16()?, reader.u16()?, reader.u16()?, reader.u16()?];
-    if got != id {
+    if response_id != id {
         return Err(ResponseError::IdMismatch);
     }
     // QR set, opcode 0 (RFC 1035 §4.1.1).
@@ -199,13 +199,13 @@
     {
         return Err(ResponseError::QuestionMismatch);
     }
-    let answer = Response {
+    let response = Response {
         answers: reader.records(counts[1])?,
         authority: reader.records(counts[2])?,
         additional: reader.records(counts[3])?,
     };
-    if reader.at != message.len() {
+    if reader.position != message.len() {
         return Err(ResponseError::TrailingBytes);
     }
-    Ok(answer)
+    Ok(response)
 }
--- a/crates/fawnrouter-jsonl/src/decode.rs
+++ b/crates/fawnrouter-jsonl/src/decode.rs
@@ -1,37 +1,37 @@
-//! From bytes to messages.
+//! Decodes a byte stream into messages.
 
 use serde::Deserialize;
 
 use crate::message::{Message, Tag};
 
-/// The longest line, line feed included: "no message exceeds 16 KiB".
+/// Longest line, line feed included. The protocol allows messages up to 16 KiB.
 pub const MAX_LINE_BYTES: usize = 16 * 1024;
 
-/// The most options of a message: several times what any message of the page has.
+/// Most options of a message, several times as many as any message of the protocol has.
 const MAX_OPTIONS: usize = 64;
 
-/// Why a line is no message. Nothing after it on the connection can be trusted.
+/// Why a line is not a message. Nothing after it on the connection can be trusted.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum DecodeError {
-    /// No end of the line within the limit.
+    /// The line does not end within the limit.
     #[error("a line is longer than {MAX_LINE_BYTES} bytes")]
     TooLong,
-    /// The line is not JSON, or not of a message's form.
+    /// The line is not JSON, or not a message.
     #[error("a line is no message: {reason}")]
     Malformed {
-        /// What the parser says of it.
+        /// The parser's error.
         reason: String,
-        /// The call that it names all the same.
+        /// The tag, if the line has a valid one nevertheless.
         tag: Option<Tag>,
     },
-    /// Too many options.
+    /// The message has too many options.
     #[error("a message has more than {MAX_OPTIONS} options")]
     TooManyOptions(Tag),
 }
 
 impl DecodeError {
-    /// The call that the faulty line names, where it is JSON with a good tag.
+    /// The tag of the invalid line, if it is JSON with a valid tag.
     #[must_use]
     pub fn tag(&self) -> Option<Tag> {
         match self {
@@ -43,51 +43,52 @@
 }
 
 #[derive(Deserialize)]
-struct OnlyTag {
+struct TagOnly {
     tag: Tag,
 }
 
-/// Cuts a stream into messages.
+/// Splits a byte stream into messages.
 #[derive(Debug, Default)]
 pub struct Decoder {
     bytes: Vec<u8>,
-    /// Where the first line begins that has not been handed out.
-    start: usize,
-    /// Up to where there is no line feed.
+    /// Start of the first line that has not been returned.
+    line_start: usize,
+    /// There is no line feed before this position.
     searched: usize,
-    broken: bool,
+    failed: bool,
 }
 
 impl Decoder {
-    /// An empty one.
+    /// Creates an empty decoder.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds bytes. Take all messages out before the next: what is held then is less than a line.
+    /// Adds bytes. Call [`Self::next_message`] until it returns `None` before adding more, so that less than
+    /// a line is buffered.
     pub fn push(&mut self, bytes: &[u8]) {
-        if !self.broken {
-            self.bytes.drain(..self.start);
-            self.searched -= self.start;
-            self.start = 0;
+        if !self.failed {
+            self.bytes.drain(..self.line_start);
+            self.searched -= self.line_start;
+            self.line_start = 0;
             self.bytes.extend_from_slice(bytes);
         }
     }
 
-    /// Bytes of a line that is not complete.
+    /// Number of buffered bytes of an incomplete line.
     #[must_use]
     pub fn buffered_bytes(&self) -> usize {
-        self.bytes.len() - self.start
+        self.bytes.len() - self.line_start
     }
 
-    /// The next message. Empty lines are skipped; `None`: more bytes are needed.
+    /// Returns the next message, or `None` if more bytes are needed. Empty lines are skipped.
     ///
     /// # Errors
-    /// The line is no message. The decoder then gives nothing more.
+    /// The line is not a message. The decoder then returns no further messages.
     pub fn next_message(&mut self) -> Result<Option<Message>, DecodeError> {
         loop {
-            if self.broken {
+            if self.failed {
                 return Ok(None);
             }
             let found = self.bytes[self.searched..].iter().position(|b| *b == b'\n');
@@ -97,13 +98,13 @@
                     return Err(self.fail(DecodeError::TooLong));
                 }
                 if self.buffered_bytes() == 0 {
-                    // A connection that was busy once does not keep its memory.
+                    // Frees the buffer, so that a connection that was busy once does not keep its memory.
                     *self = Self::default();
                 }
                 return Ok(None);
             };
-            let line = self.start..end;
-            (self.start, self.searched) = (end + 1, end + 1);
+            let line = self.line_start..end;
+            (self.line_start, self.searched) = (end + 1, end + 1);
             if line.len() >= MAX_LINE_BYTES {
                 return Err(self.fail(DecodeError::TooLong));
             }
@@ -117,15 +118,15 @@
                 }
                 Ok(message) => Ok(Some(message)),
                 Err(error) => {
-                    let tag = serde_json::from_slice::<OnlyTag>(line).ok().map(|l| l.tag);
+                    let tag = serde_json::from_slice::<TagOnly>(line).ok().map(|l| l.tag);
                     Err(self.fail(DecodeError::Malformed { reason: error.to_string(), tag }))
                 }
             };
         }
     }
 
-    fn fail(&mut self, fault: DecodeError) -> DecodeError {
-        *self = Self { broken: true, ..Self::default() };
-        fault
+    fn fail(&mut self, error: DecodeError) -> DecodeError {
+        *self = Self { failed: true, ..Self::default() };
+        error
     }
 }
--- a/crates/fawnrouter-jsonl/src/lib.rs
+++ b/crates/fawnrouter-jsonl/src/lib.rs
@@ -1,9 +1,9 @@
 #![forbid(unsafe_code)]
-//! The users' platform's messages: one JSON object a line, ended by a line feed, 16 KiB at the most
-//! (the platform's page PROTOCOL). Bytes in, typed messages out; no socket and no decision.
+//! Messages of the platform: one JSON object per line, ended by a line feed, at most 16 KiB. Bytes in, typed
+//! messages out; no socket and no decision.
 //!
-//! A line that is no message ends the stream: after it nothing on the connection can be trusted. A message whose
-//! figures make no sense is still a message, and its tag tells which call the fault belongs to.
+//! A line that is not a message ends the stream: nothing after it on the connection can be trusted. A message
+//! with invalid values is still a message, and its tag tells which call the error belongs to.
 
 mod decode;
 mod message;
--- a/crates/fawnrouter-jsonl/src/message.rs
+++ b/crates/fawnrouter-jsonl/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages.
+//! Message types.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 
-/// A call's id: 16 hex digits in lower case, so that a number has one spelling.
+/// A call's id: 16 lower-case hex digits, so that each number has one spelling.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Tag(pub u64);
 
@@ -45,21 +45,21 @@
 pub enum Verb {
     /// Set-up, with a description.
     Start,
-    /// Progress, which means nothing.
+    /// Progress, which is ignored.
     Pending,
-    /// Answer: the call stands.
+    /// Answer: the call is established.
     Started,
     /// Refusal, withdrawal or release.
     Finish,
-    /// Release heard.
+    /// Acknowledgement of a release.
     Finished,
     /// Test.
     Echo,
-    /// Test passed or failed.
+    /// Result of a test: passed or failed.
     Echoed,
-    /// State of a group.
+    /// Load report of a trunk group.
     Load,
-    /// A type that this side does not use.
+    /// A type that is not used here.
     #[serde(other, skip_serializing)]
     Other,
 }
@@ -75,7 +75,7 @@
 }
 
 impl OptionValue {
-    /// As a whole number that is not negative, however it is spelled.
+    /// The value as a whole number, if it is one and not negative, written as text or as a number.
     #[must_use]
     pub fn as_u64(&self) -> Option<u64> {
         match self {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// As text.
+    /// The value as text, if it is text.
     #[must_use]
     pub fn as_str(&self) -> Option<&str> {
         match self {
@@ -97,46 +97,46 @@
 /// The options of a message by name.
 pub type Options = BTreeMap<String, OptionValue>;
 
-/// One message.
+/// A message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message {
-    /// Its type.
+    /// The type of the message.
     pub verb: Verb,
-    /// The call that it belongs to.
+    /// The call that the message belongs to.
     pub tag: Tag,
-    /// Its options.
+    /// The options.
     #[serde(default)]
     pub opts: Options,
     /// The cause (ITU-T Q.850 where it has a number for it).
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rc: Option<i64>,
-    /// The description, passed on as it is.
+    /// The description, passed on unchanged.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub blob: Option<String>,
 }
 
 impl Message {
-    /// A message without options, cause and description.
+    /// Creates a message without options, cause and description.
     #[must_use]
     pub fn new(verb: Verb, tag: Tag) -> Self {
         Self { verb, tag, opts: Options::new(), rc: None, blob: None }
     }
 
-    /// With this cause.
+    /// Sets the cause.
     #[must_use]
     pub fn with_cause(mut self, rc: i64) -> Self {
         self.rc = Some(rc);
         self
     }
 
-    /// With this option, as text.
+    /// Sets an option, as text.
     #[must_use]
     pub fn with_option(mut self, name: &str, value: impl fmt::Display) -> Self {
         self.opts.insert(name.to_owned(), OptionValue::Text(value.to_string()));
         self
     }
 
-    /// With this description.
+    /// Sets the description.
     #[must_use]
     pub fn with_description(mut self, blob: String) -> Self {
         self.blob = Some(blob);
@@ -146,7 +146,7 @@
     /// Appends the message as a line.
     pub fn encode(&self, out: &mut Vec<u8>) {
         let start = out.len();
-        // Text, numbers and maps with text for keys can always be written.
+        // Text, numbers and maps with text keys can always be serialized.
         if serde_json::to_writer(&mut *out, self).is_err() {
             out.truncate(start);
             return;
--- a/crates/fawnrouter-machine/src/backoff.rs
+++ b/crates/fawnrouter-machine/src/backoff.rs
@@ -1,30 +1,31 @@
-//! When a lost connection to a switch is tried again: doubling pauses with a bound, spread at random so that
-//! gateways that lost a switch in the same instant don't return in one.
+//! Exponential back-off for reconnecting to a switch: doubling delays up to a maximum, with jitter, so that
+//! gateways that lost a switch at the same instant do not all reconnect at once.
 
 use std::time::Duration;
 
-/// Bounds of the pauses.
+/// Bounds of the delays.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackoffSettings {
-    /// The first pause.
+    /// The first delay.
     pub initial: Duration,
-    /// The longest.
+    /// The longest delay.
     pub max: Duration,
 }
 
-/// The pauses of one connection.
+/// The back-off state of one connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Backoff {
     failures: u32,
 }
 
 impl Backoff {
-    /// The connection stands: the next loss begins anew.
+    /// Starts over after a successful connection.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
 
-    /// The pause after one more failure; `unit` is a random number from 0 to 1 and places it in the upper half.
+    /// Returns the delay after one more failure. `unit` is a random number from 0 to 1 and places the delay
+    /// in the upper half of its range.
     pub fn next_pause(&mut self, settings: &BackoffSettings, unit: f64) -> Duration {
         let doubled = settings.initial.saturating_mul(1 << self.failures.min(20));
         self.failures = self.failures.saturating_add(1);
--- a/crates/fawnrouter-machine/src/lib.rs
+++ b/crates/fawnrouter-machine/src/lib.rs
@@ -9,27 +9,27 @@
 pub use backoff::{Backoff, BackoffSettings};
 pub use timer_queue::TimerQueue;
 
-/// A state machine that a driver feeds.
+/// A state machine that is run by a driver.
 pub trait StateMachine {
-    /// What happens to it.
+    /// An event for the state machine.
     type Input;
-    /// What it wants done.
+    /// An action for the driver.
     type Output;
 
-    /// Takes an input at the clock's reading `now` and appends what is to be done.
+    /// Processes an input at time `now` and appends the resulting outputs.
     fn handle(&mut self, now: Time, input: Self::Input, outputs: &mut Vec<Self::Output>);
 
-    /// When it wants its wake input.
+    /// When the driver must pass in the [`wake`](Self::wake) input, if at all.
     fn next_wake(&self) -> Option<Time>;
 
-    /// What it is given when the time has come that it asked for.
+    /// The input that tells the state machine that the time of [`next_wake`](Self::next_wake) has come.
     fn wake() -> Self::Input;
 }
 
-/// What decides: the controller, or something that stands in for it in a comparison. The engine gives it every event
-/// and carries out every action in order.
+/// The controller, or a replacement for it in a comparison. The engine passes it every event and carries out
+/// every action in order.
 pub trait Decide: std::fmt::Debug {
-    /// Takes one event at the clock's reading `now` and appends what is to be done.
+    /// Processes one event at time `now` and appends the resulting actions.
     fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>);
 }
 
--- a/crates/fawnrouter-machine/src/timer_queue.rs
+++ b/crates/fawnrouter-machine/src/timer_queue.rs
@@ -1,10 +1,10 @@
-//! What comes due when.
+//! A queue of timers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use fawnrouter::Time;
 
-/// One time for each key.
+/// Timers by key, at most one for each key.
 #[derive(Debug)]
 pub struct TimerQueue<K> {
     order: BTreeSet<(Time, K)>,
@@ -12,33 +12,33 @@
 }
 
 impl<K: Copy + Ord> TimerQueue<K> {
-    /// The key comes due then, and no more when it did before.
+    /// Sets the timer of a key, in place of an earlier one.
     pub fn set(&mut self, key: K, at: Time) {
         self.clear(key);
         self.times.insert(key, at);
         self.order.insert((at, key));
     }
 
-    /// The key does not come due.
+    /// Cancels the timer of a key.
     pub fn clear(&mut self, key: K) {
         if let Some(at) = self.times.remove(&key) {
             self.order.remove(&(at, key));
         }
     }
 
-    /// When the first comes due.
+    /// When the next timer expires.
     #[must_use]
     pub fn next_at(&self) -> Option<Time> {
         self.order.first().map(|(at, _)| *at)
     }
 
-    /// Whether the key comes due some time.
+    /// Whether the key has a timer.
     #[must_use]
     pub fn is_set(&self, key: K) -> bool {
         self.times.contains_key(&key)
     }
 
-    /// Takes the first key that is due.
+    /// Removes the first timer that has expired and returns its key.
     pub fn pop_due(&mut self, now: Time) -> Option<K> {
         let (at, key) = self.order.first().copied().filter(|(at, _)| *at <= now)?;
         self.order.remove(&(at, key));
@@ -46,13 +46,13 @@
         Some(key)
     }
 
-    /// Keys that come due.
+    /// Number of timers.
     #[must_use]
     pub fn len(&self) -> usize {
         self.order.len()
     }
 
-    /// Whether nothing comes due.
+    /// Whether there are no timers.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.order.is_empty()
--- a/crates/fawnrouter-node/src/list_query.rs
+++ b/crates/fawnrouter-node/src/list_query.rs
@@ -23,7 +23,7 @@
 #[non_exhaustive]
 pub enum AskError {
     /// No open query has this id.
-    #[error("the answer is to no question that is open")]
+    #[error("the response matches no open query")]
     NoOpenQuery,
     /// The response cannot be read or is not usable.
     #[error(transparent)]
