--- a/crates/fawnrouter-bootinfo/tests/reports.rs
+++ b/crates/fawnrouter-bootinfo/tests/reports.rs
@@ -1,4 +1,4 @@
-//! Load reports, in both forms.
+//! Load reports in both formats.
 
 use fawnrouter::Report;
 use fawnrouter_bootinfo::{parse_report, settings};
--- a/crates/fawnrouter-bootinfo/tests/settings.rs
+++ b/crates/fawnrouter-bootinfo/tests/settings.rs
@@ -1,4 +1,4 @@
-//! What the settings object may leave out, what it may not, and what is said of one that is wrong.
+//! Which settings are required and which optional, and how invalid ones are reported.
 
 use std::time::Duration;
 
@@ -6,8 +6,8 @@
 use fawnrouter_bootinfo::{BootInfoError, connection_settings, settings};
 use serde_json::{Value, json};
 
-/// Everything that the users' pages name, with other figures than theirs.
-fn full() -> Value {
+/// A settings object with every known field.
+fn full_settings() -> Value {
     json!({
         "balancers": 9, "me": 8, "tickNs": 4_000_000, "overShareWorth": 0.3, "registryMode": "push",
         "classes": [
@@ -31,14 +31,14 @@
     })
 }
 
-/// The least that a gateway can start with.
-fn least() -> Value {
+/// The smallest settings object that a gateway accepts.
+fn minimal_settings() -> Value {
     json!({"balancers": 1, "classes": [{"name": "voice", "onTimeNs": 2_000_000_000, "hardLimitNs": 9_000_000_000u64}]})
 }
 
-/// `boot` with another value at this place; a last key that is not there yet is added.
-fn with(mut boot: Value, place: &str, value: Value) -> Value {
-    let (parent, key) = place.rsplit_once('/').unwrap();
+/// `boot` with another value at this JSON pointer; a last key that is not there yet is added.
+fn with_value(mut boot: Value, pointer: &str, value: Value) -> Value {
+    let (parent, key) = pointer.rsplit_once('/').unwrap();
     match boot.pointer_mut(parent).unwrap() {
         Value::Object(map) => drop(map.insert(key.to_owned(), value)),
         Value::Array(list) => list[key.parse::<usize>().unwrap()] = value,
@@ -47,8 +47,8 @@
     boot
 }
 
-/// What is said of these settings, in both parts of the translation.
-fn said(boot: &Value) -> String {
+/// The error for these settings, from either part of the translation.
+fn error_text(boot: &Value) -> String {
     let error: BootInfoError = match settings(boot) {
         Err(error) => error,
         Ok(_) => connection_settings(boot).expect_err("something is wrong"),
@@ -58,7 +58,7 @@
 
 #[test]
 fn every_setting_is_translated_to_its_field() {
-    let (s, names) = settings(&full()).unwrap();
+    let (s, names) = settings(&full_settings()).unwrap();
     let ms = Duration::from_millis;
     assert_eq!((s.gateways, s.me, s.tick, s.over_share_worth), (9, PeerId(8), ms(4), 0.3));
     let effects: Vec<_> = s.classes.iter().map(|c| c.effect).collect();
@@ -95,7 +95,7 @@
     };
     assert_eq!(s.limits, limits);
     assert_eq!((s.topology, s.discovery, s.resend), (Topology::Pools, Discovery::Push, None));
-    let sockets = connection_settings(&full()).unwrap();
+    let sockets = connection_settings(&full_settings()).unwrap();
     assert_eq!((sockets.dial_timeout, sockets.idle_timeout), (ms(400), ms(30_000)));
     assert_eq!((sockets.max_set_ups_per_connection, sockets.max_open_calls), (50, 5000));
     assert_eq!(s.validate(), Ok(()));
@@ -103,7 +103,7 @@
 
 #[test]
 fn absent_and_null_settings_mean_no_limit_and_no_permission() {
-    let mut nulls = least();
+    let mut nulls = minimal_settings();
     for key in
         ["me", "parties", "contract", "familyInfo", "policyLimits", "stats", "registryMode", "overShareWorth"]
     {
@@ -112,7 +112,7 @@
     for key in ["effect", "points", "lateShare", "group", "dedupWindowNs"] {
         nulls["classes"][0][key] = Value::Null;
     }
-    for boot in [least(), nulls] {
+    for boot in [minimal_settings(), nulls] {
         let (s, _) = settings(&boot).unwrap();
         assert_eq!(s.validate(), Ok(()));
         assert_eq!((s.rules.cold_time, s.rules.drain_grace), (Duration::ZERO, Duration::ZERO));
@@ -130,7 +130,7 @@
     for (n, attempts) in [(0, u32::MAX), (1, 1), (u64::MAX, u32::MAX)] {
         let limits =
             json!({"maxAttempts": n, "maxOpen": n, "multiplex": n, "dialTimeoutNs": n, "connIdleNs": n});
-        let boot = with(least(), "/policyLimits", limits);
+        let boot = with_value(minimal_settings(), "/policyLimits", limits);
         assert_eq!(settings(&boot).unwrap().0.limits.max_attempts, attempts);
         let sockets = connection_settings(&boot).unwrap();
         let wanted = if n == 1 { 1 } else { usize::MAX };
@@ -138,32 +138,33 @@
         assert!(sockets.idle_timeout == sockets.dial_timeout && !sockets.idle_timeout.is_zero());
     }
     let long = json!({"drainGraceNs": u64::MAX, "coldNs": u64::MAX, "fallNs": u64::MAX});
-    assert!(settings(&with(least(), "/contract", long)).is_ok());
+    assert!(settings(&with_value(minimal_settings(), "/contract", long)).is_ok());
 }
 
 #[test]
 fn unknown_fields_are_ignored_at_every_level() {
-    let mut boot = full();
+    let mut boot = full_settings();
     let odd = json!([{"anything": [null, "x"]}]);
-    for place in ["", "/classes/0", "/parties/1", "/contract", "/familyInfo", "/policyLimits", "/stats"]
+    for pointer in ["", "/classes/0", "/parties/1", "/contract", "/familyInfo", "/policyLimits", "/stats"]
         .map(str::to_owned)
     {
-        boot = with(boot, &format!("{place}/newField"), odd.clone());
+        boot = with_value(boot, &format!("{pointer}/newField"), odd.clone());
     }
-    assert_eq!(settings(&boot).unwrap().0, settings(&full()).unwrap().0);
-    assert_eq!(connection_settings(&boot), connection_settings(&full()));
+    assert_eq!(settings(&boot).unwrap().0, settings(&full_settings()).unwrap().0);
+    assert_eq!(connection_settings(&boot), connection_settings(&full_settings()));
 }
 
 #[test]
 fn unknown_effect_counts_as_unsafe() {
-    let boot = with(full(), "/classes/0/effect", json!("explodes"));
+    let boot = with_value(full_settings(), "/classes/0/effect", json!("explodes"));
     assert_eq!(settings(&boot).unwrap().0.classes[0].effect, Effect::Unsafe);
 }
 
 #[test]
 fn mesh_topology_and_ask_mode_are_read() {
     let family = json!({"topology": "mesh", "homeNo": 3, "resendNs": 400_000_000});
-    let boot = with(with(least(), "/familyInfo", family), "/registryMode", json!("ask"));
+    let boot =
+        with_value(with_value(minimal_settings(), "/familyInfo", family), "/registryMode", json!("ask"));
     let (s, _) = settings(&boot).unwrap();
     assert_eq!((s.topology, s.discovery), (Topology::Mesh { home: Cell(3) }, Discovery::Ask));
     assert_eq!(s.resend, Some(Duration::from_millis(400)));
@@ -171,23 +172,26 @@
 
 #[test]
 fn fall_multiple_of_0_is_accepted_without_a_cold_time() {
-    assert!(settings(&with(least(), "/contract", json!({"fallMultiple": 0, "coldNs": 0}))).is_ok());
+    assert!(
+        settings(&with_value(minimal_settings(), "/contract", json!({"fallMultiple": 0, "coldNs": 0})))
+            .is_ok()
+    );
 }
 
 #[test]
 fn missing_settings_are_named_with_what_to_add() {
-    let without = |place: &str| said(&with(full(), place, Value::Null));
+    let without = |pointer: &str| error_text(&with_value(full_settings(), pointer, Value::Null));
     assert_eq!(without("/balancers"), "balancers: is missing; add the number of gateways");
     assert_eq!(without("/classes"), "classes: is missing; add a list of the classes of call");
     assert_eq!(without("/classes/1"), "classes[1]: is missing; add an object");
     assert_eq!(without("/classes/1/name"), "classes[1].name: is missing; add a name");
-    for (place, field) in [("/classes/2/onTimeNs", "onTimeNs"), ("/classes/2/hardLimitNs", "hardLimitNs")] {
+    for (pointer, field) in [("/classes/2/onTimeNs", "onTimeNs"), ("/classes/2/hardLimitNs", "hardLimitNs")] {
         let wanted = format!("classes[2].{field}: is missing; add a whole number of nanoseconds above 0");
-        assert_eq!(without(place), wanted);
+        assert_eq!(without(pointer), wanted);
     }
     assert_eq!(without("/parties/1/name"), "parties[1].name: is missing; add a name");
     assert_eq!(
-        said(&with(full(), "/familyInfo", json!({"topology": "mesh"}))),
+        error_text(&with_value(full_settings(), "/familyInfo", json!({"topology": "mesh"}))),
         "familyInfo.homeNo: is missing; add the own exchange's number"
     );
 }
@@ -196,7 +200,7 @@
 fn settings_of_the_wrong_type_are_named_with_the_right_type() {
     let nanos = "a whole number of nanoseconds, 0 or more";
     let small = "a whole number from 0 to 4294967295";
-    for (place, value, told) in [
+    for (pointer, value, expected) in [
         ("/balancers", json!("9"), format!("balancers: is \"9\"; it must be {small}")),
         ("/me", json!([8]), format!("me: is [8]; it must be {small}")),
         ("/tickNs", json!(false), format!("tickNs: is false; it must be {nanos}")),
@@ -261,8 +265,8 @@
         ("/stats/names", json!("free"), "stats.names: is \"free\"; it must be a list".into()),
         ("/stats/names/1", json!(1), "stats.names[1]: is 1; it must be text".into()),
     ] {
-        let boot = with(full(), place, value);
-        assert_eq!(said(&boot), told);
+        let boot = with_value(full_settings(), pointer, value);
+        assert_eq!(error_text(&boot), expected);
         let error = settings(&boot).err().or_else(|| connection_settings(&boot).err());
         assert!(matches!(error, Some(BootInfoError::WrongType { .. })), "{error:?}");
     }
@@ -272,7 +276,7 @@
 fn settings_out_of_range_are_named_with_the_range() {
     let nanos = "a whole number of nanoseconds, 0 or more";
     let above = "a whole number of nanoseconds above 0";
-    for (place, value, told) in [
+    for (pointer, value, expected) in [
         (
             "/balancers",
             json!(0),
@@ -349,8 +353,8 @@
             "policyLimits.multiplex: is 0.5; it must be a whole number, 0 or more".into(),
         ),
     ] {
-        let boot = with(full(), place, value);
-        assert_eq!(said(&boot), told);
+        let boot = with_value(full_settings(), pointer, value);
+        assert_eq!(error_text(&boot), expected);
         let error = settings(&boot).err().or_else(|| connection_settings(&boot).err());
         assert!(matches!(error, Some(BootInfoError::OutOfRange { .. })), "{error:?}");
     }
@@ -358,7 +362,7 @@
 
 #[test]
 fn conflicting_settings_are_named_together_with_a_remedy() {
-    for (place, value, told) in [
+    for (pointer, value, expected) in [
         (
             "/me",
             json!(9),
@@ -399,18 +403,18 @@
              give one list of pools for each class, or none at all",
         ),
     ] {
-        let boot = with(full(), place, value);
-        assert_eq!(said(&boot), told);
+        let boot = with_value(full_settings(), pointer, value);
+        assert_eq!(error_text(&boot), expected);
         assert!(matches!(settings(&boot), Err(BootInfoError::Conflict { .. })));
     }
 }
 
 #[test]
 fn long_or_multiline_values_are_abbreviated_to_one_line() {
-    let told = said(&with(full(), "/contract", json!("é\n".repeat(500))));
+    let text = error_text(&with_value(full_settings(), "/contract", json!("é\n".repeat(500))));
     assert!(
-        told.starts_with("contract: is \"é\\né") && told.ends_with("...; it must be an object"),
-        "{told}"
+        text.starts_with("contract: is \"é\\né") && text.ends_with("...; it must be an object"),
+        "{text}"
     );
-    assert!(told.lines().count() == 1 && told.chars().count() < 110, "{told}");
+    assert!(text.lines().count() == 1 && text.chars().count() < 110, "{text}");
 }
--- a/crates/fawnrouter-dns/tests/messages.rs
+++ b/crates/fawnrouter-dns/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Queries and answers, good, cut, and hostile.
+//! Queries and responses: valid, truncated and malicious.
 
 use fawnrouter_dns::{Name, NameError, RecordData, RecordType, ResponseError, query, read_response};
 use proptest::prelude::*;
@@ -7,9 +7,9 @@
     text.parse().unwrap()
 }
 
-/// An answer written by hand after RFC 1035 §4.1: a question at 12, an SRV whose target is compressed into it, an A
-/// and a TXT that point to the SRV's target, and a SOA.
-fn good() -> Vec<u8> {
+/// A response written by hand after RFC 1035 §4.1: a question at 12, an SRV whose target is compressed into
+/// it, an A and a TXT that point to the SRV's target, and a SOA.
+fn valid_response() -> Vec<u8> {
     let mut m = vec![0x12, 0x34, 0x84, 0, 0, 1, 0, 1, 0, 1, 0, 2];
     m.extend(b"\x04_app\x04_tcp\x07cluster\x03lan\0\0\x21\0\x01");
     m.extend(b"\xc0\x0c\0\x21\0\x01\0\0\0\x05\0\x13\0\0\0\x28\x13\xc4");
@@ -36,7 +36,7 @@
 
 #[test]
 fn srv_a_txt_and_soa_records_are_read_through_compressed_names() {
-    let answer = read(&good()).unwrap();
+    let answer = read(&valid_response()).unwrap();
     let target = name("s1.east.lan");
     let srv = RecordData::Srv { priority: 0, weight: 40, port: 5060, target: target.clone() };
     assert_eq!(answer.answers[0].data, srv);
@@ -48,7 +48,7 @@
 
 #[test]
 fn truncated_response_or_trailing_byte_is_an_error() {
-    let message = good();
+    let message = valid_response();
     for cut in 0..message.len() {
         assert!(read(&message[..cut]).is_err(), "cut at {cut}");
     }
@@ -58,7 +58,7 @@
 #[test]
 fn wrong_id_question_flags_or_response_code_give_distinct_errors() {
     let changed = |at: usize, to: u8| {
-        let mut message = good();
+        let mut message = valid_response();
         message[at] = to;
         read(&message)
     };
@@ -97,7 +97,7 @@
 
     #[test]
     fn valid_response_with_changed_bytes_never_panics_the_reader(changes in prop::collection::vec((0usize..150, any::<u8>()), 1..6)) {
-        let mut message = good();
+        let mut message = valid_response();
         for (at, byte) in changes {
             let at = at % message.len();
             message[at] = byte;
--- a/crates/fawnrouter-jsonl/tests/lines.rs
+++ b/crates/fawnrouter-jsonl/tests/lines.rs
@@ -1,4 +1,4 @@
-//! The codec on good, cut and broken lines.
+//! Decoding and encoding of valid, split and malformed lines.
 
 use fawnrouter_jsonl::{DecodeError, Decoder, MAX_LINE_BYTES, Message, Tag, Verb};
 use proptest::prelude::*;
@@ -6,7 +6,7 @@
 const START: &str = r#"{"verb":"START","tag":"9b1f03aa5c7e2d41","opts":{"class":"voice","left":"1500"},"blob":"9d41\r\nc=IN IP4 10.4.7.9\r\n"}"#;
 const REFUSED: &str = r#"{"verb":"FINISH","tag":"9b1f03aa5c7e2d41","opts":{},"rc":34}"#;
 
-fn all(bytes: &[u8]) -> Result<Vec<Message>, DecodeError> {
+fn decode_all(bytes: &[u8]) -> Result<Vec<Message>, DecodeError> {
     let mut decoder = Decoder::new();
     decoder.push(bytes);
     let mut messages = Vec::new();
@@ -18,7 +18,7 @@
 
 #[test]
 fn example_lines_are_decoded_and_encoded_unchanged() {
-    let messages = all(format!("{START}\n{REFUSED}\n").as_bytes()).unwrap();
+    let messages = decode_all(format!("{START}\n{REFUSED}\n").as_bytes()).unwrap();
     assert_eq!(messages[0].opts["left"].as_u64(), Some(1500));
     assert_eq!((messages[1].verb, messages[1].rc), (Verb::Finish, Some(34)));
     let mut written = Vec::new();
@@ -29,7 +29,7 @@
 #[test]
 fn stream_split_at_any_byte_gives_the_same_messages() {
     let stream = format!("{START}\n\n{REFUSED}\r\n{START}\n");
-    let whole = all(stream.as_bytes()).unwrap();
+    let whole = decode_all(stream.as_bytes()).unwrap();
     assert_eq!(whole.len(), 3);
     for cut in 0..stream.len() {
         let (mut decoder, mut messages) = (Decoder::new(), Vec::new());
@@ -51,9 +51,9 @@
         let blob = "x".repeat(pad);
         format!("{{\"verb\":\"START\",\"tag\":\"9b1f03aa5c7e2d41\",\"blob\":\"{blob}\"}}\n")
     };
-    assert_eq!(all(line(MAX_LINE_BYTES - frame).as_bytes()).unwrap().len(), 1);
-    assert_eq!(all(line(MAX_LINE_BYTES - frame + 1).as_bytes()), Err(DecodeError::TooLong));
-    assert_eq!(all(&vec![b'x'; MAX_LINE_BYTES]), Err(DecodeError::TooLong));
+    assert_eq!(decode_all(line(MAX_LINE_BYTES - frame).as_bytes()).unwrap().len(), 1);
+    assert_eq!(decode_all(line(MAX_LINE_BYTES - frame + 1).as_bytes()), Err(DecodeError::TooLong));
+    assert_eq!(decode_all(&vec![b'x'; MAX_LINE_BYTES]), Err(DecodeError::TooLong));
 }
 
 #[test]
@@ -68,7 +68,10 @@
     for line in ["{}", "[]", "nonsense", "{\"verb\":\"START\",\"tag\":\"9B1F03AA5C7E2D41\"}", "\u{fffd}", "1"]
     {
         assert!(
-            matches!(all(format!("{line}\n").as_bytes()), Err(DecodeError::Malformed { tag: None, .. })),
+            matches!(
+                decode_all(format!("{line}\n").as_bytes()),
+                Err(DecodeError::Malformed { tag: None, .. })
+            ),
             "{line}"
         );
     }
@@ -78,7 +81,7 @@
 fn numbers_are_read_from_text_or_number_and_nothing_else() {
     let read = |value: &str| {
         let line = format!("{{\"verb\":\"ECHO\",\"tag\":\"0000000000000001\",\"opts\":{{\"n\":{value}}}}}\n");
-        all(line.as_bytes()).map(|m| m[0].opts["n"].as_u64())
+        decode_all(line.as_bytes()).map(|m| m[0].opts["n"].as_u64())
     };
     assert_eq!((read("7"), read("\"7\"")), (Ok(Some(7)), Ok(Some(7))));
     for odd in ["-1", "1.5", "\"1e3\"", "\"\"", "99999999999999999999999"] {
@@ -102,12 +105,12 @@
     fn valid_line_with_any_byte_changed_decodes_or_fails_cleanly(at in 0usize..START.len(), byte in any::<u8>()) {
         let mut bytes = format!("{START}\n").into_bytes();
         bytes[at] = byte;
-        if let Ok(messages) = all(&bytes) {
+        if let Ok(messages) = decode_all(&bytes) {
             for message in messages {
                 let mut again = Vec::new();
                 message.encode(&mut again);
                 if message.verb != Verb::Other {
-                    prop_assert_eq!(all(&again).unwrap(), vec![message]);
+                    prop_assert_eq!(decode_all(&again).unwrap(), vec![message]);
                 }
             }
         }
@@ -119,6 +122,6 @@
         let message = Message::new(Verb::Finish, Tag(tag)).with_cause(rc).with_option("wait", value).with_description(blob);
         let mut bytes = Vec::new();
         message.encode(&mut bytes);
-        prop_assert_eq!(all(&bytes).unwrap(), vec![message]);
+        prop_assert_eq!(decode_all(&bytes).unwrap(), vec![message]);
     }
 }
--- a/crates/fawnrouter-node/src/client_connections.rs
+++ b/crates/fawnrouter-node/src/client_connections.rs
@@ -190,14 +190,14 @@
         assert_eq!(
             connections.admit(at(40), ClientId(8)),
             Admission::AdmittedInPlaceOf(ClientId(4)),
-            "tested only"
+            "it only sent tests"
         );
         connections.remove(ClientId(4));
         [7, 8].into_iter().for_each(|n| connections.set_open_set_ups(at(50), ClientId(n), 1));
         assert_eq!(
             connections.admit(at(60), ClientId(9)),
             Admission::AdmittedInPlaceOf(ClientId(2)),
-            "nothing stands there any more"
+            "no call is established there any more"
         );
         assert_eq!(connections.most_recent_caller(), Some(ClientId(2)));
     }
--- a/crates/fawnrouter-node/src/list_query.rs
+++ b/crates/fawnrouter-node/src/list_query.rs
@@ -105,7 +105,7 @@
             Err(AskError::InvalidResponse(ResponseError::ResponseCode(2)))
         );
         assert!(ask.accept_response(&reply(&asked[1], 0)).is_ok());
-        assert_eq!(ask.accept_response(&reply(&asked[1], 0)), Err(AskError::NoOpenQuery), "a second copy");
+        assert_eq!(ask.accept_response(&reply(&asked[1], 0)), Err(AskError::NoOpenQuery), "a duplicate");
         assert!(ask.accept_response(&reply(&asked[4], 0)).is_ok());
         assert_eq!(ask.accept_response(&[]), Err(AskError::NoOpenQuery));
     }
--- a/crates/fawnrouter-node/tests/common/mod.rs
+++ b/crates/fawnrouter-node/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A gateway without sockets: the tests play callers, core switches and the name server.
+//! A test harness around the gateway without sockets: the tests act as clients, core switches and the name
+//! server.
 #![allow(dead_code, reason = "each test file uses its part")]
 
 use std::collections::BTreeMap;
@@ -51,59 +52,60 @@
     Pool::from_configuration(&serde_json::from_str(&known(serial, lines)).unwrap()).unwrap()
 }
 
-pub struct Rig {
+pub struct Harness {
     pub node: Node,
     pub now_ms: u64,
-    /// Everything that came out, with its time.
-    pub seen: Vec<(u64, Output)>,
-    /// Connections by number, with the port they go to; those that are up.
+    /// All outputs so far, with their times.
+    pub outputs: Vec<(u64, Output)>,
+    /// Open connections with the ports they go to, and those of them that are up.
     pub links: BTreeMap<LinkId, u16>,
-    pub up: BTreeMap<LinkId, bool>,
-    /// Ports that refuse, and ports that never come up.
-    pub refusing: Vec<u16>,
-    pub silent: Vec<u16>,
-    /// When each connection was begun.
-    begun: BTreeMap<LinkId, u64>,
+    pub links_up: BTreeMap<LinkId, bool>,
+    /// Ports that refuse connections, and ports to which connections never come up.
+    pub refusing_ports: Vec<u16>,
+    pub hanging_ports: Vec<u16>,
+    /// When each connection was started.
+    dialled_at: BTreeMap<LinkId, u64>,
     next_client: u64,
 }
 
-impl Rig {
-    /// With this many ready switches at ports 7001 on, all connections up.
+impl Harness {
+    /// With this many ready switches at port 7001 and up, all connections up.
     pub fn new(switches: u16) -> Self {
         let ids: Vec<String> = (1..=switches).map(|n| format!("s-{n}")).collect();
         let lines: Vec<Line<'_>> =
             ids.iter().zip(7001..).map(|(id, port)| (id.as_str(), port, "Ready", 0)).collect();
-        Self::with(&lines)
+        Self::with_switches(&lines)
     }
 
-    pub fn with(lines: &[Line<'_>]) -> Self {
-        Self::of(&config(&known(1, lines)))
+    pub fn with_switches(lines: &[Line<'_>]) -> Self {
+        Self::with_config(&config(&known(1, lines)))
     }
 
-    /// One with this configuration.
-    pub fn of(config: &str) -> Self {
+    /// A gateway with this configuration.
+    pub fn with_config(config: &str) -> Self {
         let boot = Boot::read(config.as_bytes()).unwrap();
         let node = Node::new(NodeSettings::new(&boot)).unwrap();
-        let mut rig = Self {
+        let mut harness = Self {
             node,
             now_ms: START_MS,
-            seen: Vec::new(),
+            outputs: Vec::new(),
             links: BTreeMap::new(),
-            up: BTreeMap::new(),
-            refusing: Vec::new(),
-            silent: Vec::new(),
-            begun: BTreeMap::new(),
+            links_up: BTreeMap::new(),
+            refusing_ports: Vec::new(),
+            hanging_ports: Vec::new(),
+            dialled_at: BTreeMap::new(),
             next_client: 0,
         };
-        rig.input(Input::ConfiguredList(boot.known));
-        rig
+        harness.input(Input::ConfiguredList(boot.known));
+        harness
     }
 
     pub fn now(&self) -> Time {
         Time(Duration::from_millis(self.now_ms))
     }
 
-    /// Gives an input; connections that are opened come up, are refused or hang as the test has it.
+    /// Passes an input; connections that are opened come up, are refused or hang as the test has set their
+    /// ports.
     pub fn input(&mut self, input: Input) {
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
@@ -114,28 +116,28 @@
                     Output::OpenLink { link, address, .. } => {
                         let port = address.port();
                         self.links.insert(*link, port);
-                        self.begun.insert(*link, self.now_ms);
-                        if self.refusing.contains(&port) {
+                        self.dialled_at.insert(*link, self.now_ms);
+                        if self.refusing_ports.contains(&port) {
                             self.links.remove(link);
                             inputs.insert(0, Input::LinkDown { link: *link, end: LinkEnd::Refused });
-                        } else if !self.silent.contains(&port) {
-                            self.up.insert(*link, true);
+                        } else if !self.hanging_ports.contains(&port) {
+                            self.links_up.insert(*link, true);
                             inputs.insert(0, Input::LinkUp { link: *link });
                         }
                     }
                     Output::CloseLink { link } => {
                         self.links.remove(link);
-                        self.up.remove(link);
+                        self.links_up.remove(link);
                     }
                     _ => {}
                 }
-                self.seen.push((self.now_ms, output));
+                self.outputs.push((self.now_ms, output));
             }
         }
     }
 
-    /// Time passes; the node is woken when it asks for it. Connections that have hung for 500 ms fail.
-    pub fn pass(&mut self, ms: u64) {
+    /// Lets time pass; the node is woken when it asks for it. Connections that have hung for 500 ms fail.
+    pub fn advance(&mut self, ms: u64) {
         let end = self.now_ms + ms;
         loop {
             let wake = self.node.next_wake().map(|t| t.0.as_nanos().div_ceil(1_000_000) as u64);
@@ -148,8 +150,9 @@
             }
         }
         self.now_ms = end;
-        let hangs =
-            |l: &LinkId| !self.up.contains_key(l) && self.begun.get(l).is_none_or(|at| at + 500 <= end);
+        let hangs = |l: &LinkId| {
+            !self.links_up.contains_key(l) && self.dialled_at.get(l).is_none_or(|at| at + 500 <= end)
+        };
         let hanging: Vec<LinkId> = self.links.keys().copied().filter(hangs).collect();
         for link in hanging {
             self.links.remove(&link);
@@ -164,53 +167,53 @@
         client
     }
 
-    pub fn client_says(&mut self, client: ClientId, line: &str) {
+    pub fn client_sends(&mut self, client: ClientId, line: &str) {
         match parse(line.as_bytes()) {
             Ok(message) => self.input(Input::ClientMessage { client, message }),
             Err(fault) => self.input(Input::ClientDecodeError { client, fault }),
         }
     }
 
-    pub fn call(&mut self, client: ClientId, tag: u64, left_ms: u64) {
-        self.client_says(client, &start(tag, left_ms));
+    pub fn start_call(&mut self, client: ClientId, tag: u64, left_ms: u64) {
+        self.client_sends(client, &start_line(tag, left_ms));
     }
 
-    /// What a core switch says on a connection.
-    pub fn switch_says(&mut self, link: LinkId, line: &str) {
+    /// A core switch sends a line on a connection.
+    pub fn switch_sends(&mut self, link: LinkId, line: &str) {
         match parse(line.as_bytes()) {
             Ok(message) => self.input(Input::LinkMessage { link, message }),
             Err(fault) => self.input(Input::LinkDecodeError { link, fault }),
         }
     }
 
-    pub fn started(&mut self, link: LinkId, tag: u64) {
-        self.switch_says(
+    pub fn answer_call(&mut self, link: LinkId, tag: u64) {
+        self.switch_sends(
             link,
             &format!(r#"{{"verb":"STARTED","tag":"{tag:016x}","opts":{{}},"blob":"answer {tag}"}}"#),
         );
     }
 
-    pub fn finish(&mut self, link: LinkId, tag: u64, rc: i64) {
-        self.switch_says(link, &finish(tag, rc));
+    pub fn release_call(&mut self, link: LinkId, tag: u64, rc: i64) {
+        self.switch_sends(link, &finish_line(tag, rc));
     }
 
-    /// The connection breaks.
-    pub fn broken(&mut self, link: LinkId) {
+    /// Breaks the connection.
+    pub fn break_link(&mut self, link: LinkId) {
         self.links.remove(&link);
-        self.up.remove(&link);
+        self.links_up.remove(&link);
         self.input(Input::LinkDown { link, end: LinkEnd::Broken });
     }
 
-    /// All connections to a port break.
-    pub fn all_broken(&mut self, port: u16) {
+    /// Breaks all connections to a port.
+    pub fn break_links_to(&mut self, port: u16) {
         let links: Vec<LinkId> =
-            self.up.keys().copied().filter(|l| self.links.get(l) == Some(&port)).collect();
-        links.into_iter().for_each(|link| self.broken(link));
+            self.links_up.keys().copied().filter(|l| self.links.get(l) == Some(&port)).collect();
+        links.into_iter().for_each(|link| self.break_link(link));
     }
 
-    /// What was written to core switches: when, where, what.
-    pub fn to_links(&self) -> Vec<(u64, LinkId, Message)> {
-        let written = self.seen.iter().filter_map(|(at, o)| match o {
+    /// Messages sent to core switches: time, connection, message.
+    pub fn sent_to_switches(&self) -> Vec<(u64, LinkId, Message)> {
+        let written = self.outputs.iter().filter_map(|(at, o)| match o {
             Output::ToLink { link, line }
             | Output::SetUp { link, line, .. }
             | Output::CancelSetUp { link, line, .. } => Some((*at, *link, parse(line).unwrap())),
@@ -219,25 +222,25 @@
         written.collect()
     }
 
-    /// Set-ups written for this call: when, on which connection.
-    pub fn starts(&self, tag: u64) -> Vec<(u64, LinkId)> {
-        let all = self.to_links().into_iter();
+    /// Set-ups sent for this call: time and connection.
+    pub fn set_ups_sent(&self, tag: u64) -> Vec<(u64, LinkId)> {
+        let all = self.sent_to_switches().into_iter();
         all.filter(|(_, _, m)| m.verb == Verb::Start && m.tag == Tag(tag))
             .map(|(at, link, _)| (at, link))
             .collect()
     }
 
-    /// Releases written for this call.
-    pub fn releases(&self, tag: u64) -> Vec<(u64, LinkId)> {
-        let all = self.to_links().into_iter();
+    /// Releases sent for this call: time and connection.
+    pub fn releases_sent(&self, tag: u64) -> Vec<(u64, LinkId)> {
+        let all = self.sent_to_switches().into_iter();
         all.filter(|(_, _, m)| m.verb == Verb::Finish && m.tag == Tag(tag))
             .map(|(at, link, _)| (at, link))
             .collect()
     }
 
-    /// What was written to clients with a tag: when, to whom, what.
-    pub fn to_clients(&self) -> Vec<(u64, ClientId, Message)> {
-        let written = self.seen.iter().filter_map(|(at, o)| match o {
+    /// Messages with a tag sent to clients: time, client, message.
+    pub fn sent_to_clients(&self) -> Vec<(u64, ClientId, Message)> {
+        let written = self.outputs.iter().filter_map(|(at, o)| match o {
             Output::ToClient { client, line } | Output::NotifyCaller { client, line, .. } => {
                 parse(line).ok().map(|m| (*at, *client, m))
             }
@@ -246,29 +249,29 @@
         written.collect()
     }
 
-    /// What clients were told of this call: type and cause.
-    pub fn told(&self, tag: u64) -> Vec<(Verb, Option<i64>)> {
-        self.to_clients()
+    /// Messages about this call sent to clients: type and cause.
+    pub fn messages_about(&self, tag: u64) -> Vec<(Verb, Option<i64>)> {
+        self.sent_to_clients()
             .into_iter()
             .filter(|(_, _, m)| m.tag == Tag(tag))
             .map(|(_, _, m)| (m.verb, m.rc))
             .collect()
     }
 
-    pub fn closed(&self, client: ClientId) -> bool {
-        self.seen.iter().any(|(_, o)| *o == Output::CloseClient { client })
+    pub fn is_closed(&self, client: ClientId) -> bool {
+        self.outputs.iter().any(|(_, o)| *o == Output::CloseClient { client })
     }
 
-    pub fn done(&self) -> bool {
-        self.seen.iter().any(|(_, o)| *o == Output::Done)
+    pub fn is_done(&self) -> bool {
+        self.outputs.iter().any(|(_, o)| *o == Output::Done)
     }
 
-    /// A call that stands; on which connection it came to.
-    pub fn standing(&mut self, client: ClientId, tag: u64) -> LinkId {
-        self.call(client, tag, 3000);
-        let (_, link) = *self.starts(tag).last().expect("the call was sent on");
-        self.started(link, tag);
-        assert_eq!(self.told(tag), [(Verb::Started, None)]);
+    /// Establishes a call and returns the connection that its set-up was sent on.
+    pub fn establish_call(&mut self, client: ClientId, tag: u64) -> LinkId {
+        self.start_call(client, tag, 3000);
+        let (_, link) = *self.set_ups_sent(tag).last().expect("the call was sent to a switch");
+        self.answer_call(link, tag);
+        assert_eq!(self.messages_about(tag), [(Verb::Started, None)]);
         link
     }
 }
@@ -282,13 +285,13 @@
     decoder.next_message().map(|m| m.expect("a line"))
 }
 
-pub fn start(tag: u64, left_ms: u64) -> String {
+pub fn start_line(tag: u64, left_ms: u64) -> String {
     format!(
         r#"{{"verb":"START","tag":"{tag:016x}","opts":{{"class":"voice","left":"{left_ms}","key":"7f3a","extras":"dest:1;width:1;via:-1"}},"blob":"offer {tag}"}}"#
     )
 }
 
-pub fn finish(tag: u64, rc: i64) -> String {
+pub fn finish_line(tag: u64, rc: i64) -> String {
     format!(r#"{{"verb":"FINISH","tag":"{tag:016x}","opts":{{}},"rc":{rc}}}"#)
 }
 
--- a/crates/fawnrouter-node/tests/inbox.rs
+++ b/crates/fawnrouter-node/tests/inbox.rs
@@ -1,5 +1,5 @@
-//! What is known of a caller's lines before any of them is looked at, and what a gateway does with those whose caller has
-//! gone. How the descriptors are divided.
+//! Set-ups that are withdrawn before they are processed, clients that disconnect, and the division of
+//! descriptors.
 
 mod common;
 
@@ -11,9 +11,9 @@
     parse(line.as_bytes()).unwrap()
 }
 
-/// Tags in order; those given up are negative.
-fn order(intake: &mut Inbox) -> Vec<i64> {
-    let next = std::iter::from_fn(|| intake.pop());
+/// The tags in order; those of withdrawn set-ups are negative.
+fn popped_tags(inbox: &mut Inbox) -> Vec<i64> {
+    let next = std::iter::from_fn(|| inbox.pop());
     next.map(|next| match next {
         QueuedMessage::Live(m) => m.tag.0 as i64,
         QueuedMessage::Withdrawn(m) => -(m.tag.0 as i64),
@@ -23,101 +23,108 @@
 
 #[test]
 fn set_up_withdrawn_behind_hundreds_of_others_is_marked_before_it_is_popped() {
-    let mut intake = Inbox::default();
-    (1..=500).for_each(|tag| intake.push(message(&start(tag, 3000))));
-    (1..=499).for_each(|tag| intake.push(message(&finish(tag, 16))));
-    let taken = order(&mut intake);
-    assert!(taken[..499].iter().all(|tag| *tag < 0) && taken[499] == 500, "the last one still waits");
-    assert_eq!(taken.len(), 999, "what ends a call is handed on too: it may be a standing one");
+    let mut inbox = Inbox::default();
+    (1..=500).for_each(|tag| inbox.push(message(&start_line(tag, 3000))));
+    (1..=499).for_each(|tag| inbox.push(message(&finish_line(tag, 16))));
+    let popped = popped_tags(&mut inbox);
+    assert!(popped[..499].iter().all(|tag| *tag < 0) && popped[499] == 500, "the last one is not withdrawn");
+    assert_eq!(
+        popped.len(),
+        999,
+        "messages that end a call are returned too, as the call may be established"
+    );
 }
 
 #[test]
 fn reused_tag_is_another_set_up_and_a_popped_one_is_ended_by_its_finish() {
-    let mut intake = Inbox::default();
-    for line in [start(7, 3000), finish(7, 16), start(7, 3000)] {
-        intake.push(message(&line));
+    let mut inbox = Inbox::default();
+    for line in [start_line(7, 3000), finish_line(7, 16), start_line(7, 3000)] {
+        inbox.push(message(&line));
     }
-    assert_eq!(order(&mut intake), [-7, 7, 7]);
-    intake.push(message(&start(8, 3000)));
-    assert_eq!(order(&mut intake), [8]);
-    intake.push(message(&start(9, 3000)));
-    intake.push(message(&finish(8, 16)));
-    assert_eq!(order(&mut intake), [8, 9], "ahead of all that came before it");
+    assert_eq!(popped_tags(&mut inbox), [-7, 7, 7]);
+    inbox.push(message(&start_line(8, 3000)));
+    assert_eq!(popped_tags(&mut inbox), [8]);
+    inbox.push(message(&start_line(9, 3000)));
+    inbox.push(message(&finish_line(8, 16)));
+    assert_eq!(popped_tags(&mut inbox), [8, 9], "ahead of everything that came before it");
 }
 
 #[test]
 fn client_disconnect_withdraws_its_set_ups_but_not_its_releases() {
-    let mut intake = Inbox::default();
-    for line in [start(1, 3000), finish(6, 16), start(1, 3000), start(2, 3000)] {
-        intake.push(message(&line));
+    let mut inbox = Inbox::default();
+    for line in [start_line(1, 3000), finish_line(6, 16), start_line(1, 3000), start_line(2, 3000)] {
+        inbox.push(message(&line));
     }
-    intake.withdraw_all();
-    assert_eq!(order(&mut intake), [6, -1, -1, -2]);
+    inbox.withdraw_all();
+    assert_eq!(popped_tags(&mut inbox), [6, -1, -1, -2]);
 }
 
 #[test]
 fn withdrawn_set_up_is_never_attempted_and_its_caller_gets_finished() {
-    let mut rig = Rig::new(1);
-    let client = rig.connect();
-    rig.input(Input::SetUpWithdrawn { client, message: message(&start(7, 3000)) });
-    rig.client_says(client, &finish(7, 16));
-    rig.pass(4000);
-    assert!(rig.starts(7).is_empty());
-    assert_eq!(rig.told(7), [(Verb::Finished, None)]);
-    // One that makes no sense, or carries another call's id, is what it would have been.
-    rig.input(Input::SetUpWithdrawn { client, message: message(&start(8, 99_000)) });
-    assert_eq!(rig.told(8), [(Verb::Finish, Some(100))]);
-    let other = rig.connect();
-    rig.call(other, 9, 3000);
-    rig.input(Input::SetUpWithdrawn { client, message: message(&start(9, 3000)) });
-    assert!(rig.closed(client) && !rig.closed(other) && rig.starts(9).len() == 1);
+    let mut harness = Harness::new(1);
+    let client = harness.connect();
+    harness.input(Input::SetUpWithdrawn { client, message: message(&start_line(7, 3000)) });
+    harness.client_sends(client, &finish_line(7, 16));
+    harness.advance(4000);
+    assert!(harness.set_ups_sent(7).is_empty());
+    assert_eq!(harness.messages_about(7), [(Verb::Finished, None)]);
+    // An invalid set-up, or one with another call's tag, is handled as if it had not been withdrawn.
+    harness.input(Input::SetUpWithdrawn { client, message: message(&start_line(8, 99_000)) });
+    assert_eq!(harness.messages_about(8), [(Verb::Finish, Some(100))]);
+    let other = harness.connect();
+    harness.start_call(other, 9, 3000);
+    harness.input(Input::SetUpWithdrawn { client, message: message(&start_line(9, 3000)) });
+    assert!(harness.is_closed(client) && !harness.is_closed(other) && harness.set_ups_sent(9).len() == 1);
 }
 
 #[test]
 fn half_closed_client_loses_its_set_ups_at_once_but_its_earlier_releases_count() {
-    let mut rig = Rig::new(1);
-    let client = rig.connect();
-    rig.standing(client, 6);
-    rig.call(client, 7, 3000);
-    rig.input(Input::ClientHalfClosed { client });
-    assert_eq!(rig.releases(7).len(), 1, "its set-up is given up");
-    rig.input(Input::SetUpWithdrawn { client, message: message(&start(8, 3000)) });
-    rig.client_says(client, &finish(6, 16));
-    rig.input(Input::ClientDisconnected { client });
-    rig.pass(4000);
-    assert_eq!((rig.releases(6).len(), rig.starts(8).len()), (1, 0));
-    let before = rig.seen.len();
-    rig.client_says(client, &finish(6, 16));
-    assert_eq!(rig.seen.len(), before, "nothing comes on a connection that is closed");
+    let mut harness = Harness::new(1);
+    let client = harness.connect();
+    harness.establish_call(client, 6);
+    harness.start_call(client, 7, 3000);
+    harness.input(Input::ClientHalfClosed { client });
+    assert_eq!(harness.releases_sent(7).len(), 1, "its set-up is withdrawn");
+    harness.input(Input::SetUpWithdrawn { client, message: message(&start_line(8, 3000)) });
+    harness.client_sends(client, &finish_line(6, 16));
+    harness.input(Input::ClientDisconnected { client });
+    harness.advance(4000);
+    assert_eq!((harness.releases_sent(6).len(), harness.set_ups_sent(8).len()), (1, 0));
+    let before = harness.outputs.len();
+    harness.client_sends(client, &finish_line(6, 16));
+    assert_eq!(harness.outputs.len(), before, "nothing is processed on a closed connection");
 }
 
 #[test]
 fn set_up_recalled_from_a_draining_switch_is_sent_elsewhere_at_once() {
-    let mut rig = Rig::new(2);
-    let client = rig.connect();
-    rig.call(client, 7, 4000);
-    let (_, first) = rig.starts(7)[0];
+    let mut harness = Harness::new(2);
+    let client = harness.connect();
+    harness.start_call(client, 7, 4000);
+    let (_, first) = harness.set_ups_sent(7)[0];
     let ready = [("s-1", 7001, "Ready", 0), ("s-2", 7002, "Ready", 0)];
     let mut lines = ready;
-    let drains = usize::from(rig.links[&first] - 7001);
+    let drains = usize::from(harness.links[&first] - 7001);
     lines[drains].2 = "Terminating";
-    rig.input(Input::ConfiguredList(pool(2, &lines)));
-    assert!(rig.seen.iter().any(|(_, o)| *o == Output::RecallSetUps { link: first }));
-    rig.input(Input::SetUpRecalled { link: first, tag: fawnrouter_node::jsonl::Tag(7) });
-    rig.pass(20);
-    let starts = rig.starts(7);
-    assert!(starts.len() == 2 && rig.links[&starts[1].1] != rig.links[&first], "no guard: it was never sent");
-    assert!(rig.releases(7).is_empty());
-    rig.started(starts[1].1, 7);
-    assert_eq!(rig.told(7), [(Verb::Started, None)]);
+    harness.input(Input::ConfiguredList(pool(2, &lines)));
+    assert!(harness.outputs.iter().any(|(_, o)| *o == Output::RecallSetUps { link: first }));
+    harness.input(Input::SetUpRecalled { link: first, tag: fawnrouter_node::jsonl::Tag(7) });
+    harness.advance(20);
+    let starts = harness.set_ups_sent(7);
+    assert!(
+        starts.len() == 2 && harness.links[&starts[1].1] != harness.links[&first],
+        "no guard time: it was never sent"
+    );
+    assert!(harness.releases_sent(7).is_empty());
+    harness.answer_call(starts[1].1, 7);
+    assert_eq!(harness.messages_about(7), [(Verb::Started, None)]);
 }
 
 #[test]
 fn descriptor_shares_cover_callers_and_links_within_the_limit() {
     for descriptors in 64..=4096 {
         let shares = DescriptorShares::divide(descriptors);
-        let dealt = shares.max_client_connections() + shares.links;
-        assert!(dealt + 16 <= descriptors, "{descriptors}: {shares:?}");
+        let total = shares.max_client_connections() + shares.links;
+        assert!(total + 16 <= descriptors, "{descriptors}: {shares:?}");
         assert!(shares.clients >= descriptors / 3, "callers keep to a third: {descriptors}, {shares:?}");
         assert!(shares.links >= 16 && shares.closing >= 8, "{descriptors}: {shares:?}");
     }
--- a/crates/fawnrouter-node/tests/rules.rs
+++ b/crates/fawnrouter-node/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Rules 1, 2, 3 and 5 over any order of inputs, judged from the lines alone.
+//! Checks rules 1, 2, 3 and 5 for arbitrary sequences of inputs, from the messages alone.
 
 mod common;
 
@@ -14,15 +14,15 @@
     Connect,
     Call { client: usize, left: u64 },
     Withdraw { call: usize },
-    Leave { client: usize },
-    Answer { out: usize },
-    Turn { out: usize, rc: i64 },
-    Noise { link: usize },
-    Break { link: usize },
-    Refuse { port: u16, on: bool },
-    Vanish { port: u16, on: bool },
-    List { states: [u8; 3], fresh: bool },
-    Pass { ms: u64 },
+    Disconnect { client: usize },
+    Answer { attempt: usize },
+    Reject { attempt: usize, rc: i64 },
+    SendGarbage { link: usize },
+    BreakLink { link: usize },
+    RefuseConnections { port: u16, on: bool },
+    HangConnections { port: u16, on: bool },
+    ChangeList { states: [u8; 3], fresh: bool },
+    Advance { ms: u64 },
     Stop,
 }
 
@@ -32,52 +32,52 @@
         2 => Just(Step::Connect),
         12 => (any.clone(), 60u64..4000).prop_map(|(client, left)| Step::Call { client, left }),
         1 => any.clone().prop_map(|call| Step::Withdraw { call }),
-        1 => any.clone().prop_map(|client| Step::Leave { client }),
-        10 => any.clone().prop_map(|out| Step::Answer { out }),
+        1 => any.clone().prop_map(|client| Step::Disconnect { client }),
+        10 => any.clone().prop_map(|attempt| Step::Answer { attempt }),
         6 => (any.clone(), prop::sample::select(vec![16, 17, 34, 41, 47, 102, 3]))
-            .prop_map(|(out, rc)| Step::Turn { out, rc }),
-        1 => any.clone().prop_map(|link| Step::Noise { link }),
-        2 => any.prop_map(|link| Step::Break { link }),
-        1 => (7001u16..7004, prop::bool::ANY).prop_map(|(port, on)| Step::Refuse { port, on }),
-        1 => (7001u16..7004, prop::bool::ANY).prop_map(|(port, on)| Step::Vanish { port, on }),
+            .prop_map(|(attempt, rc)| Step::Reject { attempt, rc }),
+        1 => any.clone().prop_map(|link| Step::SendGarbage { link }),
+        2 => any.prop_map(|link| Step::BreakLink { link }),
+        1 => (7001u16..7004, prop::bool::ANY).prop_map(|(port, on)| Step::RefuseConnections { port, on }),
+        1 => (7001u16..7004, prop::bool::ANY).prop_map(|(port, on)| Step::HangConnections { port, on }),
         2 => (prop::array::uniform3(0u8..4), prop::bool::weighted(0.2))
-            .prop_map(|(states, fresh)| Step::List { states, fresh }),
-        12 => (1u64..600).prop_map(|ms| Step::Pass { ms }),
+            .prop_map(|(states, fresh)| Step::ChangeList { states, fresh }),
+        12 => (1u64..600).prop_map(|ms| Step::Advance { ms }),
         1 => Just(Step::Stop),
     ]
 }
 
-/// What the lines must add up to.
+/// Checks the rules against the messages sent so far.
 #[derive(Default)]
-struct Judge {
-    seen: usize,
-    /// Which port each connection goes to, also when it is gone.
+struct RuleChecker {
+    checked_outputs: usize,
+    /// The port that each connection goes to, also after its end.
     ports: BTreeMap<LinkId, u16>,
-    /// Attempts out: by call, on which connection.
-    out: BTreeMap<u64, LinkId>,
-    /// Not before this time again.
-    guard: BTreeMap<u64, u64>,
-    /// Ports that take nothing, as the node has heard.
-    shut: BTreeSet<u16>,
-    /// Calls: whose, until when, how often answered, whether they stand, whether they are over.
-    calls: BTreeMap<u64, Owed>,
+    /// Open attempts: the connection by call.
+    open_attempts: BTreeMap<u64, LinkId>,
+    /// The earliest time of each call's next attempt.
+    guarded_until: BTreeMap<u64, u64>,
+    /// Ports of switches that take no set-ups, according to the last list.
+    closed_ports: BTreeSet<u16>,
+    /// The calls so far.
+    calls: BTreeMap<u64, CallRecord>,
 }
 
-struct Owed {
+struct CallRecord {
     client: ClientId,
-    until: u64,
+    deadline: u64,
     answers: u32,
     releases: u32,
-    given_up: bool,
+    abandoned: bool,
 }
 
-impl Judge {
-    fn judge(&mut self, rig: &Rig) -> Result<(), TestCaseError> {
-        self.ports.extend(rig.links.iter().map(|(l, p)| (*l, *p)));
-        for (at, output) in &rig.seen[self.seen..] {
+impl RuleChecker {
+    fn check(&mut self, harness: &Harness) -> Result<(), TestCaseError> {
+        self.ports.extend(harness.links.iter().map(|(l, p)| (*l, *p)));
+        for (at, output) in &harness.outputs[self.checked_outputs..] {
             match output {
                 Output::OpenLink { link, address, .. } => drop(self.ports.insert(*link, address.port())),
-                Output::CloseLink { link } => self.broken(*link, *at),
+                Output::CloseLink { link } => self.link_broken(*link, *at),
                 Output::ToLink { link, line }
                 | Output::SetUp { link, line, .. }
                 | Output::CancelSetUp { link, line, .. } => {
@@ -85,39 +85,42 @@
                     let tag = message.tag.0;
                     if message.verb == Verb::Start {
                         prop_assert!(
-                            !self.out.contains_key(&tag),
+                            !self.open_attempts.contains_key(&tag),
                             "rule 2: {tag} is out twice: {}",
-                            history(rig, tag)
+                            history(harness, tag)
                         );
-                        prop_assert!(self.guard.get(&tag).is_none_or(|t| at >= t), "rule 5: {tag} at {at}");
-                        prop_assert!(!self.shut.contains(&self.ports[link]), "rule 3: {tag}");
-                        let owed = &self.calls[&tag];
-                        prop_assert!(!owed.given_up && owed.answers == 0, "nothing after the answer: {tag}");
-                        self.out.insert(tag, *link);
-                    } else if message.verb == Verb::Finish && self.out.get(&tag) == Some(link) {
-                        self.out.remove(&tag);
-                        self.guard.insert(tag, at + 200);
+                        prop_assert!(
+                            self.guarded_until.get(&tag).is_none_or(|t| at >= t),
+                            "rule 5: {tag} at {at}"
+                        );
+                        prop_assert!(!self.closed_ports.contains(&self.ports[link]), "rule 3: {tag}");
+                        let call = &self.calls[&tag];
+                        prop_assert!(!call.abandoned && call.answers == 0, "nothing after the answer: {tag}");
+                        self.open_attempts.insert(tag, *link);
+                    } else if message.verb == Verb::Finish && self.open_attempts.get(&tag) == Some(link) {
+                        self.open_attempts.remove(&tag);
+                        self.guarded_until.insert(tag, at + 200);
                     }
                 }
                 Output::ToClient { client, line } | Output::NotifyCaller { client, line, .. } => {
                     let Ok(message) = parse(line) else { continue };
-                    let Some(owed) = self.calls.get_mut(&message.tag.0) else { continue };
+                    let Some(call) = self.calls.get_mut(&message.tag.0) else { continue };
                     match message.verb {
                         Verb::Finished => {}
-                        Verb::Started | Verb::Finish if owed.answers == 0 => {
+                        Verb::Started | Verb::Finish if call.answers == 0 => {
                             prop_assert!(
-                                !owed.given_up,
+                                !call.abandoned,
                                 "rule 1: {:?} answered though given up",
                                 message.tag
                             );
-                            prop_assert!(*at < owed.until, "rule 1: {:?} answered late", message.tag);
-                            prop_assert_eq!(*client, owed.client);
-                            owed.answers = 1;
-                            owed.releases = u32::from(message.verb == Verb::Finish);
+                            prop_assert!(*at < call.deadline, "rule 1: {:?} answered late", message.tag);
+                            prop_assert_eq!(*client, call.client);
+                            call.answers = 1;
+                            call.releases = u32::from(message.verb == Verb::Finish);
                         }
                         Verb::Finish => {
-                            owed.releases += 1;
-                            prop_assert_eq!(owed.releases, 1, "rule 1: {:?} ended twice", message.tag);
+                            call.releases += 1;
+                            prop_assert_eq!(call.releases, 1, "rule 1: {:?} ended twice", message.tag);
                         }
                         other => prop_assert!(false, "{:?}: {:?} after the answer", message.tag, other),
                     }
@@ -125,23 +128,24 @@
                 _ => {}
             }
         }
-        self.seen = rig.seen.len();
+        self.checked_outputs = harness.outputs.len();
         Ok(())
     }
 
-    fn broken(&mut self, link: LinkId, at: u64) {
-        let lost: Vec<u64> = self.out.iter().filter(|(_, l)| **l == link).map(|(t, _)| *t).collect();
+    fn link_broken(&mut self, link: LinkId, at: u64) {
+        let lost: Vec<u64> =
+            self.open_attempts.iter().filter(|(_, l)| **l == link).map(|(t, _)| *t).collect();
         for tag in lost {
-            self.out.remove(&tag);
-            self.guard.insert(tag, at + 200);
+            self.open_attempts.remove(&tag);
+            self.guarded_until.insert(tag, at + 200);
         }
     }
 }
 
-/// What was said of a call, for a failure's message.
-fn history(rig: &Rig, tag: u64) -> String {
+/// All messages about a call, for the message of a failure.
+fn history(harness: &Harness, tag: u64) -> String {
     let of_call = |line: &[u8]| String::from_utf8_lossy(line).contains(&Tag(tag).to_string());
-    let told = rig.seen.iter().filter(|(_, o)| match o {
+    let told = harness.outputs.iter().filter(|(_, o)| match o {
         Output::ToLink { line, .. }
         | Output::SetUp { line, .. }
         | Output::CancelSetUp { line, .. }
@@ -163,100 +167,108 @@
     .collect()
 }
 
-fn nth<T: Copy>(items: impl Iterator<Item = T>, n: usize) -> Option<T> {
+fn pick<T: Copy>(items: impl Iterator<Item = T>, n: usize) -> Option<T> {
     let items: Vec<T> = items.collect();
     (!items.is_empty()).then(|| items[n % items.len()])
 }
 
-fn run(steps: Vec<Step>) -> Result<(), TestCaseError> {
-    let mut rig = Rig::new(3);
-    let mut judge = Judge::default();
-    let mut clients = vec![rig.connect()];
+fn run_steps(steps: Vec<Step>) -> Result<(), TestCaseError> {
+    let mut harness = Harness::new(3);
+    let mut checker = RuleChecker::default();
+    let mut clients = vec![harness.connect()];
     let (mut tag, mut serial, mut names) = (0, 1, ["s-1".to_owned(), "s-2".to_owned(), "s-3".to_owned()]);
     for step in steps {
-        // The silent are closed by the node; it owes them nothing.
-        clients.retain(|c| !rig.closed(*c));
+        // The node closes silent clients; they need no answer.
+        clients.retain(|c| !harness.is_closed(*c));
         match step {
-            Step::Connect => clients.push(rig.connect()),
+            Step::Connect => clients.push(harness.connect()),
             Step::Call { client, left } => {
                 tag += 1;
-                let Some(client) = nth(clients.iter().copied(), client) else { continue };
-                let until = rig.now_ms + left;
-                judge.calls.insert(tag, Owed { client, until, answers: 0, releases: 0, given_up: false });
-                rig.call(client, tag, left);
+                let Some(client) = pick(clients.iter().copied(), client) else { continue };
+                let deadline = harness.now_ms + left;
+                checker
+                    .calls
+                    .insert(tag, CallRecord { client, deadline, answers: 0, releases: 0, abandoned: false });
+                harness.start_call(client, tag, left);
             }
             Step::Withdraw { call } => {
-                let Some(call) = nth(judge.calls.keys().copied(), call) else { continue };
-                let owed = judge.calls.get_mut(&call).unwrap();
-                if clients.contains(&owed.client) && owed.answers == 0 {
-                    owed.given_up = true;
-                    rig.client_says(owed.client, &finish(call, 16));
+                let Some(tag) = pick(checker.calls.keys().copied(), call) else { continue };
+                let call = checker.calls.get_mut(&tag).unwrap();
+                if clients.contains(&call.client) && call.answers == 0 {
+                    call.abandoned = true;
+                    harness.client_sends(call.client, &finish_line(tag, 16));
                 }
             }
-            Step::Leave { client } => {
-                if let Some(client) = nth(clients.iter().copied(), client) {
+            Step::Disconnect { client } => {
+                if let Some(client) = pick(clients.iter().copied(), client) {
                     clients.retain(|c| *c != client);
-                    judge
+                    checker
                         .calls
                         .values_mut()
                         .filter(|o| o.client == client && o.answers == 0)
-                        .for_each(|o| o.given_up = true);
-                    rig.input(Input::ClientDisconnected { client });
+                        .for_each(|o| o.abandoned = true);
+                    harness.input(Input::ClientDisconnected { client });
                 }
             }
-            Step::Answer { out } => {
-                let Some((tag, link)) = nth(judge.out.iter().map(|(t, l)| (*t, *l)), out) else { continue };
-                judge.out.remove(&tag);
-                rig.started(link, tag);
+            Step::Answer { attempt } => {
+                let Some((tag, link)) = pick(checker.open_attempts.iter().map(|(t, l)| (*t, *l)), attempt)
+                else {
+                    continue;
+                };
+                checker.open_attempts.remove(&tag);
+                harness.answer_call(link, tag);
             }
-            Step::Turn { out, rc } => {
-                let Some((tag, link)) = nth(judge.out.iter().map(|(t, l)| (*t, *l)), out) else { continue };
-                judge.out.remove(&tag);
+            Step::Reject { attempt, rc } => {
+                let Some((tag, link)) = pick(checker.open_attempts.iter().map(|(t, l)| (*t, *l)), attempt)
+                else {
+                    continue;
+                };
+                checker.open_attempts.remove(&tag);
                 if ![17, 34, 47, 102].contains(&rc) {
-                    judge.guard.insert(tag, rig.now_ms + 200);
+                    checker.guarded_until.insert(tag, harness.now_ms + 200);
                 }
-                rig.finish(link, tag, rc);
+                harness.release_call(link, tag, rc);
             }
-            Step::Noise { link } => {
-                let Some(link) = nth(rig.up.keys().copied(), link) else { continue };
-                rig.switch_says(link, "{\"verb\":\"STARTED\",\"tag\":7}");
+            Step::SendGarbage { link } => {
+                let Some(link) = pick(harness.links_up.keys().copied(), link) else { continue };
+                harness.switch_sends(link, "{\"verb\":\"STARTED\",\"tag\":7}");
             }
-            Step::Break { link } => {
-                let Some(link) = nth(rig.up.keys().copied(), link) else { continue };
-                judge.broken(link, rig.now_ms);
-                rig.broken(link);
+            Step::BreakLink { link } => {
+                let Some(link) = pick(harness.links_up.keys().copied(), link) else { continue };
+                checker.link_broken(link, harness.now_ms);
+                harness.break_link(link);
             }
-            Step::Refuse { port, on } => {
-                rig.refusing.retain(|p| *p != port);
+            Step::RefuseConnections { port, on } => {
+                harness.refusing_ports.retain(|p| *p != port);
                 if on {
-                    rig.refusing.push(port);
+                    harness.refusing_ports.push(port);
                     let links: Vec<LinkId> =
-                        rig.up.keys().copied().filter(|l| rig.links[l] == port).collect();
+                        harness.links_up.keys().copied().filter(|l| harness.links[l] == port).collect();
                     for link in links {
-                        judge.judge(&rig)?;
-                        judge.broken(link, rig.now_ms);
-                        rig.broken(link);
+                        checker.check(&harness)?;
+                        checker.link_broken(link, harness.now_ms);
+                        harness.break_link(link);
                     }
                 }
             }
-            Step::Vanish { port, on } => {
-                rig.silent.retain(|p| *p != port);
+            Step::HangConnections { port, on } => {
+                harness.hanging_ports.retain(|p| *p != port);
                 if on {
-                    rig.silent.push(port);
+                    harness.hanging_ports.push(port);
                 }
             }
-            Step::List { states, fresh } => {
+            Step::ChangeList { states, fresh } => {
                 serial += 1;
                 if fresh {
                     names[0] = format!("s-fresh{serial}");
                 }
-                judge.shut.clear();
+                checker.closed_ports.clear();
                 let mut lines = Vec::new();
                 for ((name, port), state) in names.iter().zip(7001u16..).zip(states) {
                     match state {
-                        0 => drop(judge.shut.insert(port)),
+                        0 => drop(checker.closed_ports.insert(port)),
                         1 => {
-                            judge.shut.insert(port);
+                            checker.closed_ports.insert(port);
                             lines.push((name.as_str(), port, "Terminating", 0));
                         }
                         _ => lines.push((name.as_str(), port, "Ready", 0)),
@@ -265,26 +277,26 @@
                 if lines.is_empty() {
                     lines.push(("s-other", 7009, "Ready", 0));
                 }
-                // What the node closes with this list it has not written before.
-                rig.input(Input::ConfiguredList(pool(serial, &lines)));
+                // Set-ups that the node closes with this list were not sent before.
+                harness.input(Input::ConfiguredList(pool(serial, &lines)));
             }
-            Step::Pass { ms } => rig.pass(ms),
+            Step::Advance { ms } => harness.advance(ms),
             Step::Stop => {
                 if tag > 30 {
-                    rig.input(Input::Stop);
+                    harness.input(Input::Stop);
                 }
             }
         }
-        judge.judge(&rig)?;
+        checker.check(&harness)?;
     }
     for _ in 0..50 {
-        rig.pass(200);
-        judge.judge(&rig)?;
+        harness.advance(200);
+        checker.check(&harness)?;
     }
-    for (tag, owed) in &judge.calls {
-        prop_assert!(owed.given_up || owed.answers == 1, "rule 1: {} got no answer", Tag(*tag));
+    for (tag, call) in &checker.calls {
+        prop_assert!(call.abandoned || call.answers == 1, "rule 1: {} got no answer", Tag(*tag));
     }
-    prop_assert_eq!(rig.node.held()[0], 0, "no call is left open");
+    prop_assert_eq!(harness.node.held()[0], 0, "no call is left open");
     Ok(())
 }
 
@@ -293,6 +305,6 @@
 
     #[test]
     fn rules_hold_for_any_sequence_of_inputs(steps in prop::collection::vec(step(), 1..250)) {
-        run(steps)?;
+        run_steps(steps)?;
     }
 }
--- a/crates/fawnrouter-node/tests/settings.rs
+++ b/crates/fawnrouter-node/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The configuration file: what is wrong with it is told by field, and nothing of a wrong one is used.
+//! The configuration file: faults are reported by field, and nothing of an invalid file is used.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use fawnrouter_node::{Boot, BootError, Node, NodeSettings};
 use serde_json::{Value, json};
 
-fn good() -> Value {
+fn valid_config() -> Value {
     serde_json::from_str(&config(&known(1, &[("s-1", 7001, "Ready", 0)]))).unwrap()
 }
 
@@ -17,10 +17,10 @@
     Boot::read(config.to_string().as_bytes())
 }
 
-/// The configuration with another value at this place, or without it.
-fn with(place: &str, value: Option<Value>) -> Value {
-    let mut config = good();
-    let (parent, key) = place.rsplit_once('/').unwrap();
+/// The configuration with another value at this JSON pointer, or without it.
+fn with_value(pointer: &str, value: Option<Value>) -> Value {
+    let mut config = valid_config();
+    let (parent, key) = pointer.rsplit_once('/').unwrap();
     let parent = config.pointer_mut(parent).unwrap().as_object_mut().unwrap();
     match value {
         Some(value) => parent.insert(key.to_owned(), value),
@@ -32,7 +32,7 @@
 #[test]
 fn missing_and_invalid_fields_are_named_with_what_they_must_be() {
     const ADDRESS: &str = "an address and a port, as 10.";
-    for (place, value, field, wanted) in [
+    for (pointer, value, field, wanted) in [
         ("/name", None, "name: is missing;", "the gateway's name"),
         ("/name", Some(json!(3)), "name: is 3;", "the gateway's name"),
         ("/listen", None, "listen: is missing;", ADDRESS),
@@ -63,31 +63,32 @@
             "number",
         ),
     ] {
-        let told = read(&with(place, value)).expect_err(place).to_string();
-        assert!(told.starts_with(field) && told.contains(wanted), "{told}");
-        assert_eq!(told.lines().count(), 1, "{told}");
+        let text = read(&with_value(pointer, value)).expect_err(pointer).to_string();
+        assert!(text.starts_with(field) && text.contains(wanted), "{text}");
+        assert_eq!(text.lines().count(), 1, "{text}");
     }
 }
 
 #[test]
 fn invalid_json_is_reported_with_line_and_column() {
-    let told = |text: &[u8]| Boot::read(text).unwrap_err().to_string();
-    assert!(told(b"{\"name\":\n").contains("line 2 column 0"), "{}", told(b"{\"name\":\n"));
-    // A figure that no number can hold, and one that JSON does not know.
-    let config = good().to_string();
+    let error_text = |text: &[u8]| Boot::read(text).unwrap_err().to_string();
+    assert!(error_text(b"{\"name\":\n").contains("line 2 column 0"), "{}", error_text(b"{\"name\":\n"));
+    // A number that is out of range, and a value that JSON does not have.
+    let config = valid_config().to_string();
     for nonsense in ["1e999", "NaN"] {
         let text = config.replace("\"coldFrom\":0.33", &format!("\"coldFrom\":{nonsense}"));
         assert_ne!(text, config);
-        let told = told(text.as_bytes());
-        assert!(told.starts_with("not JSON") && told.contains("line 1 column"), "{told}");
+        let error = error_text(text.as_bytes());
+        assert!(error.starts_with("not JSON") && error.contains("line 1 column"), "{error}");
     }
-    assert!(told(b"[]").contains("one object"));
+    assert!(error_text(b"[]").contains("one object"));
 }
 
 #[test]
 fn invalid_settings_are_rejected_by_the_translation_before_the_controller() {
-    // What the module refuses is refused before, with the path in the file; the module is the second guard.
-    for (place, value) in [
+    // The translation rejects these first and names the path in the file; the controller checks them a second
+    // time.
+    for (pointer, value) in [
         ("/settings/contract/coldFrom", json!(1.5)),
         ("/settings/contract/fallMultiple", json!(-1)),
         ("/settings/overShareWorth", json!(-1)),
@@ -95,7 +96,7 @@
         ("/settings/classes", json!([])),
         ("/settings/me", json!(7)),
     ] {
-        let error = read(&with(place, Some(value))).unwrap_err();
+        let error = read(&with_value(pointer, Some(value))).unwrap_err();
         assert!(matches!(error, BootError::InvalidSettings(_)), "{error:?}");
     }
 }
@@ -103,31 +104,31 @@
 #[test]
 fn controller_rejects_invalid_settings_itself() {
     let refused = |change: fn(&mut Settings)| {
-        let mut boot = read(&good()).unwrap();
+        let mut boot = read(&valid_config()).unwrap();
         change(&mut boot.settings);
         Node::new(NodeSettings::new(&boot)).err().map(|error| (error.clone(), error.to_string()))
     };
     assert_eq!(refused(|_| ()), None);
-    let (error, told) = refused(|s| s.me = PeerId(2)).unwrap();
+    let (error, text) = refused(|s| s.me = PeerId(2)).unwrap();
     assert_eq!(error, SettingsError::NotAGateway { me: 2, gateways: 2 });
-    assert!(told.contains("gateway 2 of 2") && told.contains("from 0"), "{told}");
-    let (error, told) = refused(|s| s.classes[0].aim = s.classes[0].deadline * 2).unwrap();
+    assert!(text.contains("gateway 2 of 2") && text.contains("from 0"), "{text}");
+    let (error, text) = refused(|s| s.classes[0].aim = s.classes[0].deadline * 2).unwrap();
     assert_eq!(error, SettingsError::NoTime("voice".into()));
-    assert!(told.contains("\"voice\"") && told.contains("set the deadline"), "{told}");
-    let (error, told) = refused(|s| s.rules.fall_multiple = 0.0).unwrap();
+    assert!(text.contains("\"voice\"") && text.contains("set the deadline"), "{text}");
+    let (error, text) = refused(|s| s.rules.fall_multiple = 0.0).unwrap();
     assert_eq!(error, SettingsError::BadFigure("fall_multiple"));
-    assert!(told.contains("fall_multiple; it must be above 0"), "{told}");
+    assert!(text.contains("fall_multiple; it must be above 0"), "{text}");
     let warm = |s: &mut Settings| (s.rules.fall_multiple, s.rules.cold_time) = (0.0, Duration::ZERO);
-    assert_eq!(refused(warm), None, "where nothing is cold the multiple says nothing");
+    assert_eq!(refused(warm), None, "the multiple does not matter where nothing is cold");
 }
 
 #[test]
 fn unknown_fields_are_ignored() {
-    let mut config = good();
-    for place in ["", "/limits", "/settings", "/settings/classes/0", "/settings/contract"] {
-        config.pointer_mut(place).unwrap()["newField"] = json!({"any": [1, null]});
+    let mut config = valid_config();
+    for pointer in ["", "/limits", "/settings", "/settings/classes/0", "/settings/contract"] {
+        config.pointer_mut(pointer).unwrap()["newField"] = json!({"any": [1, null]});
     }
-    let (old, new) = (read(&good()).unwrap(), read(&config).unwrap());
+    let (old, new) = (read(&valid_config()).unwrap(), read(&config).unwrap());
     assert_eq!((old.settings, old.connections), (new.settings, new.connections));
 }
 
@@ -143,7 +144,7 @@
                          "maxRetryAfterNs": u64::MAX, "multiplex": u64::MAX, "retryAfter": true}
     });
     for settings in [least, most] {
-        let boot = read(&with("/settings", Some(settings))).unwrap();
+        let boot = read(&with_value("/settings", Some(settings))).unwrap();
         assert!(Node::new(NodeSettings::new(&boot)).is_ok());
     }
 }
