--- a/crates/fawnrouter-capacity/src/hollow/recording.rs
+++ b/crates/fawnrouter-capacity/src/hollow/recording.rs
@@ -150,7 +150,7 @@
                     Ok(message) => {
                         (cause_of(message.verb), Input::ClientMessage { client: *client, message })
                     }
-                    Err(fault) => (Cause::Calls, Input::ClientDecodeError { client: *client, fault }),
+                    Err(fault) => (Cause::Calls, Input::ClientDecodeError { client: *client, error: fault }),
                 });
                 self.line(*at, *second, cost, input);
             }
@@ -159,7 +159,7 @@
                 let (read, cost) = read(self.meter, decoder, line);
                 let input = read.map(|read| match read {
                     Ok(message) => (cause_of(message.verb), Input::LinkMessage { link: *link, message }),
-                    Err(fault) => (Cause::Calls, Input::LinkDecodeError { link: *link, fault }),
+                    Err(fault) => (Cause::Calls, Input::LinkDecodeError { link: *link, error: fault }),
                 });
                 self.line(*at, *second, cost, input);
             }
--- a/crates/fawnrouter-capacity/src/hollow/world.rs
+++ b/crates/fawnrouter-capacity/src/hollow/world.rs
@@ -264,7 +264,7 @@
 
     fn sample(&mut self) {
         for gateway in &mut self.gateways {
-            let held = gateway.process.as_ref().map(|process| process.node.held()).unwrap_or_default();
+            let held = gateway.process.as_ref().map(|process| process.node.state_sizes()).unwrap_or_default();
             let [open, standing, clients, links, servers] = held;
             gateway.held_for_calls.look(clients + links, open + standing);
             gateway.held_for_control.look(usize::from(gateway.process.is_some()), servers);
--- a/crates/fawnrouter-capacity/src/hollow/world/callers.rs
+++ b/crates/fawnrouter-capacity/src/hollow/world/callers.rs
@@ -108,7 +108,7 @@
                 self.feed(to.gateway, cause, Input::ClientMessage { client, message });
             }
             Err(fault) => {
-                self.feed(to.gateway, Cause::Calls, Input::ClientDecodeError { client, fault });
+                self.feed(to.gateway, Cause::Calls, Input::ClientDecodeError { client, error: fault });
             }
         }
     }
--- a/crates/fawnrouter-capacity/src/hollow/world/gateways.rs
+++ b/crates/fawnrouter-capacity/src/hollow/world/gateways.rs
@@ -333,7 +333,7 @@
                 self.feed(run.gateway, cause, Input::LinkMessage { link, message });
             }
             Err(fault) => {
-                self.feed(run.gateway, Cause::Calls, Input::LinkDecodeError { link, fault });
+                self.feed(run.gateway, Cause::Calls, Input::LinkDecodeError { link, error: fault });
             }
         }
     }
--- a/crates/fawnrouter-node/src/node.rs
+++ b/crates/fawnrouter-node/src/node.rs
@@ -194,7 +194,7 @@
     /// Sizes of the state: open calls, established calls, client connections, connections to core switches,
     /// core switches.
     #[must_use]
-    pub fn held(&self) -> [usize; 5] {
+    pub fn state_sizes(&self) -> [usize; 5] {
         [
             self.calls.open.len(),
             self.calls.established.len(),
@@ -248,14 +248,14 @@
                 self.client_connections.set_partial_line(self.now, client, partial_line);
                 self.schedule_client_check(client);
             }
-            Input::ClientDecodeError { client, fault } => self.client_decode_error(client, &fault),
+            Input::ClientDecodeError { client, error } => self.client_decode_error(client, &error),
             Input::ClientDisconnected { client } => {
                 self.client_disconnected(client);
                 self.closing_clients.remove(&client);
             }
             Input::LinkUp { link } => self.link_up(link),
             Input::LinkMessage { link, message } => self.link_message(link, message),
-            Input::LinkDecodeError { link, fault } => self.close_faulty_link(link, &fault.to_string()),
+            Input::LinkDecodeError { link, error } => self.close_faulty_link(link, &error.to_string()),
             Input::LinkDown { link, end } => self.link_down(link, end),
             Input::SetUpRecalled { link, tag } => self.set_up_recalled(link, tag),
             Input::ListResponse(answer) => match Pool::from_response(&answer) {
--- a/crates/fawnrouter-node/src/node/callers.rs
+++ b/crates/fawnrouter-node/src/node/callers.rs
@@ -127,14 +127,14 @@
         }
     }
 
-    pub(super) fn client_decode_error(&mut self, client: ClientId, fault: &DecodeError) {
+    pub(super) fn client_decode_error(&mut self, client: ClientId, error: &DecodeError) {
         if !self.client_connections.contains(client) {
             return;
         }
         self.counters.invalid += 1;
         // The error of a faulty line must not be sent as the answer of an existing call.
-        let tag = fault.tag().filter(|tag| !self.is_known_call(*tag));
-        self.close_with_error(client, tag, cause::INVALID, &fault.to_string());
+        let tag = error.tag().filter(|tag| !self.is_known_call(*tag));
+        self.close_with_error(client, tag, cause::INVALID, &error.to_string());
     }
 
     pub(super) fn is_known_call(&self, tag: Tag) -> bool {
--- a/crates/fawnrouter-node/src/node/interface.rs
+++ b/crates/fawnrouter-node/src/node/interface.rs
@@ -108,7 +108,7 @@
         /// The client.
         client: ClientId,
         /// What is wrong with the line.
-        fault: DecodeError,
+        error: DecodeError,
     },
     /// A client's connection ended.
     ClientDisconnected {
@@ -132,7 +132,7 @@
         /// The connection that it arrived on.
         link: LinkId,
         /// What is wrong with the line.
-        fault: DecodeError,
+        error: DecodeError,
     },
     /// A connection to a core switch ended or did not come up.
     LinkDown {
--- a/crates/fawnrouter-node/tests/calls.rs
+++ b/crates/fawnrouter-node/tests/calls.rs
@@ -21,7 +21,7 @@
     assert_eq!(harness.sent_to_clients()[0].2.blob.as_deref(), Some("answer 7"));
     harness.release_call(link, 7, 16);
     assert_eq!(harness.messages_about(7), [(Verb::Started, None), (Verb::Finish, Some(16))]);
-    assert_eq!(harness.node.held()[..2], [0, 0]);
+    assert_eq!(harness.node.state_sizes()[..2], [0, 0]);
 }
 
 #[test]
@@ -324,7 +324,7 @@
     let mut harness = Harness::new(1);
     harness.input(Input::ConfiguredList(pool(5, &[("s-1", 7001, "Ready", 0), ("s-2", 7002, "Ready", 0)])));
     harness.input(Input::ConfiguredList(pool(4, &[("s-1", 7001, "Terminating", 0)])));
-    assert_eq!(harness.node.held()[4], 2);
+    assert_eq!(harness.node.state_sizes()[4], 2);
     let client = harness.connect();
     harness.start_call(client, 7, 3000);
     assert_eq!(harness.set_ups_sent(7).len(), 1);
@@ -419,7 +419,7 @@
     }
     harness.advance(4000);
     assert!(harness.messages_about(8).is_empty());
-    assert_eq!((harness.messages_about(7).len(), harness.node.held()[..2].to_vec()), (1, vec![0, 0]));
+    assert_eq!((harness.messages_about(7).len(), harness.node.state_sizes()[..2].to_vec()), (1, vec![0, 0]));
 }
 
 #[test]
@@ -449,7 +449,7 @@
         }
     }
     assert!(!harness.is_closed(caller) && !harness.is_closed(owner) && harness.is_closed(idle));
-    assert!(harness.node.held()[2] <= 128);
+    assert!(harness.node.state_sizes()[2] <= 128);
 }
 
 #[test]
@@ -519,7 +519,7 @@
     }
     let (_, _, last) = harness.sent_to_clients().into_iter().find(|(_, _, m)| m.tag.0 == 1001).unwrap();
     assert_eq!((last.rc, last.opts["wait"].as_u64()), (Some(42), Some(2000)));
-    assert_eq!(harness.node.held()[0], 1000);
+    assert_eq!(harness.node.state_sizes()[0], 1000);
 }
 
 #[test]
@@ -581,7 +581,7 @@
         harness.outputs.retain(|(_, o)| matches!(o, Output::CloseClient { .. }));
     }
     harness.advance(3000);
-    let [open, standing, clients, links, switches] = harness.node.held();
+    let [open, standing, clients, links, switches] = harness.node.state_sizes();
     assert_eq!((open, standing, clients, switches), (0, 0, 0, 1));
     assert!(links <= 8, "{links}");
 }
@@ -602,7 +602,7 @@
         harness.input(Input::LinkDown { link, end: LinkEnd::Unreachable });
     }
     harness.advance(5000);
-    assert_eq!(harness.node.held()[0], 0);
+    assert_eq!(harness.node.state_sizes()[0], 0);
     assert!((1..=50).all(|tag| harness.messages_about(tag).len() == 1));
     let _ = ClientId(0);
 }
--- a/crates/fawnrouter-node/tests/common/mod.rs
+++ b/crates/fawnrouter-node/tests/common/mod.rs
@@ -170,7 +170,7 @@
     pub fn client_sends(&mut self, client: ClientId, line: &str) {
         match parse(line.as_bytes()) {
             Ok(message) => self.input(Input::ClientMessage { client, message }),
-            Err(fault) => self.input(Input::ClientDecodeError { client, fault }),
+            Err(error) => self.input(Input::ClientDecodeError { client, error }),
         }
     }
 
@@ -182,7 +182,7 @@
     pub fn switch_sends(&mut self, link: LinkId, line: &str) {
         match parse(line.as_bytes()) {
             Ok(message) => self.input(Input::LinkMessage { link, message }),
-            Err(fault) => self.input(Input::LinkDecodeError { link, fault }),
+            Err(error) => self.input(Input::LinkDecodeError { link, error }),
         }
     }
 
--- a/crates/fawnrouter-node/tests/rules.rs
+++ b/crates/fawnrouter-node/tests/rules.rs
@@ -296,7 +296,7 @@
     for (tag, call) in &checker.calls {
         prop_assert!(call.abandoned || call.answers == 1, "rule 1: {} got no answer", Tag(*tag));
     }
-    prop_assert_eq!(harness.node.held()[0], 0, "no call is left open");
+    prop_assert_eq!(harness.node.state_sizes()[0], 0, "no call is left open");
     Ok(())
 }
 
--- a/crates/fawnrouterd/src/node/client.rs
+++ b/crates/fawnrouterd/src/node/client.rs
@@ -124,7 +124,7 @@
             (reader.fault(), reader.half())
         };
         if let Some(fault) = fault {
-            gate.input(Input::ClientDecodeError { client, fault });
+            gate.input(Input::ClientDecodeError { client, error: fault });
         } else if let Some(half) = half {
             gate.input(Input::ClientBytesRead { client, partial_line: half });
         }
--- a/crates/fawnrouterd/src/node/gate.rs
+++ b/crates/fawnrouterd/src/node/gate.rs
@@ -299,7 +299,7 @@
 
     /// A line of counts for the log.
     pub fn log_counts(&self) {
-        let (c, held) = self.pump.with(|node| (node.counters(), node.held()));
+        let (c, held) = self.pump.with(|node| (node.counters(), node.state_sizes()));
         let [open, standing, clients, links, switches] = held;
         tracing::info!(
             taken = c.accepted,
--- a/crates/fawnrouterd/src/node/trunk.rs
+++ b/crates/fawnrouterd/src/node/trunk.rs
@@ -71,7 +71,7 @@
             match decoder.next_message() {
                 Ok(Some(message)) => gate.input(Input::LinkMessage { link, message }),
                 Ok(None) => break,
-                Err(fault) => return gate.input(Input::LinkDecodeError { link, fault }),
+                Err(fault) => return gate.input(Input::LinkDecodeError { link, error: fault }),
             }
         }
         future::yield_now().await;
