--- a/crates/fawnrouter-node/src/lib.rs
+++ b/crates/fawnrouter-node/src/lib.rs
@@ -1,6 +1,7 @@
 #![forbid(unsafe_code)]
-//! The gateway on the platform as a state machine: JSON lines from clients and core switches in, JSON lines out,
-//! around the same [`fawnrouter::Controller`] that the simulator drives. No socket, no clock, no unseeded randomness.
+//! The gateway on the platform as a state machine: JSON lines from clients and core switches in, JSON lines
+//! out, around the same [`fawnrouter::Controller`] that the simulator drives. No socket, no clock, no
+//! unseeded randomness.
 //!
 //! | module | what it does |
 //! | --- | --- |
@@ -8,13 +9,13 @@
 //! | `switch_list` | the list of core switches from `known` and from DNS responses; numbers for ids |
 //! | `list_query` | queries to the name server, and which datagrams answer them |
 //! | `request` | validates set-ups and reads what they ask for |
-//! | `links` | connections to core switches: which set-up goes on which, how many there are, when to reconnect |
+//! | `links` | connections to core switches: which one a set-up uses, how many, when to reconnect |
 //! | `liveness` | when a core switch's established calls count as ended although it sent no release |
-//! | `inbox` | messages of a client that are not processed yet: which set-ups are withdrawn before they are attempted |
+//! | `inbox` | unprocessed messages of a client: which set-ups are withdrawn before they are attempted |
 //! | `descriptor_shares` | how the descriptors are divided, before any is used |
 //! | `client_connections` | which client connection is closed, when and why |
 //! | `calls` | open and established calls, and what is remembered of ended ones |
-//! | `node` | inputs, the controller's events and actions, timers; a file each for callers, attempts, connections, established calls, the list and the shutdown |
+//! | `node` | the state machine: inputs, the controller's events and actions, timers |
 
 mod boot;
 mod calls;
--- a/crates/fawnrouter-node/src/liveness.rs
+++ b/crates/fawnrouter-node/src/liveness.rs
@@ -88,6 +88,13 @@
     CallRelease,
 }
 
+/// When a core switch counts as dead.
+struct DeathDeadline {
+    at: Time,
+    /// Only if the switch was probed before.
+    requires_probe: bool,
+}
+
 /// What is known about whether one core switch is alive.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Liveness {
@@ -152,26 +159,26 @@
         self.unlisted_since = if state.is_some() { None } else { self.unlisted_since.or(Some(now)) };
     }
 
-    /// When the switch counts as dead if nothing changes, and whether it must have been probed before.
-    fn death_deadline(&self) -> (Time, bool) {
+    /// When the switch counts as dead if nothing changes.
+    fn death_deadline(&self) -> DeathDeadline {
         let silent = match self.unlisted_since {
-            Some(gone) => gone.max(self.last_proof).plus(UNLISTED_TIMEOUT),
+            Some(since) => since.max(self.last_proof).plus(UNLISTED_TIMEOUT),
             None => self.last_byte.plus(SILENCE_TIMEOUT),
         };
         let refused = self.refused_since.map(|since| since.plus(REFUSED_TIMEOUT));
-        let untold = self.refused_since_proof.then(|| self.last_proof.plus(NO_PROOF_TIMEOUT));
+        let without_proof = self.refused_since_proof.then(|| self.last_proof.plus(NO_PROOF_TIMEOUT));
         let unanswered = refused.map_or(silent, |refused| refused.min(silent));
-        match untold {
-            Some(untold) if untold <= unanswered => (untold, false),
-            _ => (unanswered, true),
+        match without_proof {
+            Some(at) if at <= unanswered => DeathDeadline { at, requires_probe: false },
+            _ => DeathDeadline { at: unanswered, requires_probe: true },
         }
     }
 
     /// Checks a switch at which calls are established.
     pub fn check(&mut self, now: Time) -> Verdict {
-        let (deadline, must_have_probed) = self.death_deadline();
+        let DeathDeadline { at: deadline, requires_probe } = self.death_deadline();
         // If this process was suspended it received nothing meanwhile, so silence counts only after a probe.
-        if now >= deadline && (!must_have_probed || self.probed_at.is_some_and(|probed_at| probed_at < now)) {
+        if now >= deadline && (!requires_probe || self.probed_at.is_some_and(|probed_at| probed_at < now)) {
             return Verdict::Dead;
         }
         let probe_at = match (self.probed_at, self.unlisted_since) {
--- a/crates/fawnrouter-node/src/node.rs
+++ b/crates/fawnrouter-node/src/node.rs
@@ -279,6 +279,7 @@
         self.outputs.push(Output::Log(line));
     }
 
+    /// A random number from 0 to 1.
     fn random_unit(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
@@ -294,6 +295,7 @@
         }
     }
 
+    /// Carries out one action of the controller.
     fn carry_out(&mut self, action: Action) {
         match action {
             Action::Issue { call, server, within } => {
@@ -340,6 +342,7 @@
         }
     }
 
+    /// Handles a timer that has expired.
     fn timer_expired(&mut self, key: TimerKey) {
         match key {
             TimerKey::ControllerTimer(timer) => self.events.push_back(Event::Timer(timer)),
@@ -377,6 +380,7 @@
         }
     }
 
+    /// Closes connections that are idle or not needed, and drops expired state.
     fn housekeep(&mut self) {
         self.timers.set(TimerKey::Housekeeping, self.now.plus(self.housekeeping_interval));
         let unused = self.links.idle_links().filter(|(_, server)| self.link_need(*server) == LinkNeed::None);
--- a/crates/fawnrouter-node/src/node/attempts.rs
+++ b/crates/fawnrouter-node/src/node/attempts.rs
@@ -11,6 +11,7 @@
 use crate::request::cause;
 
 impl Node {
+    /// Starts an attempt of the call at a core switch, as the controller has decided.
     pub(super) fn issue_attempt(&mut self, tag: Tag, server: ServerId, within: Duration) {
         let now = self.now;
         let Some(open) = self.calls.open.get_mut(&tag).filter(|c| c.attempt.is_none()) else { return };
@@ -136,11 +137,13 @@
         }
     }
 
+    /// Writes a message to a core switch.
     pub(super) fn send_to_switch(&mut self, link: LinkId, message: &Message) {
         self.outputs.push(Output::ToLink { link, line: encode_line(message) });
     }
 }
 
+/// The message as a line.
 pub(super) fn encode_line(message: &Message) -> Vec<u8> {
     let mut line = Vec::with_capacity(256);
     message.encode(&mut line);
--- a/crates/fawnrouter-node/src/node/callers.rs
+++ b/crates/fawnrouter-node/src/node/callers.rs
@@ -35,12 +35,14 @@
         Some(open)
     }
 
+    /// Updates how many set-ups are open on a client's connection.
     pub(super) fn update_open_set_ups(&mut self, client: ClientId) {
         let open = self.calls.open_by_client.get(&client).map_or(0, BTreeSet::len);
         self.client_connections.set_open_set_ups(self.now, client, open);
         self.schedule_client_check(client);
     }
 
+    /// A client has connected: admits it or turns it away.
     pub(super) fn client_connected(&mut self, client: ClientId) {
         if self.done {
             // The connection was in the listener's queue at shutdown: what it has sent is answered, then it
@@ -103,6 +105,7 @@
         self.closing_clients.insert(client, Some(error_without_tag(rc, why)));
     }
 
+    /// Closes the connection and logs why.
     pub(super) fn close_client(&mut self, client: ClientId, why: &str) {
         if self.client_connections.contains(client) {
             self.log(format!("client's connection {} closed: {why}", client.0));
@@ -117,6 +120,7 @@
         self.client_disconnected(client);
     }
 
+    /// A client has gone: its open calls are abandoned.
     pub(super) fn client_disconnected(&mut self, client: ClientId) {
         if !self.client_connections.remove(client) {
             return;
@@ -127,6 +131,7 @@
         }
     }
 
+    /// A client sent a line that is not a message.
     pub(super) fn client_decode_error(&mut self, client: ClientId, error: &DecodeError) {
         if !self.client_connections.contains(client) {
             return;
@@ -137,6 +142,7 @@
         self.close_with_error(client, tag, cause::INVALID, &error.to_string());
     }
 
+    /// Whether a call with this tag is open or established.
     pub(super) fn is_known_call(&self, tag: Tag) -> bool {
         self.calls.open.contains_key(&tag) || self.calls.established.contains_key(&tag)
     }
@@ -170,6 +176,7 @@
         }
     }
 
+    /// Processes a message from a client.
     pub(super) fn client_message(&mut self, client: ClientId, message: Message) {
         let tag = message.tag;
         match message.verb {
@@ -251,6 +258,7 @@
         if with_retry_time { refusal.with_option("wait", wait) } else { refusal }
     }
 
+    /// Processes a set-up, or a report of an established call.
     pub(super) fn handle_start(&mut self, client: ClientId, message: Message) {
         let tag = message.tag;
         let wrong = |rc| Message::new(Verb::Finish, tag).with_cause(rc);
--- a/crates/fawnrouter-node/src/node/established.rs
+++ b/crates/fawnrouter-node/src/node/established.rs
@@ -54,6 +54,7 @@
         }
     }
 
+    /// The core switch has answered the attempt: the call is established, unless the answer is too late.
     pub(super) fn call_established(&mut self, tag: Tag, attempt: Attempt, blob: String) {
         let now = self.now;
         let Some(deadline) = self.calls.open.get(&tag).map(|c| c.deadline) else { return };
@@ -109,6 +110,7 @@
         self.notify_release(Some(call.client), tag, rc);
     }
 
+    /// Reports the end of an established call to the controller.
     pub(super) fn report_established_end(&mut self, tag: Tag, call: EstablishedCall, outcome: Outcome) {
         self.client_connections.count_established(call.client, false);
         if let Some(attempt) = call.attempt {
--- a/crates/fawnrouter-node/src/node/shutdown.rs
+++ b/crates/fawnrouter-node/src/node/shutdown.rs
@@ -19,8 +19,8 @@
 use super::{Node, Output, TimerKey};
 
 /// How long set-ups are served as usual after SIGTERM: the platform's 0.4 s for new connections and 0.2 s for
-/// requests on open ones, and a margin. In five days of rolling restarts the last of 6,113 set-ups came 0.51 s
-/// after the signal.
+/// requests on open ones, and a margin. In five days of rolling restarts the last of 6,113 set-ups came
+/// 0.51 s after the signal.
 pub(super) const SERVE_AFTER_STOP: Duration = Duration::from_millis(700);
 
 /// How long releases that wait for a connection delay the end of a gateway that has nothing else to do: twice
--- a/crates/fawnrouter-node/src/node/switch_links.rs
+++ b/crates/fawnrouter-node/src/node/switch_links.rs
@@ -45,6 +45,7 @@
         self.outputs.push(Output::OpenLink { link, address, within: self.connections.dial_timeout });
     }
 
+    /// A connection is up: sends what waits for it.
     pub(super) fn link_up(&mut self, link: LinkId) {
         let Some(server) = self.links.link_up(self.now, link) else { return };
         self.record_evidence(server, Evidence::Connected);
@@ -80,6 +81,7 @@
         }
     }
 
+    /// A connection has ended or did not come up.
     pub(super) fn link_down(&mut self, link: LinkId, end: LinkEnd) {
         let Some(l) = self.links.links.get(&link) else { return };
         let (server, now) = (l.server, self.now);
@@ -117,6 +119,7 @@
         self.check_liveness(gone.server);
     }
 
+    /// Processes a message from a core switch.
     pub(super) fn link_message(&mut self, link: LinkId, message: Message) {
         let Some(l) = self.links.links.get(&link) else { return };
         let (server, tag, now) = (l.server, message.tag, self.now);
@@ -200,6 +203,7 @@
         }
     }
 
+    /// Records that something was received from a core switch.
     pub(super) fn record_evidence(&mut self, server: ServerId, evidence: Evidence) {
         if let Some(s) = self.servers.get_mut(&server) {
             s.liveness.record(self.now, evidence);
--- a/crates/fawnrouter-node/src/node/switch_list.rs
+++ b/crates/fawnrouter-node/src/node/switch_list.rs
@@ -35,6 +35,7 @@
         self.timers.clear(TimerKey::LivenessCheck(server));
     }
 
+    /// Applies a list, unless it is not newer than the last one.
     pub(super) fn apply_list(&mut self, pool: &Pool) {
         // Serials are compared as in RFC 1982; the numbers start at 1 and never wrap in practice.
         if self.list_serial.is_some_and(|seen| pool.serial.wrapping_sub(seen) as i32 <= 0) {
@@ -70,9 +71,9 @@
         // A new core switch listens at the address of one that is gone, so nothing there belongs to the old
         // one. Without this check its answers and connections would count as evidence that the old one is
         // alive.
-        let taken: BTreeSet<SocketAddr> = pool.switches.values().map(|l| l.address).collect();
+        let addresses: BTreeSet<SocketAddr> = pool.switches.values().map(|l| l.address).collect();
         for server in gone.iter().copied() {
-            if self.links.switches.get(&server).is_some_and(|switch| taken.contains(&switch.address)) {
+            if self.links.switches.get(&server).is_some_and(|switch| addresses.contains(&switch.address)) {
                 self.lose_established_calls(
                     server,
                     None,
--- a/crates/fawnrouter-node/tests/calls.rs
+++ b/crates/fawnrouter-node/tests/calls.rs
@@ -215,28 +215,29 @@
     assert_eq!(harness.messages_about(7).len(), 2);
     harness.release_call(link, 8, 41);
     for (tag, rc) in [(7, 16), (8, 41)] {
-        let (_, to, told) = harness.sent_to_clients().into_iter().rfind(|(_, _, m)| m.tag.0 == tag).unwrap();
-        assert_eq!((to, told.rc), (second, Some(rc)));
+        let (_, to, message) =
+            harness.sent_to_clients().into_iter().rfind(|(_, _, m)| m.tag.0 == tag).unwrap();
+        assert_eq!((to, message.rc), (second, Some(rc)));
     }
 }
 
 #[test]
 fn restored_call_is_released_even_if_the_switch_released_it_first() {
-    let told = |tag: u64, at: &str| {
+    let report_established = |tag: u64, at: &str| {
         format!(
             r#"{{"verb":"START","tag":"{tag:016x}","opts":{{"class":"voice","extras":"at:{at}"}},"blob":"x"}}"#
         )
     };
     let mut harness = Harness::new(1);
     let client = harness.connect();
-    harness.client_sends(client, &told(7, "s-1"));
-    harness.client_sends(client, &told(7, "s-1"));
+    harness.client_sends(client, &report_established(7, "s-1"));
+    harness.client_sends(client, &report_established(7, "s-1"));
     assert!(harness.messages_about(7).is_empty(), "it expects no answer");
     let link = *harness.links_up.keys().next().unwrap();
     harness.release_call(link, 8, 16);
-    harness.client_sends(client, &told(8, "s-1"));
+    harness.client_sends(client, &report_established(8, "s-1"));
     harness.release_call(link, 7, 16);
-    harness.client_sends(client, &told(9, "s-nowhere"));
+    harness.client_sends(client, &report_established(9, "s-nowhere"));
     for (tag, rc) in [(7, 16), (8, 16), (9, 41)] {
         assert_eq!(harness.messages_about(tag), [(Verb::Finish, Some(rc))], "{tag}");
     }
@@ -356,10 +357,10 @@
         assert_ne!(*line, good);
         let tag = n as u64 + 1;
         harness.client_sends(client, &line.replace("0000000000000001", &format!("{tag:016x}")));
-        let told = harness.messages_about(tag);
+        let messages = harness.messages_about(tag);
         assert!(
-            matches!(told[..], [(Verb::Finish, Some(rc))] if ![16, 34, 42, 102].contains(&rc)),
-            "{line}: {told:?}"
+            matches!(messages[..], [(Verb::Finish, Some(rc))] if ![16, 34, 42, 102].contains(&rc)),
+            "{line}: {messages:?}"
         );
     }
     assert!(harness.sent_to_switches().is_empty() && !harness.is_closed(client));
@@ -378,9 +379,9 @@
         let mut harness = Harness::new(1);
         let client = harness.connect();
         harness.client_sends(client, line);
-        let told = harness.outputs.iter().position(|(_, o)| matches!(o, Output::ToClient { .. }));
+        let error = harness.outputs.iter().position(|(_, o)| matches!(o, Output::ToClient { .. }));
         let closed = harness.outputs.iter().position(|(_, o)| *o == Output::CloseClient { client });
-        assert!(told.is_some() && told < closed, "{line}");
+        assert!(error.is_some() && error < closed, "{line}");
     }
 }
 
@@ -486,12 +487,12 @@
 fn client_connections_stay_open_until_all_calls_are_answered_and_are_closed_before_shutdown_ends() {
     let mut harness = Harness::new(1);
     let (busy, idle) = (harness.connect(), harness.connect());
-    let standing = harness.establish_call(idle, 6);
+    let link_of_6 = harness.establish_call(idle, 6);
     harness.start_call(busy, 7, 3000);
     harness.input(Input::Stop);
     harness.advance(1000);
     assert!(!harness.is_closed(busy) && !harness.is_closed(idle), "releases are still sent on them");
-    harness.release_call(standing, 6, 16);
+    harness.release_call(link_of_6, 6, 16);
     assert_eq!(harness.messages_about(6), [(Verb::Started, None), (Verb::Finish, Some(16))]);
     let (_, link) = harness.set_ups_sent(7)[0];
     harness.answer_call(link, 7);
@@ -581,8 +582,8 @@
         harness.outputs.retain(|(_, o)| matches!(o, Output::CloseClient { .. }));
     }
     harness.advance(3000);
-    let [open, standing, clients, links, switches] = harness.node.state_sizes();
-    assert_eq!((open, standing, clients, switches), (0, 0, 0, 1));
+    let [open, established, clients, links, switches] = harness.node.state_sizes();
+    assert_eq!((open, established, clients, switches), (0, 0, 0, 1));
     assert!(links <= 8, "{links}");
 }
 
--- a/crates/fawnrouter-node/tests/rules.rs
+++ b/crates/fawnrouter-node/tests/rules.rs
@@ -145,7 +145,7 @@
 /// All messages about a call, for the message of a failure.
 fn history(harness: &Harness, tag: u64) -> String {
     let of_call = |line: &[u8]| String::from_utf8_lossy(line).contains(&Tag(tag).to_string());
-    let told = harness.outputs.iter().filter(|(_, o)| match o {
+    let messages = harness.outputs.iter().filter(|(_, o)| match o {
         Output::ToLink { line, .. }
         | Output::SetUp { line, .. }
         | Output::CancelSetUp { line, .. }
@@ -153,18 +153,19 @@
         | Output::NotifyCaller { line, .. } => of_call(line),
         _ => false,
     });
-    told.map(|(at, output)| match output {
-        Output::ToLink { link, line }
-        | Output::SetUp { link, line, .. }
-        | Output::CancelSetUp { link, line, .. } => {
-            format!("{at} to {link:?}: {}", String::from_utf8_lossy(line))
-        }
-        Output::ToClient { client, line } | Output::NotifyCaller { client, line, .. } => {
-            format!("{at} to {client:?}: {}", String::from_utf8_lossy(line))
-        }
-        _ => String::new(),
-    })
-    .collect()
+    messages
+        .map(|(at, output)| match output {
+            Output::ToLink { link, line }
+            | Output::SetUp { link, line, .. }
+            | Output::CancelSetUp { link, line, .. } => {
+                format!("{at} to {link:?}: {}", String::from_utf8_lossy(line))
+            }
+            Output::ToClient { client, line } | Output::NotifyCaller { client, line, .. } => {
+                format!("{at} to {client:?}: {}", String::from_utf8_lossy(line))
+            }
+            _ => String::new(),
+        })
+        .collect()
 }
 
 fn pick<T: Copy>(items: impl Iterator<Item = T>, n: usize) -> Option<T> {
