--- a/crates/fawnrouter-benchlink/src/translate.rs
+++ b/crates/fawnrouter-benchlink/src/translate.rs
@@ -79,7 +79,7 @@
         "update" => {
             let kind = match f.text(0, "how")? {
                 "diff" => ListKind::Changes,
-                "snapshot" => ListKind::Whole,
+                "snapshot" => ListKind::Snapshot,
                 "disk" => ListKind::Cached,
                 "error" => ListKind::Failed,
                 other => return Err(format!("how is unknown: {other}")),
@@ -88,7 +88,7 @@
             return Ok(Incoming::Update { kind, list });
         }
         "req" => Event::Call(new_call(&f, started()?)?),
-        "headers" => Event::Standing {
+        "headers" => Event::Established {
             call: f.call(0)?,
             attempt: f.small(1, "shot", AttemptNo)?,
             server: f.small(2, "switch", ServerId)?,
@@ -100,11 +100,11 @@
             done: f.want(2, "doneFlag", Value::as_bool)?,
             took: f.span(3, "tookNs")?,
             outcome: outcome(f.number(4, "stateCode")?)?,
-            note: note(whole(f.get(5)).unwrap_or(0)),
+            detail: outcome_detail(whole(f.get(5)).unwrap_or(0)),
             attempt: f.small(6, "shot", AttemptNo)?,
             report: started()?.report_from_json(f.get(7)),
         },
-        "lapsed" => Event::Lapsed(f.call(0)?),
+        "lapsed" => Event::Abandoned(f.call(0)?),
         "timeoutFired" => {
             let mark = f.text(0, "mark")?;
             let timer = mark.parse().map_err(|_| format!("mark is none of ours: {mark}"))?;
@@ -116,7 +116,9 @@
             took: Duration::from_nanos(whole(f.get(2)).unwrap_or(0)),
             report: started()?.report_from_json(f.get(3)),
         },
-        "mail" => Event::Mail { from: f.small(0, "neighbour", PeerId)?, text: f.text(1, "raw")?.to_owned() },
+        "mail" => {
+            Event::PeerMessage { from: f.small(0, "neighbour", PeerId)?, text: f.text(1, "raw")?.to_owned() }
+        }
         other => return Err(format!("unknown event {other}")),
     };
     Ok(Incoming::Event(event))
@@ -128,7 +130,7 @@
     Ok(NewCall {
         id: f.call(0)?,
         class,
-        left: f.span(2, "leftNs")?,
+        time_left: f.span(2, "leftNs")?,
         number: f.get(3).as_str().unwrap_or("").into(),
         width: f.get(4).as_f64().unwrap_or(1.0),
         tenant: f.get(6).as_str().and_then(|t| names.tenant_id(t)),
@@ -170,14 +172,14 @@
     })
 }
 
-fn note(reason: u64) -> Note {
+fn outcome_detail(reason: u64) -> OutcomeDetail {
     match (reason % 16, reason / 16) {
-        (1, _) => Note::NoCircuit,
-        (2, beyond) => Note::TurnedBack(beyond > 0),
-        (3, 0) => Note::ProcessorFull(None),
-        (3, wait) => Note::ProcessorFull(Some(Duration::from_millis(wait))),
-        (4, _) => Note::NumberBusy,
-        _ => Note::None,
+        (1, _) => OutcomeDetail::NoCircuit,
+        (2, beyond) => OutcomeDetail::Crankback(beyond > 0),
+        (3, 0) => OutcomeDetail::ProcessorFull(None),
+        (3, wait) => OutcomeDetail::ProcessorFull(Some(Duration::from_millis(wait))),
+        (4, _) => OutcomeDetail::NumberBusy,
+        _ => OutcomeDetail::None,
     }
 }
 
@@ -197,7 +199,7 @@
         Action::Fail(call) => json!(["lose", ticket(call)]),
         Action::SetTimer { after, timer } => json!(["after", nanos(after), timer.0.to_string()]),
         Action::Probe(server) => json!(["poll", server.0]),
-        Action::Tell { to, text } => json!(["writePeer", to.map(|p| p.0), text]),
+        Action::SendToPeer { to, text } => json!(["writePeer", to.map(|p| p.0), text]),
         Action::Subscribe => json!(["follow", true]),
         Action::FetchList => json!(["listAll"]),
         Action::Log(line) => json!(["log", line]),
--- a/crates/fawnrouter-bootinfo/src/lib.rs
+++ b/crates/fawnrouter-bootinfo/src/lib.rs
@@ -42,8 +42,8 @@
     /// Reads a load report: an object of names and values, or a list of values in the order of the names in
     /// the settings.
     #[must_use]
-    pub fn report_from_json(&self, load: &Value) -> Report {
-        let mut report = Report::default();
+    pub fn report_from_json(&self, load: &Value) -> LoadReport {
+        let mut report = LoadReport::default();
         match load {
             Value::Object(pairs) => {
                 pairs.iter().for_each(|(name, value)| set_figure(&mut report, name, value.as_f64()))
@@ -61,8 +61,8 @@
 
 /// Reads a load report as it stands in a message: `free:87;size:87`. Values that are not numbers are skipped.
 #[must_use]
-pub fn parse_report(text: &str) -> Report {
-    let mut report = Report::default();
+pub fn parse_report(text: &str) -> LoadReport {
+    let mut report = LoadReport::default();
     for (name, value) in text.split(';').filter_map(|pair| pair.split_once(':')) {
         set_figure(&mut report, name, value.parse().ok());
     }
@@ -70,15 +70,15 @@
 }
 
 /// Sets one figure of a report; a negative value stands for a figure that was not reported.
-fn set_figure(report: &mut Report, name: &str, value: Option<f64>) {
+fn set_figure(report: &mut LoadReport, name: &str, value: Option<f64>) {
     let Some(x) = value.filter(|x| x.is_finite() && *x >= 0.0) else { return };
     match name {
-        "free" => report.free = Some(x),
-        "size" => report.size = Some(x),
+        "free" => report.free_circuits = Some(x),
+        "size" => report.total_circuits = Some(x),
         "cpu_share" => report.utilisation = Some(x),
-        "svc_ms" => report.wait = Duration::try_from_secs_f64(x / 1e3).ok(),
-        "can_take" => report.can_take = Some(x),
-        "hold_back" => report.hold_back = Some(x),
+        "svc_ms" => report.queue_wait = Duration::try_from_secs_f64(x / 1e3).ok(),
+        "can_take" => report.acceptable_rate = Some(x),
+        "hold_back" => report.hold_back_share = Some(x),
         _ => {}
     }
 }
@@ -144,12 +144,12 @@
     };
     let discovery = match boot.key("registryMode").as_text()? {
         None | Some("push") => Discovery::Push,
-        Some("ask") => Discovery::Ask,
+        Some("ask") => Discovery::Subscribe,
         Some(_) => return Err(boot.key("registryMode").out_of_range("\"push\" or \"ask\"")),
     };
     let settings = Settings {
         gateways: count,
-        me: PeerId(number),
+        own_id: PeerId(number),
         classes,
         tenants,
         over_share_worth: boot.key("overShareWorth").as_non_negative()?.unwrap_or(1.0),
@@ -180,7 +180,7 @@
         fall_multiple: multiple.as_non_negative()?.unwrap_or(1.0),
         fall_time: span("fallNs")?,
         release_guard: family.key("guardNs").as_duration()?.unwrap_or_default(),
-        ask_within: span("askWithinNs")?,
+        subscribe_within: span("askWithinNs")?,
     };
     // The multiple does not matter if no switch is ever cold.
     if rules.fall_multiple == 0.0 && !rules.cold_time.is_zero() {
--- a/crates/fawnrouter-bootinfo/tests/settings.rs
+++ b/crates/fawnrouter-bootinfo/tests/settings.rs
@@ -60,7 +60,7 @@
 fn every_setting_is_translated_to_its_field() {
     let (s, names) = settings(&full_settings()).unwrap();
     let ms = Duration::from_millis;
-    assert_eq!((s.gateways, s.me, s.tick, s.over_share_worth), (9, PeerId(8), ms(4), 0.3));
+    assert_eq!((s.gateways, s.own_id, s.tick, s.over_share_worth), (9, PeerId(8), ms(4), 0.3));
     let effects: Vec<_> = s.classes.iter().map(|c| c.effect).collect();
     let keyed = Effect::Keyed { group: RepeatGroup::Zone, window: ms(6000) };
     assert_eq!(effects, [Effect::Safe, keyed, Effect::Unsafe]);
@@ -82,7 +82,7 @@
         fall_multiple: 2.0,
         fall_time: ms(2500),
         release_guard: ms(600),
-        ask_within: ms(8000),
+        subscribe_within: ms(8000),
     };
     assert_eq!(s.rules, rules);
     let limits = Limits {
@@ -166,7 +166,7 @@
     let boot =
         with_value(with_value(minimal_settings(), "/familyInfo", family), "/registryMode", json!("ask"));
     let (s, _) = settings(&boot).unwrap();
-    assert_eq!((s.topology, s.discovery), (Topology::Mesh { home: Cell(3) }, Discovery::Ask));
+    assert_eq!((s.topology, s.discovery), (Topology::Mesh { home: Cell(3) }, Discovery::Subscribe));
     assert_eq!(s.resend, Some(Duration::from_millis(400)));
 }
 
--- a/crates/fawnrouter-engine/src/identify.rs
+++ b/crates/fawnrouter-engine/src/identify.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use fawnrouter_digest::{Checked, Request};
+use fawnrouter_digest::{AuthOutcome, Request};
 use fawnrouter_sip::{Message, Method, Name};
 
 use crate::engine::Engine;
-use crate::identity::{KnownClient, Strangers};
+use crate::identity::{KnownClient, UnknownClients};
 use crate::interface::{ClientId, Output};
 
 /// What comes of looking at who sent a request.
@@ -53,7 +53,7 @@
         let (now, strangers) = (self.now.0, *strangers);
         if !says_something {
             let lets_in =
-                identity.known.is_some() || (strangers == Strangers::Allowed && !identity.must_prove);
+                identity.known.is_some() || (strangers == UnknownClients::Allowed && !identity.must_prove);
             if lets_in {
                 return Passage::Go(None);
             }
@@ -61,7 +61,7 @@
         let asked = Request { method: request.method_text(), uri };
         let checked = guard.check(now, client.0, &mut identity.proof, asked, fields);
         match checked {
-            Checked::Known { client: name, info } => {
+            AuthOutcome::Known { client: name, info } => {
                 // A connection is one client's. It guards against a client that lends its connection to another and
                 // so goes past the other's limits.
                 if identity.known.as_ref().is_some_and(|known| *known != name) {
@@ -71,20 +71,20 @@
                 if identity.known.is_none() {
                     identity.known = Some(name.clone());
                     identity.must_prove = false;
-                    self.counters.proofs += 1;
-                    self.out.push(Output::Known { client, name });
+                    self.counters.authenticated += 1;
+                    self.out.push(Output::ClientIdentified { client, name });
                 }
                 Passage::Go(Some(info))
             }
-            Checked::Ask { stale, .. } => {
+            AuthOutcome::Challenge { stale, .. } => {
                 self.counters.challenged += 1;
                 let challenge = guard.challenge(now, client.0, stale);
                 let extra: Vec<_> = challenge.iter().map(|c| (Name::WwwAuthenticate, c.as_str())).collect();
                 self.respond(client, request, 401, None, &extra);
                 Passage::Answered
             }
-            Checked::Refuse => {
-                self.counters.impostors += 1;
+            AuthOutcome::Refuse => {
+                self.counters.auth_failures += 1;
                 self.respond(client, request, 403, None, &[]);
                 self.out.push(Output::CloseClient { client, reason: "too many wrong answers" });
                 Passage::Answered
@@ -94,7 +94,7 @@
 
     /// Whose connection it is, once it has shown that.
     #[must_use]
-    pub fn known_as(&self, client: ClientId) -> Option<&Arc<str>> {
+    pub fn client_name(&self, client: ClientId) -> Option<&Arc<str>> {
         self.table.clients.get(&client).and_then(|c| c.identity.known.as_ref())
     }
 }
--- a/crates/fawnrouter-engine/src/identity.rs
+++ b/crates/fawnrouter-engine/src/identity.rs
@@ -3,27 +3,27 @@
 use std::net::IpAddr;
 use std::sync::Arc;
 
-use fawnrouter_admission::{ClientLimits, Who};
-use fawnrouter_digest::{GuardSettings, Proof, Secret};
+use fawnrouter_admission::{ClientIdentity, ClientLimits};
+use fawnrouter_digest::{AuthState, AuthenticatorSettings, Secret};
 
 /// What clients may do that have not shown who they are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Strangers {
+pub enum UnknownClients {
     /// They may call, within their limits.
     Allowed,
     /// They are asked who they are.
-    Asked,
+    Challenged,
 }
 
 /// How clients show who they are.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AuthSettings {
     /// Realm, algorithms, nonces.
-    pub guard: GuardSettings,
+    pub guard: AuthenticatorSettings,
     /// Secret, and fresh at each start: keys the nonces.
     pub key: [u8; 32],
     /// Who need not.
-    pub strangers: Strangers,
+    pub unknown_clients: UnknownClients,
 }
 
 /// A known client.
@@ -45,18 +45,18 @@
     pub known: Option<Arc<str>>,
     /// It gets nothing before it has shown who it is.
     pub must_prove: bool,
-    pub proof: Proof,
+    pub proof: AuthState,
 }
 
 impl Identity {
     pub fn new(origin: IpAddr, must_prove: bool) -> Self {
-        Self { origin, known: None, must_prove, proof: Proof::default() }
+        Self { origin, known: None, must_prove, proof: AuthState::default() }
     }
 
-    pub(crate) fn who(&self) -> Who {
+    pub(crate) fn who(&self) -> ClientIdentity {
         match &self.known {
-            Some(name) => Who::Known(name.clone()),
-            None => Who::Stranger(self.origin),
+            Some(name) => ClientIdentity::Known(name.clone()),
+            None => ClientIdentity::Unknown(self.origin),
         }
     }
 }
--- a/crates/fawnrouter-node/src/node.rs
+++ b/crates/fawnrouter-node/src/node.rs
@@ -13,8 +13,8 @@
 use std::time::Duration;
 
 use fawnrouter::{
-    Action, CallId, Controller, Event, Note, Outcome, Report, ServerId, Settings, SettingsError, Time,
-    TimerId,
+    Action, CallId, Controller, Event, LoadReport, Outcome, OutcomeDetail, ServerId, Settings, SettingsError,
+    Time, TimerId,
 };
 use fawnrouter_bootinfo::{ConnectionSettings, NameIndex};
 use fawnrouter_jsonl::{Message, Tag, Verb};
@@ -305,7 +305,7 @@
                 let tag = request::tag_of_call(call);
                 if self.calls.open.get(&tag).and_then(|c| c.attempt).is_some_and(|a| a.no == attempt) {
                     self.withdraw_attempt(tag);
-                    self.attempt_failed(tag, Outcome::Cancelled, Note::None);
+                    self.attempt_failed(tag, Outcome::Cancelled, OutcomeDetail::None);
                 }
             }
             Action::Refuse { call, retry_after } => {
@@ -332,12 +332,12 @@
                         server,
                         ok: false,
                         took: Duration::ZERO,
-                        report: Report::default(),
+                        report: LoadReport::default(),
                     });
                 }
             }
             // The platform's gateways cannot write to each other, and the list is polled anyway.
-            Action::Tell { .. } | Action::Subscribe | Action::FetchList => {}
+            Action::SendToPeer { .. } | Action::Subscribe | Action::FetchList => {}
             Action::Log(line) => self.log(line),
         }
     }
@@ -350,14 +350,14 @@
                 let Some(attempt) = self.calls.open.get(&tag).and_then(|c| c.attempt) else { return };
                 self.withdraw_attempt(tag);
                 let outcome = if attempt.sent.is_some() { Outcome::TimedOut } else { Outcome::ConnectFailed };
-                self.attempt_failed(tag, outcome, Note::None);
+                self.attempt_failed(tag, outcome, OutcomeDetail::None);
             }
             TimerKey::CallDeadline(tag) => {
                 let Some(open) = self.calls.open.get(&tag) else { return };
                 if self.now < open.deadline {
                     // The controller ends each call before this, unless this process was suspended.
                     self.counters.failed += 1;
-                    self.events.push_back(Event::Lapsed(CallId(tag.0)));
+                    self.events.push_back(Event::Abandoned(CallId(tag.0)));
                     self.end_open_call(
                         tag,
                         Message::new(Verb::Finish, tag).with_cause(cause::TEMPORARY_FAILURE),
--- a/crates/fawnrouter-node/src/node/attempts.rs
+++ b/crates/fawnrouter-node/src/node/attempts.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fawnrouter::{AttemptNo, CallId, Event, Note, Outcome, Report, ServerId};
+use fawnrouter::{AttemptNo, CallId, Event, LoadReport, Outcome, OutcomeDetail, ServerId};
 use fawnrouter_jsonl::{Message, Tag, Verb};
 
 use super::{Node, Output, TimerKey};
@@ -20,7 +20,9 @@
         let timeout_at = if within.is_zero() { open.deadline } else { open.deadline.min(now.plus(within)) };
         open.attempt = Some(Attempt { no, server, issued_at: now, sent: None, timeout_at });
         let address = self.servers.get(&server).and_then(|s| s.listed.as_ref()).map(|l| l.address);
-        let Some(address) = address else { return self.attempt_failed(tag, Outcome::Moot, Note::None) };
+        let Some(address) = address else {
+            return self.attempt_failed(tag, Outcome::Moot, OutcomeDetail::None);
+        };
         self.links.switch_entry(server, address);
         match self.links.choose_for_set_up(server, tag) {
             LinkChoice::Use(link) => self.send_set_up(tag, link),
@@ -78,8 +80,8 @@
     }
 
     /// Ends the current attempt without an answer from the core switch.
-    pub(super) fn attempt_failed(&mut self, tag: Tag, outcome: Outcome, note: Note) {
-        self.end_attempt(tag, outcome, note, Report::default(), false);
+    pub(super) fn attempt_failed(&mut self, tag: Tag, outcome: Outcome, detail: OutcomeDetail) {
+        self.end_attempt(tag, outcome, detail, LoadReport::default(), false);
     }
 
     /// Reports the end of the current attempt to the controller; `answered` says that the core switch ended
@@ -88,8 +90,8 @@
         &mut self,
         tag: Tag,
         outcome: Outcome,
-        note: Note,
-        report: Report,
+        detail: OutcomeDetail,
+        report: LoadReport,
         answered: bool,
     ) {
         let now = self.now;
@@ -111,7 +113,7 @@
             server: attempt.server,
             done: false,
             outcome,
-            note,
+            detail,
             took: now.since(since),
             report,
         });
@@ -122,7 +124,7 @@
     pub(super) fn set_up_recalled(&mut self, link: LinkId, tag: Tag) {
         let attempt = self.calls.open.get(&tag).and_then(|c| c.attempt);
         if attempt.and_then(|a| a.sent).is_some_and(|sent| sent.link == link) {
-            self.end_attempt(tag, Outcome::Moot, Note::None, Report::default(), true);
+            self.end_attempt(tag, Outcome::Moot, OutcomeDetail::None, LoadReport::default(), true);
         }
     }
 
--- a/crates/fawnrouter-node/src/node/callers.rs
+++ b/crates/fawnrouter-node/src/node/callers.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use fawnrouter::{CallId, Event, Note, Outcome};
+use fawnrouter::{CallId, Event, Outcome, OutcomeDetail};
 use fawnrouter_jsonl::{DecodeError, Message, Tag, Verb};
 
 use super::attempts::encode_line;
@@ -155,8 +155,8 @@
         self.counters.abandoned += 1;
         let sent = self.calls.open.get(&tag).is_some_and(|c| c.attempts_made > 0);
         self.withdraw_attempt(tag);
-        self.events.push_back(Event::Lapsed(CallId(tag.0)));
-        self.attempt_failed(tag, Outcome::Cancelled, Note::None);
+        self.events.push_back(Event::Abandoned(CallId(tag.0)));
+        self.attempt_failed(tag, Outcome::Cancelled, OutcomeDetail::None);
         self.remove_open_call(tag);
         let barred_until = sent.then(|| self.now.plus(self.controller_settings.rules.release_guard));
         self.calls.recently_ended.insert(tag, EndedCall { barred_until, release_cause: None });
@@ -298,8 +298,9 @@
             return self.send_to_client(client, &refusal);
         }
         self.counters.accepted += 1;
-        let deadline = self.now.plus(new.left);
-        self.timers.set(TimerKey::CallDeadline(tag), deadline.minus(FINAL_ANSWER_MARGIN.min(new.left / 4)));
+        let deadline = self.now.plus(new.time_left);
+        self.timers
+            .set(TimerKey::CallDeadline(tag), deadline.minus(FINAL_ANSWER_MARGIN.min(new.time_left / 4)));
         let text =
             |name: &str| message.opts.get(name).and_then(|v| v.as_str()).unwrap_or_default().to_owned();
         let (class, called_number) = (text("class"), text("key"));
--- a/crates/fawnrouter-node/src/node/established.rs
+++ b/crates/fawnrouter-node/src/node/established.rs
@@ -1,6 +1,6 @@
 //! Established calls: what ends them, and who is notified.
 
-use fawnrouter::{CallId, Event, Note, Outcome, Report, ServerId, Time};
+use fawnrouter::{CallId, Event, LoadReport, Outcome, OutcomeDetail, ServerId, Time};
 use fawnrouter_jsonl::{Message, Tag, Verb};
 
 use super::attempts::encode_line;
@@ -70,7 +70,7 @@
             if let Some(link) = self.links.links.get_mut(&sent.link) {
                 link.end_attempt(now, tag, true, false);
             }
-            self.events.push_back(Event::Standing {
+            self.events.push_back(Event::Established {
                 call: CallId(tag.0),
                 attempt: attempt.no,
                 server: attempt.server,
@@ -120,9 +120,9 @@
                 server: call.server,
                 done: true,
                 outcome,
-                note: Note::None,
+                detail: OutcomeDetail::None,
                 took: self.now.since(call.since),
-                report: Report::default(),
+                report: LoadReport::default(),
             });
         }
     }
--- a/crates/fawnrouter-node/src/node/switch_links.rs
+++ b/crates/fawnrouter-node/src/node/switch_links.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fawnrouter::{Event, Note, Outcome, ServerId, ServerState};
+use fawnrouter::{Event, Outcome, OutcomeDetail, ServerId, ServerState};
 use fawnrouter_jsonl::{Message, Tag, Verb};
 use rand_core::RngCore;
 
@@ -94,7 +94,7 @@
         // The switch cannot be reached, so the set-ups that wait for a connection have failed to get one.
         if end != LinkEnd::Broken && !self.links.has_link_up(server) {
             for tag in self.links.take_queued_set_ups(server) {
-                self.attempt_failed(tag, Outcome::ConnectFailed, Note::None);
+                self.attempt_failed(tag, Outcome::ConnectFailed, OutcomeDetail::None);
             }
         }
     }
@@ -112,7 +112,7 @@
             s.liveness.connection_lost();
         }
         for tag in gone.open_set_ups {
-            self.attempt_failed(tag, Outcome::Reset, Note::None);
+            self.attempt_failed(tag, Outcome::Reset, OutcomeDetail::None);
             self.release_at_switch(gone.server, tag, cause::CLEARING);
         }
         self.open_missing_links(gone.server);
@@ -152,11 +152,11 @@
                     return self.close_faulty_link(link, "a release without a cause");
                 };
                 if current_attempt.is_some() {
-                    let note = match message.opts.get("note").and_then(|n| n.as_str()) {
-                        Some("group_full") => Note::NoCircuit,
-                        Some("processor_full") => Note::ProcessorFull(None),
-                        Some("user_busy") => Note::NumberBusy,
-                        _ => Note::None,
+                    let detail = match message.opts.get("note").and_then(|n| n.as_str()) {
+                        Some("group_full") => OutcomeDetail::NoCircuit,
+                        Some("processor_full") => OutcomeDetail::ProcessorFull(None),
+                        Some("user_busy") => OutcomeDetail::NumberBusy,
+                        _ => OutcomeDetail::None,
                     };
                     let outcome = match rc {
                         cause::NO_CIRCUIT => Outcome::Full,
@@ -165,7 +165,7 @@
                         _ => Outcome::Reset,
                     };
                     let answered = outcome != Outcome::Reset;
-                    return self.end_attempt(tag, outcome, note, report.unwrap_or_default(), answered);
+                    return self.end_attempt(tag, outcome, detail, report.unwrap_or_default(), answered);
                 }
                 if was_established {
                     self.send_to_switch(link, &Message::new(Verb::Finished, tag));
--- a/crates/fawnrouter-node/src/node/switch_list.rs
+++ b/crates/fawnrouter-node/src/node/switch_list.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use fawnrouter::{Event, ListKind, Note, Outcome, ServerId};
+use fawnrouter::{Event, ListKind, Outcome, OutcomeDetail, ServerId};
 
 use super::{Node, Output, Server, TimerKey};
 use crate::links::{LinkId, LinkNeed};
@@ -24,7 +24,7 @@
             self.server_ids.remove(&s.id);
         }
         for tag in self.links.take_queued_set_ups(server) {
-            self.attempt_failed(tag, Outcome::Moot, Note::None);
+            self.attempt_failed(tag, Outcome::Moot, OutcomeDetail::None);
         }
         let links = self.links.switches.remove(&server).map(|s| s.links).unwrap_or_default();
         for link in links {
@@ -41,7 +41,7 @@
         if self.list_serial.is_some_and(|seen| pool.serial.wrapping_sub(seen) as i32 <= 0) {
             return;
         }
-        let kind = if self.list_serial.is_none() { ListKind::Cached } else { ListKind::Whole };
+        let kind = if self.list_serial.is_none() { ListKind::Cached } else { ListKind::Snapshot };
         self.list_serial = Some(pool.serial);
         let mut entries = Vec::new();
         let mut seen = BTreeSet::new();
@@ -91,7 +91,7 @@
             // Set-ups that have not been sent must not go to this switch any more.
             if self.link_need(server) != LinkNeed::SetUps {
                 for tag in self.links.take_queued_set_ups(server) {
-                    self.attempt_failed(tag, Outcome::Moot, Note::None);
+                    self.attempt_failed(tag, Outcome::Moot, OutcomeDetail::None);
                 }
                 // A peer that does not read leaves set-ups in the outbox, and might accept them after the
                 // grace period.
--- a/crates/fawnrouter-node/tests/settings.rs
+++ b/crates/fawnrouter-node/tests/settings.rs
@@ -109,14 +109,14 @@
         Node::new(NodeSettings::new(&boot)).err().map(|error| (error.clone(), error.to_string()))
     };
     assert_eq!(refused(|_| ()), None);
-    let (error, text) = refused(|s| s.me = PeerId(2)).unwrap();
-    assert_eq!(error, SettingsError::NotAGateway { me: 2, gateways: 2 });
+    let (error, text) = refused(|s| s.own_id = PeerId(2)).unwrap();
+    assert_eq!(error, SettingsError::GatewayOutOfRange { own_id: 2, gateways: 2 });
     assert!(text.contains("gateway 2 of 2") && text.contains("from 0"), "{text}");
     let (error, text) = refused(|s| s.classes[0].aim = s.classes[0].deadline * 2).unwrap();
-    assert_eq!(error, SettingsError::NoTime("voice".into()));
+    assert_eq!(error, SettingsError::BadDeadline("voice".into()));
     assert!(text.contains("\"voice\"") && text.contains("set the deadline"), "{text}");
     let (error, text) = refused(|s| s.rules.fall_multiple = 0.0).unwrap();
-    assert_eq!(error, SettingsError::BadFigure("fall_multiple"));
+    assert_eq!(error, SettingsError::FigureOutOfRange("fall_multiple"));
     assert!(text.contains("fall_multiple; it must be above 0"), "{text}");
     let warm = |s: &mut Settings| (s.rules.fall_multiple, s.rules.cold_time) = (0.0, Duration::ZERO);
     assert_eq!(refused(warm), None, "the multiple does not matter where nothing is cold");
--- a/crates/fawnrouter-zones/tests/common/mod.rs
+++ b/crates/fawnrouter-zones/tests/common/mod.rs
@@ -6,7 +6,10 @@
 use std::time::Duration;
 
 use fawnrouter::*;
-use fawnrouter_zones::{Budget, Cost, HealthSettings, Limit, Money, Shared, Span, Word, ZoneSettings, Zones};
+use fawnrouter_zones::{
+    Budget, BudgetPeriod, GrantMessage, HealthSettings, Limit, Money, SharedZonePolicy, ZoneCost, ZonePolicy,
+    ZoneSettings,
+};
 use rand_chacha::ChaCha8Rng;
 use rand_core::{RngCore, SeedableRng};
 
@@ -85,13 +88,13 @@
 #[derive(Debug)]
 struct Preference(Arc<str>);
 
-impl Voice for Preference {
-    fn observe(&mut self, _: Time, _: &mut dyn Iterator<Item = Seen<'_>>) {}
-    fn weigh(&mut self, _: Time, _: &Wanted, server: &ServerEntry) -> f64 {
+impl RoutingPolicy for Preference {
+    fn observe(&mut self, _: Time, _: &mut dyn Iterator<Item = ServerView<'_>>) {}
+    fn server_weight(&mut self, _: Time, _: &RoutingRequest, server: &ServerEntry) -> f64 {
         if server.zone == self.0 { 1.0 } else { 0.1 }
     }
-    fn sent(&mut self, _: Time, _: &Wanted, _: &ServerEntry) {}
-    fn ended(&mut self, _: CallId, _: bool) {}
+    fn attempt_sent(&mut self, _: Time, _: &RoutingRequest, _: &ServerEntry) {}
+    fn attempt_resolved(&mut self, _: CallId, _: bool) {}
 }
 
 struct Switch {
@@ -155,7 +158,7 @@
     };
     Settings {
         gateways,
-        me: PeerId(me),
+        own_id: PeerId(me),
         classes: vec![class("check", 1.0), class("transfer", 3.0)],
         tenants: vec![],
         over_share_worth: 1.0,
@@ -166,7 +169,7 @@
             fall_multiple: 3.0,
             fall_time: Duration::from_secs(1),
             release_guard: Duration::from_millis(300),
-            ask_within: Duration::from_secs(10),
+            subscribe_within: Duration::from_secs(10),
         },
         limits: Limits {
             max_attempts: 5,
@@ -195,30 +198,31 @@
     let budget = Budget {
         from: Some(own.into()),
         to: None,
-        span: Span::Minute,
+        period: BudgetPeriod::Minute,
         limit: Limit { calls: Some(plan.budget), money: None },
         carry: 0.0,
         emergency: plan.emergency,
         sharers,
     };
     ZoneSettings {
-        own: own.into(),
+        own_zone: own.into(),
         costs: BTreeMap::new(),
-        other: Cost::Money(Money::units(1.0)),
+        default_cost: ZoneCost::Money(Money::from_units(1.0)),
         budgets: if plan.policy == Policy::Unbudgeted { vec![] } else { vec![budget] },
-        me: me / ZONES.len() as u32,
-        points_a_unit: if plan.policy == Policy::HardCap { 0.0 } else { 0.2 },
+        gateway_index: me / ZONES.len() as u32,
+        points_per_unit: if plan.policy == Policy::HardCap { 0.0 } else { 0.2 },
         health: HealthSettings::default(),
         phase: f64::from(me % 16) / 16.0,
     }
 }
 
-fn voice(plan: &Plan, me: u32, shared: &mut Vec<Shared>) -> Option<Box<dyn Voice>> {
+fn voice(plan: &Plan, me: u32, shared: &mut Vec<SharedZonePolicy>) -> Option<Box<dyn RoutingPolicy>> {
     match plan.policy {
         Policy::Unvoiced => None,
         Policy::Preference => Some(Box::new(Preference(ZONES[zone_of(me)].into()))),
         _ => {
-            let zones = Shared::new(Zones::new(zone_settings(plan, me)).expect("sound settings"));
+            let zones =
+                SharedZonePolicy::new(ZonePolicy::new(zone_settings(plan, me)).expect("sound settings"));
             shared.push(zones.clone());
             Some(Box::new(zones))
         }
@@ -231,13 +235,13 @@
     // A whole minute, so that windows and the run's minutes are the same.
     let start = Time(Duration::from_secs(28_000_000 * 60));
     let mut now = start;
-    let mut shared: Vec<Shared> = Vec::new();
+    let mut shared: Vec<SharedZonePolicy> = Vec::new();
     let mut fleet: Vec<Controller> = (0..plan.gateways)
         .map(|me| {
             let controller = Controller::new(settings(plan.gateways, me), u64::from(me) + plan.seed * 1000);
             let controller = controller.expect("sound settings");
             match voice(plan, me, &mut shared) {
-                Some(voice) => controller.with_voice(voice),
+                Some(voice) => controller.with_routing_policy(voice),
                 None => controller,
             }
         })
@@ -301,9 +305,18 @@
                     s.entry.up_since = s.cold_since;
                     for (g, call, attempt, _) in s.queue.drain(..) {
                         let (server, took) = (s.entry.id, Duration::ZERO);
-                        let (outcome, note, report) = (Outcome::Reset, Note::None, Report::default());
-                        let event =
-                            Event::Closed { call, attempt, server, done: false, outcome, note, took, report };
+                        let (outcome, detail, report) =
+                            (Outcome::Reset, OutcomeDetail::None, LoadReport::default());
+                        let event = Event::Closed {
+                            call,
+                            attempt,
+                            server,
+                            done: false,
+                            outcome,
+                            detail,
+                            took,
+                            report,
+                        };
                         tell(&mut fleet, g, event, &mut todo);
                     }
                     changed.push(s.entry.clone());
@@ -338,7 +351,7 @@
                 let new = NewCall {
                     id,
                     class: Some(ClassId(class)),
-                    left: Duration::from_secs(3),
+                    time_left: Duration::from_secs(3),
                     number: format!("n{next_call}").into(),
                     width: 1.0,
                     tenant: None,
@@ -355,7 +368,7 @@
         // Once a second each gateway that lacks something asks two others of its zone.
         if plan.policy == Policy::Talking && step % 100 == 50 {
             for g in 0..fleet.len() {
-                let words = shared[g].with(|z| z.account_mut().needs(now.0));
+                let words = shared[g].with(|z| z.account_mut().budget_requests(now.0));
                 for word in words {
                     for _ in 0..2 {
                         let count = (fleet.len() - 1 - zone_of(g as u32)) / ZONES.len() + 1;
@@ -364,11 +377,11 @@
                             continue;
                         }
                         let from = (g / ZONES.len()) as u32;
-                        let answer: Option<Word> =
-                            shared[other].with(|z| z.account_mut().hear(now.0, from, &word));
+                        let answer: Option<GrantMessage> =
+                            shared[other].with(|z| z.account_mut().on_message(now.0, from, &word));
                         if let Some(grant) = answer.filter(|_| unit() >= 0.1) {
                             let from = (other / ZONES.len()) as u32;
-                            shared[g].with(|z| z.account_mut().hear(now.0, from, &grant));
+                            shared[g].with(|z| z.account_mut().on_message(now.0, from, &grant));
                         }
                     }
                 }
@@ -384,12 +397,13 @@
                 let Some((g, call, attempt, sent)) = s.queue.pop_front() else { break };
                 s.credit -= 1.0;
                 let (server, took) = (s.entry.id, now.since(sent));
-                tell(&mut fleet, g, Event::Standing { call, attempt, server, took }, &mut todo);
-                let (done, outcome, note, report) = (true, Outcome::Ended, Note::None, Report::default());
+                tell(&mut fleet, g, Event::Established { call, attempt, server, took }, &mut todo);
+                let (done, outcome, detail, report) =
+                    (true, Outcome::Ended, OutcomeDetail::None, LoadReport::default());
                 tell(
                     &mut fleet,
                     g,
-                    Event::Closed { call, attempt, server, done, outcome, note, took, report },
+                    Event::Closed { call, attempt, server, done, outcome, detail, took, report },
                     &mut todo,
                 );
                 attempts.remove(&call);
@@ -417,9 +431,9 @@
                 s.queue.retain(|(_, c, a, _)| (c, a) != (call, attempt));
                 if s.queue.len() < before {
                     let (call, attempt, server, took) = (*call, *attempt, *server, Duration::ZERO);
-                    let (done, outcome, note, report) =
-                        (false, Outcome::TimedOut, Note::None, Report::default());
-                    let event = Event::Closed { call, attempt, server, done, outcome, note, took, report };
+                    let (done, outcome, detail, report) =
+                        (false, Outcome::TimedOut, OutcomeDetail::None, LoadReport::default());
+                    let event = Event::Closed { call, attempt, server, done, outcome, detail, took, report };
                     let mut actions = Vec::new();
                     fleet[*g].handle(now, event, &mut actions);
                     todo.extend(actions.into_iter().map(|a| (*g, a)));
@@ -437,14 +451,19 @@
                     if *s.entry.zone != *ZONES[zone_of(g as u32)] {
                         *out.sent_s.entry(second).or_default() += 1;
                     }
-                    let closed = |outcome, note| {
-                        let (done, took, report) = (false, Duration::ZERO, Report::default());
-                        Event::Closed { call, attempt: no, server, done, outcome, note, took, report }
+                    let closed = |outcome, detail| {
+                        let (done, took, report) = (false, Duration::ZERO, LoadReport::default());
+                        Event::Closed { call, attempt: no, server, done, outcome, detail, took, report }
                     };
                     if s.away {
-                        tell(&mut fleet, g, closed(Outcome::ConnectFailed, Note::None), &mut todo);
+                        tell(&mut fleet, g, closed(Outcome::ConnectFailed, OutcomeDetail::None), &mut todo);
                     } else if s.queue.len() as f64 > FULL_AFTER * plan.capacity {
-                        tell(&mut fleet, g, closed(Outcome::Full, Note::ProcessorFull(None)), &mut todo);
+                        tell(
+                            &mut fleet,
+                            g,
+                            closed(Outcome::Full, OutcomeDetail::ProcessorFull(None)),
+                            &mut todo,
+                        );
                     } else {
                         s.queue.push_back((g, call, no, now));
                         timeouts.push_back((now.plus(within), g, call, no, server));
--- a/crates/fawnrouter/src/interface.rs
+++ b/crates/fawnrouter/src/interface.rs
@@ -140,7 +140,7 @@
     /// No further issue of a call within this time of a time-out, reset or cancel.
     pub release_guard: Duration,
     /// Where the list must be asked for: the longest time between two calls.
-    pub ask_within: Duration,
+    pub subscribe_within: Duration,
 }
 
 /// What the embedder permits.
@@ -178,7 +178,7 @@
     /// By itself.
     Push,
     /// Only when asked for.
-    Ask,
+    Subscribe,
 }
 
 /// All that a controller is told at its start.
@@ -187,7 +187,7 @@
     /// Number of gateways.
     pub gateways: u32,
     /// This gateway's number.
-    pub me: PeerId,
+    pub own_id: PeerId,
     /// Classes of call.
     pub classes: Vec<ClassSettings>,
     /// Tenants, if any.
@@ -215,34 +215,34 @@
     /// There are no gateways.
     NoGateways,
     /// The own number is none of theirs.
-    NotAGateway {
+    GatewayOutOfRange {
         /// The own number.
-        me: u32,
+        own_id: u32,
         /// How many there are.
         gateways: u32,
     },
     /// There are no classes of call.
     NoClasses,
     /// The aim of this class lies after its deadline, or there is no time at all.
-    NoTime(String),
+    BadDeadline(String),
     /// A figure is not a number, negative, or beyond sense; the text names it.
-    BadFigure(&'static str),
+    FigureOutOfRange(&'static str),
 }
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NoGateways => write!(f, "settings name no gateways; there must be one at least"),
-            Self::NotAGateway { me, gateways } => {
-                write!(f, "settings say that this is gateway {me} of {gateways}; number them from 0")
+            Self::GatewayOutOfRange { own_id, gateways } => {
+                write!(f, "settings say that this is gateway {own_id} of {gateways}; number them from 0")
             }
             Self::NoClasses => write!(f, "settings name no classes of call; there must be one at least"),
-            Self::NoTime(class) => write!(
+            Self::BadDeadline(class) => write!(
                 f,
                 "settings give class {class:?} an aim after its deadline, or a deadline of 0; set the deadline to the \
                  aim at the least"
             ),
-            Self::BadFigure(what) => {
+            Self::FigureOutOfRange(what) => {
                 let wanted = match *what {
                     "cold_from" => "from 0 to 1",
                     "fall_multiple" => "above 0 where servers start cold, and never negative",
@@ -265,14 +265,14 @@
         if self.gateways == 0 {
             return Err(SettingsError::NoGateways);
         }
-        if self.me.0 >= self.gateways {
-            return Err(SettingsError::NotAGateway { me: self.me.0, gateways: self.gateways });
+        if self.own_id.0 >= self.gateways {
+            return Err(SettingsError::GatewayOutOfRange { own_id: self.own_id.0, gateways: self.gateways });
         }
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
         }
         if let Some(class) = self.classes.iter().find(|c| c.aim > c.deadline || c.deadline.is_zero()) {
-            return Err(SettingsError::NoTime(class.name.clone()));
+            return Err(SettingsError::BadDeadline(class.name.clone()));
         }
         let share = |x: f64| x.is_finite() && (0.0..=1.0).contains(&x);
         let amount = |x: f64| x.is_finite() && x >= 0.0;
@@ -286,7 +286,7 @@
             (self.tenants.iter().all(|t| t.quota_per_s.is_none_or(amount)), "quota of a tenant"),
         ];
         match checks.iter().find(|(ok, _)| !ok) {
-            Some((_, what)) => Err(SettingsError::BadFigure(what)),
+            Some((_, what)) => Err(SettingsError::FigureOutOfRange(what)),
             None => Ok(()),
         }
     }
@@ -319,22 +319,22 @@
     pub up_since: Option<Time>,
 }
 
-/// A server as it is seen now, for a [`Voice`].
+/// A server as it is seen now, for a [`RoutingPolicy`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Seen<'a> {
+pub struct ServerView<'a> {
     /// The server.
     pub entry: &'a ServerEntry,
     /// The list says that it takes calls.
     pub ready: bool,
     /// It is neither cold nor left to trials.
-    pub well: bool,
+    pub healthy: bool,
     /// The fraction of set-ups that its throttle lets pass, 0 to 1.
-    pub fraction: f64,
+    pub allowed_fraction: f64,
 }
 
-/// A call that wants a server, for a [`Voice`].
+/// A call that wants a server, for a [`RoutingPolicy`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Wanted {
+pub struct RoutingRequest {
     /// The call.
     pub call: CallId,
     /// Its class.
@@ -346,24 +346,24 @@
     /// What is left of it.
     pub aim_left: Duration,
     /// Time until its final answer is due.
-    pub left: Duration,
+    pub time_left: Duration,
 }
 
 /// A further voice in the choice of server, for what is not the throttle's to decide, as what it costs to cross into
 /// another zone. It is heard inside the first choice and the redraw, and can only narrow them: no server is open to a
 /// call because of it that was not before. Like the controller it has no clock and no unseeded randomness.
-pub trait Voice: std::fmt::Debug + Send {
+pub trait RoutingPolicy: std::fmt::Debug + Send {
     /// What all servers look like, once a tick.
-    fn observe(&mut self, now: Time, servers: &mut dyn Iterator<Item = Seen<'_>>);
+    fn observe(&mut self, now: Time, servers: &mut dyn Iterator<Item = ServerView<'_>>);
 
     /// How much this server is wanted for this call: 1 as without a voice, less to be drawn less often, 0 for not now.
-    fn weigh(&mut self, now: Time, wanted: &Wanted, server: &ServerEntry) -> f64;
+    fn server_weight(&mut self, now: Time, wanted: &RoutingRequest, server: &ServerEntry) -> f64;
 
     /// A set-up goes out there.
-    fn sent(&mut self, now: Time, wanted: &Wanted, server: &ServerEntry);
+    fn attempt_sent(&mut self, now: Time, wanted: &RoutingRequest, server: &ServerEntry);
 
     /// A call's last set-up has ended, or the call is over; heard more than once.
-    fn ended(&mut self, call: CallId, stood: bool);
+    fn attempt_resolved(&mut self, call: CallId, stood: bool);
 }
 
 /// How an update relates to the list so far.
@@ -372,7 +372,7 @@
     /// Changed entries only.
     Changes,
     /// The whole list.
-    Whole,
+    Snapshot,
     /// The whole list as it was last known, maybe old.
     Cached,
     /// A question failed or the subscription broke; no entries.
@@ -387,7 +387,7 @@
     /// Its class; `None`: one that the settings do not name.
     pub class: Option<ClassId>,
     /// How long this try lasts.
-    pub left: Duration,
+    pub time_left: Duration,
     /// The number called.
     pub number: Arc<str>,
     /// Circuits it takes on each group.
@@ -439,14 +439,14 @@
 
 /// What an outcome says beside its code.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Note {
+pub enum OutcomeDetail {
     /// Nothing.
     #[default]
     None,
     /// No circuit or agent was free.
     NoCircuit,
     /// The tandem turned it back; `true`: the processor beyond was full.
-    TurnedBack(bool),
+    Crankback(bool),
     /// The processor was full, with the wait it told.
     ProcessorFull(Option<Duration>),
     /// Every line of the number is busy.
@@ -455,19 +455,19 @@
 
 /// Figures that came along from a server, as far as there are any.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// Free circuits towards it.
-    pub free: Option<f64>,
+    pub free_circuits: Option<f64>,
     /// Circuits towards it.
-    pub size: Option<f64>,
+    pub total_circuits: Option<f64>,
     /// Share of its processor that is busy.
     pub utilisation: Option<f64>,
     /// Wait at its processor.
-    pub wait: Option<Duration>,
+    pub queue_wait: Option<Duration>,
     /// New set-ups a second it can take from all senders.
-    pub can_take: Option<f64>,
+    pub acceptable_rate: Option<f64>,
     /// Share of new set-ups that senders should hold back.
-    pub hold_back: Option<f64>,
+    pub hold_back_share: Option<f64>,
 }
 
 /// What happened.
@@ -483,7 +483,7 @@
     /// A call came in.
     Call(NewCall),
     /// A call stands.
-    Standing {
+    Established {
         /// The call.
         call: CallId,
         /// The attempt that stands.
@@ -506,14 +506,14 @@
         /// How it ended.
         outcome: Outcome,
         /// What was said beside it.
-        note: Note,
+        detail: OutcomeDetail,
         /// Time since it was issued.
         took: Duration,
         /// Figures that came along.
-        report: Report,
+        report: LoadReport,
     },
     /// The caller left, or the answer is overdue.
-    Lapsed(CallId),
+    Abandoned(CallId),
     /// A timer is due.
     Timer(TimerId),
     /// A probe's answer, or a change of the free circuits.
@@ -525,10 +525,10 @@
         /// Time since the probe went out; zero: unasked.
         took: Duration,
         /// Figures that came along.
-        report: Report,
+        report: LoadReport,
     },
     /// A message of another gateway.
-    Mail {
+    PeerMessage {
         /// The sender.
         from: PeerId,
         /// The text.
@@ -574,7 +574,7 @@
     /// Probe a server.
     Probe(ServerId),
     /// Write to one gateway, or to all.
-    Tell {
+    SendToPeer {
         /// To whom; `None`: all.
         to: Option<PeerId>,
         /// The text.
--- a/crates/fawnrouter/tests/common/mod.rs
+++ b/crates/fawnrouter/tests/common/mod.rs
@@ -23,7 +23,7 @@
 pub fn settings() -> Settings {
     Settings {
         gateways: 4,
-        me: PeerId(0),
+        own_id: PeerId(0),
         classes: vec![class(1.0, Effect::Safe), class(3.0, Effect::Safe)],
         tenants: vec![],
         over_share_worth: 0.2,
@@ -34,7 +34,7 @@
             fall_multiple: 2.0,
             fall_time: ms(1000),
             release_guard: ms(300),
-            ask_within: ms(10_000),
+            subscribe_within: ms(10_000),
         },
         limits: Limits {
             max_attempts: 3,
@@ -59,7 +59,7 @@
     NewCall {
         id: CallId(id),
         class: Some(ClassId(class)),
-        left: ms(3000),
+        time_left: ms(3000),
         number: format!("line-{id}").into(),
         width: 1.0,
         tenant: None,
@@ -121,11 +121,11 @@
 
     pub fn stands(&mut self, call: u64, attempt: u32, server: u32, took: Duration) -> Vec<Action> {
         let (call, attempt, server) = (CallId(call), AttemptNo(attempt), ServerId(server));
-        self.tell(Event::Standing { call, attempt, server, took })
+        self.tell(Event::Established { call, attempt, server, took })
     }
 
     pub fn closes(&mut self, call: u64, attempt: u32, server: u32, outcome: Outcome) -> Vec<Action> {
-        self.closes_with(call, attempt, server, outcome, Note::None)
+        self.closes_with(call, attempt, server, outcome, OutcomeDetail::None)
     }
 
     pub fn closes_with(
@@ -134,7 +134,7 @@
         attempt: u32,
         server: u32,
         outcome: Outcome,
-        note: Note,
+        detail: OutcomeDetail,
     ) -> Vec<Action> {
         self.tell(Event::Closed {
             call: CallId(call),
@@ -142,9 +142,9 @@
             server: ServerId(server),
             done: outcome == Outcome::Ended,
             outcome,
-            note,
+            detail,
             took: ms(50),
-            report: Report::default(),
+            report: LoadReport::default(),
         })
     }
 
--- a/crates/fawnrouter/tests/property.rs
+++ b/crates/fawnrouter/tests/property.rs
@@ -62,14 +62,17 @@
         self.check(&done);
     }
 
-    fn outcome(&mut self) -> (Outcome, Note) {
+    fn outcome(&mut self) -> (Outcome, OutcomeDetail) {
         match self.below(6) {
-            0 => (Outcome::Full, Note::ProcessorFull(Some(ms(self.below(3000))))),
-            1 => (Outcome::Full, Note::NoCircuit),
-            2 => (Outcome::TimedOut, Note::None),
-            3 => (Outcome::Reset, Note::None),
-            4 => (Outcome::ConnectFailed, Note::None),
-            _ => (Outcome::Error, if self.rng.next_u64() & 1 == 0 { Note::NumberBusy } else { Note::None }),
+            0 => (Outcome::Full, OutcomeDetail::ProcessorFull(Some(ms(self.below(3000))))),
+            1 => (Outcome::Full, OutcomeDetail::NoCircuit),
+            2 => (Outcome::TimedOut, OutcomeDetail::None),
+            3 => (Outcome::Reset, OutcomeDetail::None),
+            4 => (Outcome::ConnectFailed, OutcomeDetail::None),
+            _ => (
+                Outcome::Error,
+                if self.rng.next_u64() & 1 == 0 { OutcomeDetail::NumberBusy } else { OutcomeDetail::None },
+            ),
         }
     }
 
@@ -79,7 +82,7 @@
                 let left = ms(self.below(3500));
                 let cell = u32::try_from(self.below(4)).unwrap();
                 let class = usize::try_from(self.below(2)).unwrap();
-                let new = NewCall { left, ..call(next, class, cell) };
+                let new = NewCall { time_left: left, ..call(next, class, cell) };
                 let seen = Seen { deadline: self.gateway.now.plus(left), ..Seen::default() };
                 self.calls.insert(new.id, seen);
                 self.tell(Event::Call(new));
@@ -95,21 +98,22 @@
                 let (attempt, server) = c.out.unwrap();
                 if !c.stands && !c.ended && self.rng.next_u64() & 1 == 0 {
                     c.stands = true;
-                    self.tell(Event::Standing { call: id, attempt, server, took: ms(60) });
+                    self.tell(Event::Established { call: id, attempt, server, took: ms(60) });
                     return;
                 }
                 c.out = None;
                 let over = c.stands || c.ended;
-                let (outcome, note) = if over { (Outcome::Ended, Note::None) } else { self.outcome() };
+                let (outcome, detail) =
+                    if over { (Outcome::Ended, OutcomeDetail::None) } else { self.outcome() };
                 let now = self.gateway.now;
                 let c = self.calls.get_mut(&id).unwrap();
                 c.ended |= over;
                 if outcome.needs_release() {
                     c.released = now.plus(ms(300));
                 }
-                let (report, took) = (Report::default(), ms(60));
+                let (report, took) = (LoadReport::default(), ms(60));
                 let event =
-                    Event::Closed { call: id, attempt, server, done: over, outcome, note, took, report };
+                    Event::Closed { call: id, attempt, server, done: over, outcome, detail, took, report };
                 self.tell(event.clone());
                 self.tell(event); // the same once more: it changes nothing
             }
@@ -129,7 +133,7 @@
                     c.ended = true;
                 }
                 if self.calls.get(&lapsing).is_none_or(|c| c.ended) {
-                    self.tell(Event::Lapsed(lapsing));
+                    self.tell(Event::Abandoned(lapsing));
                 }
             }
         }
--- a/crates/fawnrouterd/src/client.rs
+++ b/crates/fawnrouterd/src/client.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use async_io::{Async, Timer};
-use fawnrouter_admission::{Conn, For, Reason};
-use fawnrouter_engine::{Input, whole_seconds};
+use fawnrouter_admission::{BufferOwner, ConnectionId, RefusalReason};
+use fawnrouter_engine::{Input, retry_after_seconds};
 use fawnrouter_sip::Message;
 use fawnrouter_ws::{
     CloseCode, Decoder, Event, HttpLimits, Opcode, Origins, Role, Terms, accept, close_payload, encode,
@@ -67,7 +67,7 @@
 /// Serves one connection to its end.
 pub async fn drive(
     core: Rc<Core>,
-    (conn, outbox): (Conn, Rc<Outbox>),
+    (conn, outbox): (ConnectionId, Rc<Outbox>),
     stream: Async<TcpStream>,
     peer: SocketAddr,
     terms: Rc<Terms>,
@@ -78,8 +78,8 @@
 }
 
 /// The answer to a connection that does not get in.
-pub fn refusal(reason: Reason, wait: Duration) -> Vec<u8> {
-    refuse(503, reason.text(), Some(whole_seconds(wait)))
+pub fn refusal(reason: RefusalReason, wait: Duration) -> Vec<u8> {
+    refuse(503, reason.text(), Some(retry_after_seconds(wait)))
 }
 
 /// Tells a connection that does not get in when to come back. The answer goes out before its request is read, and
@@ -88,14 +88,14 @@
     core: Rc<Core>,
     outbox: Rc<Outbox>,
     stream: Async<TcpStream>,
-    reason: Reason,
+    reason: RefusalReason,
     wait: Duration,
 ) {
     let answer = refusal(reason, wait);
     let told = future::or(tell_and_end(&core, &stream, &answer), async {
         Timer::after(LAST_WORDS).await;
     });
-    future::or(told, outbox.killed()).await;
+    future::or(told, outbox.aborted()).await;
     core.connection_admission.borrow_mut().refused(&outbox);
 }
 
@@ -109,7 +109,7 @@
 
 async fn serve(
     core: &Rc<Core>,
-    conn: Conn,
+    conn: ConnectionId,
     outbox: &Rc<Outbox>,
     stream: Async<TcpStream>,
     peer: SocketAddr,
@@ -123,8 +123,12 @@
     };
     // It may have to make room for another before it is done.
     let made_room = async {
-        let why = outbox.ended().await.unwrap_or("the gateway ends");
-        Err(refuse(503, why, Some(whole_seconds(Duration::from_millis(core.settings.limits.retry_after_ms)))))
+        let why = outbox.finished().await.unwrap_or("the gateway ends");
+        Err(refuse(
+            503,
+            why,
+            Some(retry_after_seconds(Duration::from_millis(core.settings.limits.retry_after_ms))),
+        ))
     };
     let shaken =
         future::or(handshake(core, conn, &stream, peer, terms), future::or(made_room, too_late)).await;
@@ -150,13 +154,13 @@
         .await;
     }
     let client = core.connections.borrow_mut().shaken(conn, outbox.clone());
-    core.input(Input::ClientUp { client, peer, origin, must_prove });
+    core.input(Input::ClientUp { client, peer, origin, must_authenticate: must_prove });
     tracing::debug!(client = client.0, %peer, "client connected");
     let heard = Cell::new(Instant::now());
     let reading = async {
         let limits = &core.settings.limits;
         let mut decoder = Decoder::new(Role::Server, limits.head_bytes + limits.body_bytes);
-        let held = Share::of(&core.buffer_budget, For::Client);
+        let held = Share::of(&core.buffer_budget, BufferOwner::Client);
         let mut session = Session { core, client, outbox, held: &held, bad_in_a_row: 0, messages: 0 };
         let mut goes_on = session.take_all(&mut decoder, &rest);
         drop(rest);
@@ -167,7 +171,7 @@
             let read = read_at_most(core, &stream, turn, |bytes| session.take_all(&mut decoder, bytes));
             match read.await {
                 Ok(Some(more)) => goes_on = more,
-                _ => return outbox.kill(),
+                _ => return outbox.abort(),
             }
             heard.set(Instant::now());
             let messages = std::mem::take(&mut session.messages);
@@ -181,7 +185,7 @@
     let writing = async {
         let _ = outbox.write_to(&stream).await;
     };
-    let watching = future::or(outbox.killed(), keep_alive(core, outbox, &heard));
+    let watching = future::or(outbox.aborted(), keep_alive(core, outbox, &heard));
     future::or(future::or(reading, writing), watching).await;
     core.connections.borrow_mut().remove_client(client);
     core.input(Input::ClientDown { client });
@@ -210,13 +214,13 @@
 /// Agrees with the client. `Ok(None)` if it went away, an error is the answer to one that does not get in.
 async fn handshake(
     core: &Core,
-    conn: Conn,
+    conn: ConnectionId,
     stream: &Async<TcpStream>,
     peer: SocketAddr,
     terms: &Terms,
 ) -> Result<Option<Shaken>, Vec<u8>> {
     let mut bytes = Vec::new();
-    let held = Share::of(&core.buffer_budget, For::Client);
+    let held = Share::of(&core.buffer_budget, BufferOwner::Client);
     let accepted = loop {
         let more = read_some(core, stream, |b| bytes.extend_from_slice(b)).await;
         if !matches!(more, Ok(Some(()))) {
@@ -258,7 +262,7 @@
     loop {
         let silent = heard.get().elapsed();
         if silent >= pause * 2 {
-            return outbox.kill();
+            return outbox.abort();
         }
         if silent >= pause {
             outbox.push(|out| encode(Opcode::Ping, b"", None, out));
--- a/crates/fawnrouterd/src/ledger.rs
+++ b/crates/fawnrouterd/src/ledger.rs
@@ -8,7 +8,7 @@
 
 use async_io::Timer;
 use fawnrouter_engine::Input;
-use fawnrouter_engine::zones::{Minute, Saved};
+use fawnrouter_engine::zones::{SavedAccount, SpillMinute};
 use serde::{Deserialize, Serialize};
 
 use crate::core::Core;
@@ -24,9 +24,9 @@
     /// The classes' names, by their numbers.
     pub classes: Vec<String>,
     /// The account.
-    pub account: Saved,
+    pub account: SavedAccount,
     /// What spilled, minute by minute.
-    pub minutes: Vec<Minute>,
+    pub minutes: Vec<SpillMinute>,
 }
 
 /// Why a file cannot be used.
@@ -66,12 +66,12 @@
 
 /// Takes up the account of before a restart. One that is not there means a first start; one that is damaged means that
 /// this window's share counts as spent.
-pub async fn take_up(core: &Rc<Core>, file: &Path) {
+pub async fn restore(core: &Rc<Core>, file: &Path) {
     let path = file.to_owned();
     match blocking::unblock(move || read(&path)).await {
         Ok(ledger) => {
             let minutes = ledger.minutes;
-            core.input(Input::Account(Some(Box::new(ledger.account))));
+            core.input(Input::ZoneAccount(Some(Box::new(ledger.account))));
             core.with_engine(|engine| engine.zones().map(|z| z.with(|z| z.restore_record(minutes))));
         }
         Err(LedgerError::Io(error)) if error.kind() == io::ErrorKind::NotFound => {
@@ -80,7 +80,7 @@
         Err(error) => {
             let name = file.display();
             tracing::warn!("{name}: {error}; the budgets across zones count as spent in this window");
-            core.input(Input::Account(None));
+            core.input(Input::ZoneAccount(None));
         }
     }
 }
@@ -110,11 +110,11 @@
 }
 
 /// Saves the account whenever something was spent, for ever.
-pub async fn keep(core: Rc<Core>, file: PathBuf) {
+pub async fn save_periodically(core: Rc<Core>, file: PathBuf) {
     let mut last = None;
     loop {
         Timer::after(PAUSE).await;
-        let now = core.with_engine(|e| e.zones().map(|z| z.with(|z| z.account().save().lines)));
+        let now = core.with_engine(|e| e.zones().map(|z| z.with(|z| z.account().save().states)));
         if now != last {
             save(&core, file.clone()).await;
             last = now;
