--- a/crates/fawnrouter-node/src/liveness.rs
+++ b/crates/fawnrouter-node/src/liveness.rs
@@ -32,8 +32,8 @@
 
 use fawnrouter::{ServerState, Time};
 
-/// Time without any accepted connection after which the process counts as dead. Longer than a listener needs
-/// to restart, and short enough to tell callers within 8 s.
+/// How long every connection must be refused before the process counts as dead, as nothing listens any more.
+/// Longer than a listener needs to restart, and short enough to tell callers within 8 s.
 const REFUSED_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Time without a proof, with a refused connection in it, after which calls count as ended: the limit of 8 s
 /// less 1 s to tell the callers.
@@ -289,12 +289,13 @@
     #[test]
     fn only_releases_keep_an_unlisted_switch_alive() {
         use Evidence::{AnyByte, CallRelease, Connected, StateReport};
-        for (sign, dead) in [(AnyByte, 2500), (StateReport, 2500), (Connected, 2500), (CallRelease, 4500)] {
+        for (evidence, dead) in [(AnyByte, 2500), (StateReport, 2500), (Connected, 2500), (CallRelease, 4500)]
+        {
             let mut liveness = Liveness::new(at(0));
             liveness.set_listed_state(at(0), None);
             liveness.check(at(0));
-            liveness.record(at(2000), sign);
-            assert_eq!(time_of_death(&mut liveness, 2000, 9000), Some(dead), "{sign:?}");
+            liveness.record(at(2000), evidence);
+            assert_eq!(time_of_death(&mut liveness, 2000, 9000), Some(dead), "{evidence:?}");
         }
     }
 
--- a/crates/fawnrouter-node/src/request.rs
+++ b/crates/fawnrouter-node/src/request.rs
@@ -61,10 +61,10 @@
     }
     let name = option("class").ok_or(cause::MISSING)?.as_str().ok_or(cause::INVALID)?;
     let class = names.class_id(name).ok_or(cause::INVALID)?;
-    let left =
+    let time_left =
         option("left").ok_or(cause::MISSING)?.as_u64().map(Duration::from_millis).ok_or(cause::INVALID)?;
     // The time of one try is part of the total time of its class.
-    if left.is_zero() || left > settings.classes[class.0].deadline {
+    if time_left.is_zero() || time_left > settings.classes[class.0].deadline {
         return Err(cause::INVALID);
     }
     let key = option("key").ok_or(cause::MISSING)?.as_str().ok_or(cause::INVALID)?;
@@ -85,7 +85,7 @@
     Ok(Request::New(NewCall {
         id: CallId(message.tag.0),
         class: Some(class),
-        time_left: left,
+        time_left,
         number: key.into(),
         width,
         tenant,
