--- a/crates/fawnrouter-node/src/liveness.rs
+++ b/crates/fawnrouter-node/src/liveness.rs
@@ -1,189 +1,213 @@
-//! When a core switch's standing calls count as over though nobody said so: its process died, its machine went silent,
-//! or it can no longer tell. A lost connection alone proves nothing, as connections are reset for other reasons.
+//! Decides when the established calls at a core switch count as ended although the switch sent no release:
+//! its process died, its machine stopped answering, or it can no longer send releases. A lost connection
+//! alone proves nothing, because connections are also reset for other reasons.
 //!
-//! Two things are told apart. A **byte** shows that something is there. A **proof** shows that its releases reach this
-//! gateway: a connection that it accepts, its state, the release of a call. A switch at the end of its drain still passes
-//! tests, answers late set-ups and refuses others on its old connections, but takes no new one and tells no end of a
-//! call; those that stand are cut some seconds later, when it stops. So its calls are left alone for as long as the
-//! page allows and no longer.
+//! Two kinds of evidence are kept apart. A **byte** shows that something is running there. A **proof** shows
+//! that the switch's releases reach this gateway: a connection that it accepts, a state report, the release
+//! of a call. A switch at the end of its drain still passes tests, answers late set-ups and refuses others on
+//! its old connections, but accepts no new connection and sends no releases; its established calls are cut
+//! some seconds later, when it stops. So its calls are kept for as long as the platform's 8 s limit (below)
+//! allows and no longer.
 //!
-//! What counts as the end:
-//! * every connection refused for [`REFUSED_FOR`] and not a byte meanwhile, although it was asked: the process is dead;
-//! * no proof for [`UNTOLD_FOR`] and a connection refused in that time: ends may have gone untold;
-//! * not a byte and no new connection for [`SILENT_FOR`], although it was asked ([`ASK_AFTER`]): the machine is silent;
-//! * the list no longer names it, and no call of its was released for [`GONE_FOR`]: its address may be another's by
-//!   then, so that nothing else that comes from there counts.
+//! A switch counts as dead when
+//! * every connection was refused for [`REFUSED_TIMEOUT`] and not a byte arrived meanwhile, although it was
+//!   probed: the process is dead;
+//! * there was no proof for [`NO_PROOF_TIMEOUT`] and a connection was refused in that time: releases may have
+//!   been lost;
+//! * no byte and no new connection arrived for [`SILENCE_TIMEOUT`], although it was probed ([`PROBE_AFTER`]):
+//!   the machine does not answer;
+//! * the list no longer names it, and it released no call for [`UNLISTED_TIMEOUT`]: its address may belong to
+//!   another switch by then, so nothing else that comes from there counts.
 //!
-//! So that a refusal is seen at all, a connection is tried though others are up when proofs stay out
-//! ([`DOUBT_DRAINING`], [`DOUBT_READY`]), and when one that was up is lost: a release that was written to it comes again
-//! on the next one opened, and only there.
+//! So that a refusal is seen at all, a new connection is tried even if others are up when there has been no
+//! proof for a while ([`RECONNECT_AFTER_DRAINING`], [`RECONNECT_AFTER_READY`]), and when a connection that
+//! was up is lost: a switch repeats a release that it wrote to a lost connection on the next new one, and
+//! only there.
 //!
-//! The page wants callers told within 8 s of an end that nobody tells. The longest ways: 7.0 s without a proof (which
-//! came before the end), 6.5 s of silence, or the list's 4.5 s at the latest and 2.5 s more.
+//! Callers must be told within 8 s of the end of a call that the switch does not release. The longest delays
+//! are 7.0 s without a proof (the last proof came before the end), 6.5 s of silence, and the list's delay of
+//! at most 4.5 s plus 2.5 s.
 
 use std::time::Duration;
 
 use fawnrouter::{ServerState, Time};
 
-/// Connections were refused for this long, and none came up: nobody listens any more. Longer than a restart of a
-/// listener takes, short enough for callers to hear within the page's 8 s.
-const REFUSED_FOR: Duration = Duration::from_millis(1500);
-/// No proof for this long, and no new connection to be had: the page's 8 s less one to tell the callers in.
-const UNTOLD_FOR: Duration = Duration::from_millis(7000);
-/// Nothing was heard for this long: it is asked, as an idle switch may have nothing to say.
-const ASK_AFTER: Duration = Duration::from_millis(2000);
-/// Between two questions.
-const ASK_AGAIN: Duration = Duration::from_millis(1000);
-/// Nothing was heard for this long although it was asked: the page's 8 s less the time to tell the callers. A
-/// processor that is only jammed answers something in that time.
-const SILENT_FOR: Duration = Duration::from_millis(6500);
-/// The same for one that the list no longer names.
-const GONE_FOR: Duration = Duration::from_millis(2500);
-/// No proof for this long from one that drains: it may tell no ends any more. As [`ASK_AFTER`].
-const DOUBT_DRAINING: Duration = ASK_AFTER;
-/// No proof for this long from any other: the list may be late. Half of the page's 8 s: rare, as each try is a
-/// connection, and in time for [`UNTOLD_FOR`].
-const DOUBT_READY: Duration = Duration::from_millis(4000);
-/// Between two connections that are tried for a proof.
-const KNOCK_AGAIN: Duration = Duration::from_millis(1000);
-/// Between two looks at the least.
-const MIN_LOOK: Duration = Duration::from_millis(50);
+/// How long every connection must be refused before the process counts as dead, as nothing listens any more.
+/// Longer than a listener needs to restart, and short enough to tell callers within 8 s.
+const REFUSED_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Time without a proof, with a refused connection in it, after which calls count as ended: the limit of 8 s
+/// less 1 s to tell the callers.
+const NO_PROOF_TIMEOUT: Duration = Duration::from_millis(7000);
+/// Time without a byte after which the switch is probed, as an idle switch may have nothing to send.
+const PROBE_AFTER: Duration = Duration::from_millis(2000);
+/// Time between two probes.
+const PROBE_INTERVAL: Duration = Duration::from_millis(1000);
+/// Time without a byte, in spite of probes, after which the machine counts as dead: the limit of 8 s less the
+/// time to tell the callers. An overloaded processor still answers something in that time.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(6500);
+/// The same for a switch that the list no longer names.
+const UNLISTED_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Time without a proof after which a new connection to a draining switch is tried, as it may no longer send
+/// releases. As [`PROBE_AFTER`].
+const RECONNECT_AFTER_DRAINING: Duration = PROBE_AFTER;
+/// Time without a proof after which a new connection to any other switch is tried, as the list may be late.
+/// Half of the limit of 8 s: seldom, because each try costs a connection, and in time for
+/// [`NO_PROOF_TIMEOUT`].
+const RECONNECT_AFTER_READY: Duration = Duration::from_millis(4000);
+/// Time between two connections that are opened to get a proof.
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(1000);
+/// Shortest time between two checks.
+const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What to do about a core switch.
+/// The result of a check of a core switch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Verdict {
-    /// What stood there is over.
+    /// The established calls at the switch have ended.
     Dead,
-    /// Look again.
-    Look {
-        /// Test it now.
-        ask: bool,
-        /// Try a connection now, even if others are up.
-        knock: bool,
-        /// When to look again.
-        at: Time,
+    /// The switch may be alive; check it again.
+    Alive {
+        /// Send a test now.
+        probe: bool,
+        /// Try a new connection now, even if others are up.
+        connect: bool,
+        /// When to check again.
+        next_check: Time,
     },
 }
 
-/// What was seen of it.
+/// Something received from a core switch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Sign {
-    /// It sent something that shows no more than that somebody is there.
-    Byte,
-    /// It told its state.
-    Works,
+pub(crate) enum Evidence {
+    /// Any message that proves no more than that something is running there.
+    AnyByte,
+    /// The switch reported its load.
+    StateReport,
     /// A new connection came up.
     Connected,
-    /// A call that stood there was released.
-    Release,
+    /// The switch released an established call.
+    CallRelease,
 }
 
-/// What was seen of one core switch.
+/// When a core switch counts as dead.
+struct DeathDeadline {
+    at: Time,
+    /// Only if the switch was probed before.
+    requires_probe: bool,
+}
+
+/// What is known about whether one core switch is alive.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Life {
-    heard: Time,
-    proof: Time,
-    asked: Option<Time>,
-    knocked: Option<Time>,
-    /// Refused since then without a byte between.
+pub(crate) struct Liveness {
+    last_byte: Time,
+    last_proof: Time,
+    probed_at: Option<Time>,
+    connect_tried_at: Option<Time>,
+    /// Since when connections are refused without a byte received in between.
     refused_since: Option<Time>,
     /// A connection was refused since the last proof.
-    closed: bool,
-    /// A connection that was up is lost, and none came up since: what was written to it may be lost too.
-    lost: bool,
-    drains: bool,
-    gone: Option<Time>,
+    refused_since_proof: bool,
+    /// A connection that was up was lost and no new one came up since, so what was written to it may be lost
+    /// too.
+    connection_lost: bool,
+    draining: bool,
+    unlisted_since: Option<Time>,
 }
 
-impl Life {
+impl Liveness {
     pub fn new(now: Time) -> Self {
         Self {
-            heard: now,
-            proof: now,
-            asked: None,
-            knocked: None,
+            last_byte: now,
+            last_proof: now,
+            probed_at: None,
+            connect_tried_at: None,
             refused_since: None,
-            closed: false,
-            lost: false,
-            drains: false,
-            gone: None,
+            refused_since_proof: false,
+            connection_lost: false,
+            draining: false,
+            unlisted_since: None,
         }
     }
 
-    /// It showed a sign of life.
-    pub fn sign(&mut self, now: Time, sign: Sign) {
-        if self.gone.is_some() && sign != Sign::Release {
+    /// Records that something was received from the switch.
+    pub fn record(&mut self, now: Time, evidence: Evidence) {
+        if self.unlisted_since.is_some() && evidence != Evidence::CallRelease {
             return;
         }
-        (self.heard, self.asked, self.refused_since) = (now, None, None);
-        if sign != Sign::Byte {
-            (self.proof, self.closed) = (now, false);
+        (self.last_byte, self.probed_at, self.refused_since) = (now, None, None);
+        if evidence != Evidence::AnyByte {
+            (self.last_proof, self.refused_since_proof) = (now, false);
         }
-        if sign == Sign::Connected {
-            self.lost = false;
+        if evidence == Evidence::Connected {
+            self.connection_lost = false;
         }
     }
 
-    /// It refused a connection.
-    pub fn refused(&mut self, now: Time) {
+    /// Records that the switch refused a connection.
+    pub fn connection_refused(&mut self, now: Time) {
         self.refused_since = self.refused_since.or(Some(now));
-        self.closed = true;
+        self.refused_since_proof = true;
     }
 
-    /// A connection that was up is no more.
-    pub fn lost(&mut self) {
-        self.lost = true;
+    /// Records that a connection that was up is lost.
+    pub fn connection_lost(&mut self) {
+        self.connection_lost = true;
     }
 
-    /// What the list says of it; `None`: it is not there.
-    pub fn listed(&mut self, now: Time, state: Option<ServerState>) {
-        self.drains = state != Some(ServerState::Ready);
-        self.gone = if state.is_some() { None } else { self.gone.or(Some(now)) };
+    /// Records the state in the list; `None`: the switch is not listed.
+    pub fn set_listed_state(&mut self, now: Time, state: Option<ServerState>) {
+        self.draining = state != Some(ServerState::Ready);
+        self.unlisted_since = if state.is_some() { None } else { self.unlisted_since.or(Some(now)) };
     }
 
-    /// When it has to be taken for dead if nothing changes, and whether it must have been asked before.
-    fn end(&self) -> (Time, bool) {
-        let silent = match self.gone {
-            Some(gone) => gone.max(self.proof).plus(GONE_FOR),
-            None => self.heard.plus(SILENT_FOR),
+    /// When the switch counts as dead if nothing changes.
+    fn death_deadline(&self) -> DeathDeadline {
+        let silent = match self.unlisted_since {
+            Some(since) => since.max(self.last_proof).plus(UNLISTED_TIMEOUT),
+            None => self.last_byte.plus(SILENCE_TIMEOUT),
         };
-        let refused = self.refused_since.map(|since| since.plus(REFUSED_FOR));
-        let untold = self.closed.then(|| self.proof.plus(UNTOLD_FOR));
+        let refused = self.refused_since.map(|since| since.plus(REFUSED_TIMEOUT));
+        let without_proof = self.refused_since_proof.then(|| self.last_proof.plus(NO_PROOF_TIMEOUT));
         let unanswered = refused.map_or(silent, |refused| refused.min(silent));
-        match untold {
-            Some(untold) if untold <= unanswered => (untold, false),
-            _ => (unanswered, true),
+        match without_proof {
+            Some(at) if at <= unanswered => DeathDeadline { at, requires_probe: false },
+            _ => DeathDeadline { at: unanswered, requires_probe: true },
         }
     }
 
-    /// Judges one with calls that stand there.
-    pub fn judge(&mut self, now: Time) -> Verdict {
-        let (end, asked_before) = self.end();
-        // A process that stood still has heard nothing meanwhile: silence counts after a question only.
-        if now >= end && (!asked_before || self.asked.is_some_and(|asked| asked < now)) {
+    /// Checks a switch at which calls are established.
+    pub fn check(&mut self, now: Time) -> Verdict {
+        let DeathDeadline { at: deadline, requires_probe } = self.death_deadline();
+        // If this process was suspended it received nothing meanwhile, so silence counts only after a probe.
+        if now >= deadline && (!requires_probe || self.probed_at.is_some_and(|probed_at| probed_at < now)) {
             return Verdict::Dead;
         }
-        let ask_at = match (self.asked, self.gone) {
-            (Some(asked), _) => asked.plus(ASK_AGAIN),
+        let probe_at = match (self.probed_at, self.unlisted_since) {
+            (Some(probed_at), _) => probed_at.plus(PROBE_INTERVAL),
             (None, Some(_)) => now,
-            // Whether those connections that are up are answered tells a dead process from one that only drains.
+            // Answers on the connections that are up distinguish a draining switch from a dead process.
             (None, None) if self.refused_since.is_some() => now,
-            (None, None) => self.heard.plus(ASK_AFTER),
+            (None, None) => self.last_byte.plus(PROBE_AFTER),
         };
-        let doubt = self.proof.plus(if self.drains { DOUBT_DRAINING } else { DOUBT_READY });
-        let doubt = if self.lost { now } else { doubt };
-        let knock_at = self.knocked.map_or(doubt, |knocked| doubt.max(knocked.plus(KNOCK_AGAIN)));
-        let (ask, knock) = (now >= ask_at, now >= knock_at);
-        if ask {
-            self.asked = Some(now);
+        let reconnect_at = self.last_proof.plus(if self.draining {
+            RECONNECT_AFTER_DRAINING
+        } else {
+            RECONNECT_AFTER_READY
+        });
+        let reconnect_at = if self.connection_lost { now } else { reconnect_at };
+        let connect_at = self.connect_tried_at.map_or(reconnect_at, |connect_tried_at| {
+            reconnect_at.max(connect_tried_at.plus(RECONNECT_INTERVAL))
+        });
+        let (probe, connect) = (now >= probe_at, now >= connect_at);
+        if probe {
+            self.probed_at = Some(now);
         }
-        if knock {
-            self.knocked = Some(now);
+        if connect {
+            self.connect_tried_at = Some(now);
         }
-        let next_ask = if ask { now.plus(ASK_AGAIN) } else { ask_at };
-        let next_knock = if knock { now.plus(KNOCK_AGAIN) } else { knock_at };
-        let at = end.min(next_ask).min(next_knock).max(now.plus(MIN_LOOK));
-        Verdict::Look { ask, knock, at }
+        let next_probe = if probe { now.plus(PROBE_INTERVAL) } else { probe_at };
+        let next_connect = if connect { now.plus(RECONNECT_INTERVAL) } else { connect_at };
+        let next_check = deadline.min(next_probe).min(next_connect).max(now.plus(MIN_CHECK_INTERVAL));
+        Verdict::Alive { probe, connect, next_check }
     }
 }
 
@@ -195,116 +219,131 @@
         Time(Duration::from_millis(ms))
     }
 
-    /// Judges as often as it asks for, from `from` on; when it is found dead. `on_knock` is told of tries.
-    fn death_with(life: &mut Life, from: u64, until: u64, on_knock: impl Fn(&mut Life, Time)) -> Option<u64> {
+    /// Runs the checks when they are due, from `from` on, and returns the time at which the switch counts as
+    /// dead. `on_connect` is called for each connection that is tried.
+    fn time_of_death_with(
+        liveness: &mut Liveness,
+        from: u64,
+        until: u64,
+        on_connect: impl Fn(&mut Liveness, Time),
+    ) -> Option<u64> {
         let mut now = at(from);
         while now < at(until) {
-            match life.judge(now) {
+            match liveness.check(now) {
                 Verdict::Dead => return Some(now.0.as_millis() as u64),
-                Verdict::Look { knock, at, .. } => {
-                    assert!(at > now);
-                    if knock {
-                        on_knock(life, now);
+                Verdict::Alive { connect, next_check, .. } => {
+                    assert!(next_check > now);
+                    if connect {
+                        on_connect(liveness, now);
                     }
-                    now = at;
+                    now = next_check;
                 }
             }
         }
         None
     }
 
-    fn death(life: &mut Life, from: u64, until: u64) -> Option<u64> {
-        death_with(life, from, until, |_, _| {})
+    fn time_of_death(liveness: &mut Liveness, from: u64, until: u64) -> Option<u64> {
+        time_of_death_with(liveness, from, until, |_, _| {})
     }
 
-    fn asks(verdict: Verdict) -> bool {
-        matches!(verdict, Verdict::Look { ask: true, .. })
+    fn probes(verdict: Verdict) -> bool {
+        matches!(verdict, Verdict::Alive { probe: true, .. })
     }
 
     #[test]
-    fn refusals_for_a_while_are_a_death_and_one_that_ends_is_none() {
-        let mut life = Life::new(at(0));
-        life.refused(at(100));
-        assert!(asks(life.judge(at(100))), "it is asked at once");
-        life.refused(at(900));
-        assert_eq!(death(&mut life, 900, 5000), Some(1600));
-        let mut life = Life::new(at(0));
-        life.refused(at(100));
-        life.sign(at(1500), Sign::Connected);
-        assert_eq!(death(&mut life, 1500, 4000), None);
+    fn process_counts_as_dead_after_refusing_connections_for_a_while() {
+        let mut liveness = Liveness::new(at(0));
+        liveness.connection_refused(at(100));
+        assert!(probes(liveness.check(at(100))), "it is probed at once");
+        liveness.connection_refused(at(900));
+        assert_eq!(time_of_death(&mut liveness, 900, 5000), Some(1600));
+        let mut liveness = Liveness::new(at(0));
+        liveness.connection_refused(at(100));
+        liveness.record(at(1500), Evidence::Connected);
+        assert_eq!(time_of_death(&mut liveness, 1500, 4000), None);
     }
 
     #[test]
-    fn silence_is_a_death_only_after_questions_and_within_eight_seconds() {
-        let mut life = Life::new(at(0));
-        assert!(!asks(life.judge(at(1999))));
-        assert!(asks(life.judge(at(2000))));
-        assert_eq!(death(&mut life, 2000, 9000), Some(6500));
-        // This process stood still: what it did not hear meanwhile is no silence of the other's.
-        let mut life = Life::new(at(0));
-        assert!(asks(life.judge(at(9000))));
-        life.sign(at(9010), Sign::Byte);
-        assert_eq!(death(&mut life, 9010, 11_000), None);
+    fn silent_machine_counts_as_dead_within_eight_seconds_but_only_after_probes() {
+        let mut liveness = Liveness::new(at(0));
+        assert!(!probes(liveness.check(at(1999))));
+        assert!(probes(liveness.check(at(2000))));
+        assert_eq!(time_of_death(&mut liveness, 2000, 9000), Some(6500));
+        // This process was suspended: what it did not receive meanwhile does not count as the switch's
+        // silence.
+        let mut liveness = Liveness::new(at(0));
+        assert!(probes(liveness.check(at(9000))));
+        liveness.record(at(9010), Evidence::AnyByte);
+        assert_eq!(time_of_death(&mut liveness, 9010, 11_000), None);
     }
 
     #[test]
-    fn one_that_left_the_list_is_asked_at_once_and_believed_sooner() {
-        let mut life = Life::new(at(0));
-        life.listed(at(10), None);
-        assert!(asks(life.judge(at(10))));
-        assert_eq!(death(&mut life, 10, 9000), Some(2510));
+    fn unlisted_switch_is_probed_at_once_and_counts_as_dead_sooner() {
+        let mut liveness = Liveness::new(at(0));
+        liveness.set_listed_state(at(10), None);
+        assert!(probes(liveness.check(at(10))));
+        assert_eq!(time_of_death(&mut liveness, 10, 9000), Some(2510));
     }
 
     #[test]
-    fn what_comes_from_the_address_of_one_that_is_gone_keeps_nothing_alive_but_its_releases_do() {
-        use Sign::{Byte, Connected, Release, Works};
-        for (sign, dead) in [(Byte, 2500), (Works, 2500), (Connected, 2500), (Release, 4500)] {
-            let mut life = Life::new(at(0));
-            life.listed(at(0), None);
-            life.judge(at(0));
-            life.sign(at(2000), sign);
-            assert_eq!(death(&mut life, 2000, 9000), Some(dead), "{sign:?}");
+    fn only_releases_keep_an_unlisted_switch_alive() {
+        use Evidence::{AnyByte, CallRelease, Connected, StateReport};
+        for (evidence, dead) in [(AnyByte, 2500), (StateReport, 2500), (Connected, 2500), (CallRelease, 4500)]
+        {
+            let mut liveness = Liveness::new(at(0));
+            liveness.set_listed_state(at(0), None);
+            liveness.check(at(0));
+            liveness.record(at(2000), evidence);
+            assert_eq!(time_of_death(&mut liveness, 2000, 9000), Some(dead), "{evidence:?}");
         }
     }
 
     #[test]
-    fn calls_on_one_that_passes_tests_and_accepts_nobody_are_over_as_late_as_the_page_allows() {
+    fn switch_that_passes_tests_but_refuses_connections_counts_as_dead_after_seven_seconds() {
         for state in [ServerState::Draining, ServerState::Ready] {
-            let mut life = Life::new(at(0));
-            life.listed(at(0), Some(state));
-            let dies = death_with(&mut life, 0, 20_000, |life, now| {
-                // Refused on the new connection, and answered on an old one.
-                life.refused(now);
-                life.sign(now, Sign::Byte);
+            let mut liveness = Liveness::new(at(0));
+            liveness.set_listed_state(at(0), Some(state));
+            let dies = time_of_death_with(&mut liveness, 0, 20_000, |liveness, now| {
+                // Refused on the new connection, answered on an old one.
+                liveness.connection_refused(now);
+                liveness.record(now, Evidence::AnyByte);
             });
             assert_eq!(dies, Some(7000), "{state:?}");
         }
     }
 
     #[test]
-    fn one_that_accepts_connections_is_tried_from_time_to_time_and_lives() {
+    fn switch_that_accepts_connections_is_reconnected_periodically_and_stays_alive() {
         for (state, tries) in [(ServerState::Draining, 19), (ServerState::Ready, 9)] {
             let tried = std::cell::Cell::new(0);
-            let mut life = Life::new(at(0));
-            life.listed(at(0), Some(state));
-            let dies = death_with(&mut life, 0, 40_000, |life, now| {
+            let mut liveness = Liveness::new(at(0));
+            liveness.set_listed_state(at(0), Some(state));
+            let dies = time_of_death_with(&mut liveness, 0, 40_000, |liveness, now| {
                 tried.set(tried.get() + 1);
-                life.sign(now, Sign::Connected);
+                liveness.record(now, Evidence::Connected);
             });
             assert_eq!((dies, tried.get()), (None, tries), "{state:?}");
         }
     }
 
     #[test]
-    fn a_lost_connection_is_followed_by_another_at_once_and_not_in_a_hurry() {
-        let knocks = |v: Verdict| matches!(v, Verdict::Look { knock: true, .. });
-        let mut life = Life::new(at(0));
-        assert!(!knocks(life.judge(at(100))));
-        life.lost();
-        assert!(knocks(life.judge(at(100))) && !knocks(life.judge(at(900))) && knocks(life.judge(at(1100))));
-        life.sign(at(1200), Sign::Works);
-        assert!(knocks(life.judge(at(2100))), "an old connection brings back nothing that was lost");
-        life.sign(at(2200), Sign::Connected);
-        assert!(!knocks(life.judge(at(4000))));
+    fn lost_connection_is_replaced_at_once_but_not_repeatedly() {
+        let connects = |v: Verdict| matches!(v, Verdict::Alive { connect: true, .. });
+        let mut liveness = Liveness::new(at(0));
+        assert!(!connects(liveness.check(at(100))));
+        liveness.connection_lost();
+        assert!(
+            connects(liveness.check(at(100)))
+                && !connects(liveness.check(at(900)))
+                && connects(liveness.check(at(1100)))
+        );
+        liveness.record(at(1200), Evidence::StateReport);
+        assert!(
+            connects(liveness.check(at(2100))),
+            "a report on an old connection recovers nothing that was lost"
+        );
+        liveness.record(at(2200), Evidence::Connected);
+        assert!(!connects(liveness.check(at(4000))));
     }
 }
