--- a/crates/fawnrouter-zones/src/grants.rs
+++ b/crates/fawnrouter-zones/src/grants.rs
@@ -1,51 +1,53 @@
-//! Shares that follow demand, where gateways may send each other short messages that can be lost, late or doubled.
+//! Messages by which gateways of a zone move unused budget to where the demand is. They may be lost, late or
+//! duplicated.
 //!
-//! Escrow (O'Neil, 1986; the demarcation protocol of Barbará and Garcia-Molina, 1992): what a gateway gives away it takes
-//! off its own share before it says so, and the other adds it when it hears of it. A message that is lost loses budget; none
-//! can make any. A gateway that is killed with its record keeps what it gave and got.
+//! This is escrow (O'Neil, 1986; the demarcation protocol of Barbará and Garcia-Molina, 1992): a gateway
+//! deducts what it grants from its own allowance before it sends the grant, and the receiver adds it on
+//! receipt. A lost message loses budget; none can create any. A gateway that is killed and has its account
+//! saved keeps what it granted and received.
 
 use serde::{Deserialize, Serialize};
 
 use crate::budget::Money;
 
-/// What one gateway says to another of its zone.
+/// A message between two gateways of a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum GrantMessage {
-    /// It will want more than it has.
+    /// The sender expects to need more than its allowance.
     Need {
-        /// The budget, by its place in the settings.
+        /// Index of the budget in the settings.
         #[serde(rename = "line")]
         budget: u16,
-        /// The window.
+        /// Number of the window.
         window: u64,
-        /// Calls that it lacks.
+        /// Calls that the sender lacks.
         calls: u64,
-        /// Money that it lacks.
+        /// Money that the sender lacks.
         money: Money,
     },
-    /// It gives some away.
+    /// The sender gives up part of its allowance to the receiver.
     Grant {
-        /// The budget, by its place in the settings.
+        /// Index of the budget in the settings.
         #[serde(rename = "line")]
         budget: u16,
-        /// The window.
+        /// Number of the window.
         window: u64,
-        /// Rises with each grant of a gateway, so that one that comes twice counts once.
+        /// Increases with each grant of a gateway, so that a duplicate counts once.
         id: u64,
-        /// Calls.
+        /// Calls granted.
         calls: u64,
-        /// Money.
+        /// Money granted.
         money: Money,
     },
 }
 
-/// Of what it does not expect to need, the share that a gateway gives to one that asks: others may ask too, and its own
-/// forecast may be wrong.
-pub(crate) const GIVEN: f64 = 0.5;
+/// Share of its expected surplus that a gateway grants to one request: other gateways may ask too, and its
+/// own forecast may be wrong.
+const GRANTED_SHARE: f64 = 0.5;
 
-/// Part of what can be spared for one who lacks so much.
-pub(crate) fn spare(allowance: u64, expected: f64, spent: u64, lacks: u64) -> u64 {
-    let free = (allowance as f64 - expected.max(spent as f64) - 1.0).max(0.0);
-    ((free * GIVEN) as u64).min(lacks).min(allowance.saturating_sub(spent))
+/// How much of an allowance can be granted to a gateway that lacks `lacking`.
+pub(crate) fn grantable(allowance: u64, expected: f64, spent: u64, lacking: u64) -> u64 {
+    let surplus = (allowance as f64 - expected.max(spent as f64) - 1.0).max(0.0);
+    ((surplus * GRANTED_SHARE) as u64).min(lacking).min(allowance.saturating_sub(spent))
 }
--- a/crates/fawnrouter-zones/src/lib.rs
+++ b/crates/fawnrouter-zones/src/lib.rs
@@ -1,16 +1,16 @@
 #![forbid(unsafe_code)]
-//! Traffic across zones: a voice in the choice of server ([`fawnrouter::Voice`]) that lets calls spill into other zones
-//! when their own is pressed or down and a budget allows it. No I/O, no clock, no randomness but a seed: the same calls
-//! give the same answers.
+//! Traffic across zones: a policy that the router consults when it selects a server ([`fawnrouter::Voice`]).
+//! It lets calls spill into other zones when the gateway's own zone is pressed or down and a budget allows
+//! it. The crate does no I/O, reads no clock and uses no randomness: the same calls give the same answers.
 //!
-//! | module | what it decides or keeps |
+//! | module | contents |
 //! | --- | --- |
-//! | `budget` | what may be spent in a window, this gateway's share of it, carry-over |
-//! | `account` | what was spent, refunds, forecasts, the price of a spill |
-//! | `grants` | shares that follow demand, where gateways may talk |
+//! | `budget` | budgets per period, this gateway's share of them, carry-over |
+//! | `account` | spending, refunds, forecasts and the price of a spill |
+//! | `grants` | messages by which gateways move unused budget to where the demand is |
 //! | `health` | whether the own zone is calm, pressed or down, with hysteresis |
-//! | `policy` | the voice: what a call is worth there against what it costs |
-//! | `record` | what spilled, by class, zone and cause, minute by minute |
+//! | `policy` | the decision itself: the worth of a call in another zone against its cost |
+//! | `record` | spilled calls by class, zone and cause, minute by minute |
 
 mod account;
 mod budget;
--- a/crates/fawnrouter-zones/src/policy.rs
+++ b/crates/fawnrouter-zones/src/policy.rs
@@ -1,9 +1,10 @@
-//! The voice: whether a call may go to another zone now.
+//! The policy: whether a call may go to another zone now.
 //!
-//! In its own zone a call goes as ever. Elsewhere it goes only while the own zone is pressed or down, only if a budget
-//! can pay for it, and only if it is worth more there than it costs: worth times the part of it that would be lost by
-//! holding on, against cost times price. So while budget is short, what is worth more goes first, and what is worth less
-//! holds on until its aim is near, or is refused by its time.
+//! Calls within the own zone are not affected. A call may go to another zone only while the own zone is
+//! pressed or down, only if the budgets can pay for it, and only if what the call would lose by waiting is at
+//! least its cost: worth times the share of it that would be lost, against cost times price. So while budget
+//! is short, calls of higher worth go first, and calls of lower worth wait until their aim is near, or are
+//! refused when their time is up.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -18,61 +19,62 @@
 /// What a call to another zone costs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZoneCost {
-    /// So much; nothing makes the zone as good as the own one, but its calls are counted.
+    /// An amount per call. Zero makes the zone as good as the own one, but its calls are still recorded.
     Money(Money),
-    /// It must not go there.
+    /// Calls must not go to the zone.
     Forbidden,
 }
 
-/// All that the voice goes by.
+/// Settings of the policy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ZoneSettings {
-    /// This gateway's zone; empty: it has none, and every server is its own.
+    /// This gateway's zone. If it is empty, the gateway has none, and every server counts as its own zone's.
     pub own_zone: Arc<str>,
-    /// Costs from the own zone.
+    /// Cost of a call from the own zone, by destination zone.
     pub costs: BTreeMap<Arc<str>, ZoneCost>,
-    /// The cost of zones that are not named there.
+    /// Cost of a call to a zone that `costs` does not name.
     pub default_cost: ZoneCost,
-    /// Budgets.
+    /// Budgets for calls between zones.
     pub budgets: Vec<Budget>,
-    /// This gateway's number among those that share them.
+    /// This gateway's index among the gateways that share the budgets.
     pub gateway_index: u32,
-    /// Points of worth that a unit of money is worth while budget is ample.
+    /// Points of worth that equal one unit of money while budget is ample.
     pub points_per_unit: f64,
-    /// When the own zone is pressed or down.
+    /// When the own zone counts as pressed or down.
     pub health: HealthSettings,
-    /// Sets this gateway apart from the others, 0 to 1.
+    /// Makes this gateway's delays differ from the others', 0 to 1.
     pub phase: f64,
 }
 
-/// Calls that are out in another zone, each with what it was charged; more than this are not remembered, and so not
+/// Most calls that each of the sets below holds. A spilled call beyond it is not tracked, and so not
 /// refunded.
-const MOST_OUT: usize = 100_000;
+const MAX_TRACKED_CALLS: usize = 100_000;
 
+/// A set-up in another zone, with what is needed to refund it.
 #[derive(Debug)]
-struct Out {
-    kind: SpillKey,
+struct SpilledCall {
+    key: SpillKey,
     charge: Charge,
     at: Time,
 }
 
-/// The voice of zones for one gateway.
+/// Decides on traffic across zones for one gateway.
 #[derive(Debug)]
 pub struct ZonePolicy {
     settings: ZoneSettings,
     account: Account,
     health: Health,
     record: SpillRecord,
-    out: BTreeMap<CallId, Out>,
-    /// Calls that the budget had nothing left for.
-    passed_over: BTreeSet<CallId>,
+    spilled: BTreeMap<CallId, SpilledCall>,
+    /// Calls that were recorded as held back because a budget was spent.
+    recorded_as_held: BTreeSet<CallId>,
     now: Time,
-    /// Calls that would go for the price, until they have gone or are over.
-    wanting: BTreeSet<CallId>,
+    /// Calls that could pay the price and were counted as demand, until they end.
+    counted_as_demand: BTreeSet<CallId>,
 }
 
 impl ZonePolicy {
-    /// A voice that has spent nothing.
+    /// Creates a policy that has spent nothing.
     ///
     /// # Errors
     /// See [`BudgetError`].
@@ -85,19 +87,19 @@
             account,
             health,
             record: SpillRecord::default(),
-            out: BTreeMap::new(),
-            passed_over: BTreeSet::new(),
+            spilled: BTreeMap::new(),
+            recorded_as_held: BTreeSet::new(),
             now: Time::default(),
-            wanting: BTreeSet::new(),
+            counted_as_demand: BTreeSet::new(),
         })
     }
 
-    /// Takes up the account of before a restart; without one, this window's shares count as spent.
+    /// Restores the account saved before a restart. Without one, this window's shares count as spent.
     pub fn restore(&mut self, now: Time, saved: Option<&SavedAccount>) {
         self.account.restore(now.0, saved);
     }
 
-    /// Takes up the record of before a restart.
+    /// Restores the record saved before a restart.
     pub fn restore_record(&mut self, minutes: Vec<SpillMinute>) {
         self.record.restore(minutes);
     }
@@ -108,24 +110,24 @@
         &self.account
     }
 
-    /// The account, to let it talk with those of other gateways.
+    /// The account, to exchange messages with those of other gateways.
     pub const fn account_mut(&mut self) -> &mut Account {
         &mut self.account
     }
 
-    /// What spilled.
+    /// The record of spilled calls.
     #[must_use]
     pub const fn record(&self) -> &SpillRecord {
         &self.record
     }
 
-    /// How the own zone fares.
+    /// The state of the own zone.
     #[must_use]
     pub const fn state(&self) -> ZoneState {
         self.health.state()
     }
 
-    /// Whether a server's zone is this gateway's. A server that names none is everybody's.
+    /// Whether a server's zone is this gateway's. A server without a zone belongs to every zone.
     fn is_own(&self, zone: &str) -> bool {
         self.settings.own_zone.is_empty() || zone.is_empty() || *zone == *self.settings.own_zone
     }
@@ -143,20 +145,20 @@
         }
     }
 
-    /// Worth that holding on would lose, in points.
-    fn at_stake(&self, wanted: &Wanted) -> f64 {
+    /// Worth that the call would lose by waiting for the own zone, in points.
+    fn worth_at_stake(&self, wanted: &Wanted) -> f64 {
         let state = self.health.state();
         if state == ZoneState::Down || !self.health.has_switches() {
             return wanted.worth;
         }
-        // In a pressed zone the chance to be passed over again grows with the pressure, and what it costs with the part
-        // of the aim that is gone.
-        let gone = 1.0 - wanted.aim_left.as_secs_f64() / wanted.aim.as_secs_f64().max(1e-3);
-        wanted.worth * self.health.pressure().clamp(0.0, 1.0) * gone.clamp(0.0, 1.0)
+        // In a pressed zone the chance to be held back again grows with the pressure, and the loss with the
+        // elapsed share of the aim.
+        let elapsed = 1.0 - wanted.aim_left.as_secs_f64() / wanted.aim.as_secs_f64().max(1e-3);
+        wanted.worth * self.health.pressure().clamp(0.0, 1.0) * elapsed.clamp(0.0, 1.0)
     }
 }
 
-fn kind(wanted: &Wanted, server: &ServerEntry, cause: SpillCause) -> SpillKey {
+fn spill_key(wanted: &Wanted, server: &ServerEntry, cause: SpillCause) -> SpillKey {
     let class = wanted.class.and_then(|c| u32::try_from(c.0).ok()).unwrap_or(u32::MAX);
     SpillKey { class, to: server.zone.clone(), trunk_group: server.cell.0, cause }
 }
@@ -164,9 +166,10 @@
 impl Voice for ZonePolicy {
     fn observe(&mut self, now: Time, servers: &mut dyn Iterator<Item = Seen<'_>>) {
         self.now = self.now.max(now);
-        let own = self.settings.own_zone.clone();
-        let ours = |s: &Seen<'_>| own.is_empty() || s.entry.zone.is_empty() || s.entry.zone == own;
-        self.health.observe(now.0, servers.filter(ours));
+        let own_zone = self.settings.own_zone.clone();
+        let in_own_zone =
+            |s: &Seen<'_>| own_zone.is_empty() || s.entry.zone.is_empty() || s.entry.zone == own_zone;
+        self.health.observe(now.0, servers.filter(in_own_zone));
     }
 
     fn weigh(&mut self, now: Time, wanted: &Wanted, server: &ServerEntry) -> f64 {
@@ -178,29 +181,30 @@
             ZoneCost::Money(Money(0)) => return 1.0,
             ZoneCost::Money(cost) => cost,
         };
-        // Calm hours invite nobody over, however quick a neighbour is.
+        // While the own zone is calm no call spills, however fast another zone is.
         if self.health.state() == ZoneState::Calm && self.health.has_switches() {
             return 0.0;
         }
         let level = self.health.emergency_level();
         let price = self.account.price(now.0, &server.zone, level);
-        let pays = self.at_stake(wanted) >= cost.to_units() * self.settings.points_per_unit * price;
-        if !pays {
+        let worth_the_price =
+            self.worth_at_stake(wanted) >= cost.to_units() * self.settings.points_per_unit * price;
+        if !worth_the_price {
             return 0.0;
         }
-        // What could pay its price is wanted, whether or not there is budget: the price goes by that. Once a call,
-        // however often it draws.
-        if self.wanting.len() < MOST_OUT && self.wanting.insert(wanted.call) {
+        // A call that is worth the price counts as demand even if there is no budget for it, because the
+        // price follows the demand. It counts once, however often a server is drawn for it.
+        if self.counted_as_demand.len() < MAX_TRACKED_CALLS && self.counted_as_demand.insert(wanted.call) {
             self.account.record_demand(now.0, &server.zone);
         }
         if !self.account.can_afford(now.0, &server.zone, cost, level) {
-            // Once a call, however often it draws.
-            if self.passed_over.len() < MOST_OUT && self.passed_over.insert(wanted.call) {
-                self.record.add_call(now.0, &kind(wanted, server, SpillCause::BudgetOut), Money(0));
+            // Recorded once per call, however often a server is drawn for it.
+            if self.recorded_as_held.len() < MAX_TRACKED_CALLS && self.recorded_as_held.insert(wanted.call) {
+                self.record.add_call(now.0, &spill_key(wanted, server, SpillCause::BudgetOut), Money(0));
             }
             return 0.0;
         }
-        // Among several zones the cheaper and the less spent one is drawn more often.
+        // Of several zones, a cheaper one and one with more budget left are drawn more often.
         let left = self.account.remaining_share(now.0, &server.zone, level).max(0.05);
         left / (1.0 + cost.to_units() * price)
     }
@@ -215,58 +219,58 @@
             ZoneCost::Money(cost) => (cost, self.cause()),
             ZoneCost::Forbidden => return,
         };
-        // Weighed in the same instant, so that it still fits; a charge that does not is a breach of the budget and
-        // would show in the record against the account.
+        // The call was weighed at the same instant, so the budget still covers it. A charge that fails is a
+        // breach of the budget and would show as a difference between the record and the account.
         if let Ok(charge) = self.account.charge(now.0, &server.zone, cost, self.health.emergency_level()) {
-            let kind = kind(wanted, server, cause);
-            self.record.add_call(now.0, &kind, cost);
-            if self.out.len() < MOST_OUT {
-                self.out.insert(wanted.call, Out { kind, charge, at: now });
+            let key = spill_key(wanted, server, cause);
+            self.record.add_call(now.0, &key, cost);
+            if self.spilled.len() < MAX_TRACKED_CALLS {
+                self.spilled.insert(wanted.call, SpilledCall { key, charge, at: now });
             }
         }
     }
 
     fn ended(&mut self, call: CallId, stood: bool) {
-        self.passed_over.remove(&call);
-        self.wanting.remove(&call);
+        self.recorded_as_held.remove(&call);
+        self.counted_as_demand.remove(&call);
         let now = self.now;
-        let Some(out) = self.out.remove(&call).filter(|_| !stood) else { return };
-        self.account.refund(now.0, &out.charge);
-        self.record.subtract_call(out.at.0, &out.kind, out.charge.cost());
+        let Some(failed) = self.spilled.remove(&call).filter(|_| !stood) else { return };
+        self.account.refund(now.0, &failed.charge);
+        self.record.subtract_call(failed.at.0, &failed.key, failed.charge.cost());
     }
 }
 
-/// A voice that its embedder can look at while a controller holds it.
+/// A policy that the embedding program can inspect while a controller owns it.
 #[derive(Clone, Debug)]
 pub struct SharedZonePolicy(Arc<Mutex<ZonePolicy>>);
 
 impl SharedZonePolicy {
-    /// Shares it.
+    /// Wraps a policy for sharing.
     #[must_use]
-    pub fn new(zones: ZonePolicy) -> Self {
-        Self(Arc::new(Mutex::new(zones)))
+    pub fn new(policy: ZonePolicy) -> Self {
+        Self(Arc::new(Mutex::new(policy)))
     }
 
-    /// Looks at it, or changes it. One thread at a time; another one waits.
-    pub fn with<T>(&self, look: impl FnOnce(&mut ZonePolicy) -> T) -> T {
-        look(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
+    /// Calls `access` with the policy locked; other threads wait.
+    pub fn with<T>(&self, access: impl FnOnce(&mut ZonePolicy) -> T) -> T {
+        access(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
 impl Voice for SharedZonePolicy {
     fn observe(&mut self, now: Time, servers: &mut dyn Iterator<Item = Seen<'_>>) {
-        self.with(|z| z.observe(now, servers));
+        self.with(|policy| policy.observe(now, servers));
     }
 
     fn weigh(&mut self, now: Time, wanted: &Wanted, server: &ServerEntry) -> f64 {
-        self.with(|z| z.weigh(now, wanted, server))
+        self.with(|policy| policy.weigh(now, wanted, server))
     }
 
     fn sent(&mut self, now: Time, wanted: &Wanted, server: &ServerEntry) {
-        self.with(|z| z.sent(now, wanted, server));
+        self.with(|policy| policy.sent(now, wanted, server));
     }
 
     fn ended(&mut self, call: CallId, stood: bool) {
-        self.with(|z| z.ended(call, stood));
+        self.with(|policy| policy.ended(call, stood));
     }
 }
