--- a/crates/fawnrouter-zones/tests/policy.rs
+++ b/crates/fawnrouter-zones/tests/policy.rs
@@ -1,4 +1,4 @@
-//! The voice alone: what it says to a call, by state of the own zone, worth, cost and budget.
+//! Tests of the policy alone: whether a call may spill, by state of the own zone, worth, cost and budget.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -49,103 +49,106 @@
     Wanted { call: CallId(call), class: Some(ClassId(0)), worth, aim, aim_left, left: Duration::from_secs(3) }
 }
 
-/// A voice whose four own switches have been like this for five seconds.
-fn voice(settings: ZoneSettings, well: u32, fraction: f64) -> ZonePolicy {
-    let mut zones = ZonePolicy::new(settings).expect("sound settings");
+/// A policy whose own zone has four switches, of which `healthy` are healthy with this fraction for the last
+/// 4.5 s.
+fn policy(settings: ZoneSettings, healthy: u32, fraction: f64) -> ZonePolicy {
+    let mut policy = ZonePolicy::new(settings).expect("sound settings");
     let own: Vec<ServerEntry> = (0..4).map(|n| server(n, "kochi")).collect();
     for step in 0..50 {
-        let look = |n: u32| (step < 5 || n < well, if step < 5 { 1.0 } else { fraction });
+        let state_of = |n: u32| (step < 5 || n < healthy, if step < 5 { 1.0 } else { fraction });
         let mut seen = own.iter().zip(0..).map(|(entry, n)| {
-            let (well, fraction) = look(n);
+            let (well, fraction) = state_of(n);
             Seen { entry, ready: true, well, fraction }
         });
-        zones.observe(t(step * 100), &mut seen);
+        policy.observe(t(step * 100), &mut seen);
     }
-    zones
+    policy
 }
 
-fn says(zones: &mut ZonePolicy, now: u64, wanted: Wanted, zone: &str) -> bool {
-    zones.weigh(t(now), &wanted, &server(9, zone)) > 0.0
+fn may_go(policy: &mut ZonePolicy, now: u64, wanted: Wanted, zone: &str) -> bool {
+    policy.weigh(t(now), &wanted, &server(9, zone)) > 0.0
 }
 
 #[test]
-fn a_quiet_night_lets_nothing_spill_though_a_neighbour_is_quicker() {
-    let mut z = voice(settings("kochi", 100), 4, 1.0);
+fn no_call_spills_while_the_own_zone_is_calm() {
+    let mut z = policy(settings("kochi", 100), 4, 1.0);
     assert_eq!(z.state(), ZoneState::Calm);
     for call in 0..50 {
-        assert!(!says(&mut z, 5000, wanted(call, 100.0, 0), "north"));
+        assert!(!may_go(&mut z, 5000, wanted(call, 100.0, 0), "north"));
         assert_eq!(z.weigh(t(5000), &wanted(call, 1.0, 2000), &server(1, "kochi")), 1.0);
     }
 }
 
 #[test]
-fn cost_zero_is_as_good_as_home_cost_forbidden_is_never_and_a_zone_named_nowhere_is_everybodys() {
-    for (well, fraction) in [(4, 1.0), (4, 0.3), (0, 0.0)] {
-        let mut z = voice(settings("kochi", 100), well, fraction);
+fn free_zone_is_always_allowed_forbidden_zone_never_and_a_server_without_zone_is_everybodys() {
+    for (healthy, fraction) in [(4, 1.0), (4, 0.3), (0, 0.0)] {
+        let mut z = policy(settings("kochi", 100), healthy, fraction);
         assert!(
-            says(&mut z, 5000, wanted(1, 1.0, 2000), "free") && says(&mut z, 5000, wanted(1, 1.0, 2000), "")
+            may_go(&mut z, 5000, wanted(1, 1.0, 2000), "free")
+                && may_go(&mut z, 5000, wanted(1, 1.0, 2000), "")
         );
-        assert!(!says(&mut z, 5000, wanted(1, 1e9, 0), "never"));
+        assert!(!may_go(&mut z, 5000, wanted(1, 1e9, 0), "never"));
     }
-    let mut nowhere = voice(settings("", 0), 4, 1.0);
+    let mut without_zone = policy(settings("", 0), 4, 1.0);
     assert!(
-        says(&mut nowhere, 5000, wanted(1, 0.1, 2000), "north"),
-        "a gateway without a zone is at home everywhere"
+        may_go(&mut without_zone, 5000, wanted(1, 0.1, 2000), "north"),
+        "for a gateway without a zone every zone is its own"
     );
 }
 
 #[test]
-fn in_a_pressed_zone_a_call_holds_on_until_what_it_would_lose_is_worth_the_cost() {
-    let mut z = voice(settings("kochi", 100), 4, 0.4);
+fn in_a_pressed_zone_a_call_waits_until_its_expected_loss_reaches_the_cost() {
+    let mut z = policy(settings("kochi", 100), 4, 0.4);
     assert_eq!(z.state(), ZoneState::Pressed);
-    // Pressure 0.6; a cost of one unit at 0.2 points: a third of the aim for one point, a ninth for three.
-    assert!(!says(&mut z, 5000, wanted(1, 1.0, 2000), "north"));
+    // With pressure 0.6 and a cost of one unit at 0.2 points, a call of one point waits for a third of the
+    // aim, and a call of three points for a ninth.
+    assert!(!may_go(&mut z, 5000, wanted(1, 1.0, 2000), "north"));
     assert!(
-        !says(&mut z, 5000, wanted(1, 1.0, 1500), "north")
-            && says(&mut z, 5000, wanted(1, 1.0, 1300), "north")
+        !may_go(&mut z, 5000, wanted(1, 1.0, 1500), "north")
+            && may_go(&mut z, 5000, wanted(1, 1.0, 1300), "north")
     );
-    assert!(says(&mut z, 5000, wanted(2, 3.0, 1700), "north"));
-    assert!(!says(&mut z, 5000, wanted(3, 3.0, 0), "dear"), "fifty units for three points");
+    assert!(may_go(&mut z, 5000, wanted(2, 3.0, 1700), "north"));
+    assert!(!may_go(&mut z, 5000, wanted(3, 3.0, 0), "dear"), "fifty units are too much for three points");
 }
 
 #[test]
-fn a_zone_that_is_down_lets_go_at_once_and_a_gateway_alone_without_switches_always() {
-    let mut z = voice(settings("kochi", 100), 1, 1.0);
+fn calls_spill_at_once_from_a_zone_that_is_down_or_has_no_switches() {
+    let mut z = policy(settings("kochi", 100), 1, 1.0);
     assert_eq!(z.state(), ZoneState::Down);
-    assert!(says(&mut z, 5000, wanted(1, 1.0, 2000), "north"));
+    assert!(may_go(&mut z, 5000, wanted(1, 1.0, 2000), "north"));
     let mut alone = ZonePolicy::new(settings("lonely", 100)).expect("sound settings");
-    assert!(!says(&mut alone, 4000, wanted(1, 1.0, 2000), "north"), "nothing has been looked at yet");
+    assert!(!may_go(&mut alone, 4000, wanted(1, 1.0, 2000), "north"), "no switch has been observed yet");
     alone.observe(t(4500), &mut std::iter::empty());
-    assert!(says(&mut alone, 5000, wanted(1, 1.0, 2000), "north"));
+    assert!(may_go(&mut alone, 5000, wanted(1, 1.0, 2000), "north"));
     alone.sent(t(5000), &wanted(1, 1.0, 2000), &server(9, "north"));
     assert_eq!(alone.record().total().keys().next().map(|k| k.cause), Some(SpillCause::NoSwitch));
 }
 
 #[test]
-fn the_last_of_the_budget_goes_to_the_class_of_highest_worth() {
-    let mut z = voice(
+fn scarce_budget_goes_mostly_to_the_class_of_highest_worth() {
+    let mut z = policy(
         ZoneSettings { budgets: vec![Budget { emergency: 0.0, ..budget(20) }], ..settings("kochi", 0) },
         0,
         0.0,
     );
-    let mut went = [0, 0];
-    // Both want much more than there is, for most of a minute.
+    let mut spilled = [0, 0];
+    // For most of a minute both classes have much more demand than there is budget.
     for n in 0..500u64 {
         for (class, worth) in [(0, 1.0), (1, 3.0)] {
             let call = wanted(n * 2 + class as u64, worth, 1000);
-            if says(&mut z, 5000 + n * 100, call, "north") {
+            if may_go(&mut z, 5000 + n * 100, call, "north") {
                 z.sent(t(5000 + n * 100), &call, &server(9, "north"));
-                went[class] += 1;
+                spilled[class] += 1;
             }
             z.ended(call.call, true);
         }
     }
-    assert!(went[0] + went[1] <= 20 && went[1] >= 8 && went[1] > went[0], "{went:?}");
+    assert!(spilled[0] + spilled[1] <= 20 && spilled[1] >= 8 && spilled[1] > spilled[0], "{spilled:?}");
 }
 
 #[test]
-fn a_set_up_that_does_not_stand_is_given_back_and_one_that_stands_is_not() {
-    let mut z = voice(
+fn failed_set_up_is_refunded_and_an_established_call_is_not() {
+    let mut z = policy(
         ZoneSettings { budgets: vec![Budget { emergency: 0.0, ..budget(2) }], ..settings("kochi", 0) },
         0,
         0.0,
@@ -153,7 +156,7 @@
     let spent = |z: &ZonePolicy| z.account().budget_views()[0].1.spent.0;
     for (n, stood) in [(1, false), (2, true), (3, false)] {
         let call = wanted(n, 5.0, 0);
-        assert!(says(&mut z, 5000, call, "north"));
+        assert!(may_go(&mut z, 5000, call, "north"));
         z.sent(t(5000), &call, &server(9, "north"));
         z.ended(call.call, stood);
         z.ended(call.call, false);
@@ -164,10 +167,10 @@
 }
 
 #[test]
-fn a_switch_whose_zone_changes_with_calls_out_is_settled_by_the_zone_it_was_charged_to() {
-    let mut z = voice(settings("kochi", 10), 0, 0.0);
+fn refund_goes_to_the_zone_that_was_charged_even_if_the_switch_has_changed_zones() {
+    let mut z = policy(settings("kochi", 10), 0, 0.0);
     let call = wanted(1, 5.0, 0);
-    assert!(says(&mut z, 5000, call, "north"));
+    assert!(may_go(&mut z, 5000, call, "north"));
     z.sent(t(5000), &call, &server(9, "north"));
     // The list now says that switch 9 is in the own zone.
     let moved = server(9, "kochi");
