--- a/crates/fawnrouter-engine/src/caller.rs
+++ b/crates/fawnrouter-engine/src/caller.rs
@@ -8,13 +8,13 @@
 use fawnrouter_sip::{Address, Dialog, Draft, Message, Method, Name, Start, Uri, UriError};
 use rand_core::RngCore;
 
-use crate::due::{Key, LegId};
+use crate::authenticate::Passage;
 use crate::engine::Engine;
-use crate::identify::Passage;
 use crate::intake::IntakeLoad;
 use crate::interface::{CallEvent, ClientId, Output};
 use crate::status::{FinalAnswer, retry_after_seconds};
 use crate::table::{Call, Stage};
+use crate::timer::{Key, LegId};
 
 /// Methods that the gateway takes (RFC 3261 §20.5).
 pub(crate) const ALLOW: &str = "INVITE, ACK, CANCEL, BYE, OPTIONS";
--- a/crates/fawnrouter-engine/src/engine.rs
+++ b/crates/fawnrouter-engine/src/engine.rs
@@ -13,13 +13,13 @@
 use rand_chacha::ChaCha8Rng;
 use rand_core::{RngCore, SeedableRng};
 
-use crate::due::{Key, LegId};
 use crate::gate::Gate;
 use crate::identity::Identity;
 use crate::intake::Intake;
 use crate::interface::*;
 use crate::status;
 use crate::table::*;
+use crate::timer::{Key, LegId};
 use fawnrouter_machine::{Backoff, Decide, Machine};
 
 /// Settings that no engine can work with.
--- a/crates/fawnrouter-engine/src/gate.rs
+++ b/crates/fawnrouter-engine/src/gate.rs
@@ -1,5 +1,5 @@
 //! The decisions that stand before the controller: who a client is, and whether its set-up's turn has come. Both are
-//! made elsewhere (`fawnrouter_digest`, `fawnrouter_admission`); `identify` and `set_up_admission` bring them about.
+//! made elsewhere (`fawnrouter_digest`, `fawnrouter_admission`); `authenticate` and `set_up_admission` bring them about.
 
 use fawnrouter_admission::{SetUpSettings, SetUps};
 use fawnrouter_digest::Guard;
--- a/crates/fawnrouter-engine/src/lib.rs
+++ b/crates/fawnrouter-engine/src/lib.rs
@@ -11,27 +11,27 @@
 //! | module | what it decides or does |
 //! | --- | --- |
 //! | `gate` | the decisions before the controller's, made in crates of their own |
-//! | `identify` | who a client is, and what its request is answered if that does not do |
+//! | `authenticate` | who a client is, and what its request is answered if that does not do |
 //! | `set_up_admission` | whose set-up is next |
 //! | `intake` | which new call is taken at all: limits, drain |
 //! | `classify` | class, tenant and first-choice pool of a call, by rules in the settings |
 //! | `status` | the written table of SIP status and [`fawnrouter::Outcome`], both ways |
 //! | `caller`, `trunk` | messages of the caller's leg and of the attempt legs |
 //! | `engine` | inputs, the controller's events and actions, timers |
-//! | `table`, `due`, `identity` | calls, legs, connections; what comes due; what a client has shown of itself |
+//! | `table`, `timer`, `identity` | calls, legs, connections; what comes due; what a client has shown of itself |
 
+mod authenticate;
 mod caller;
 mod classify;
-mod due;
 mod engine;
 mod gate;
-mod identify;
 mod identity;
 mod intake;
 mod interface;
 mod set_up_admission;
 mod status;
 mod table;
+mod timer;
 mod trunk;
 
 pub use classify::{CallMatch, CallRule, CallRules, Classification, PoolChoice};
--- a/crates/fawnrouter-engine/src/set_up_admission.rs
+++ b/crates/fawnrouter-engine/src/set_up_admission.rs
@@ -4,10 +4,10 @@
 use fawnrouter::{CallId, Event, NewCall};
 use fawnrouter_admission::{SetUps, Stay, Turn};
 
-use crate::due::Key;
 use crate::engine::Engine;
 use crate::interface::ClientId;
 use crate::status::{FinalAnswer, retry_after_seconds};
+use crate::timer::Key;
 
 impl Engine {
     /// Whether a new set-up may go on, wait, or not.
--- a/crates/fawnrouter-engine/src/table.rs
+++ b/crates/fawnrouter-engine/src/table.rs
@@ -8,9 +8,9 @@
 use fawnrouter_sip::transaction::{InviteClient, InviteServer};
 use fawnrouter_sip::{Dialog, Message};
 
-use crate::due::{Key, LegId};
 use crate::identity::Identity;
 use crate::interface::{ClientId, Switch};
+use crate::timer::{Key, LegId};
 use fawnrouter_machine::{Backoff, Due};
 
 /// Where a call stands.
--- a/crates/fawnrouter-engine/src/trunk.rs
+++ b/crates/fawnrouter-engine/src/trunk.rs
@@ -9,11 +9,11 @@
 use rand_core::RngCore;
 
 use crate::caller::{ALLOW, to_tag};
-use crate::due::{Key, LegId};
 use crate::engine::Engine;
 use crate::interface::{CallEvent, Output};
 use crate::status::{self, ResponseDetails, Retryability};
 use crate::table::{Leg, LegState, Stage};
+use crate::timer::{Key, LegId};
 
 /// Fields of the caller's INVITE that the gateway writes itself or that concern one hop only. All others pass.
 const OWN: [&str; 15] = [
