--- a/crates/fawnrouter-engine/src/authenticate.rs
+++ b/crates/fawnrouter-engine/src/authenticate.rs
@@ -12,9 +12,9 @@
 
 /// What comes of looking at who sent a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Passage {
+pub(crate) enum AuthCheck {
     /// It is worked on; a proof has its Authentication-Info.
-    Go(Option<String>),
+    Proceed(Option<String>),
     /// It has its answer.
     Answered,
 }
@@ -30,32 +30,32 @@
         let secrets: BTreeMap<_, _> = clients.into_iter().map(|c| (c.name, c.secret)).collect();
         let changed = guard.set_secrets(secrets);
         for identity in self.table.clients.values_mut().map(|c| &mut c.identity) {
-            if identity.known.as_ref().is_some_and(|name| changed.contains(name)) {
-                identity.known = None;
-                identity.must_prove = true;
+            if identity.client_name.as_ref().is_some_and(|name| changed.contains(name)) {
+                identity.client_name = None;
+                identity.must_authenticate = true;
             }
         }
     }
 
     /// Looks at who sent a request, before anything is done for it. ACK and CANCEL cannot be challenged (RFC 3261
     /// §22.1), and a BYE belongs to a call that was let in.
-    pub(crate) fn identify(&mut self, client: ClientId, request: &Message, uri: &str) -> Passage {
-        let Some((guard, strangers)) = &self.gate.guard else { return Passage::Go(None) };
+    pub(crate) fn authenticate(&mut self, client: ClientId, request: &Message, uri: &str) -> AuthCheck {
+        let Some((guard, strangers)) = &self.gate.guard else { return AuthCheck::Proceed(None) };
         let method = request.method().unwrap_or(Method::Other);
         if matches!(method, Method::Ack | Method::Cancel | Method::Bye) {
-            return Passage::Go(None);
+            return AuthCheck::Proceed(None);
         }
         let Some(identity) = self.table.clients.get_mut(&client).map(|c| &mut c.identity) else {
-            return Passage::Answered;
+            return AuthCheck::Answered;
         };
         let mut fields = request.values_whole(Name::Authorization).peekable();
         let says_something = fields.peek().is_some();
         let (now, strangers) = (self.now.0, *strangers);
         if !says_something {
-            let lets_in =
-                identity.known.is_some() || (strangers == UnknownClients::Allowed && !identity.must_prove);
+            let lets_in = identity.client_name.is_some()
+                || (strangers == UnknownClients::Allowed && !identity.must_authenticate);
             if lets_in {
-                return Passage::Go(None);
+                return AuthCheck::Proceed(None);
             }
         }
         let asked = Request { method: request.method_text(), uri };
@@ -64,30 +64,30 @@
             Checked::Known { client: name, info } => {
                 // A connection is one client's. It guards against a client that lends its connection to another and
                 // so goes past the other's limits.
-                if identity.known.as_ref().is_some_and(|known| *known != name) {
+                if identity.client_name.as_ref().is_some_and(|known| *known != name) {
                     self.respond(client, request, 403, Some("Another client's connection"), &[]);
-                    return Passage::Answered;
+                    return AuthCheck::Answered;
                 }
-                if identity.known.is_none() {
-                    identity.known = Some(name.clone());
-                    identity.must_prove = false;
+                if identity.client_name.is_none() {
+                    identity.client_name = Some(name.clone());
+                    identity.must_authenticate = false;
                     self.counters.authenticated += 1;
                     self.out.push(Output::ClientIdentified { client, name });
                 }
-                Passage::Go(Some(info))
+                AuthCheck::Proceed(Some(info))
             }
             Checked::Ask { stale, .. } => {
                 self.counters.challenged += 1;
                 let challenge = guard.challenge(now, client.0, stale);
                 let extra: Vec<_> = challenge.iter().map(|c| (Name::WwwAuthenticate, c.as_str())).collect();
                 self.respond(client, request, 401, None, &extra);
-                Passage::Answered
+                AuthCheck::Answered
             }
             Checked::Refuse => {
                 self.counters.auth_failures += 1;
                 self.respond(client, request, 403, None, &[]);
                 self.out.push(Output::CloseClient { client, reason: "too many wrong answers" });
-                Passage::Answered
+                AuthCheck::Answered
             }
         }
     }
@@ -95,6 +95,6 @@
     /// Whose connection it is, once it has shown that.
     #[must_use]
     pub fn client_name(&self, client: ClientId) -> Option<&Arc<str>> {
-        self.table.clients.get(&client).and_then(|c| c.identity.known.as_ref())
+        self.table.clients.get(&client).and_then(|c| c.identity.client_name.as_ref())
     }
 }
--- a/crates/fawnrouter-engine/src/caller.rs
+++ b/crates/fawnrouter-engine/src/caller.rs
@@ -8,13 +8,13 @@
 use fawnrouter_sip::{Address, Dialog, Draft, Message, Method, Name, Start, Uri, UriError};
 use rand_core::RngCore;
 
-use crate::authenticate::Passage;
+use crate::authenticate::AuthCheck;
 use crate::engine::Engine;
 use crate::intake::IntakeLoad;
 use crate::interface::{CallEvent, ClientId, Output};
 use crate::status::{FinalAnswer, retry_after_seconds};
 use crate::table::{Call, Stage};
-use crate::timer::{Key, LegId};
+use crate::timer::{LegId, TimerKey};
 
 /// Methods that the gateway takes (RFC 3261 §20.5).
 pub(crate) const ALLOW: &str = "INVITE, ACK, CANCEL, BYE, OPTIONS";
@@ -41,9 +41,9 @@
             }
             return;
         }
-        let info = match self.identify(client, &message, uri) {
-            Passage::Answered => return,
-            Passage::Go(info) => info,
+        let info = match self.authenticate(client, &message, uri) {
+            AuthCheck::Answered => return,
+            AuthCheck::Proceed(info) => info,
         };
         match method {
             Method::Ack => self.on_ack(client, &message),
@@ -52,7 +52,7 @@
             Method::Invite if to_tag(&message).is_some() => self.on_reinvite(client, &message),
             Method::Invite => self.on_invite(client, message),
             Method::Options => match check_request(&message, uri) {
-                Err((status, extra)) => self.respond(client, &message, status, None, &extra_of(&extra)),
+                Err((status, extra)) => self.respond(client, &message, status, None, &extra_fields(&extra)),
                 Ok(_) => {
                     let status = if self.intake.draining() { 503 } else { 200 };
                     let mut extra =
@@ -89,7 +89,7 @@
     }
 
     /// The answer to an INVITE of which no call is made.
-    fn not_taken(&mut self, client: ClientId, invite: &Message, why: &str, wait: Duration) {
+    fn reject_invite(&mut self, client: ClientId, invite: &Message, why: &str, wait: Duration) {
         self.counters.rejected += 1;
         let wait = retry_after_seconds(wait).max(1).to_string();
         let reason = format!("SIP;cause=503;text=\"{why}\"");
@@ -108,7 +108,7 @@
             Ok(uri) => uri,
             Err((status, extra)) => {
                 self.counters.invalid += 1;
-                return self.respond(client, &invite, status, None, &extra_of(&extra));
+                return self.respond(client, &invite, status, None, &extra_fields(&extra));
             }
         };
         if branch.is_empty() || invite.values(Name::Contact).next().is_none() {
@@ -117,9 +117,10 @@
             return self.respond(client, &invite, 400, Some(what), &[]);
         }
         let of_client = self.table.clients.get(&client).map_or(0, |c| c.calls.len());
-        let load = IntakeLoad { calls: self.table.live(), pending: self.pending, client_calls: of_client };
+        let load =
+            IntakeLoad { calls: self.table.live_calls(), pending: self.pending, client_calls: of_client };
         if let Err((refusal, wait)) = self.intake.check(load) {
-            return self.not_taken(client, &invite, refusal.text(), wait);
+            return self.reject_invite(client, &invite, refusal.text(), wait);
         }
         let seen = self.settings.rules.classify(&invite, &uri);
         let class = seen.class.and_then(|c| self.settings.controller.classes.get(c.0));
@@ -129,11 +130,11 @@
         let left = told.unwrap_or(limit).min(self.settings.max_expires);
         let class_name = class.map(|c| c.name.clone()).unwrap_or_default();
         let id = self.new_call_id();
-        let turn = self.judge_set_up(client, id);
+        let turn = self.admit_set_up(client, id);
         if let Turn::Refuse { why, retry_after } = turn {
-            return self.not_taken(client, &invite, why.text(), retry_after);
+            return self.reject_invite(client, &invite, why.text(), retry_after);
         }
-        let session = session_of(&invite)
+        let session = session_id_of(&invite)
             .unwrap_or_else(|| format!("{:016x}{:016x}", self.rng.next_u64(), self.rng.next_u64()));
         let call_id = invite.get(Name::CallId).unwrap_or("").into();
         let call = Call {
@@ -141,15 +142,15 @@
             branch: branch.clone(),
             call_id,
             tag: self.rng.next_u32(),
-            session,
-            server: InviteServer::default(),
+            session_id: session,
+            server_transaction: InviteServer::default(),
             stage: Stage::Routing,
-            began: self.now,
-            due: self.now.plus(left),
-            waits: None,
-            out: None,
+            received_at: self.now,
+            deadline: self.now.plus(left),
+            queued: None,
+            current_leg: None,
             attempts: 0,
-            last: None,
+            last_response: None,
             invite: Some(invite),
         };
         let words = (call.call_id.clone(), class_name, seen.number.clone());
@@ -160,12 +161,12 @@
         }
         self.pending += 1;
         self.counters.accepted += 1;
-        self.word(id, || CallEvent::Accepted {
+        self.emit_call_event(id, || CallEvent::Accepted {
             call_id: words.0,
             class: words.1.into(),
             number: words.2.into(),
         });
-        self.provisional(id, 100, None);
+        self.send_provisional(id, 100, None);
         let new = NewCall {
             id,
             class: seen.class,
@@ -179,13 +180,13 @@
         };
         if turn == Turn::Wait {
             let wait = self.set_up_admission().map_or(left, SetUps::wait).min(left);
-            self.table.due.set(Key::Call(id), self.now.plus(wait));
+            self.table.due.set(TimerKey::Call(id), self.now.plus(wait));
             if let Some(call) = self.table.calls.get_mut(&id) {
-                call.waits = Some(new);
+                call.queued = Some(new);
             }
             return;
         }
-        self.hand_over(new);
+        self.submit_call(new);
     }
 
     /// The tag of answers to the caller: one for each attempt, as each has a session of its own (§12.1).
@@ -209,14 +210,14 @@
         let host = self.settings.host.clone();
         let call = self.table.calls.get_mut(&id)?;
         let client = self.table.clients.get(&call.client)?;
-        if !call.server.respond(status) {
+        if !call.server_transaction.respond(status) {
             return None;
         }
         let tag = Self::caller_tag(call, id, attempt);
         let peer = Some((client.host.as_str(), client.peer.port()));
         let mut draft = Draft::answer(call.invite.as_deref()?, status, None, &tag, peer);
         if status > 100 {
-            draft.named("Session-ID", &format!("{};remote={:032}", call.session, 0));
+            draft.named("Session-ID", &format!("{};remote={:032}", call.session_id, 0));
             draft.field(Name::Allow, ALLOW);
         }
         if (101..300).contains(&status) {
@@ -228,7 +229,7 @@
     }
 
     /// Passes progress on to the caller; `from` is the switch's response with its attempt.
-    pub(crate) fn provisional(&mut self, id: CallId, status: u16, from: Option<(&Message, u32)>) {
+    pub(crate) fn send_provisional(&mut self, id: CallId, status: u16, from: Option<(&Message, u32)>) {
         if let Some((client, mut draft)) = self.begin_answer(id, status, from.map(|f| f.1)) {
             let bytes = match from {
                 Some((response, _)) => draft.finish_with_body_of(response),
@@ -239,11 +240,11 @@
     }
 
     /// The final answer of a call that does not stand. The call is kept only to know its ACK.
-    pub(crate) fn answer_final(&mut self, id: CallId, answer: FinalAnswer) {
+    pub(crate) fn send_final(&mut self, id: CallId, answer: FinalAnswer) {
         let Some(call) = self.table.calls.get(&id).filter(|c| matches!(c.stage, Stage::Routing)) else {
             return;
         };
-        let after = self.now.since(call.began);
+        let after = self.now.since(call.received_at);
         if let Some((client, mut draft)) = self.begin_answer(id, answer.status, None) {
             if let Some(seconds) = answer.retry_after_s {
                 draft.field(Name::RetryAfter, &seconds.to_string());
@@ -252,19 +253,19 @@
             let bytes = draft.finish(b"");
             self.out.push(Output::ToClient { client, bytes });
         }
-        self.word(id, || CallEvent::Answered { status: answer.status, after });
-        self.set_up_over(id);
+        self.emit_call_event(id, || CallEvent::Answered { status: answer.status, after });
+        self.set_up_ended(id);
         self.pending -= 1;
-        self.table.due.set(Key::Call(id), self.now.plus(ACK_WAIT));
+        self.table.due.set(TimerKey::Call(id), self.now.plus(ACK_WAIT));
         self.table.retire(id, self.settings.intake.calls);
     }
 
     /// A switch took the call: 200 to the caller, with the switch's body.
-    pub(crate) fn stand(&mut self, id: CallId, leg: LegId, response: &Message, attempt: u32) -> bool {
+    pub(crate) fn establish(&mut self, id: CallId, leg: LegId, response: &Message, attempt: u32) -> bool {
         let Some(call) = self.table.calls.get(&id).filter(|c| matches!(c.stage, Stage::Routing)) else {
             return false;
         };
-        let after = self.now.since(call.began);
+        let after = self.now.since(call.received_at);
         let tag = Self::caller_tag(call, id, Some(attempt));
         let dialog = call.invite.as_deref().and_then(|invite| Dialog::callee(invite, &tag).ok());
         let Some(dialog) = dialog else { return false };
@@ -273,15 +274,16 @@
         self.out.push(Output::ToClient { client, bytes });
         let since = self.now;
         if let Some(call) = self.table.calls.get_mut(&id) {
-            call.stage = Stage::Standing { leg, dialog: Box::new(dialog), acked: false, since };
-            call.out = None;
+            call.stage =
+                Stage::Established { leg, dialog: Box::new(dialog), acked: false, established_at: since };
+            call.current_leg = None;
             call.invite = None;
         }
-        self.set_up_moved(id, Stay::Standing);
+        self.set_up_stage_changed(id, Stay::Standing);
         self.pending -= 1;
         self.counters.established += 1;
-        self.table.due.set(Key::Call(id), self.now.plus(ACK_WAIT));
-        self.word(id, || CallEvent::Answered { status: 200, after });
+        self.table.due.set(TimerKey::Call(id), self.now.plus(ACK_WAIT));
+        self.emit_call_event(id, || CallEvent::Answered { status: 200, after });
         true
     }
 
@@ -293,15 +295,15 @@
             return;
         };
         let Some(call) = self.table.calls.get_mut(&id) else { return };
-        let step = call.server.on_ack();
+        let step = call.server_transaction.on_ack();
         match &mut call.stage {
-            Stage::Standing { acked, leg, .. } if step == ServerStep::Act && !*acked => {
+            Stage::Established { acked, leg, .. } if step == ServerStep::Act && !*acked => {
                 *acked = true;
                 let leg = *leg;
-                self.table.due.clear(Key::Call(id));
+                self.table.due.clear(TimerKey::Call(id));
                 self.ack_leg(leg, Some(ack));
             }
-            Stage::Ended => drop(self.table.drop_call(id)),
+            Stage::Ended => drop(self.table.remove_call(id)),
             _ => {}
         }
     }
@@ -312,16 +314,17 @@
             return self.respond(client, cancel, 481, None, &[]);
         };
         self.respond(client, cancel, 200, None, &[]);
-        let acts = self.table.calls.get(&id).is_some_and(|c| c.server.on_cancel() == ServerStep::Act);
+        let acts =
+            self.table.calls.get(&id).is_some_and(|c| c.server_transaction.on_cancel() == ServerStep::Act);
         if acts {
-            self.caller_gives_up(id);
+            self.on_caller_gave_up(id);
         }
     }
 
     /// The caller takes its INVITE back before there is a final answer.
-    fn caller_gives_up(&mut self, id: CallId) {
+    fn on_caller_gave_up(&mut self, id: CallId) {
         self.counters.abandoned += 1;
-        self.lapse(id, FinalAnswer { status: 487, retry_after_s: None, text: "the caller gave up" });
+        self.end_routing(id, FinalAnswer { status: 487, retry_after_s: None, text: "the caller gave up" });
     }
 
     fn on_caller_bye(&mut self, client: ClientId, bye: &Message) {
@@ -332,7 +335,7 @@
             return self.respond(client, bye, 481, None, &[]);
         };
         match &mut call.stage {
-            Stage::Standing { dialog, .. } => {
+            Stage::Established { dialog, .. } => {
                 if !dialog.matches(bye) || bye.get(Name::CallId) != Some(&dialog.call_id) {
                     return self.respond(client, bye, 481, None, &[]);
                 }
@@ -341,12 +344,12 @@
                     return self.respond(client, bye, 500, None, &[]);
                 }
                 self.respond(client, bye, 200, None, &[]);
-                self.release(id, Outcome::Cancelled);
+                self.release_call(id, Outcome::Cancelled);
             }
             // A BYE in an early dialog ends the INVITE (§15.1.2).
             Stage::Routing => {
                 self.respond(client, bye, 200, None, &[]);
-                self.caller_gives_up(id);
+                self.on_caller_gave_up(id);
             }
             Stage::Ended => self.respond(client, bye, 481, None, &[]),
         }
@@ -357,7 +360,7 @@
         let known = to_tag(invite).and_then(|tag| self.call_of_tag(tag));
         let standing = known.and_then(|id| self.table.calls.get_mut(&id));
         let status = match standing.map(|c| &mut c.stage) {
-            Some(Stage::Standing { dialog, .. }) if dialog.matches(invite) => {
+            Some(Stage::Established { dialog, .. }) if dialog.matches(invite) => {
                 let in_order = dialog.accepts(invite.cseq().map_or(0, |c| c.number));
                 if in_order { 488 } else { 500 }
             }
@@ -367,25 +370,25 @@
     }
 
     /// Ends a standing call from the caller's end: its leg is acknowledged if it was not, and released.
-    pub(crate) fn release(&mut self, id: CallId, outcome: Outcome) {
-        let Some(Stage::Standing { leg, acked, .. }) = self.table.calls.get(&id).map(|c| &c.stage) else {
+    pub(crate) fn release_call(&mut self, id: CallId, outcome: Outcome) {
+        let Some(Stage::Established { leg, acked, .. }) = self.table.calls.get(&id).map(|c| &c.stage) else {
             return;
         };
         let (leg, acked) = (*leg, *acked);
         if !acked {
             self.ack_leg(leg, None);
         }
-        self.end_standing(id, leg, outcome);
+        self.end_established(id, leg, outcome);
         self.release_leg(leg);
     }
 
     /// Tells the caller that its standing call is over.
-    pub(crate) fn bye_caller(&mut self, id: CallId, reason: &str) {
+    pub(crate) fn send_bye_to_caller(&mut self, id: CallId, reason: &str) {
         let branch = self.rng.next_u64();
         let host = &self.settings.host;
         let Some(call) = self.table.calls.get_mut(&id) else { return };
         let client = call.client;
-        let Stage::Standing { dialog, .. } = &mut call.stage else { return };
+        let Stage::Established { dialog, .. } = &mut call.stage else { return };
         let via = format!("SIP/2.0/WS {host};branch=z9hG4bK{branch:016x}");
         let bytes = dialog.request(Method::Bye, &via).field(Name::Reason, reason).finish(b"");
         if self.table.clients.contains_key(&client) {
@@ -399,10 +402,10 @@
             match self.table.calls.get(&id).map(|c| &c.stage) {
                 // Nobody is there to be answered; the call ends like one that its caller took back.
                 Some(Stage::Routing) => {
-                    self.caller_gives_up(id);
-                    self.table.drop_call(id);
+                    self.on_caller_gave_up(id);
+                    self.table.remove_call(id);
                 }
-                Some(Stage::Standing { .. }) => self.release(id, Outcome::Cancelled),
+                Some(Stage::Established { .. }) => self.release_call(id, Outcome::Cancelled),
                 _ => {}
             }
         }
@@ -414,19 +417,16 @@
             .map(|(_, id)| *id)
             .collect();
         for id in rest {
-            self.table.drop_call(id);
+            self.table.remove_call(id);
         }
     }
 
     /// The answer of a switch that ends a call goes to the caller as it is.
-    pub(crate) fn pass_final(&mut self, id: CallId, status: u16) {
+    pub(crate) fn pass_on_final(&mut self, id: CallId, status: u16) {
         if self.table.calls.get(&id).is_some_and(|c| matches!(c.stage, Stage::Routing)) {
             self.counters.failed += 1;
         }
-        self.answer_final(
-            id,
-            FinalAnswer { status, retry_after_s: None, text: "the switch refused the call" },
-        );
+        self.send_final(id, FinalAnswer { status, retry_after_s: None, text: "the switch refused the call" });
     }
 }
 
@@ -436,14 +436,14 @@
 }
 
 /// The identifier that the caller gave (RFC 7989 §5): 32 lower-case hex digits, not all zero.
-fn session_of(invite: &Message) -> Option<String> {
+fn session_id_of(invite: &Message) -> Option<String> {
     let value = invite.get(Name::SessionId)?;
     let id = value.split(';').next().unwrap_or("").trim();
     let sound = id.len() == 32 && id.bytes().all(|b| b.is_ascii_hexdigit()) && id.bytes().any(|b| b != b'0');
     sound.then(|| id.to_ascii_lowercase())
 }
 
-fn extra_of(extra: &Option<(Name, String)>) -> Vec<(Name, &str)> {
+fn extra_fields(extra: &Option<(Name, String)>) -> Vec<(Name, &str)> {
     extra.iter().map(|(name, value)| (*name, value.as_str())).collect()
 }
 
--- a/crates/fawnrouter-engine/src/engine.rs
+++ b/crates/fawnrouter-engine/src/engine.rs
@@ -19,7 +19,7 @@
 use crate::interface::*;
 use crate::status;
 use crate::table::*;
-use crate::timer::{Key, LegId};
+use crate::timer::{LegId, TimerKey};
 use fawnrouter_machine::{Backoff, Decide, Machine};
 
 /// Settings that no engine can work with.
@@ -43,7 +43,7 @@
     pub(crate) intake: Intake,
     pub(crate) gate: Gate,
     zones: Option<SharedZonePolicy>,
-    pub(crate) table: Table,
+    pub(crate) table: CallTable,
     pub(crate) now: Time,
     /// Calls without a final answer.
     pub(crate) pending: usize,
@@ -52,7 +52,7 @@
     pub(crate) out: Vec<Output>,
     next_call: u64,
     pub(crate) next_leg: u64,
-    drained_told: bool,
+    drain_reported: bool,
 }
 
 impl Machine for Engine {
@@ -101,7 +101,7 @@
             settings,
             controller,
             rng,
-            table: Table::default(),
+            table: CallTable::default(),
             now: Time::default(),
             pending: 0,
             counters: Counters::default(),
@@ -109,7 +109,7 @@
             out: Vec::new(),
             next_call: 0,
             next_leg: 0,
-            drained_told: false,
+            drain_reported: false,
         }
     }
 
@@ -117,7 +117,7 @@
     /// as one that stands still.
     pub fn handle(&mut self, now: Time, input: Input, outputs: &mut Vec<Output>) {
         self.now = self.now.max(now);
-        self.fire();
+        self.fire_timers();
         match input {
             Input::ClientUp { client, peer, origin, must_authenticate: must_prove } => {
                 let host = peer.ip().to_string();
@@ -141,10 +141,10 @@
             Input::Drain => self.intake.drain(),
             Input::Stop => self.stop(),
         }
-        self.run();
-        self.hand_over_next();
-        if self.intake.draining() && !self.drained_told && self.table.live() == 0 {
-            self.drained_told = true;
+        self.process_events();
+        self.submit_admitted_calls();
+        if self.intake.draining() && !self.drain_reported && self.table.live_calls() == 0 {
+            self.drain_reported = true;
             self.out.push(Output::Drained);
         }
         outputs.append(&mut self.out);
@@ -171,7 +171,7 @@
     /// Calls held, out or standing now.
     #[must_use]
     pub fn live_calls(&self) -> usize {
-        self.table.live()
+        self.table.live_calls()
     }
 
     /// Calls of a client that are held, out or standing now.
@@ -192,7 +192,7 @@
         self.table.due.len()
     }
 
-    pub(crate) fn unit(&mut self) -> f64 {
+    pub(crate) fn random_unit(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
@@ -201,7 +201,7 @@
         CallId(self.next_call)
     }
 
-    pub(crate) fn word(&mut self, call: CallId, word: impl FnOnce() -> CallEvent) {
+    pub(crate) fn emit_call_event(&mut self, call: CallId, word: impl FnOnce() -> CallEvent) {
         if self.settings.call_events {
             self.out.push(Output::CallEvent { call, event: word() });
         }
@@ -211,28 +211,28 @@
 
     /// Gives the controller its events, and carries out its actions, until there are no more. An action may make
     /// an event at once, as when there is no connection to send on.
-    pub(crate) fn run(&mut self) {
+    pub(crate) fn process_events(&mut self) {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
             // An attempt that ended without a standing call leaves the call with the controller.
             if let Event::Closed { call, done: false, .. } = &event {
-                self.set_up_moved(*call, Stay::Held);
+                self.set_up_stage_changed(*call, Stay::Held);
             }
             self.controller.handle(self.now, event, &mut actions);
             for action in actions.drain(..) {
-                self.act(action);
+                self.apply_action(action);
             }
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn apply_action(&mut self, action: Action) {
         match action {
-            Action::Issue { call, server, within } => self.issue(call, server, within),
+            Action::Issue { call, server, within } => self.send_set_up(call, server, within),
             Action::Cancel { call, attempt } => self.cancel_attempt(call, attempt),
             Action::Refuse { call, retry_after } => self.refuse(call, Some(retry_after)),
             Action::Fail(call) => self.refuse(call, None),
             Action::SetTimer { after, timer } => {
-                self.table.due.set(Key::Module(timer), self.now.plus(after));
+                self.table.due.set(TimerKey::Controller(timer), self.now.plus(after));
             }
             Action::Log(line) => self.out.push(Output::Log(line)),
             // Probes and messages between gateways are off in the settings that the engine is given, and the list
@@ -242,10 +242,10 @@
     }
 
     fn cancel_attempt(&mut self, call: CallId, attempt: AttemptNo) {
-        let out = self.table.calls.get(&call).and_then(|c| c.out);
+        let out = self.table.calls.get(&call).and_then(|c| c.current_leg);
         let leg = out.filter(|id| self.table.legs.get(id).is_some_and(|l| l.attempt == attempt));
         if let Some(leg) = leg {
-            self.close_leg(leg, Outcome::Cancelled, false);
+            self.close_attempt(leg, Outcome::Cancelled, false);
         }
     }
 
@@ -253,107 +253,109 @@
         let Some(call) = self.table.calls.get(&id).filter(|c| matches!(c.stage, Stage::Routing)) else {
             return;
         };
-        let answer = status::answer_to_caller(retry_after, call.last);
+        let answer = status::answer_to_caller(retry_after, call.last_response);
         match retry_after {
             Some(_) => self.counters.refused += 1,
             None => self.counters.failed += 1,
         }
-        let out = call.out;
-        self.answer_final(id, answer);
+        let out = call.current_leg;
+        self.send_final(id, answer);
         if let Some(leg) = out {
             self.abandon_leg(leg);
         }
     }
 
     /// Tells the controller of the end of an attempt that is out, and gives the leg up.
-    pub(crate) fn close_leg(&mut self, id: LegId, outcome: Outcome, done: bool) {
-        let Some(leg) = self.table.legs.get(&id).filter(|l| matches!(l.state, LegState::Out)) else { return };
-        let (call, attempt, server, took) = (leg.call, leg.attempt, leg.server, self.now.since(leg.sent));
+    pub(crate) fn close_attempt(&mut self, id: LegId, outcome: Outcome, done: bool) {
+        let Some(leg) = self.table.legs.get(&id).filter(|l| matches!(l.state, LegState::Pending)) else {
+            return;
+        };
+        let (call, attempt, server, took) = (leg.call, leg.attempt, leg.server, self.now.since(leg.sent_at));
         let (note, report) = (Note::None, Report::default());
         self.events.push_back(Event::Closed { call, attempt, server, done, outcome, note, took, report });
-        self.word(call, || CallEvent::AttemptClosed { attempt, outcome });
+        self.emit_call_event(call, || CallEvent::AttemptClosed { attempt, outcome });
         self.abandon_leg(id);
     }
 
     /// Gives up an attempt: cancels it if that may be, and keeps the leg for a late answer.
     pub(crate) fn abandon_leg(&mut self, id: LegId) {
-        let Some(leg) = self.table.legs.get_mut(&id).filter(|l| matches!(l.state, LegState::Out)) else {
+        let Some(leg) = self.table.legs.get_mut(&id).filter(|l| matches!(l.state, LegState::Pending)) else {
             return;
         };
-        leg.state = LegState::GivenUp;
+        leg.state = LegState::Abandoned;
         let call = leg.call;
-        match leg.tx.cancel() {
+        match leg.client_transaction.cancel() {
             CancelStep::Send => self.send_cancel(id),
             CancelStep::Wait | CancelStep::Over => {}
         }
-        if let Some(call) = self.table.calls.get_mut(&call).filter(|c| c.out == Some(id)) {
-            call.out = None;
+        if let Some(call) = self.table.calls.get_mut(&call).filter(|c| c.current_leg == Some(id)) {
+            call.current_leg = None;
         }
-        self.table.due.set(Key::Leg(id), self.now.plus(ACK_WAIT));
+        self.table.due.set(TimerKey::Leg(id), self.now.plus(ACK_WAIT));
     }
 
     // ---- What comes due ---------------------------------------------------------------------------------------
 
-    fn fire(&mut self) {
+    fn fire_timers(&mut self) {
         while let Some(key) = self.table.due.pop(self.now) {
             match key {
-                Key::Module(timer) => self.events.push_back(Event::Timer(timer)),
-                Key::Call(call) => self.call_due(call),
-                Key::Leg(leg) => self.leg_due(leg),
-                Key::Trunk(server) => self.open_trunk(server),
+                TimerKey::Controller(timer) => self.events.push_back(Event::Timer(timer)),
+                TimerKey::Call(call) => self.on_call_timer(call),
+                TimerKey::Leg(leg) => self.on_leg_timer(leg),
+                TimerKey::Trunk(server) => self.open_trunk(server),
             }
-            self.run();
+            self.process_events();
         }
     }
 
-    fn call_due(&mut self, id: CallId) {
+    fn on_call_timer(&mut self, id: CallId) {
         let Some(call) = self.table.calls.get(&id) else { return };
         match &call.stage {
             // The controller answers well before this. It guards against one that did not, as after the process
             // stood still: the caller gets its answer all the same.
             Stage::Routing => {
-                if self.wait_expired(id) {
+                if self.set_up_wait_expired(id) {
                     return;
                 }
                 self.counters.failed += 1;
                 let answer = status::answer_to_caller(None, None);
-                self.lapse(id, answer);
+                self.end_routing(id, answer);
             }
             // No ACK in 64·T1: the call is released on both sides (RFC 3261 §13.3.1.4).
-            Stage::Standing { acked: false, .. } => {
-                self.bye_caller(id, "SIP;cause=408;text=\"no ACK\"");
-                self.release(id, Outcome::Cancelled);
+            Stage::Established { acked: false, .. } => {
+                self.send_bye_to_caller(id, "SIP;cause=408;text=\"no ACK\"");
+                self.release_call(id, Outcome::Cancelled);
             }
-            Stage::Standing { .. } => {}
-            Stage::Ended => drop(self.table.drop_call(id)),
+            Stage::Established { .. } => {}
+            Stage::Ended => drop(self.table.remove_call(id)),
         }
     }
 
     /// Ends a call that the controller still has: it is told that the caller has gone.
-    pub(crate) fn lapse(&mut self, id: CallId, answer: status::FinalAnswer) {
+    pub(crate) fn end_routing(&mut self, id: CallId, answer: status::FinalAnswer) {
         let call = self.table.calls.get(&id);
-        let (out, waits) = (call.and_then(|c| c.out), call.is_some_and(|c| c.waits.is_some()));
-        self.answer_final(id, answer);
+        let (out, waits) = (call.and_then(|c| c.current_leg), call.is_some_and(|c| c.queued.is_some()));
+        self.send_final(id, answer);
         // The controller has not heard of a call that still waited for its turn.
         if waits {
             return;
         }
         self.events.push_back(Event::Lapsed(id));
         if let Some(leg) = out {
-            self.close_leg(leg, Outcome::Cancelled, true);
+            self.close_attempt(leg, Outcome::Cancelled, true);
         }
     }
 
-    fn leg_due(&mut self, id: LegId) {
+    fn on_leg_timer(&mut self, id: LegId) {
         let Some(leg) = self.table.legs.get(&id) else { return };
         match leg.state {
-            LegState::Out => self.close_leg(id, Outcome::TimedOut, false),
-            LegState::Standing { .. } => self.cut(id),
+            LegState::Pending => self.close_attempt(id, Outcome::TimedOut, false),
+            LegState::Standing { .. } => self.cut_call(id),
             // A given-up leg whose switch never answered, or a BYE that nobody answered.
-            LegState::GivenUp | LegState::Releasing { .. } => {
+            LegState::Abandoned | LegState::Releasing { .. } => {
                 let server = leg.server;
-                self.table.drop_leg(id);
-                self.close_unused(server);
+                self.table.remove_leg(id);
+                self.close_unused_trunk(server);
             }
         }
     }
@@ -374,13 +376,13 @@
         };
         trunk.state = TrunkState::Up;
         trunk.backoff.reset();
-        for id in self.table.legs_of(server) {
+        for id in self.table.legs_on(server) {
             match self.table.legs.get_mut(&id).map(|l| &mut l.state) {
-                Some(LegState::Standing { orphan, revived, .. }) if *orphan => {
+                Some(LegState::Standing { connection_lost: orphan, reconnected: revived, .. }) if *orphan => {
                     (*orphan, *revived) = (false, true);
-                    self.table.due.clear(Key::Leg(id));
+                    self.table.due.clear(TimerKey::Leg(id));
                 }
-                Some(LegState::Releasing { unsent, .. }) if *unsent => self.send_bye(id),
+                Some(LegState::Releasing { bye_pending: unsent, .. }) if *unsent => self.send_bye(id),
                 _ => {}
             }
         }
@@ -388,30 +390,30 @@
 
     fn on_trunk_down(&mut self, server: ServerId) {
         let pause = {
-            let unit = self.unit();
+            let unit = self.random_unit();
             let Some(trunk) = self.table.trunks.get_mut(&server) else { return };
             trunk.state = TrunkState::Closed;
             trunk.backoff.next_pause(&self.settings.backoff, unit)
         };
-        self.table.due.set(Key::Trunk(server), self.now.plus(pause));
-        for id in self.table.legs_of(server) {
+        self.table.due.set(TimerKey::Trunk(server), self.now.plus(pause));
+        for id in self.table.legs_on(server) {
             let Some(leg) = self.table.legs.get_mut(&id) else { continue };
             match &mut leg.state {
-                LegState::Out => {
-                    self.close_leg(id, Outcome::Reset, false);
+                LegState::Pending => {
+                    self.close_attempt(id, Outcome::Reset, false);
                     // No answer can come on a connection that is gone.
-                    self.table.drop_leg(id);
+                    self.table.remove_leg(id);
                 }
-                LegState::GivenUp => drop(self.table.drop_leg(id)),
-                LegState::Standing { orphan, .. } if !*orphan => {
+                LegState::Abandoned => drop(self.table.remove_leg(id)),
+                LegState::Standing { connection_lost: orphan, .. } if !*orphan => {
                     *orphan = true;
-                    self.table.due.set(Key::Leg(id), self.now.plus(self.settings.cut_after));
+                    self.table.due.set(TimerKey::Leg(id), self.now.plus(self.settings.cut_after));
                 }
                 LegState::Standing { .. } | LegState::Releasing { .. } => {}
             }
         }
-        self.cut_lost(server);
-        self.close_unused(server);
+        self.cut_calls_of_lost_switch(server);
+        self.close_unused_trunk(server);
     }
 
     fn on_list(&mut self, kind: ListKind, switches: Vec<Switch>) {
@@ -435,7 +437,7 @@
                         self.on_trunk_down(id);
                     }
                     if restarted {
-                        self.cut_revived(id);
+                        self.cut_calls_before_restart(id);
                     }
                 }
                 None if gone => {}
@@ -455,8 +457,8 @@
         let unlisted: Vec<ServerId> =
             self.table.trunks.iter().filter(|(_, t)| !t.listed).map(|(id, _)| *id).collect();
         for id in unlisted {
-            self.cut_lost(id);
-            self.close_unused(id);
+            self.cut_calls_of_lost_switch(id);
+            self.close_unused_trunk(id);
         }
         let entries = switches.into_iter().map(|s| s.entry).collect();
         self.events.push_back(Event::List { kind, entries });
@@ -464,63 +466,66 @@
 
     /// A switch that is off the list and whose connection is lost does not come back: its calls are cut at once.
     /// A list that names nobody for a while cuts nothing, as the connections stand.
-    fn cut_lost(&mut self, server: ServerId) {
-        if self.table.is_up(server) || self.table.trunks.get(&server).is_none_or(|t| t.listed) {
+    fn cut_calls_of_lost_switch(&mut self, server: ServerId) {
+        if self.table.is_connected(server) || self.table.trunks.get(&server).is_none_or(|t| t.listed) {
             return;
         }
-        for id in self.table.legs_of(server) {
+        for id in self.table.legs_on(server) {
             match self.table.legs.get(&id).map(|l| &l.state) {
-                Some(LegState::Standing { .. }) => self.cut(id),
-                Some(LegState::Releasing { .. }) => drop(self.table.drop_leg(id)),
+                Some(LegState::Standing { .. }) => self.cut_call(id),
+                Some(LegState::Releasing { .. }) => drop(self.table.remove_leg(id)),
                 _ => {}
             }
         }
     }
 
     /// A switch has restarted: calls from before, whose connection was lost, are not known to it.
-    fn cut_revived(&mut self, server: ServerId) {
-        for id in self.table.legs_of(server) {
+    fn cut_calls_before_restart(&mut self, server: ServerId) {
+        for id in self.table.legs_on(server) {
             let state = self.table.legs.get(&id).map(|l| &l.state);
-            if matches!(state, Some(LegState::Standing { orphan, revived, .. }) if *orphan || *revived) {
-                self.cut(id);
+            if matches!(state, Some(LegState::Standing { connection_lost: orphan, reconnected: revived, .. }) if *orphan || *revived)
+            {
+                self.cut_call(id);
             }
         }
     }
 
     /// Closes the connection to a switch that is off the list once no leg is left on it.
-    pub(crate) fn close_unused(&mut self, server: ServerId) {
+    pub(crate) fn close_unused_trunk(&mut self, server: ServerId) {
         let unused = self.table.trunks.get(&server).is_some_and(|t| !t.listed && t.legs.is_empty());
         if unused {
             self.table.trunks.remove(&server);
-            self.table.due.clear(Key::Trunk(server));
+            self.table.due.clear(TimerKey::Trunk(server));
             self.out.push(Output::CloseTrunk { server });
         }
     }
 
     /// A standing call was cut on its switch's side.
-    fn cut(&mut self, id: LegId) {
+    fn cut_call(&mut self, id: LegId) {
         let Some(leg) = self.table.legs.get(&id) else { return };
         let (call, server) = (leg.call, leg.server);
         self.counters.cut += 1;
         // Q.850 cause 27: destination out of order.
-        self.bye_caller(call, "Q.850;cause=27;text=\"switch lost\"");
-        self.end_standing(call, id, Outcome::Reset);
-        self.table.drop_leg(id);
-        self.close_unused(server);
+        self.send_bye_to_caller(call, "Q.850;cause=27;text=\"switch lost\"");
+        self.end_established(call, id, Outcome::Reset);
+        self.table.remove_leg(id);
+        self.close_unused_trunk(server);
     }
 
     /// Tells the controller of a standing call's end, and forgets the call; its leg stays.
-    pub(crate) fn end_standing(&mut self, call: CallId, leg: LegId, outcome: Outcome) {
-        let Some(ended) = self.table.drop_call(call) else { return };
-        self.set_up_over(call);
-        if let (Some(leg), Stage::Standing { since, .. }) = (self.table.legs.get(&leg), &ended.stage) {
+    pub(crate) fn end_established(&mut self, call: CallId, leg: LegId, outcome: Outcome) {
+        let Some(ended) = self.table.remove_call(call) else { return };
+        self.set_up_ended(call);
+        if let (Some(leg), Stage::Established { established_at: since, .. }) =
+            (self.table.legs.get(&leg), &ended.stage)
+        {
             let (attempt, server) = (leg.attempt, leg.server);
-            let took = self.now.since(leg.sent);
+            let took = self.now.since(leg.sent_at);
             let (note, report) = (Note::None, Report::default());
             let done = true;
             self.events.push_back(Event::Closed { call, attempt, server, done, outcome, note, took, report });
             let stood = self.now.since(*since);
-            self.word(call, || CallEvent::Released { outcome, established_for: stood });
+            self.emit_call_event(call, || CallEvent::Released { outcome, established_for: stood });
         }
     }
 
@@ -531,11 +536,11 @@
                 Some(Stage::Routing) => {
                     let retry = Some(self.settings.intake.retry_after);
                     self.counters.refused += 1;
-                    self.lapse(id, status::answer_to_caller(retry, None));
+                    self.end_routing(id, status::answer_to_caller(retry, None));
                 }
-                Some(Stage::Standing { .. }) => {
-                    self.bye_caller(id, "SIP;cause=503;text=\"gateway ends\"");
-                    self.release(id, Outcome::Cancelled);
+                Some(Stage::Established { .. }) => {
+                    self.send_bye_to_caller(id, "SIP;cause=503;text=\"gateway ends\"");
+                    self.release_call(id, Outcome::Cancelled);
                 }
                 _ => {}
             }
--- a/crates/fawnrouter-engine/src/identity.rs
+++ b/crates/fawnrouter-engine/src/identity.rs
@@ -42,19 +42,19 @@
 pub(crate) struct Identity {
     /// Where it comes from; behind a trusted forwarder, what that said.
     pub origin: IpAddr,
-    pub known: Option<Arc<str>>,
+    pub client_name: Option<Arc<str>>,
     /// It gets nothing before it has shown who it is.
-    pub must_prove: bool,
+    pub must_authenticate: bool,
     pub proof: Proof,
 }
 
 impl Identity {
     pub fn new(origin: IpAddr, must_prove: bool) -> Self {
-        Self { origin, known: None, must_prove, proof: Proof::default() }
+        Self { origin, client_name: None, must_authenticate: must_prove, proof: Proof::default() }
     }
 
     pub(crate) fn who(&self) -> Who {
-        match &self.known {
+        match &self.client_name {
             Some(name) => Who::Known(name.clone()),
             None => Who::Stranger(self.origin),
         }
--- a/crates/fawnrouter-engine/src/set_up_admission.rs
+++ b/crates/fawnrouter-engine/src/set_up_admission.rs
@@ -7,11 +7,11 @@
 use crate::engine::Engine;
 use crate::interface::ClientId;
 use crate::status::{FinalAnswer, retry_after_seconds};
-use crate::timer::Key;
+use crate::timer::TimerKey;
 
 impl Engine {
     /// Whether a new set-up may go on, wait, or not.
-    pub(crate) fn judge_set_up(&mut self, client: ClientId, id: CallId) -> Turn {
+    pub(crate) fn admit_set_up(&mut self, client: ClientId, id: CallId) -> Turn {
         let (Some(set_ups), Some(known)) = (&mut self.gate.set_ups, self.table.clients.get(&client)) else {
             return Turn::Go;
         };
@@ -27,12 +27,12 @@
         if let Turn::Refuse { why, retry_after } = turn {
             self.counters.refused += 1;
             let retry_after_s = Some(retry_after_seconds(retry_after).max(1));
-            self.answer_final(id, FinalAnswer { status: 503, retry_after_s, text: why.text() });
+            self.send_final(id, FinalAnswer { status: 503, retry_after_s, text: why.text() });
         }
     }
 
     /// A call that may wait has waited for as long as it may; `false` if it does not wait.
-    pub(crate) fn wait_expired(&mut self, id: CallId) -> bool {
+    pub(crate) fn set_up_wait_expired(&mut self, id: CallId) -> bool {
         let now = self.now.0;
         let turn = self.gate.set_ups.as_mut().and_then(|s| s.waited(now, id.0));
         match turn {
@@ -45,28 +45,28 @@
     }
 
     /// Hands a call to the controller.
-    pub(crate) fn hand_over(&mut self, mut call: NewCall) {
+    pub(crate) fn submit_call(&mut self, mut call: NewCall) {
         let Some(known) = self.table.calls.get(&call.id) else { return };
-        let due = known.due;
+        let due = known.deadline;
         call.left = due.since(self.now);
-        self.table.due.set(Key::Call(call.id), due);
+        self.table.due.set(TimerKey::Call(call.id), due);
         self.events.push_back(Event::Call(call));
     }
 
     /// Hands over the calls whose turn has come.
-    pub(crate) fn hand_over_next(&mut self) {
+    pub(crate) fn submit_admitted_calls(&mut self) {
         let now = self.now.0;
         while let Some(id) = self.gate.set_ups.as_mut().and_then(|s| s.next(now)) {
-            let waiting = self.table.calls.get_mut(&CallId(id)).and_then(|c| c.waits.take());
+            let waiting = self.table.calls.get_mut(&CallId(id)).and_then(|c| c.queued.take());
             if let Some(call) = waiting {
-                self.hand_over(call);
-                self.run();
+                self.submit_call(call);
+                self.process_events();
             }
         }
     }
 
     /// Tells the decisions on set-ups where a call is now.
-    pub(crate) fn set_up_moved(&mut self, id: CallId, stay: Stay) {
+    pub(crate) fn set_up_stage_changed(&mut self, id: CallId, stay: Stay) {
         let now = self.now.0;
         if let Some(set_ups) = &mut self.gate.set_ups {
             set_ups.moved(now, id.0, stay);
@@ -74,7 +74,7 @@
     }
 
     /// Tells the decisions on set-ups that a call is over.
-    pub(crate) fn set_up_over(&mut self, id: CallId) {
+    pub(crate) fn set_up_ended(&mut self, id: CallId) {
         let now = self.now.0;
         if let Some(set_ups) = &mut self.gate.set_ups {
             set_ups.over(now, id.0);
--- a/crates/fawnrouter-engine/src/table.rs
+++ b/crates/fawnrouter-engine/src/table.rs
@@ -10,7 +10,7 @@
 
 use crate::identity::Identity;
 use crate::interface::{ClientId, Switch};
-use crate::timer::{Key, LegId};
+use crate::timer::{LegId, TimerKey};
 use fawnrouter_machine::{Backoff, Due};
 
 /// Where a call stands.
@@ -19,7 +19,7 @@
     /// Held or out; no final answer yet.
     Routing,
     /// The caller was told 200.
-    Standing {
+    Established {
         /// The leg that it stands on.
         leg: LegId,
         /// The dialog with the caller.
@@ -27,7 +27,7 @@
         /// The caller has acknowledged it.
         acked: bool,
         /// Since when.
-        since: Time,
+        established_at: Time,
     },
     /// The caller was told another final answer, whose ACK is awaited.
     Ended,
@@ -43,37 +43,37 @@
     /// Random part of the tags towards the caller.
     pub tag: u32,
     /// RFC 7989 identifier, the same on both sides.
-    pub session: String,
-    pub server: InviteServer,
+    pub session_id: String,
+    pub server_transaction: InviteServer,
     pub stage: Stage,
-    pub began: Time,
+    pub received_at: Time,
     /// When its caller's time is up.
-    pub due: Time,
+    pub deadline: Time,
     /// What the controller will be told of it when its turn has come.
-    pub waits: Option<NewCall>,
-    pub out: Option<LegId>,
+    pub queued: Option<NewCall>,
+    pub current_leg: Option<LegId>,
     pub attempts: u32,
     /// The last final response of a switch.
-    pub last: Option<(u16, Note)>,
+    pub last_response: Option<(u16, Note)>,
 }
 
 /// Where an attempt's leg stands.
 #[derive(Debug)]
 pub(crate) enum LegState {
     /// The controller waits for its outcome.
-    Out,
+    Pending,
     /// The controller has been told of its end; a late answer is released.
-    GivenUp,
+    Abandoned,
     /// The call stands on it.
     Standing {
         dialog: Box<Dialog>,
         /// Its connection was lost meanwhile.
-        orphan: bool,
+        connection_lost: bool,
         /// The connection was lost and came back.
-        revived: bool,
+        reconnected: bool,
     },
     /// A BYE is out, or waits for the connection to come back.
-    Releasing { dialog: Box<Dialog>, unsent: bool },
+    Releasing { dialog: Box<Dialog>, bye_pending: bool },
 }
 
 #[derive(Debug)]
@@ -81,9 +81,9 @@
     pub call: CallId,
     pub attempt: AttemptNo,
     pub server: ServerId,
-    pub tx: InviteClient,
+    pub client_transaction: InviteClient,
     pub state: LegState,
-    pub sent: Time,
+    pub sent_at: Time,
     pub uri: String,
     pub via: String,
     pub from: String,
@@ -121,7 +121,7 @@
 
 /// Calls, legs, switches and clients, each found by its id.
 #[derive(Debug, Default)]
-pub(crate) struct Table {
+pub(crate) struct CallTable {
     pub calls: BTreeMap<CallId, Call>,
     pub legs: BTreeMap<LegId, Leg>,
     pub trunks: BTreeMap<ServerId, Trunk>,
@@ -132,29 +132,29 @@
     pub ended: VecDeque<CallId>,
     /// Calls that are ended, of those in `calls`.
     pub ended_count: usize,
-    pub due: Due<Key>,
+    pub due: Due<TimerKey>,
 }
 
-impl Table {
+impl CallTable {
     /// Calls that are held, out or standing.
-    pub fn live(&self) -> usize {
+    pub fn live_calls(&self) -> usize {
         self.calls.len() - self.ended_count
     }
 
     /// Whether there is a connection to a switch.
-    pub fn is_up(&self, server: ServerId) -> bool {
+    pub fn is_connected(&self, server: ServerId) -> bool {
         self.trunks.get(&server).is_some_and(|t| t.state == TrunkState::Up)
     }
 
     /// The legs to a switch, as they are now.
-    pub fn legs_of(&self, server: ServerId) -> Vec<LegId> {
+    pub fn legs_on(&self, server: ServerId) -> Vec<LegId> {
         self.trunks.get(&server).map(|t| t.legs.iter().copied().collect()).unwrap_or_default()
     }
 
     /// Forgets a call.
-    pub fn drop_call(&mut self, id: CallId) -> Option<Call> {
+    pub fn remove_call(&mut self, id: CallId) -> Option<Call> {
         let call = self.calls.remove(&id)?;
-        self.due.clear(Key::Call(id));
+        self.due.clear(TimerKey::Call(id));
         self.by_branch.remove(&(call.client, call.branch.clone()));
         if let Some(client) = self.clients.get_mut(&call.client) {
             client.calls.remove(&id);
@@ -170,7 +170,7 @@
     pub fn retire(&mut self, id: CallId, limit: usize) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.invite = None;
-        call.waits = None;
+        call.queued = None;
         call.stage = Stage::Ended;
         if let Some(client) = self.clients.get_mut(&call.client) {
             client.calls.remove(&id);
@@ -180,7 +180,7 @@
         while self.ended_count > limit {
             let Some(oldest) = self.ended.pop_front() else { break };
             if self.calls.get(&oldest).is_some_and(|c| matches!(c.stage, Stage::Ended)) {
-                self.drop_call(oldest);
+                self.remove_call(oldest);
             }
         }
         // Ids of calls that are gone already are dropped as they reach the front.
@@ -190,14 +190,14 @@
     }
 
     /// Forgets a leg; tells the server it was on.
-    pub fn drop_leg(&mut self, id: LegId) -> Option<Leg> {
+    pub fn remove_leg(&mut self, id: LegId) -> Option<Leg> {
         let leg = self.legs.remove(&id)?;
-        self.due.clear(Key::Leg(id));
+        self.due.clear(TimerKey::Leg(id));
         if let Some(trunk) = self.trunks.get_mut(&leg.server) {
             trunk.legs.remove(&id);
         }
-        if let Some(call) = self.calls.get_mut(&leg.call).filter(|c| c.out == Some(id)) {
-            call.out = None;
+        if let Some(call) = self.calls.get_mut(&leg.call).filter(|c| c.current_leg == Some(id)) {
+            call.current_leg = None;
         }
         Some(leg)
     }
--- a/crates/fawnrouter-engine/src/timer.rs
+++ b/crates/fawnrouter-engine/src/timer.rs
@@ -8,9 +8,9 @@
 
 /// What comes due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Key {
+pub(crate) enum TimerKey {
     /// A timer of the controller.
-    Module(TimerId),
+    Controller(TimerId),
     /// A call's time is up, or its ACK has not come.
     Call(CallId),
     /// A leg's time-out, or its end of patience.
--- a/crates/fawnrouter-engine/src/trunk.rs
+++ b/crates/fawnrouter-engine/src/trunk.rs
@@ -13,10 +13,10 @@
 use crate::interface::{CallEvent, Output};
 use crate::status::{self, ResponseDetails, Retryability};
 use crate::table::{Leg, LegState, Stage};
-use crate::timer::{Key, LegId};
+use crate::timer::{LegId, TimerKey};
 
 /// Fields of the caller's INVITE that the gateway writes itself or that concern one hop only. All others pass.
-const OWN: [&str; 15] = [
+const NOT_FORWARDED: [&str; 15] = [
     "Date",
     "Timestamp",
     "MIME-Version",
@@ -37,14 +37,14 @@
 impl Engine {
     /// Sends if there is a connection. Without one, what is lost is an ACK or a CANCEL of a switch that is away.
     fn send_to_trunk(&mut self, server: ServerId, bytes: Vec<u8>) {
-        if self.table.is_up(server) {
+        if self.table.is_connected(server) {
             self.out.push(Output::ToTrunk { server, bytes });
         }
     }
 
     /// Carries out the controller's decision to send a set-up.
-    pub(crate) fn issue(&mut self, id: CallId, server: ServerId, within: Duration) {
-        let up = self.table.is_up(server);
+    pub(crate) fn send_set_up(&mut self, id: CallId, server: ServerId, within: Duration) {
+        let up = self.table.is_connected(server);
         let Some(call) = self.table.calls.get_mut(&id).filter(|c| matches!(c.stage, Stage::Routing)) else {
             return;
         };
@@ -104,14 +104,14 @@
             .field(Name::CSeq, "1 INVITE")
             .field(Name::Contact, &format!("<sip:gateway@{host};transport=tcp>"))
             .field(Name::Expires, &(within.as_secs_f64().ceil().max(1.0) as u64).to_string())
-            .field(Name::SessionId, &format!("{};remote={:032}", call.session, 0))
+            .field(Name::SessionId, &format!("{};remote={:032}", call.session_id, 0))
             .field(Name::Allow, ALLOW);
         for (name, raw, value) in invite.fields() {
             let passes = match name {
                 Name::Subject | Name::Priority | Name::ResourcePriority | Name::UserAgent | Name::Accept => {
                     true
                 }
-                Name::Other => !OWN.iter().any(|own| raw.eq_ignore_ascii_case(own)),
+                Name::Other => !NOT_FORWARDED.iter().any(|own| raw.eq_ignore_ascii_case(own)),
                 _ => false,
             };
             if passes {
@@ -119,15 +119,15 @@
             }
         }
         let bytes = draft.finish_with_body_of(invite);
-        call.out = Some(leg_id);
-        self.set_up_moved(id, Stay::Out);
+        call.current_leg = Some(leg_id);
+        self.set_up_stage_changed(id, Stay::Out);
         let leg = Leg {
             call: id,
             attempt,
             server,
-            tx: InviteClient::default(),
-            state: LegState::Out,
-            sent: self.now,
+            client_transaction: InviteClient::default(),
+            state: LegState::Pending,
+            sent_at: self.now,
             uri: target,
             via,
             from,
@@ -139,15 +139,15 @@
         if let Some(trunk) = self.table.trunks.get_mut(&server) {
             trunk.legs.insert(leg_id);
         }
-        self.table.due.set(Key::Leg(leg_id), self.now.plus(within));
+        self.table.due.set(TimerKey::Leg(leg_id), self.now.plus(within));
         self.counters.attempts += 1;
-        self.word(id, || CallEvent::AttemptSent { attempt, server });
+        self.emit_call_event(id, || CallEvent::AttemptSent { attempt, server });
         self.send_to_trunk(server, bytes);
     }
 
     /// A request that belongs to a leg's INVITE: CANCEL (§9.1), or the ACK of a final response of 300 or more
     /// (§17.1.1.3). Both repeat its branch.
-    fn same_transaction(leg: &Leg, method: Method, to: &str) -> Vec<u8> {
+    fn request_in_transaction(leg: &Leg, method: Method, to: &str) -> Vec<u8> {
         Draft::request(method, &leg.uri)
             .field(Name::Via, &leg.via)
             .field(Name::MaxForwards, "70")
@@ -160,18 +160,18 @@
 
     pub(crate) fn send_cancel(&mut self, id: LegId) {
         if let Some(leg) = self.table.legs.get(&id) {
-            let (server, bytes) = (leg.server, Self::same_transaction(leg, Method::Cancel, &leg.to));
+            let (server, bytes) = (leg.server, Self::request_in_transaction(leg, Method::Cancel, &leg.to));
             self.send_to_trunk(server, bytes);
         }
     }
 
-    fn own_via(&mut self) -> String {
+    fn new_via(&mut self) -> String {
         format!("SIP/2.0/TCP {};branch=z9hG4bKr{:016x}", self.settings.host, self.rng.next_u64())
     }
 
     /// Acknowledges the 2xx of a leg, with the body of the caller's ACK (an answer to a late offer, §13.2.2.4).
     pub(crate) fn ack_leg(&mut self, id: LegId, from_caller: Option<&Message>) {
-        let via = self.own_via();
+        let via = self.new_via();
         let Some(leg) = self.table.legs.get_mut(&id) else { return };
         let (LegState::Standing { dialog, .. } | LegState::Releasing { dialog, .. }) = &mut leg.state else {
             return;
@@ -189,21 +189,21 @@
     /// Releases a leg whose call has ended: BYE now, or when the connection is back.
     pub(crate) fn release_leg(&mut self, id: LegId) {
         let Some(leg) = self.table.legs.get_mut(&id) else { return };
-        let state = std::mem::replace(&mut leg.state, LegState::GivenUp);
+        let state = std::mem::replace(&mut leg.state, LegState::Abandoned);
         let LegState::Standing { dialog, .. } = state else {
             leg.state = state;
             return;
         };
-        leg.state = LegState::Releasing { dialog, unsent: true };
-        self.table.due.set(Key::Leg(id), self.now.plus(ACK_WAIT));
+        leg.state = LegState::Releasing { dialog, bye_pending: true };
+        self.table.due.set(TimerKey::Leg(id), self.now.plus(ACK_WAIT));
         self.send_bye(id);
     }
 
     pub(crate) fn send_bye(&mut self, id: LegId) {
-        let via = self.own_via();
-        let up = self.table.legs.get(&id).is_some_and(|leg| self.table.is_up(leg.server));
+        let via = self.new_via();
+        let up = self.table.legs.get(&id).is_some_and(|leg| self.table.is_connected(leg.server));
         let Some(leg) = self.table.legs.get_mut(&id) else { return };
-        let LegState::Releasing { dialog, unsent } = &mut leg.state else { return };
+        let LegState::Releasing { dialog, bye_pending: unsent } = &mut leg.state else { return };
         if up && *unsent {
             *unsent = false;
             let (server, bytes) = (leg.server, dialog.request(Method::Bye, &via).finish(b""));
@@ -240,42 +240,43 @@
             // Guards against a 2xx that comes when its attempt has long been forgotten: the switch would hold the
             // call for ever. It could do harm only to a switch that answers what was never asked.
             if (200..300).contains(&status) {
-                self.release_unknown(server, response);
+                self.release_unknown_dialog(server, response);
             }
             return;
         };
-        match leg.tx.on_response(status) {
+        match leg.client_transaction.on_response(status) {
             ClientStep::Provisional => {
-                let (call, attempt, out) = (leg.call, leg.attempt, matches!(leg.state, LegState::Out));
+                let (call, attempt, out) = (leg.call, leg.attempt, matches!(leg.state, LegState::Pending));
                 if let Some(report) = report {
                     let (took, ok) = (Duration::ZERO, true);
                     self.events.push_back(Event::Probed { server, ok, took, report });
                 }
                 if out && status > 100 {
-                    self.provisional(call, status, Some((response, attempt.0)));
+                    self.send_provisional(call, status, Some((response, attempt.0)));
                 }
             }
             ClientStep::CancelNow => self.send_cancel(id),
             ClientStep::Accepted => self.on_accepted(id, response),
             ClientStep::Unwanted => self.on_unwanted(id, response),
             ClientStep::Failed => self.on_failed(id, status, response, report),
-            ClientStep::AckAgain => self.ack_again(id, status, response),
+            ClientStep::AckAgain => self.repeat_ack(id, status, response),
             ClientStep::Drop => {}
         }
     }
 
     fn on_accepted(&mut self, id: LegId, response: &Message) {
         let Some(leg) = self.table.legs.get_mut(&id) else { return };
-        let (call, attempt, server, took) = (leg.call, leg.attempt, leg.server, self.now.since(leg.sent));
+        let (call, attempt, server, took) = (leg.call, leg.attempt, leg.server, self.now.since(leg.sent_at));
         let Ok(dialog) = Dialog::caller(response, &leg.uri, 1) else {
             // A 2xx that cannot be acknowledged, as its To or Contact cannot be read, sets nothing up.
-            self.close_leg(id, Outcome::Error, false);
+            self.close_attempt(id, Outcome::Error, false);
             return;
         };
-        leg.state = LegState::Standing { dialog: Box::new(dialog), orphan: false, revived: false };
-        self.table.due.clear(Key::Leg(id));
+        leg.state =
+            LegState::Standing { dialog: Box::new(dialog), connection_lost: false, reconnected: false };
+        self.table.due.clear(TimerKey::Leg(id));
         self.events.push_back(Event::Standing { call, attempt, server, took });
-        if !self.stand(call, id, response, attempt.0) {
+        if !self.establish(call, id, response, attempt.0) {
             self.ack_leg(id, None);
             self.release_leg(id);
         }
@@ -286,21 +287,25 @@
         let Some(leg) = self.table.legs.get_mut(&id) else { return };
         match Dialog::caller(response, &leg.uri, 1) {
             Ok(dialog) => {
-                leg.state = LegState::Standing { dialog: Box::new(dialog), orphan: false, revived: false };
+                leg.state = LegState::Standing {
+                    dialog: Box::new(dialog),
+                    connection_lost: false,
+                    reconnected: false,
+                };
                 self.ack_leg(id, None);
                 self.release_leg(id);
             }
-            Err(_) => drop(self.table.drop_leg(id)),
+            Err(_) => drop(self.table.remove_leg(id)),
         }
     }
 
-    fn release_unknown(&mut self, server: ServerId, response: &Message) {
+    fn release_unknown_dialog(&mut self, server: ServerId, response: &Message) {
         let uri =
             response.get(Name::To).and_then(|t| Address::parse(t).ok()).map_or("", |a| a.uri).to_owned();
         let number = response.cseq().map_or(1, |c| c.number);
         let Ok(mut dialog) = Dialog::caller(response, &uri, number) else { return };
         for method in [Method::Ack, Method::Bye] {
-            let via = self.own_via();
+            let via = self.new_via();
             let bytes = dialog.request(method, &via).finish(b"");
             self.send_to_trunk(server, bytes);
         }
@@ -308,34 +313,35 @@
 
     fn on_failed(&mut self, id: LegId, status: u16, response: &Message, report: Option<Report>) {
         let Some(leg) = self.table.legs.get(&id) else { return };
-        let ack = Self::same_transaction(leg, Method::Ack, response.get(Name::To).unwrap_or(&leg.to));
+        let ack = Self::request_in_transaction(leg, Method::Ack, response.get(Name::To).unwrap_or(&leg.to));
         let (call, attempt, server) = (leg.call, leg.attempt, leg.server);
-        let (out, took) = (matches!(leg.state, LegState::Out), self.now.since(leg.sent));
+        let (out, took) = (matches!(leg.state, LegState::Pending), self.now.since(leg.sent_at));
         self.send_to_trunk(server, ack);
-        self.table.drop_leg(id);
+        self.table.remove_leg(id);
         if out {
             let status::ResponseMeaning { outcome, note, retryability: finality } =
                 status::response_meaning(status, ResponseDetails::from_response(response));
             let done = finality == Retryability::Final;
             if let Some(call) = self.table.calls.get_mut(&call) {
-                call.last = Some((status, note));
+                call.last_response = Some((status, note));
             }
             let report = report.unwrap_or_default();
             self.events.push_back(Event::Closed { call, attempt, server, done, outcome, note, took, report });
-            self.word(call, || CallEvent::AttemptClosed { attempt, outcome });
+            self.emit_call_event(call, || CallEvent::AttemptClosed { attempt, outcome });
             if done {
-                self.pass_final(call, status);
+                self.pass_on_final(call, status);
             }
         }
-        self.close_unused(server);
+        self.close_unused_trunk(server);
     }
 
     /// A final response again. A second 2xx of another dialog, as a forking switch sends, is released on its own.
-    fn ack_again(&mut self, id: LegId, status: u16, response: &Message) {
+    fn repeat_ack(&mut self, id: LegId, status: u16, response: &Message) {
         let Some(leg) = self.table.legs.get(&id) else { return };
         let server = leg.server;
         if status >= 300 {
-            let ack = Self::same_transaction(leg, Method::Ack, response.get(Name::To).unwrap_or(&leg.to));
+            let ack =
+                Self::request_in_transaction(leg, Method::Ack, response.get(Name::To).unwrap_or(&leg.to));
             self.send_to_trunk(server, ack);
             return;
         }
@@ -343,7 +349,7 @@
             return;
         };
         if to_tag(response).unwrap_or("") != dialog.remote_tag {
-            return self.release_unknown(server, response);
+            return self.release_unknown_dialog(server, response);
         }
         // Before the caller's ACK there is none to repeat: it will go out when that comes.
         if let Some(ack) = leg.ack.clone() {
@@ -356,8 +362,8 @@
         let id = tag.and_then(|t| self.leg_of_tag(t, server));
         let over = id.filter(|id| matches!(self.table.legs[id].state, LegState::Releasing { .. }));
         if let Some(id) = over {
-            self.table.drop_leg(id);
-            self.close_unused(server);
+            self.table.remove_leg(id);
+            self.close_unused_trunk(server);
         }
     }
 
@@ -396,10 +402,10 @@
                             return answer(self, 500);
                         }
                         answer(self, 200);
-                        self.bye_caller(call, request.get(Name::Reason).unwrap_or("Q.850;cause=16"));
-                        self.end_standing(call, id, Outcome::Ended);
-                        self.table.drop_leg(id);
-                        self.close_unused(server);
+                        self.send_bye_to_caller(call, request.get(Name::Reason).unwrap_or("Q.850;cause=16"));
+                        self.end_established(call, id, Outcome::Ended);
+                        self.table.remove_leg(id);
+                        self.close_unused_trunk(server);
                     }
                     // The two BYEs crossed.
                     LegState::Releasing { dialog, .. } if dialog.matches(request) => answer(self, 200),
