--- a/crates/fawnrouter-engine/src/authenticate.rs
+++ b/crates/fawnrouter-engine/src/authenticate.rs
@@ -72,7 +72,7 @@
                     identity.client_name = Some(name.clone());
                     identity.must_authenticate = false;
                     self.counters.authenticated += 1;
-                    self.out.push(Output::ClientIdentified { client, name });
+                    self.outputs.push(Output::ClientIdentified { client, name });
                 }
                 AuthCheck::Proceed(Some(info))
             }
@@ -86,7 +86,7 @@
             Checked::Refuse => {
                 self.counters.auth_failures += 1;
                 self.respond(client, request, 403, None, &[]);
-                self.out.push(Output::CloseClient { client, reason: "too many wrong answers" });
+                self.outputs.push(Output::CloseClient { client, reason: "too many wrong answers" });
                 AuthCheck::Answered
             }
         }
--- a/crates/fawnrouter-engine/src/caller.rs
+++ b/crates/fawnrouter-engine/src/caller.rs
@@ -85,7 +85,7 @@
             draft.field(*name, value);
         }
         let bytes = draft.finish(b"");
-        self.out.push(Output::ToClient { client, bytes });
+        self.outputs.push(Output::ToClient { client, bytes });
     }
 
     /// The answer to an INVITE of which no call is made.
@@ -180,7 +180,7 @@
         };
         if turn == Turn::Wait {
             let wait = self.set_up_admission().map_or(left, SetUps::wait).min(left);
-            self.table.due.set(TimerKey::Call(id), self.now.plus(wait));
+            self.table.timers.set(TimerKey::Call(id), self.now.plus(wait));
             if let Some(call) = self.table.calls.get_mut(&id) {
                 call.queued = Some(new);
             }
@@ -235,7 +235,7 @@
                 Some((response, _)) => draft.finish_with_body_of(response),
                 None => draft.finish(b""),
             };
-            self.out.push(Output::ToClient { client, bytes });
+            self.outputs.push(Output::ToClient { client, bytes });
         }
     }
 
@@ -251,12 +251,12 @@
             }
             draft.field(Name::Reason, &format!("SIP;cause={};text=\"{}\"", answer.status, answer.text));
             let bytes = draft.finish(b"");
-            self.out.push(Output::ToClient { client, bytes });
+            self.outputs.push(Output::ToClient { client, bytes });
         }
         self.emit_call_event(id, || CallEvent::Answered { status: answer.status, after });
         self.set_up_ended(id);
         self.pending -= 1;
-        self.table.due.set(TimerKey::Call(id), self.now.plus(ACK_WAIT));
+        self.table.timers.set(TimerKey::Call(id), self.now.plus(ACK_WAIT));
         self.table.retire(id, self.settings.intake.calls);
     }
 
@@ -271,7 +271,7 @@
         let Some(dialog) = dialog else { return false };
         let Some((client, mut draft)) = self.begin_answer(id, 200, Some(attempt)) else { return false };
         let bytes = draft.finish_with_body_of(response);
-        self.out.push(Output::ToClient { client, bytes });
+        self.outputs.push(Output::ToClient { client, bytes });
         let since = self.now;
         if let Some(call) = self.table.calls.get_mut(&id) {
             call.stage =
@@ -282,7 +282,7 @@
         self.set_up_stage_changed(id, Stay::Standing);
         self.pending -= 1;
         self.counters.established += 1;
-        self.table.due.set(TimerKey::Call(id), self.now.plus(ACK_WAIT));
+        self.table.timers.set(TimerKey::Call(id), self.now.plus(ACK_WAIT));
         self.emit_call_event(id, || CallEvent::Answered { status: 200, after });
         true
     }
@@ -300,7 +300,7 @@
             Stage::Established { acked, leg, .. } if step == ServerStep::Act && !*acked => {
                 *acked = true;
                 let leg = *leg;
-                self.table.due.clear(TimerKey::Call(id));
+                self.table.timers.clear(TimerKey::Call(id));
                 self.ack_leg(leg, Some(ack));
             }
             Stage::Ended => drop(self.table.remove_call(id)),
@@ -392,7 +392,7 @@
         let via = format!("SIP/2.0/WS {host};branch=z9hG4bK{branch:016x}");
         let bytes = dialog.request(Method::Bye, &via).field(Name::Reason, reason).finish(b"");
         if self.table.clients.contains_key(&client) {
-            self.out.push(Output::ToClient { client, bytes });
+            self.outputs.push(Output::ToClient { client, bytes });
         }
     }
 
--- a/crates/fawnrouter-engine/src/engine.rs
+++ b/crates/fawnrouter-engine/src/engine.rs
@@ -49,7 +49,7 @@
     pub(crate) pending: usize,
     pub(crate) counters: Counters,
     pub(crate) events: VecDeque<Event>,
-    pub(crate) out: Vec<Output>,
+    pub(crate) outputs: Vec<Output>,
     next_call: u64,
     pub(crate) next_leg: u64,
     drain_reported: bool,
@@ -106,7 +106,7 @@
             pending: 0,
             counters: Counters::default(),
             events: VecDeque::new(),
-            out: Vec::new(),
+            outputs: Vec::new(),
             next_call: 0,
             next_leg: 0,
             drain_reported: false,
@@ -119,9 +119,9 @@
         self.now = self.now.max(now);
         self.fire_timers();
         match input {
-            Input::ClientUp { client, peer, origin, must_authenticate: must_prove } => {
+            Input::ClientUp { client, peer, origin, must_authenticate } => {
                 let host = peer.ip().to_string();
-                let identity = Identity::new(origin, must_prove);
+                let identity = Identity::new(origin, must_authenticate);
                 let fresh = Client { peer, host, calls: Default::default(), identity };
                 self.table.clients.insert(client, fresh);
             }
@@ -145,15 +145,15 @@
         self.submit_admitted_calls();
         if self.intake.draining() && !self.drain_reported && self.table.live_calls() == 0 {
             self.drain_reported = true;
-            self.out.push(Output::Drained);
+            self.outputs.push(Output::Drained);
         }
-        outputs.append(&mut self.out);
+        outputs.append(&mut self.outputs);
     }
 
     /// When the next [`Input::Wake`] is wanted at the latest.
     #[must_use]
     pub fn next_wake(&self) -> Option<Time> {
-        self.table.due.first()
+        self.table.timers.first()
     }
 
     /// Traffic across zones, if it is decided on.
@@ -189,7 +189,7 @@
     /// Timers set now: one for a call, a leg and a switch each at the most, and one of the decisions.
     #[must_use]
     pub fn timer_count(&self) -> usize {
-        self.table.due.len()
+        self.table.timers.len()
     }
 
     pub(crate) fn random_unit(&mut self) -> f64 {
@@ -203,7 +203,7 @@
 
     pub(crate) fn emit_call_event(&mut self, call: CallId, word: impl FnOnce() -> CallEvent) {
         if self.settings.call_events {
-            self.out.push(Output::CallEvent { call, event: word() });
+            self.outputs.push(Output::CallEvent { call, event: word() });
         }
     }
 
@@ -232,9 +232,9 @@
             Action::Refuse { call, retry_after } => self.refuse(call, Some(retry_after)),
             Action::Fail(call) => self.refuse(call, None),
             Action::SetTimer { after, timer } => {
-                self.table.due.set(TimerKey::Controller(timer), self.now.plus(after));
+                self.table.timers.set(TimerKey::Controller(timer), self.now.plus(after));
             }
-            Action::Log(line) => self.out.push(Output::Log(line)),
+            Action::Log(line) => self.outputs.push(Output::Log(line)),
             // Probes and messages between gateways are off in the settings that the engine is given, and the list
             // is pushed: the controller has no use for these here.
             Action::Probe(_) | Action::Tell { .. } | Action::Subscribe | Action::FetchList => {}
@@ -291,13 +291,13 @@
         if let Some(call) = self.table.calls.get_mut(&call).filter(|c| c.current_leg == Some(id)) {
             call.current_leg = None;
         }
-        self.table.due.set(TimerKey::Leg(id), self.now.plus(ACK_WAIT));
+        self.table.timers.set(TimerKey::Leg(id), self.now.plus(ACK_WAIT));
     }
 
     // ---- What comes due ---------------------------------------------------------------------------------------
 
     fn fire_timers(&mut self) {
-        while let Some(key) = self.table.due.pop(self.now) {
+        while let Some(key) = self.table.timers.pop(self.now) {
             match key {
                 TimerKey::Controller(timer) => self.events.push_back(Event::Timer(timer)),
                 TimerKey::Call(call) => self.on_call_timer(call),
@@ -350,7 +350,7 @@
         let Some(leg) = self.table.legs.get(&id) else { return };
         match leg.state {
             LegState::Pending => self.close_attempt(id, Outcome::TimedOut, false),
-            LegState::Standing { .. } => self.cut_call(id),
+            LegState::Established { .. } => self.cut_call(id),
             // A given-up leg whose switch never answered, or a BYE that nobody answered.
             LegState::Abandoned | LegState::Releasing { .. } => {
                 let server = leg.server;
@@ -366,23 +366,23 @@
         let Some(trunk) = self.table.trunks.get_mut(&server) else { return };
         if trunk.state == TrunkState::Closed {
             trunk.state = TrunkState::Opening;
-            self.out.push(Output::OpenTrunk { server, address: trunk.switch.address });
+            self.outputs.push(Output::OpenTrunk { server, address: trunk.switch.address });
         }
     }
 
     fn on_trunk_up(&mut self, server: ServerId) {
         let Some(trunk) = self.table.trunks.get_mut(&server) else {
-            return self.out.push(Output::CloseTrunk { server });
+            return self.outputs.push(Output::CloseTrunk { server });
         };
         trunk.state = TrunkState::Up;
         trunk.backoff.reset();
         for id in self.table.legs_on(server) {
             match self.table.legs.get_mut(&id).map(|l| &mut l.state) {
-                Some(LegState::Standing { connection_lost: orphan, reconnected: revived, .. }) if *orphan => {
-                    (*orphan, *revived) = (false, true);
-                    self.table.due.clear(TimerKey::Leg(id));
+                Some(LegState::Established { connection_lost, reconnected, .. }) if *connection_lost => {
+                    (*connection_lost, *reconnected) = (false, true);
+                    self.table.timers.clear(TimerKey::Leg(id));
                 }
-                Some(LegState::Releasing { bye_pending: unsent, .. }) if *unsent => self.send_bye(id),
+                Some(LegState::Releasing { bye_pending, .. }) if *bye_pending => self.send_bye(id),
                 _ => {}
             }
         }
@@ -395,7 +395,7 @@
             trunk.state = TrunkState::Closed;
             trunk.backoff.next_pause(&self.settings.backoff, unit)
         };
-        self.table.due.set(TimerKey::Trunk(server), self.now.plus(pause));
+        self.table.timers.set(TimerKey::Trunk(server), self.now.plus(pause));
         for id in self.table.legs_on(server) {
             let Some(leg) = self.table.legs.get_mut(&id) else { continue };
             match &mut leg.state {
@@ -405,11 +405,11 @@
                     self.table.remove_leg(id);
                 }
                 LegState::Abandoned => drop(self.table.remove_leg(id)),
-                LegState::Standing { connection_lost: orphan, .. } if !*orphan => {
-                    *orphan = true;
-                    self.table.due.set(TimerKey::Leg(id), self.now.plus(self.settings.cut_after));
+                LegState::Established { connection_lost, .. } if !*connection_lost => {
+                    *connection_lost = true;
+                    self.table.timers.set(TimerKey::Leg(id), self.now.plus(self.settings.cut_after));
                 }
-                LegState::Standing { .. } | LegState::Releasing { .. } => {}
+                LegState::Established { .. } | LegState::Releasing { .. } => {}
             }
         }
         self.cut_calls_of_lost_switch(server);
@@ -433,7 +433,7 @@
                     trunk.switch = switch.clone();
                     trunk.listed = !gone;
                     if moved && !gone {
-                        self.out.push(Output::CloseTrunk { server: id });
+                        self.outputs.push(Output::CloseTrunk { server: id });
                         self.on_trunk_down(id);
                     }
                     if restarted {
@@ -472,7 +472,7 @@
         }
         for id in self.table.legs_on(server) {
             match self.table.legs.get(&id).map(|l| &l.state) {
-                Some(LegState::Standing { .. }) => self.cut_call(id),
+                Some(LegState::Established { .. }) => self.cut_call(id),
                 Some(LegState::Releasing { .. }) => drop(self.table.remove_leg(id)),
                 _ => {}
             }
@@ -483,7 +483,7 @@
     fn cut_calls_before_restart(&mut self, server: ServerId) {
         for id in self.table.legs_on(server) {
             let state = self.table.legs.get(&id).map(|l| &l.state);
-            if matches!(state, Some(LegState::Standing { connection_lost: orphan, reconnected: revived, .. }) if *orphan || *revived)
+            if matches!(state, Some(LegState::Established { connection_lost, reconnected, .. }) if *connection_lost || *reconnected)
             {
                 self.cut_call(id);
             }
@@ -495,8 +495,8 @@
         let unused = self.table.trunks.get(&server).is_some_and(|t| !t.listed && t.legs.is_empty());
         if unused {
             self.table.trunks.remove(&server);
-            self.table.due.clear(TimerKey::Trunk(server));
-            self.out.push(Output::CloseTrunk { server });
+            self.table.timers.clear(TimerKey::Trunk(server));
+            self.outputs.push(Output::CloseTrunk { server });
         }
     }
 
--- a/crates/fawnrouter-engine/src/identity.rs
+++ b/crates/fawnrouter-engine/src/identity.rs
@@ -49,8 +49,8 @@
 }
 
 impl Identity {
-    pub fn new(origin: IpAddr, must_prove: bool) -> Self {
-        Self { origin, client_name: None, must_authenticate: must_prove, proof: Proof::default() }
+    pub fn new(origin: IpAddr, must_authenticate: bool) -> Self {
+        Self { origin, client_name: None, must_authenticate, proof: Proof::default() }
     }
 
     pub(crate) fn who(&self) -> Who {
--- a/crates/fawnrouter-engine/src/set_up_admission.rs
+++ b/crates/fawnrouter-engine/src/set_up_admission.rs
@@ -49,7 +49,7 @@
         let Some(known) = self.table.calls.get(&call.id) else { return };
         let due = known.deadline;
         call.left = due.since(self.now);
-        self.table.due.set(TimerKey::Call(call.id), due);
+        self.table.timers.set(TimerKey::Call(call.id), due);
         self.events.push_back(Event::Call(call));
     }
 
--- a/crates/fawnrouter-engine/src/table.rs
+++ b/crates/fawnrouter-engine/src/table.rs
@@ -65,7 +65,7 @@
     /// The controller has been told of its end; a late answer is released.
     Abandoned,
     /// The call stands on it.
-    Standing {
+    Established {
         dialog: Box<Dialog>,
         /// Its connection was lost meanwhile.
         connection_lost: bool,
@@ -132,7 +132,7 @@
     pub ended: VecDeque<CallId>,
     /// Calls that are ended, of those in `calls`.
     pub ended_count: usize,
-    pub due: Due<TimerKey>,
+    pub timers: Due<TimerKey>,
 }
 
 impl CallTable {
@@ -154,7 +154,7 @@
     /// Forgets a call.
     pub fn remove_call(&mut self, id: CallId) -> Option<Call> {
         let call = self.calls.remove(&id)?;
-        self.due.clear(TimerKey::Call(id));
+        self.timers.clear(TimerKey::Call(id));
         self.by_branch.remove(&(call.client, call.branch.clone()));
         if let Some(client) = self.clients.get_mut(&call.client) {
             client.calls.remove(&id);
@@ -192,7 +192,7 @@
     /// Forgets a leg; tells the server it was on.
     pub fn remove_leg(&mut self, id: LegId) -> Option<Leg> {
         let leg = self.legs.remove(&id)?;
-        self.due.clear(TimerKey::Leg(id));
+        self.timers.clear(TimerKey::Leg(id));
         if let Some(trunk) = self.trunks.get_mut(&leg.server) {
             trunk.legs.remove(&id);
         }
--- a/crates/fawnrouter-engine/src/trunk.rs
+++ b/crates/fawnrouter-engine/src/trunk.rs
@@ -38,7 +38,7 @@
     /// Sends if there is a connection. Without one, what is lost is an ACK or a CANCEL of a switch that is away.
     fn send_to_trunk(&mut self, server: ServerId, bytes: Vec<u8>) {
         if self.table.is_connected(server) {
-            self.out.push(Output::ToTrunk { server, bytes });
+            self.outputs.push(Output::ToTrunk { server, bytes });
         }
     }
 
@@ -139,7 +139,7 @@
         if let Some(trunk) = self.table.trunks.get_mut(&server) {
             trunk.legs.insert(leg_id);
         }
-        self.table.due.set(TimerKey::Leg(leg_id), self.now.plus(within));
+        self.table.timers.set(TimerKey::Leg(leg_id), self.now.plus(within));
         self.counters.attempts += 1;
         self.emit_call_event(id, || CallEvent::AttemptSent { attempt, server });
         self.send_to_trunk(server, bytes);
@@ -173,7 +173,8 @@
     pub(crate) fn ack_leg(&mut self, id: LegId, from_caller: Option<&Message>) {
         let via = self.new_via();
         let Some(leg) = self.table.legs.get_mut(&id) else { return };
-        let (LegState::Standing { dialog, .. } | LegState::Releasing { dialog, .. }) = &mut leg.state else {
+        let (LegState::Established { dialog, .. } | LegState::Releasing { dialog, .. }) = &mut leg.state
+        else {
             return;
         };
         let mut draft = dialog.request(Method::Ack, &via);
@@ -190,12 +191,12 @@
     pub(crate) fn release_leg(&mut self, id: LegId) {
         let Some(leg) = self.table.legs.get_mut(&id) else { return };
         let state = std::mem::replace(&mut leg.state, LegState::Abandoned);
-        let LegState::Standing { dialog, .. } = state else {
+        let LegState::Established { dialog, .. } = state else {
             leg.state = state;
             return;
         };
         leg.state = LegState::Releasing { dialog, bye_pending: true };
-        self.table.due.set(TimerKey::Leg(id), self.now.plus(ACK_WAIT));
+        self.table.timers.set(TimerKey::Leg(id), self.now.plus(ACK_WAIT));
         self.send_bye(id);
     }
 
@@ -203,9 +204,9 @@
         let via = self.new_via();
         let up = self.table.legs.get(&id).is_some_and(|leg| self.table.is_connected(leg.server));
         let Some(leg) = self.table.legs.get_mut(&id) else { return };
-        let LegState::Releasing { dialog, bye_pending: unsent } = &mut leg.state else { return };
-        if up && *unsent {
-            *unsent = false;
+        let LegState::Releasing { dialog, bye_pending } = &mut leg.state else { return };
+        if up && *bye_pending {
+            *bye_pending = false;
             let (server, bytes) = (leg.server, dialog.request(Method::Bye, &via).finish(b""));
             self.send_to_trunk(server, bytes);
         }
@@ -273,8 +274,8 @@
             return;
         };
         leg.state =
-            LegState::Standing { dialog: Box::new(dialog), connection_lost: false, reconnected: false };
-        self.table.due.clear(TimerKey::Leg(id));
+            LegState::Established { dialog: Box::new(dialog), connection_lost: false, reconnected: false };
+        self.table.timers.clear(TimerKey::Leg(id));
         self.events.push_back(Event::Standing { call, attempt, server, took });
         if !self.establish(call, id, response, attempt.0) {
             self.ack_leg(id, None);
@@ -287,7 +288,7 @@
         let Some(leg) = self.table.legs.get_mut(&id) else { return };
         match Dialog::caller(response, &leg.uri, 1) {
             Ok(dialog) => {
-                leg.state = LegState::Standing {
+                leg.state = LegState::Established {
                     dialog: Box::new(dialog),
                     connection_lost: false,
                     reconnected: false,
@@ -345,7 +346,7 @@
             self.send_to_trunk(server, ack);
             return;
         }
-        let (LegState::Standing { dialog, .. } | LegState::Releasing { dialog, .. }) = &leg.state else {
+        let (LegState::Established { dialog, .. } | LegState::Releasing { dialog, .. }) = &leg.state else {
             return;
         };
         if to_tag(response).unwrap_or("") != dialog.remote_tag {
@@ -397,7 +398,7 @@
                 let Some(leg) = self.table.legs.get_mut(&id) else { return };
                 let call = leg.call;
                 match &mut leg.state {
-                    LegState::Standing { dialog, .. } if dialog.matches(request) => {
+                    LegState::Established { dialog, .. } if dialog.matches(request) => {
                         if !dialog.accepts(number) {
                             return answer(self, 500);
                         }
