--- a/crates/fawnrouter-engine/src/authenticate.rs
+++ b/crates/fawnrouter-engine/src/authenticate.rs
@@ -1,4 +1,5 @@
-//! Before a request is worked on: who its client is. Decided in `fawnrouter_digest`; here are the messages that follow.
+//! Authentication of clients before their requests are served: `fawnrouter_digest` checks the credentials,
+//! and this module sends the responses.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,18 +11,18 @@
 use crate::identity::{KnownClient, UnknownClients};
 use crate::interface::{ClientId, Output};
 
-/// What comes of looking at who sent a request.
+/// Result of the authentication of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum AuthCheck {
-    /// It is worked on; a proof has its Authentication-Info.
+    /// The request is served. If it carried valid credentials, the value of Authentication-Info is given.
     Proceed(Option<String>),
-    /// It has its answer.
+    /// The request has been answered (challenged or refused).
     Answered,
 }
 
 impl Engine {
-    /// The clients that are known from now on. A connection whose client's secret has changed or is gone has to show
-    /// again who it is before its next set-up; its calls go on.
+    /// Replaces the known clients. A connection whose client's secret has changed or was removed has to
+    /// authenticate again before its next set-up; its calls go on.
     pub(crate) fn set_clients(&mut self, clients: Vec<KnownClient>) {
         if let Some(set_ups) = &mut self.gate.set_ups {
             set_ups.set_clients(clients.iter().map(|c| (c.name.clone(), c.limits)));
@@ -37,10 +38,10 @@
         }
     }
 
-    /// Looks at who sent a request, before anything is done for it. ACK and CANCEL cannot be challenged (RFC 3261
-    /// §22.1), and a BYE belongs to a call that was let in.
+    /// Authenticates a request before anything is done for it. ACK and CANCEL cannot be challenged (RFC 3261
+    /// §22.1), and a BYE belongs to a call that was accepted before.
     pub(crate) fn authenticate(&mut self, client: ClientId, request: &Message, uri: &str) -> AuthCheck {
-        let Some((guard, strangers)) = &self.gate.guard else { return AuthCheck::Proceed(None) };
+        let Some((guard, unknown_clients)) = &self.gate.guard else { return AuthCheck::Proceed(None) };
         let method = request.method().unwrap_or(Method::Other);
         if matches!(method, Method::Ack | Method::Cancel | Method::Bye) {
             return AuthCheck::Proceed(None);
@@ -49,21 +50,21 @@
             return AuthCheck::Answered;
         };
         let mut fields = request.values_whole(Name::Authorization).peekable();
-        let says_something = fields.peek().is_some();
-        let (now, strangers) = (self.now.0, *strangers);
-        if !says_something {
-            let lets_in = identity.client_name.is_some()
-                || (strangers == UnknownClients::Allowed && !identity.must_authenticate);
-            if lets_in {
+        let has_credentials = fields.peek().is_some();
+        let (now, unknown_clients) = (self.now.0, *unknown_clients);
+        if !has_credentials {
+            let allowed = identity.client_name.is_some()
+                || (unknown_clients == UnknownClients::Allowed && !identity.must_authenticate);
+            if allowed {
                 return AuthCheck::Proceed(None);
             }
         }
-        let asked = Request { method: request.method_text(), uri };
-        let checked = guard.check(now, client.0, &mut identity.proof, asked, fields);
+        let signed = Request { method: request.method_text(), uri };
+        let checked = guard.check(now, client.0, &mut identity.proof, signed, fields);
         match checked {
             Checked::Known { client: name, info } => {
-                // A connection is one client's. It guards against a client that lends its connection to another and
-                // so goes past the other's limits.
+                // A connection belongs to one client: otherwise a client could lend its connection to another
+                // client and so evade the other's limits.
                 if identity.client_name.as_ref().is_some_and(|known| *known != name) {
                     self.respond(client, request, 403, Some("Another client's connection"), &[]);
                     return AuthCheck::Answered;
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Whose connection it is, once it has shown that.
+    /// The name of the client of a connection, once it has authenticated.
     #[must_use]
     pub fn client_name(&self, client: ClientId) -> Option<&Arc<str>> {
         self.table.clients.get(&client).and_then(|c| c.identity.client_name.as_ref())
--- a/crates/fawnrouter-engine/src/caller.rs
+++ b/crates/fawnrouter-engine/src/caller.rs
@@ -1,4 +1,4 @@
-//! The caller's leg: requests that come in over a client's connection, and answers to them.
+//! The caller's leg: requests received over a client's connection, and the responses to them.
 
 use std::time::Duration;
 
@@ -16,10 +16,10 @@
 use crate::table::{Call, Stage};
 use crate::timer::{LegId, TimerKey};
 
-/// Methods that the gateway takes (RFC 3261 §20.5).
+/// The value of Allow: methods that the gateway supports (RFC 3261 §20.5).
 pub(crate) const ALLOW: &str = "INVITE, ACK, CANCEL, BYE, OPTIONS";
 
-/// Extra fields of a response.
+/// Additional header fields of a response.
 type Extra<'a> = &'a [(Name, &'a str)];
 
 impl Engine {
@@ -27,7 +27,7 @@
         if !self.table.clients.contains_key(&client) {
             return;
         }
-        // Responses of clients answer the gateway's BYE: nothing follows from them.
+        // A response of a client answers the gateway's BYE; it needs no handling.
         let Start::Request { method, uri, .. } = message.start() else { return };
         if let Err(invalid) = message.validate() {
             // An ACK is never answered (RFC 3261 §17).
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Answers a request out of any call.
+    /// Answers a request that belongs to no call.
     pub(crate) fn respond(
         &mut self,
         client: ClientId,
@@ -88,7 +88,7 @@
         self.outputs.push(Output::ToClient { client, bytes });
     }
 
-    /// The answer to an INVITE of which no call is made.
+    /// Rejects an INVITE with 503 without creating a call.
     fn reject_invite(&mut self, client: ClientId, invite: &Message, why: &str, wait: Duration) {
         self.counters.rejected += 1;
         let wait = retry_after_seconds(wait).max(1).to_string();
@@ -99,7 +99,7 @@
 
     fn on_invite(&mut self, client: ClientId, invite: Box<Message>) {
         let branch = invite.via().ok().and_then(|v| v.branch()).unwrap_or("").to_owned();
-        // A repeat of a known INVITE: its answer is out or will come (§17.2.1).
+        // A retransmission of a known INVITE: it has been answered or will be (§17.2.1).
         if self.table.by_branch.contains_key(&(client, branch.clone())) {
             return;
         }
@@ -116,25 +116,25 @@
             let what = if branch.is_empty() { "Bad Via Branch" } else { "Bad Contact" };
             return self.respond(client, &invite, 400, Some(what), &[]);
         }
-        let of_client = self.table.clients.get(&client).map_or(0, |c| c.calls.len());
-        let load =
-            IntakeLoad { calls: self.table.live_calls(), pending: self.pending, client_calls: of_client };
+        let client_calls = self.table.clients.get(&client).map_or(0, |c| c.calls.len());
+        let load = IntakeLoad { calls: self.table.live_calls(), pending: self.pending, client_calls };
         if let Err((refusal, wait)) = self.intake.check(load) {
             return self.reject_invite(client, &invite, refusal.text(), wait);
         }
-        let seen = self.settings.rules.classify(&invite, &uri);
-        let class = seen.class.and_then(|c| self.settings.controller.classes.get(c.0));
-        let limit = class.map_or(self.settings.max_expires, |c| c.deadline).min(self.settings.max_expires);
-        // `Expires` is the try's time left (RFC 3261 §13.2.1): whole seconds from when the INVITE came in.
-        let told = invite.get(Name::Expires).and_then(|x| x.trim().parse().ok()).map(Duration::from_secs);
-        let left = told.unwrap_or(limit).min(self.settings.max_expires);
+        let classified = self.settings.rules.classify(&invite, &uri);
+        let class = classified.class.and_then(|c| self.settings.controller.classes.get(c.0));
+        let default = class.map_or(self.settings.max_expires, |c| c.deadline).min(self.settings.max_expires);
+        // `Expires` is the time left for the set-up (RFC 3261 §13.2.1), in whole seconds from the receipt of
+        // the INVITE.
+        let expires = invite.get(Name::Expires).and_then(|x| x.trim().parse().ok()).map(Duration::from_secs);
+        let left = expires.unwrap_or(default).min(self.settings.max_expires);
         let class_name = class.map(|c| c.name.clone()).unwrap_or_default();
         let id = self.new_call_id();
         let turn = self.admit_set_up(client, id);
         if let Turn::Refuse { why, retry_after } = turn {
             return self.reject_invite(client, &invite, why.text(), retry_after);
         }
-        let session = session_id_of(&invite)
+        let session_id = session_id_of(&invite)
             .unwrap_or_else(|| format!("{:016x}{:016x}", self.rng.next_u64(), self.rng.next_u64()));
         let call_id = invite.get(Name::CallId).unwrap_or("").into();
         let call = Call {
@@ -142,7 +142,7 @@
             branch: branch.clone(),
             call_id,
             tag: self.rng.next_u32(),
-            session_id: session,
+            session_id,
             server_transaction: InviteServer::default(),
             stage: Stage::Routing,
             received_at: self.now,
@@ -153,7 +153,7 @@
             last_response: None,
             invite: Some(invite),
         };
-        let words = (call.call_id.clone(), class_name, seen.number.clone());
+        let (call_id, number) = (call.call_id.clone(), classified.number.clone());
         self.table.calls.insert(id, call);
         self.table.by_branch.insert((client, branch), id);
         if let Some(known) = self.table.clients.get_mut(&client) {
@@ -162,21 +162,21 @@
         self.pending += 1;
         self.counters.accepted += 1;
         self.emit_call_event(id, || CallEvent::Accepted {
-            call_id: words.0,
-            class: words.1.into(),
-            number: words.2.into(),
+            call_id,
+            class: class_name.into(),
+            number: number.into(),
         });
         self.send_provisional(id, 100, None);
         let new = NewCall {
             id,
-            class: seen.class,
+            class: classified.class,
             left,
-            number: seen.number.into(),
+            number: classified.number.into(),
             width: 1.0,
-            tenant: seen.tenant,
+            tenant: classified.tenant,
             redialled: false,
             transit: false,
-            destination: seen.destination,
+            destination: classified.destination,
         };
         if turn == Turn::Wait {
             let wait = self.set_up_admission().map_or(left, SetUps::wait).min(left);
@@ -189,7 +189,8 @@
         self.submit_call(new);
     }
 
-    /// The tag of answers to the caller: one for each attempt, as each has a session of its own (§12.1).
+    /// The To tag of responses to the caller: a separate one for each attempt, as each has its own session
+    /// (§12.1).
     fn caller_tag(call: &Call, id: CallId, attempt: Option<u32>) -> String {
         match attempt {
             Some(n) => format!("{:08x}.{:x}.{n}", call.tag, id.0),
@@ -197,7 +198,7 @@
         }
     }
 
-    /// The call whose tag this is.
+    /// The call that a To tag belongs to.
     fn call_of_tag(&self, tag: &str) -> Option<CallId> {
         let mut parts = tag.split('.');
         let random = u32::from_str_radix(parts.next()?, 16).ok()?;
@@ -205,7 +206,7 @@
         self.table.calls.get(&id).filter(|c| c.tag == random).map(|_| id)
     }
 
-    /// Starts an answer to a call's INVITE, if its transaction lets it out.
+    /// Begins a response to a call's INVITE, if its transaction allows one with this status.
     fn begin_answer(&mut self, id: CallId, status: u16, attempt: Option<u32>) -> Option<(ClientId, Draft)> {
         let host = self.settings.host.clone();
         let call = self.table.calls.get_mut(&id)?;
@@ -222,13 +223,14 @@
         }
         if (101..300).contains(&status) {
             draft.field(Name::Contact, &format!("<sip:gateway@{host};transport=ws>"));
-            // The caller builds its route set from what it put there itself (§12.1.1).
+            // The caller builds its route set from the Record-Route of its own request (§12.1.1).
             draft.copy(call.invite.as_deref()?, Name::RecordRoute);
         }
         Some((call.client, draft))
     }
 
-    /// Passes progress on to the caller; `from` is the switch's response with its attempt.
+    /// Sends a provisional response to the caller; `from` is the switch's response, with the number of the
+    /// attempt.
     pub(crate) fn send_provisional(&mut self, id: CallId, status: u16, from: Option<(&Message, u32)>) {
         if let Some((client, mut draft)) = self.begin_answer(id, status, from.map(|f| f.1)) {
             let bytes = match from {
@@ -239,7 +241,7 @@
         }
     }
 
-    /// The final answer of a call that does not stand. The call is kept only to know its ACK.
+    /// Sends the final answer of a call that is not established. The call is kept only to recognise its ACK.
     pub(crate) fn send_final(&mut self, id: CallId, answer: FinalAnswer) {
         let Some(call) = self.table.calls.get(&id).filter(|c| matches!(c.stage, Stage::Routing)) else {
             return;
@@ -260,7 +262,8 @@
         self.table.retire(id, self.settings.intake.calls);
     }
 
-    /// A switch took the call: 200 to the caller, with the switch's body.
+    /// Establishes a call that a switch answered: sends 200 with the switch's body to the caller. Returns
+    /// `false` if the call has ended meanwhile or no dialog can be created.
     pub(crate) fn establish(&mut self, id: CallId, leg: LegId, response: &Message, attempt: u32) -> bool {
         let Some(call) = self.table.calls.get(&id).filter(|c| matches!(c.stage, Stage::Routing)) else {
             return false;
@@ -272,10 +275,9 @@
         let Some((client, mut draft)) = self.begin_answer(id, 200, Some(attempt)) else { return false };
         let bytes = draft.finish_with_body_of(response);
         self.outputs.push(Output::ToClient { client, bytes });
-        let since = self.now;
+        let established_at = self.now;
         if let Some(call) = self.table.calls.get_mut(&id) {
-            call.stage =
-                Stage::Established { leg, dialog: Box::new(dialog), acked: false, established_at: since };
+            call.stage = Stage::Established { leg, dialog: Box::new(dialog), acked: false, established_at };
             call.current_leg = None;
             call.invite = None;
         }
@@ -288,7 +290,8 @@
     }
 
     fn on_ack(&mut self, client: ClientId, ack: &Message) {
-        // The ACK of a 2xx names the dialog, that of another answer the transaction (§17.1.1.3).
+        // The ACK of a 2xx belongs to the dialog, that of another final answer to the transaction
+        // (§17.1.1.3).
         let by_tag = to_tag(ack).and_then(|tag| self.call_of_tag(tag));
         let Some(id) = by_tag.filter(|id| self.table.calls.get(id).is_some_and(|c| c.client == client))
         else {
@@ -321,7 +324,7 @@
         }
     }
 
-    /// The caller takes its INVITE back before there is a final answer.
+    /// Ends a call whose caller gave up before the final answer.
     fn on_caller_gave_up(&mut self, id: CallId) {
         self.counters.abandoned += 1;
         self.end_routing(id, FinalAnswer { status: 487, retry_after_s: None, text: "the caller gave up" });
@@ -355,7 +358,8 @@
         }
     }
 
-    /// A change of a standing session. The gateway passes none on, which leaves the session as it is (§14.2).
+    /// Refuses a change of an established session. The gateway passes none on, and a refusal leaves the
+    /// session as it is (§14.2).
     fn on_reinvite(&mut self, client: ClientId, invite: &Message) {
         let known = to_tag(invite).and_then(|tag| self.call_of_tag(tag));
         let standing = known.and_then(|id| self.table.calls.get_mut(&id));
@@ -369,7 +373,8 @@
         self.respond(client, invite, status, None, &[]);
     }
 
-    /// Ends a standing call from the caller's end: its leg is acknowledged if it was not, and released.
+    /// Ends an established call from the caller's side: acknowledges its leg if that has not been done, and
+    /// releases it.
     pub(crate) fn release_call(&mut self, id: CallId, outcome: Outcome) {
         let Some(Stage::Established { leg, acked, .. }) = self.table.calls.get(&id).map(|c| &c.stage) else {
             return;
@@ -382,7 +387,7 @@
         self.release_leg(leg);
     }
 
-    /// Tells the caller that its standing call is over.
+    /// Sends a BYE for an established call to its caller.
     pub(crate) fn send_bye_to_caller(&mut self, id: CallId, reason: &str) {
         let branch = self.rng.next_u64();
         let host = &self.settings.host;
@@ -400,7 +405,7 @@
         let Some(gone) = self.table.clients.remove(&client) else { return };
         for id in gone.calls {
             match self.table.calls.get(&id).map(|c| &c.stage) {
-                // Nobody is there to be answered; the call ends like one that its caller took back.
+                // The caller cannot be answered any more; the call ends like a cancelled one.
                 Some(Stage::Routing) => {
                     self.on_caller_gave_up(id);
                     self.table.remove_call(id);
@@ -421,7 +426,7 @@
         }
     }
 
-    /// The answer of a switch that ends a call goes to the caller as it is.
+    /// Passes a final response of a switch that ends the call on to the caller.
     pub(crate) fn pass_on_final(&mut self, id: CallId, status: u16) {
         if self.table.calls.get(&id).is_some_and(|c| matches!(c.stage, Stage::Routing)) {
             self.counters.failed += 1;
@@ -435,19 +440,20 @@
     message.get(Name::To).and_then(|to| Address::parse(to).ok()).and_then(|a| a.tag())
 }
 
-/// The identifier that the caller gave (RFC 7989 §5): 32 lower-case hex digits, not all zero.
+/// The session identifier of the caller (RFC 7989 §5): 32 hex digits, not all zero, in lower case.
 fn session_id_of(invite: &Message) -> Option<String> {
     let value = invite.get(Name::SessionId)?;
     let id = value.split(';').next().unwrap_or("").trim();
-    let sound = id.len() == 32 && id.bytes().all(|b| b.is_ascii_hexdigit()) && id.bytes().any(|b| b != b'0');
-    sound.then(|| id.to_ascii_lowercase())
+    let valid = id.len() == 32 && id.bytes().all(|b| b.is_ascii_hexdigit()) && id.bytes().any(|b| b != b'0');
+    valid.then(|| id.to_ascii_lowercase())
 }
 
 fn extra_fields(extra: &Option<(Name, String)>) -> Vec<(Name, &str)> {
     extra.iter().map(|(name, value)| (*name, value.as_str())).collect()
 }
 
-/// Checks a request's target, hops and extensions (§8.2.2, §16.3). The error is the status with a field.
+/// Checks a request's target, hops and extensions (§8.2.2, §16.3). The error is the status and an additional
+/// header field of the response.
 fn check_request<'a>(message: &Message, target: &'a str) -> Result<Uri<'a>, (u16, Option<(Name, String)>)> {
     let uri = Uri::parse(target).map_err(|e| match e {
         UriError::Malformed => (400, None),
@@ -460,9 +466,10 @@
     if message.get(Name::MaxForwards).is_some_and(|m| m.trim() == "0") {
         return Err((483, None));
     }
-    let wanted: Vec<&str> = message.values(Name::Require).chain(message.values(Name::ProxyRequire)).collect();
-    if !wanted.is_empty() {
-        return Err((420, Some((Name::Unsupported, wanted.join(", ")))));
+    let required: Vec<&str> =
+        message.values(Name::Require).chain(message.values(Name::ProxyRequire)).collect();
+    if !required.is_empty() {
+        return Err((420, Some((Name::Unsupported, required.join(", ")))));
     }
     Ok(uri)
 }
--- a/crates/fawnrouter-engine/src/classify.rs
+++ b/crates/fawnrouter-engine/src/classify.rs
@@ -1,4 +1,5 @@
-//! Class, tenant and first-choice pool of a call: the first rule of each list that fits decides.
+//! Classification of calls: class, tenant and first-choice pool. Of each list of rules the first that matches
+//! decides.
 
 use std::hash::Hasher as _;
 
@@ -6,10 +7,10 @@
 use fawnrouter_sip::{Address, Message, Name, Uri};
 use siphasher::sip::SipHasher13;
 
-/// What a rule looks at. All parts that are given must fit; a rule without any fits every call.
+/// The condition of a rule. All parts that are given must match; a condition without any matches every call.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallMatch {
-    /// The number called begins with this.
+    /// Prefix of the number called.
     pub number_prefix: Option<String>,
     /// The host of the request-URI.
     pub host: Option<String>,
@@ -17,16 +18,16 @@
     pub from_host: Option<String>,
     /// The trunk group named by the caller (RFC 4904 `tgrp`).
     pub trunk_group: Option<String>,
-    /// A header field of this name has this value, compared without case.
+    /// Name and value of a header field; the value is compared without case.
     pub header: Option<(String, String)>,
-    /// A parameter of the request-URI has this value.
+    /// Name and value of a parameter of the request-URI; the value is compared without case.
     pub uri_param: Option<(String, String)>,
 }
 
 impl CallMatch {
-    fn fits(&self, call: &Seen<'_>) -> bool {
-        let same = |wanted: &Option<String>, seen: &str| {
-            wanted.as_ref().is_none_or(|w| w.eq_ignore_ascii_case(seen))
+    fn matches(&self, call: &CallFields<'_>) -> bool {
+        let same = |wanted: &Option<String>, actual: &str| {
+            wanted.as_ref().is_none_or(|w| w.eq_ignore_ascii_case(actual))
         };
         let header = |(name, value): &(String, String)| {
             call.invite.get_named(name).is_some_and(|v| v.trim().eq_ignore_ascii_case(value))
@@ -43,49 +44,50 @@
     }
 }
 
-/// A rule: calls that fit get this.
+/// A rule: calls that match the condition get the value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallRule<T> {
-    /// Which calls.
+    /// The condition.
     pub when: CallMatch,
-    /// What they get.
+    /// What matching calls get.
     pub value: T,
 }
 
-/// The pool of first choice.
+/// How the pool of first choice is selected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PoolChoice {
-    /// This one.
+    /// A fixed pool.
     Pool(Cell),
-    /// One of these by the number called, always the same for a number.
+    /// One of several pools, by a hash of the number called: the same number always gets the same pool.
     Spread(Vec<Cell>),
 }
 
-/// All rules.
+/// All rules, in order of precedence.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallRules {
-    /// The class; calls that no rule fits have none and are refused.
+    /// Rules for the class; calls that match none have no class and are refused.
     pub class: Vec<CallRule<ClassId>>,
-    /// The tenant.
+    /// Rules for the tenant.
     pub tenant: Vec<CallRule<TenantId>>,
-    /// The pool of first choice.
+    /// Rules for the pool of first choice.
     pub destination: Vec<CallRule<PoolChoice>>,
 }
 
-/// What the rules say of a call.
+/// The result of the rules for a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Classification {
-    /// Its class.
+    /// The class.
     pub class: Option<ClassId>,
-    /// Its tenant.
+    /// The tenant.
     pub tenant: Option<TenantId>,
-    /// Its pool of first choice.
+    /// The pool of first choice.
     pub destination: Cell,
     /// The number called.
     pub number: String,
 }
 
-struct Seen<'a> {
+/// The parts of a call that conditions look at.
+struct CallFields<'a> {
     invite: &'a Message,
     uri: &'a Uri<'a>,
     from_host: &'a str,
@@ -99,10 +101,10 @@
         let from = invite.get(Name::From).and_then(|f| Address::parse(f).ok());
         let from_host = from.and_then(|a| Uri::parse(a.uri).ok()).map_or("", |u| u.host);
         let number = uri.number();
-        // A URI without a user names its host.
+        // A URI without a user part calls its host.
         let number = if number.is_empty() { uri.host.to_owned() } else { number.into_owned() };
-        let seen = Seen { invite, uri, from_host, number: &number };
-        let destination = match first(&self.destination, &seen) {
+        let fields = CallFields { invite, uri, from_host, number: &number };
+        let destination = match first_match(&self.destination, &fields) {
             Some(PoolChoice::Pool(cell)) => *cell,
             Some(PoolChoice::Spread(cells)) if !cells.is_empty() => {
                 let mut hash = SipHasher13::new();
@@ -111,14 +113,14 @@
             }
             _ => Cell::default(),
         };
-        let class = first(&self.class, &seen).copied();
-        let tenant = first(&self.tenant, &seen).copied();
+        let class = first_match(&self.class, &fields).copied();
+        let tenant = first_match(&self.tenant, &fields).copied();
         Classification { class, tenant, destination, number }
     }
 }
 
-fn first<'r, T>(rules: &'r [CallRule<T>], seen: &Seen<'_>) -> Option<&'r T> {
-    rules.iter().find(|rule| rule.when.fits(seen)).map(|rule| &rule.value)
+fn first_match<'r, T>(rules: &'r [CallRule<T>], fields: &CallFields<'_>) -> Option<&'r T> {
+    rules.iter().find(|rule| rule.when.matches(fields)).map(|rule| &rule.value)
 }
 
 #[cfg(test)]
@@ -141,7 +143,7 @@
     }
 
     #[test]
-    fn the_first_rule_that_fits_decides_and_a_call_without_one_has_no_class() {
+    fn first_matching_rule_decides_and_a_call_without_a_match_has_no_class() {
         let rules = CallRules {
             class: vec![
                 CallRule { when: when(|m| m.number_prefix = Some("+9148".into())), value: ClassId(1) },
@@ -172,12 +174,12 @@
         let classify = |uri: &str, extra: &str| {
             rules.classify(&message(uri, extra), &Uri::parse(uri).expect("a sound URI"))
         };
-        let seen = classify("sip:+91-484-1;tgrp=TG-7;trunk-context=x@gw.example", "X-Kind: check\r\n");
+        let bank = classify("sip:+91-484-1;tgrp=TG-7;trunk-context=x@gw.example", "X-Kind: check\r\n");
         assert_eq!(
-            (seen.class, seen.tenant, seen.destination),
+            (bank.class, bank.tenant, bank.destination),
             (Some(ClassId(1)), Some(TenantId(4)), Cell(7))
         );
-        assert_eq!(seen.number, "+914841");
+        assert_eq!(bank.number, "+914841");
         assert_eq!(classify("tel:5551", "x-kind: CHECK\r\n").class, Some(ClassId(0)));
         assert_eq!(classify("sip:5551@gw.example;kind=push", "").class, Some(ClassId(2)));
         let other = classify("sip:5551@gw.example", "");
--- a/crates/fawnrouter-engine/src/engine.rs
+++ b/crates/fawnrouter-engine/src/engine.rs
@@ -1,4 +1,4 @@
-//! Inputs, the controller's events and actions, and what comes due.
+//! The engine: inputs, the controller's events and actions, timers, and the connections to switches.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -22,14 +22,14 @@
 use crate::timer::{LegId, TimerKey};
 use fawnrouter_machine::{Backoff, Decide, Machine};
 
-/// Settings that no engine can work with.
+/// Invalid settings of an engine.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[non_exhaustive]
 pub enum EngineError {
-    /// The decisions refuse theirs.
+    /// Invalid settings of the controller.
     #[error(transparent)]
     Decisions(#[from] SettingsError),
-    /// A budget across zones makes no sense.
+    /// An invalid budget across zones.
     #[error("zones: {0}")]
     Budget(#[from] BudgetError),
 }
@@ -48,7 +48,9 @@
     /// Calls without a final answer.
     pub(crate) pending: usize,
     pub(crate) counters: Counters,
+    /// Events for the controller that are not processed yet.
     pub(crate) events: VecDeque<Event>,
+    /// Outputs of the input that is being handled.
     pub(crate) outputs: Vec<Output>,
     next_call: u64,
     pub(crate) next_leg: u64,
@@ -73,10 +75,10 @@
 }
 
 impl Engine {
-    /// An engine that knows its settings and nothing else.
+    /// Creates an engine without switches or clients.
     ///
     /// # Errors
-    /// Where the decisions' settings hold figures that make no sense.
+    /// If the settings of the controller or of a budget are invalid.
     pub fn new(settings: EngineSettings) -> Result<Self, EngineError> {
         let seed = ChaCha8Rng::seed_from_u64(settings.seed).next_u64();
         let mut controller = Controller::new(settings.controller.clone(), seed)?;
@@ -89,7 +91,7 @@
         Ok(engine)
     }
 
-    /// An engine around something else that decides, as a baseline in a comparison.
+    /// Creates an engine with another controller, such as a baseline for a comparison.
     #[must_use]
     pub fn with_controller(settings: EngineSettings, controller: Box<dyn Decide>) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(settings.seed);
@@ -113,8 +115,8 @@
         }
     }
 
-    /// Takes one input at the clock's reading `now` and appends what is to be done. A clock that steps back counts
-    /// as one that stands still.
+    /// Handles one input at the time `now` and appends the outputs. A clock that steps back counts as
+    /// stopped.
     pub fn handle(&mut self, now: Time, input: Input, outputs: &mut Vec<Output>) {
         self.now = self.now.max(now);
         self.fire_timers();
@@ -122,8 +124,8 @@
             Input::ClientUp { client, peer, origin, must_authenticate } => {
                 let host = peer.ip().to_string();
                 let identity = Identity::new(origin, must_authenticate);
-                let fresh = Client { peer, host, calls: Default::default(), identity };
-                self.table.clients.insert(client, fresh);
+                let connected = Client { peer, host, calls: Default::default(), identity };
+                self.table.clients.insert(client, connected);
             }
             Input::ClientMessage { client, message } => self.on_client_message(client, message),
             Input::ClientDown { client } => self.on_client_down(client),
@@ -150,13 +152,13 @@
         outputs.append(&mut self.outputs);
     }
 
-    /// When the next [`Input::Wake`] is wanted at the latest.
+    /// The latest time for the next [`Input::Wake`].
     #[must_use]
     pub fn next_wake(&self) -> Option<Time> {
         self.table.timers.first()
     }
 
-    /// Traffic across zones, if it is decided on.
+    /// The policy for traffic across zones, if it is on.
     #[must_use]
     pub const fn zones(&self) -> Option<&SharedZonePolicy> {
         self.zones.as_ref()
@@ -168,30 +170,31 @@
         self.counters
     }
 
-    /// Calls held, out or standing now.
+    /// Number of calls that have not ended.
     #[must_use]
     pub fn live_calls(&self) -> usize {
         self.table.live_calls()
     }
 
-    /// Calls of a client that are held, out or standing now.
+    /// Number of calls of a client that have not ended.
     #[must_use]
     pub fn client_call_count(&self, client: ClientId) -> usize {
         self.table.clients.get(&client).map_or(0, |c| c.calls.len())
     }
 
-    /// Legs known now, with those that only wait for a late answer.
+    /// Number of legs, including those that only wait for a late answer.
     #[must_use]
     pub fn leg_count(&self) -> usize {
         self.table.legs.len()
     }
 
-    /// Timers set now: one for a call, a leg and a switch each at the most, and one of the decisions.
+    /// Number of timers that are set: at most one for each call, leg and switch, and one of the controller.
     #[must_use]
     pub fn timer_count(&self) -> usize {
         self.table.timers.len()
     }
 
+    /// A random number in [0, 1).
     pub(crate) fn random_unit(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
@@ -201,20 +204,20 @@
         CallId(self.next_call)
     }
 
-    pub(crate) fn emit_call_event(&mut self, call: CallId, word: impl FnOnce() -> CallEvent) {
+    pub(crate) fn emit_call_event(&mut self, call: CallId, event: impl FnOnce() -> CallEvent) {
         if self.settings.call_events {
-            self.outputs.push(Output::CallEvent { call, event: word() });
+            self.outputs.push(Output::CallEvent { call, event: event() });
         }
     }
 
     // ---- The controller's events and actions --------------------------------------------------------------
 
-    /// Gives the controller its events, and carries out its actions, until there are no more. An action may make
-    /// an event at once, as when there is no connection to send on.
+    /// Passes pending events to the controller and carries out its actions until there are no more events. An
+    /// action may cause an event at once, for example when there is no connection to send on.
     pub(crate) fn process_events(&mut self) {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
-            // An attempt that ended without a standing call leaves the call with the controller.
+            // After an attempt without an established call the controller holds the call again.
             if let Event::Closed { call, done: false, .. } = &event {
                 self.set_up_stage_changed(*call, Stay::Held);
             }
@@ -235,15 +238,15 @@
                 self.table.timers.set(TimerKey::Controller(timer), self.now.plus(after));
             }
             Action::Log(line) => self.outputs.push(Output::Log(line)),
-            // Probes and messages between gateways are off in the settings that the engine is given, and the list
-            // is pushed: the controller has no use for these here.
+            // Probes and messages between gateways are off in the engine's settings, and the list is pushed:
+            // the controller does not use these actions here.
             Action::Probe(_) | Action::Tell { .. } | Action::Subscribe | Action::FetchList => {}
         }
     }
 
     fn cancel_attempt(&mut self, call: CallId, attempt: AttemptNo) {
-        let out = self.table.calls.get(&call).and_then(|c| c.current_leg);
-        let leg = out.filter(|id| self.table.legs.get(id).is_some_and(|l| l.attempt == attempt));
+        let current_leg = self.table.calls.get(&call).and_then(|c| c.current_leg);
+        let leg = current_leg.filter(|id| self.table.legs.get(id).is_some_and(|l| l.attempt == attempt));
         if let Some(leg) = leg {
             self.close_attempt(leg, Outcome::Cancelled, false);
         }
@@ -258,14 +261,14 @@
             Some(_) => self.counters.refused += 1,
             None => self.counters.failed += 1,
         }
-        let out = call.current_leg;
+        let current_leg = call.current_leg;
         self.send_final(id, answer);
-        if let Some(leg) = out {
+        if let Some(leg) = current_leg {
             self.abandon_leg(leg);
         }
     }
 
-    /// Tells the controller of the end of an attempt that is out, and gives the leg up.
+    /// Reports the end of a pending attempt to the controller and abandons the leg.
     pub(crate) fn close_attempt(&mut self, id: LegId, outcome: Outcome, done: bool) {
         let Some(leg) = self.table.legs.get(&id).filter(|l| matches!(l.state, LegState::Pending)) else {
             return;
@@ -277,7 +280,7 @@
         self.abandon_leg(id);
     }
 
-    /// Gives up an attempt: cancels it if that may be, and keeps the leg for a late answer.
+    /// Abandons an attempt: cancels it if SIP allows that yet, and keeps the leg for a late answer.
     pub(crate) fn abandon_leg(&mut self, id: LegId) {
         let Some(leg) = self.table.legs.get_mut(&id).filter(|l| matches!(l.state, LegState::Pending)) else {
             return;
@@ -294,7 +297,7 @@
         self.table.timers.set(TimerKey::Leg(id), self.now.plus(ACK_WAIT));
     }
 
-    // ---- What comes due ---------------------------------------------------------------------------------------
+    // ---- Timers -------------------------------------------------------------------------------------------
 
     fn fire_timers(&mut self) {
         while let Some(key) = self.table.timers.pop(self.now) {
@@ -311,8 +314,8 @@
     fn on_call_timer(&mut self, id: CallId) {
         let Some(call) = self.table.calls.get(&id) else { return };
         match &call.stage {
-            // The controller answers well before this. It guards against one that did not, as after the process
-            // stood still: the caller gets its answer all the same.
+            // The controller answers well before the deadline. If it did not, for example because the process
+            // was stopped for a while, the caller still gets its answer.
             Stage::Routing => {
                 if self.set_up_wait_expired(id) {
                     return;
@@ -321,7 +324,7 @@
                 let answer = status::answer_to_caller(None, None);
                 self.end_routing(id, answer);
             }
-            // No ACK in 64·T1: the call is released on both sides (RFC 3261 §13.3.1.4).
+            // No ACK within 64·T1: the call is released on both sides (RFC 3261 §13.3.1.4).
             Stage::Established { acked: false, .. } => {
                 self.send_bye_to_caller(id, "SIP;cause=408;text=\"no ACK\"");
                 self.release_call(id, Outcome::Cancelled);
@@ -331,17 +334,19 @@
         }
     }
 
-    /// Ends a call that the controller still has: it is told that the caller has gone.
+    /// Ends a call without a final answer yet: answers it, and reports to the controller that its caller has
+    /// gone.
     pub(crate) fn end_routing(&mut self, id: CallId, answer: status::FinalAnswer) {
         let call = self.table.calls.get(&id);
-        let (out, waits) = (call.and_then(|c| c.current_leg), call.is_some_and(|c| c.queued.is_some()));
+        let current_leg = call.and_then(|c| c.current_leg);
+        let queued = call.is_some_and(|c| c.queued.is_some());
         self.send_final(id, answer);
-        // The controller has not heard of a call that still waited for its turn.
-        if waits {
+        // A call that still waited for admission was never submitted to the controller.
+        if queued {
             return;
         }
         self.events.push_back(Event::Lapsed(id));
-        if let Some(leg) = out {
+        if let Some(leg) = current_leg {
             self.close_attempt(leg, Outcome::Cancelled, true);
         }
     }
@@ -351,7 +356,7 @@
         match leg.state {
             LegState::Pending => self.close_attempt(id, Outcome::TimedOut, false),
             LegState::Established { .. } => self.cut_call(id),
-            // A given-up leg whose switch never answered, or a BYE that nobody answered.
+            // The switch did not answer an abandoned INVITE, or a BYE.
             LegState::Abandoned | LegState::Releasing { .. } => {
                 let server = leg.server;
                 self.table.remove_leg(id);
@@ -360,7 +365,7 @@
         }
     }
 
-    // ---- Connections and the list ---------------------------------------------------------------------------------
+    // ---- Connections to switches, and the list ------------------------------------------------------------
 
     fn open_trunk(&mut self, server: ServerId) {
         let Some(trunk) = self.table.trunks.get_mut(&server) else { return };
@@ -401,7 +406,7 @@
             match &mut leg.state {
                 LegState::Pending => {
                     self.close_attempt(id, Outcome::Reset, false);
-                    // No answer can come on a connection that is gone.
+                    // No answer can arrive on a connection that is lost.
                     self.table.remove_leg(id);
                 }
                 LegState::Abandoned => drop(self.table.remove_leg(id)),
@@ -418,8 +423,8 @@
 
     fn on_list(&mut self, kind: ListKind, switches: Vec<Switch>) {
         if matches!(kind, ListKind::Whole | ListKind::Cached) {
-            let named = |id: &ServerId| switches.iter().any(|s| s.entry.id == *id);
-            for trunk in self.table.trunks.iter_mut().filter(|(id, _)| !named(id)).map(|(_, t)| t) {
+            let listed = |id: &ServerId| switches.iter().any(|s| s.entry.id == *id);
+            for trunk in self.table.trunks.iter_mut().filter(|(id, _)| !listed(id)).map(|(_, t)| t) {
                 trunk.listed = false;
             }
         }
@@ -464,8 +469,8 @@
         self.events.push_back(Event::List { kind, entries });
     }
 
-    /// A switch that is off the list and whose connection is lost does not come back: its calls are cut at once.
-    /// A list that names nobody for a while cuts nothing, as the connections stand.
+    /// Cuts the calls of a switch that is off the list and whose connection is lost, as it will not come
+    /// back. A list that is empty for a while cuts nothing by itself, because the connections are still open.
     fn cut_calls_of_lost_switch(&mut self, server: ServerId) {
         if self.table.is_connected(server) || self.table.trunks.get(&server).is_none_or(|t| t.listed) {
             return;
@@ -479,18 +484,23 @@
         }
     }
 
-    /// A switch has restarted: calls from before, whose connection was lost, are not known to it.
+    /// Cuts the calls from before a switch's restart, which are those whose connection was lost: the switch
+    /// no longer knows them.
     fn cut_calls_before_restart(&mut self, server: ServerId) {
         for id in self.table.legs_on(server) {
-            let state = self.table.legs.get(&id).map(|l| &l.state);
-            if matches!(state, Some(LegState::Established { connection_lost, reconnected, .. }) if *connection_lost || *reconnected)
-            {
+            let interrupted = match self.table.legs.get(&id).map(|l| &l.state) {
+                Some(LegState::Established { connection_lost, reconnected, .. }) => {
+                    *connection_lost || *reconnected
+                }
+                _ => false,
+            };
+            if interrupted {
                 self.cut_call(id);
             }
         }
     }
 
-    /// Closes the connection to a switch that is off the list once no leg is left on it.
+    /// Removes a switch that is off the list and has no leg left, and closes the connection.
     pub(crate) fn close_unused_trunk(&mut self, server: ServerId) {
         let unused = self.table.trunks.get(&server).is_some_and(|t| !t.listed && t.legs.is_empty());
         if unused {
@@ -500,7 +510,7 @@
         }
     }
 
-    /// A standing call was cut on its switch's side.
+    /// Ends an established call that its switch has lost.
     fn cut_call(&mut self, id: LegId) {
         let Some(leg) = self.table.legs.get(&id) else { return };
         let (call, server) = (leg.call, leg.server);
@@ -512,11 +522,11 @@
         self.close_unused_trunk(server);
     }
 
-    /// Tells the controller of a standing call's end, and forgets the call; its leg stays.
+    /// Reports the end of an established call to the controller and removes the call; its leg stays.
     pub(crate) fn end_established(&mut self, call: CallId, leg: LegId, outcome: Outcome) {
         let Some(ended) = self.table.remove_call(call) else { return };
         self.set_up_ended(call);
-        if let (Some(leg), Stage::Established { established_at: since, .. }) =
+        if let (Some(leg), Stage::Established { established_at, .. }) =
             (self.table.legs.get(&leg), &ended.stage)
         {
             let (attempt, server) = (leg.attempt, leg.server);
@@ -524,8 +534,8 @@
             let (note, report) = (Note::None, Report::default());
             let done = true;
             self.events.push_back(Event::Closed { call, attempt, server, done, outcome, note, took, report });
-            let stood = self.now.since(*since);
-            self.emit_call_event(call, || CallEvent::Released { outcome, established_for: stood });
+            let established_for = self.now.since(*established_at);
+            self.emit_call_event(call, || CallEvent::Released { outcome, established_for });
         }
     }
 
--- a/crates/fawnrouter-engine/src/gate.rs
+++ b/crates/fawnrouter-engine/src/gate.rs
@@ -1,15 +1,18 @@
-//! The decisions that stand before the controller: who a client is, and whether its set-up's turn has come. Both are
-//! made elsewhere (`fawnrouter_digest`, `fawnrouter_admission`); `authenticate` and `set_up_admission` bring them about.
+//! The checks before the controller: who a client is, and whether its set-up may proceed now. They are
+//! implemented in `fawnrouter_digest` and `fawnrouter_admission`; the modules `authenticate` and
+//! `set_up_admission` apply them.
 
 use fawnrouter_admission::{SetUpSettings, SetUps};
 use fawnrouter_digest::Guard;
 
 use crate::identity::{AuthSettings, UnknownClients};
 
-/// The decisions that stand before the controller; each may be off.
+/// The checks before the controller; each may be off.
 #[derive(Debug)]
 pub(crate) struct Gate {
+    /// Digest authentication, and how unknown clients are treated.
     pub guard: Option<(Guard, UnknownClients)>,
+    /// Admission of set-ups.
     pub set_ups: Option<SetUps>,
 }
 
--- a/crates/fawnrouter-engine/src/identity.rs
+++ b/crates/fawnrouter-engine/src/identity.rs
@@ -1,4 +1,5 @@
-//! Who a client is: how clients show it, what known ones may do, and what a connection has shown of itself.
+//! Identity of clients: how they authenticate, the limits of known clients, and what is known of each
+//! connection.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -6,44 +7,45 @@
 use fawnrouter_admission::{ClientLimits, Who};
 use fawnrouter_digest::{GuardSettings, Proof, Secret};
 
-/// What clients may do that have not shown who they are.
+/// What clients may do that have not authenticated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnknownClients {
-    /// They may call, within their limits.
+    /// They may call, within the limits for unknown clients.
     Allowed,
-    /// They are asked who they are.
+    /// They are challenged (401).
     Challenged,
 }
 
-/// How clients show who they are.
+/// How clients authenticate.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AuthSettings {
     /// Realm, algorithms, nonces.
     pub guard: GuardSettings,
-    /// Secret, and fresh at each start: keys the nonces.
+    /// Secret key of the nonces, new at each start.
     pub key: [u8; 32],
-    /// Who need not.
+    /// Whether clients may call without authentication.
     pub unknown_clients: UnknownClients,
 }
 
 /// A known client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KnownClient {
-    /// Its name.
+    /// The client's name.
     pub name: Arc<str>,
-    /// Its secret, hashed.
+    /// The client's secret, hashed.
     pub secret: Secret,
-    /// What it may do.
+    /// The client's limits.
     pub limits: ClientLimits,
 }
 
-/// What a connection has shown of itself.
+/// What is known of the client of a connection.
 #[derive(Clone, Debug)]
 pub(crate) struct Identity {
-    /// Where it comes from; behind a trusted forwarder, what that said.
+    /// The client's address; behind a trusted forwarder, the address that the forwarder stated.
     pub origin: IpAddr,
+    /// The name of the client, once it has authenticated.
     pub client_name: Option<Arc<str>>,
-    /// It gets nothing before it has shown who it is.
+    /// No request is served before the client has authenticated.
     pub must_authenticate: bool,
     pub proof: Proof,
 }
@@ -53,6 +55,7 @@
         Self { origin, client_name: None, must_authenticate, proof: Proof::default() }
     }
 
+    /// The client as the admission of set-ups tells clients apart.
     pub(crate) fn who(&self) -> Who {
         match &self.client_name {
             Some(name) => Who::Known(name.clone()),
--- a/crates/fawnrouter-engine/src/intake.rs
+++ b/crates/fawnrouter-engine/src/intake.rs
@@ -1,18 +1,18 @@
-//! Which new call is taken at all: the limits of the process and its drain. What is taken is decided on by the
-//! controller; what is not gets a polite 503 with a time to stay away.
+//! Intake of new calls: the limits of the process and its drain. An accepted call goes to the controller; a
+//! rejected one is answered 503 with a Retry-After.
 
 use std::time::Duration;
 
 /// Limits on what an engine holds at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IntakeLimits {
-    /// Calls held, out or standing.
+    /// All calls, waiting, in set-up or established.
     pub calls: usize,
-    /// Of these, calls without a final answer.
+    /// Calls without a final answer.
     pub pending: usize,
     /// Calls of one client's connection.
     pub per_client: usize,
-    /// Told to callers that are turned away for a limit.
+    /// The Retry-After of callers that are rejected for a limit.
     pub retry_after: Duration,
 }
 
@@ -23,25 +23,25 @@
     pub calls: usize,
     /// Calls without a final answer.
     pub pending: usize,
-    /// Calls of this client.
+    /// Calls of the client's connection.
     pub client_calls: usize,
 }
 
-/// Why a call is not taken.
+/// Why a call is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IntakeRefusal {
-    /// The gateway ends.
+    /// The gateway drains.
     Draining,
-    /// All calls that it may hold.
+    /// The limit of all calls is reached.
     Calls,
-    /// All calls without an answer that it may hold.
+    /// The limit of calls without a final answer is reached.
     Pending,
-    /// All calls of one client.
+    /// The limit of calls of one connection is reached.
     PerClient,
 }
 
 impl IntakeRefusal {
-    /// The text of its Reason header.
+    /// The text of the Reason header.
     #[must_use]
     pub const fn text(self) -> &'static str {
         match self {
@@ -53,7 +53,7 @@
     }
 }
 
-/// The intake's state.
+/// Accepts or rejects new calls.
 #[derive(Clone, Copy, Debug)]
 pub struct Intake {
     limits: IntakeLimits,
@@ -61,27 +61,27 @@
 }
 
 impl Intake {
-    /// An open intake.
+    /// Creates an intake that accepts calls within the limits.
     #[must_use]
     pub const fn new(limits: IntakeLimits) -> Self {
         Self { limits, draining: false }
     }
 
-    /// Takes no more from now on.
+    /// Rejects all calls from now on.
     pub fn drain(&mut self) {
         self.draining = true;
     }
 
-    /// Whether it drains.
+    /// Whether the gateway drains.
     #[must_use]
     pub const fn draining(&self) -> bool {
         self.draining
     }
 
-    /// Judges a call that comes in.
+    /// Checks whether a new call is accepted.
     ///
     /// # Errors
-    /// Why it is not taken; the second part is how long the caller should stay away.
+    /// Why the call is rejected, and the Retry-After.
     pub fn check(&self, load: IntakeLoad) -> Result<(), (IntakeRefusal, Duration)> {
         let refusal = if self.draining {
             IntakeRefusal::Draining
@@ -103,18 +103,18 @@
     use super::*;
 
     #[test]
-    fn each_limit_turns_away_at_its_figure_and_names_itself() {
+    fn each_limit_rejects_from_its_value_on_with_its_own_reason() {
         let limits =
             IntakeLimits { calls: 10, pending: 5, per_client: 3, retry_after: Duration::from_secs(2) };
         let mut intake = Intake::new(limits);
-        let judge = |i: &Intake, calls, pending, of_client| {
-            i.check(IntakeLoad { calls, pending, client_calls: of_client }).map_err(|(refusal, _)| refusal)
+        let check = |i: &Intake, calls, pending, client_calls| {
+            i.check(IntakeLoad { calls, pending, client_calls }).map_err(|(refusal, _)| refusal)
         };
-        assert_eq!(judge(&intake, 9, 4, 2), Ok(()));
-        assert_eq!(judge(&intake, 10, 0, 0), Err(IntakeRefusal::Calls));
-        assert_eq!(judge(&intake, 9, 5, 0), Err(IntakeRefusal::Pending));
-        assert_eq!(judge(&intake, 9, 4, 3), Err(IntakeRefusal::PerClient));
+        assert_eq!(check(&intake, 9, 4, 2), Ok(()));
+        assert_eq!(check(&intake, 10, 0, 0), Err(IntakeRefusal::Calls));
+        assert_eq!(check(&intake, 9, 5, 0), Err(IntakeRefusal::Pending));
+        assert_eq!(check(&intake, 9, 4, 3), Err(IntakeRefusal::PerClient));
         intake.drain();
-        assert_eq!(judge(&intake, 0, 0, 0), Err(IntakeRefusal::Draining));
+        assert_eq!(check(&intake, 0, 0, 0), Err(IntakeRefusal::Draining));
     }
 }
--- a/crates/fawnrouter-engine/src/interface.rs
+++ b/crates/fawnrouter-engine/src/interface.rs
@@ -1,4 +1,4 @@
-//! What goes into an [`Engine`](crate::Engine) and what comes out of it.
+//! Settings, inputs, outputs, call events and counters of an [`Engine`](crate::Engine).
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -15,50 +15,51 @@
 use crate::identity::{AuthSettings, KnownClient};
 use crate::intake::IntakeLimits;
 
-/// A client's connection, as the driver numbers it. Numbers are never used again.
+/// A client's connection, as the driver numbers it. Numbers are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClientId(pub u64);
 
-/// All that an engine is told at its start.
+/// Settings of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
-    /// The decisions' settings.
+    /// Settings of the controller.
     pub controller: fawnrouter::Settings,
     /// Seed of all random numbers: the controller's, tags, branches, back-off.
     pub seed: u64,
     /// The gateway's host (and port) in Via and Contact.
     pub host: String,
-    /// How calls are told apart.
+    /// Rules that classify calls.
     pub rules: CallRules,
-    /// What is taken at all.
+    /// Limits on calls.
     pub intake: IntakeLimits,
-    /// How lost connections to switches come back.
+    /// Back-off of reconnections to switches.
     pub backoff: BackoffSettings,
-    /// A standing call outlives the loss of its switch's connection this long (RFC 3261 §18: connections are no
-    /// part of a dialog); then it counts as cut.
+    /// How long an established call outlives the loss of its switch's connection (RFC 3261 §18: connections
+    /// are not part of a dialog); then it counts as cut.
     pub cut_after: Duration,
-    /// The longest `Expires` that is believed; a longer or missing one is replaced by the class's deadline.
+    /// The longest time for a set-up. A longer `Expires` is reduced to it; without `Expires` the class's
+    /// deadline applies, reduced in the same way.
     pub max_expires: Duration,
-    /// How clients show who they are; `None`: nobody is asked.
+    /// How clients authenticate; `None` means no authentication.
     pub auth: Option<AuthSettings>,
-    /// Fairness of set-ups among clients; `None`: each goes straight to the controller.
+    /// Fairness of set-ups among clients; `None` means that each goes straight to the controller.
     pub set_ups: Option<SetUpSettings>,
-    /// Traffic across zones; `None`: every switch is as near as any other.
+    /// Traffic across zones; `None` means that all zones are treated the same.
     pub zones: Option<ZoneSettings>,
-    /// Whether [`Output::Word`]s are wanted.
+    /// Whether the engine emits [`Output::CallEvent`].
     pub call_events: bool,
 }
 
-/// A core switch of the list, with where it listens.
+/// A core switch of the list, with its address.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Switch {
-    /// What the decisions are told of it.
+    /// The entry for the controller.
     pub entry: ServerEntry,
-    /// Its SIP listener, TCP.
+    /// The address of its SIP listener (TCP).
     pub address: SocketAddr,
 }
 
-/// What happened.
+/// An event for the engine.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A client's connection is open, its handshake done.
@@ -67,9 +68,9 @@
         client: ClientId,
         /// The other end of the connection.
         peer: SocketAddr,
-        /// Where the client is: the peer's address, or what a trusted forwarder said.
+        /// The client's address: the peer's, or the one stated by a trusted forwarder.
         origin: IpAddr,
-        /// It gets nothing before it has shown that it is a known client.
+        /// No request is served before the client has authenticated.
         must_authenticate: bool,
     },
     /// The known clients changed.
@@ -110,17 +111,17 @@
         /// The entries.
         switches: Vec<Switch>,
     },
-    /// What was spent across zones before a restart; `None` where that is not known any more.
+    /// The account of traffic across zones from before a restart; `None` if it is lost.
     ZoneAccount(Option<Box<SavedAccount>>),
-    /// Nothing but time has passed: [`Engine::next_wake`](crate::Engine::next_wake) is due.
+    /// The time of [`Engine::next_wake`](crate::Engine::next_wake) has come.
     Wake,
-    /// No new calls from now on; [`Output::Drained`] follows when the last one has ended.
+    /// Accept no new calls from now on; [`Output::Drained`] follows when the last call has ended.
     Drain,
-    /// End all calls now, each with its final answer or its release.
+    /// End all calls now, each with a final answer or a release.
     Stop,
 }
 
-/// What the driver is to do, in the order given.
+/// A task for the driver, to be carried out in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send a message to a client.
@@ -137,25 +138,25 @@
         /// A whole SIP message.
         bytes: Vec<u8>,
     },
-    /// A client has shown who it is.
+    /// A client has authenticated.
     ClientIdentified {
         /// The connection.
         client: ClientId,
         /// The client's name.
         name: Arc<str>,
     },
-    /// Close a client's connection once what is on its way has been written.
+    /// Close a client's connection once all pending output has been written.
     CloseClient {
         /// The connection.
         client: ClientId,
-        /// Why.
+        /// The reason.
         reason: &'static str,
     },
     /// Connect to a switch; answer with [`Input::TrunkUp`] or [`Input::TrunkDown`].
     OpenTrunk {
         /// The switch.
         server: ServerId,
-        /// Where it listens.
+        /// The address of its SIP listener.
         address: SocketAddr,
     },
     /// Close the connection to a switch; no [`Input::TrunkDown`] follows.
@@ -163,86 +164,86 @@
         /// The switch.
         server: ServerId,
     },
-    /// A line of the decisions for the operators.
+    /// A log line of the controller.
     Log(String),
-    /// A word about a call, if [`EngineSettings::words`] asks for them.
+    /// An event of a call, if [`EngineSettings::call_events`] is on.
     CallEvent {
         /// The call.
         call: CallId,
-        /// What happened to it.
+        /// The event.
         event: CallEvent,
     },
     /// After [`Input::Drain`]: no call is left.
     Drained,
 }
 
-/// What happens to a call, for logs and records.
+/// An event of a call, for logs and records.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallEvent {
-    /// It was taken.
+    /// The call was accepted.
     Accepted {
         /// The caller's Call-ID.
         call_id: Arc<str>,
-        /// Its class's name.
+        /// The name of the call's class.
         class: Arc<str>,
         /// The number called.
         number: Arc<str>,
     },
-    /// A set-up went out.
+    /// A set-up was sent.
     AttemptSent {
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: AttemptNo,
-        /// Where to.
+        /// The switch that it was sent to.
         server: ServerId,
     },
-    /// An attempt ended without a standing call.
+    /// An attempt ended without an established call.
     AttemptClosed {
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: AttemptNo,
-        /// How.
+        /// How the attempt ended.
         outcome: Outcome,
     },
     /// The caller got its final answer.
     Answered {
         /// The status.
         status: u16,
-        /// Time since the call came in.
+        /// Time since the INVITE came in.
         after: Duration,
     },
-    /// The standing call is over.
+    /// The established call ended.
     Released {
-        /// How.
+        /// How the call ended.
         outcome: Outcome,
-        /// Time that it stood.
+        /// Time since it was established.
         established_for: Duration,
     },
 }
 
-/// Counts since the start, and what stands now.
+/// Counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Calls taken.
+    /// Calls accepted.
     pub accepted: u64,
-    /// Calls not taken for limits or drain, answered 503.
+    /// Calls rejected for a limit or for drain, answered 503.
     pub rejected: u64,
-    /// Calls that stood.
+    /// Calls established.
     pub established: u64,
-    /// Calls refused by the decisions.
+    /// Calls refused by the controller or by the admission of set-ups.
     pub refused: u64,
     /// Calls that failed.
     pub failed: u64,
-    /// Calls that the caller gave up.
+    /// Calls that the caller gave up before the final answer.
     pub abandoned: u64,
-    /// Standing calls that were cut.
+    /// Established calls that were cut.
     pub cut: u64,
-    /// Requests answered 4xx or 5xx as they could not be worked on.
+    /// Requests that could not be served and were answered 4xx or 5xx.
     pub invalid: u64,
     /// Set-ups sent.
     pub attempts: u64,
-    /// Connections that showed who they are.
+    /// Connections whose client authenticated.
     pub authenticated: u64,
     /// Requests answered 401.
     pub challenged: u64,
-    /// Connections given up for wrong answers.
+    /// Connections closed after too many wrong credentials.
     pub auth_failures: u64,
 }
--- a/crates/fawnrouter-engine/src/lib.rs
+++ b/crates/fawnrouter-engine/src/lib.rs
@@ -1,24 +1,24 @@
 #![forbid(unsafe_code)]
-//! The gateway as a state machine: a back-to-back user agent with a leg to the caller and one attempt leg at a
-//! time to a switch.
+//! The SIP gateway as a state machine: a back-to-back user agent with one leg to the caller and one attempt
+//! leg at a time to a switch.
 //!
-//! [`Engine::handle`] takes the clock's reading and an [`Input`] (a parsed message, a connection that came up or
-//! went down, a change of the list, a timer due) and appends [`Output`]s: messages to send, connections to open or
-//! close, words for the log. It owns the [`fawnrouter::Controller`], which decides every set-up, and the call
-//! table. No socket, no clock, no thread, no unseeded randomness, no iteration in hash order: the same inputs give
-//! the same outputs, under the daemon as under a model.
+//! [`Engine::handle`] takes the time and an [`Input`] (a parsed message, a connection that opened or closed,
+//! a change of the list of switches, an expired timer) and appends [`Output`]s: messages to send, connections
+//! to open or close, log lines. The engine owns the call table and the [`fawnrouter::Controller`], which
+//! decides on every set-up. It uses no socket, clock, thread, unseeded randomness or iteration in hash order:
+//! the same inputs give the same outputs, in the daemon and in a simulation.
 //!
-//! | module | what it decides or does |
+//! | module | contents |
 //! | --- | --- |
-//! | `gate` | the decisions before the controller's, made in crates of their own |
-//! | `authenticate` | who a client is, and what its request is answered if that does not do |
-//! | `set_up_admission` | whose set-up is next |
-//! | `intake` | which new call is taken at all: limits, drain |
+//! | `gate` | the checks before the controller: authentication and admission of set-ups |
+//! | `authenticate` | authentication of clients and the responses that it requires |
+//! | `set_up_admission` | queueing of set-ups before the controller |
+//! | `intake` | limits on new calls, and drain |
 //! | `classify` | class, tenant and first-choice pool of a call, by rules in the settings |
-//! | `status` | the written table of SIP status and [`fawnrouter::Outcome`], both ways |
+//! | `status` | mapping between SIP status and [`fawnrouter::Outcome`], both ways |
 //! | `caller`, `trunk` | messages of the caller's leg and of the attempt legs |
 //! | `engine` | inputs, the controller's events and actions, timers |
-//! | `table`, `timer`, `identity` | calls, legs, connections; what comes due; what a client has shown of itself |
+//! | `table`, `timer`, `identity` | calls, legs and connections; timer keys; the identity of a client |
 
 mod authenticate;
 mod caller;
--- a/crates/fawnrouter-engine/src/set_up_admission.rs
+++ b/crates/fawnrouter-engine/src/set_up_admission.rs
@@ -1,5 +1,5 @@
-//! Before a call reaches the controller: whether its set-up's turn has come. Decided in `fawnrouter_admission`; here
-//! are the answers and timers that follow.
+//! Admission of set-ups before the controller: `fawnrouter_admission` decides when a set-up may proceed, and
+//! this module sends the answers and sets the timers.
 
 use fawnrouter::{CallId, Event, NewCall};
 use fawnrouter_admission::{SetUps, Stay, Turn};
@@ -10,19 +10,19 @@
 use crate::timer::TimerKey;
 
 impl Engine {
-    /// Whether a new set-up may go on, wait, or not.
+    /// Whether a new set-up may proceed, waits or is refused.
     pub(crate) fn admit_set_up(&mut self, client: ClientId, id: CallId) -> Turn {
         let (Some(set_ups), Some(known)) = (&mut self.gate.set_ups, self.table.clients.get(&client)) else {
             return Turn::Go;
         };
-        let (turn, pushed) = set_ups.offer(self.now.0, known.identity.who(), id.0);
-        if let Some((other, turn)) = pushed {
+        let (turn, displaced) = set_ups.offer(self.now.0, known.identity.who(), id.0);
+        if let Some((other, turn)) = displaced {
             self.refuse_set_up(CallId(other), turn);
         }
         turn
     }
 
-    /// The final answer of a call that waited in vain.
+    /// Sends the final answer of a call that was refused after it had waited.
     fn refuse_set_up(&mut self, id: CallId, turn: Turn) {
         if let Turn::Refuse { why, retry_after } = turn {
             self.counters.refused += 1;
@@ -31,7 +31,7 @@
         }
     }
 
-    /// A call that may wait has waited for as long as it may; `false` if it does not wait.
+    /// Refuses a call whose longest wait has passed. Returns `false` if the call does not wait.
     pub(crate) fn set_up_wait_expired(&mut self, id: CallId) -> bool {
         let now = self.now.0;
         let turn = self.gate.set_ups.as_mut().and_then(|s| s.waited(now, id.0));
@@ -44,16 +44,16 @@
         }
     }
 
-    /// Hands a call to the controller.
+    /// Submits a call to the controller.
     pub(crate) fn submit_call(&mut self, mut call: NewCall) {
         let Some(known) = self.table.calls.get(&call.id) else { return };
-        let due = known.deadline;
-        call.left = due.since(self.now);
-        self.table.timers.set(TimerKey::Call(call.id), due);
+        let deadline = known.deadline;
+        call.left = deadline.since(self.now);
+        self.table.timers.set(TimerKey::Call(call.id), deadline);
         self.events.push_back(Event::Call(call));
     }
 
-    /// Hands over the calls whose turn has come.
+    /// Submits the waiting calls that may proceed now.
     pub(crate) fn submit_admitted_calls(&mut self) {
         let now = self.now.0;
         while let Some(id) = self.gate.set_ups.as_mut().and_then(|s| s.next(now)) {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Tells the decisions on set-ups where a call is now.
+    /// Reports to the admission of set-ups that a call is at another stage.
     pub(crate) fn set_up_stage_changed(&mut self, id: CallId, stay: Stay) {
         let now = self.now.0;
         if let Some(set_ups) = &mut self.gate.set_ups {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Tells the decisions on set-ups that a call is over.
+    /// Reports to the admission of set-ups that a call has ended.
     pub(crate) fn set_up_ended(&mut self, id: CallId) {
         let now = self.now.0;
         if let Some(set_ups) = &mut self.gate.set_ups {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The decisions on set-ups, for operators, if they are on.
+    /// The admission of set-ups, for operators' reports, if it is on.
     #[must_use]
     pub fn set_up_admission(&self) -> Option<&SetUps> {
         self.gate.set_ups.as_ref()
--- a/crates/fawnrouter-engine/src/status.rs
+++ b/crates/fawnrouter-engine/src/status.rs
@@ -1,28 +1,28 @@
-//! The written table between SIP statuses and the decisions' words, in both directions.
+//! The mapping between SIP statuses and the controller's outcomes, in both directions.
 //!
-//! From a switch (RFC 3261 §21; Reason RFC 3326; Q.850 causes of ITU-T Q.850 table 1):
+//! From a switch (RFC 3261 §21; Reason RFC 3326; causes of ITU-T Q.850 table 1):
 //!
-//! | final response | outcome | note | what becomes of the call |
+//! | final response | outcome | note | consequence for the call |
 //! | --- | --- | --- | --- |
-//! | 2xx | stands | | stands |
-//! | 503 with Reason Q.850;cause=34 (no circuit) or 44 | `Full` | `NoCircuit` | may go elsewhere |
-//! | 503, 500 with Reason Q.850;cause=42 (congestion) | `Full` | `ProcessorFull`, with the told Retry-After | may go elsewhere |
-//! | 486, 600, or any with Reason Q.850;cause=17 | `Error` | `NumberBusy` | the controller gives it up |
-//! | 408, 504 | `TimedOut` | | may go elsewhere after the guard |
-//! | 487 | `Cancelled` | | may go elsewhere after the guard |
-//! | 404, 410, 413, 415, 416, 484, 485, 488, 603, 604, 606 | `Error` | | ends: the fault is the number's or the offer's |
-//! | any other 3xx to 6xx | `Error` | | may go elsewhere |
-//! | none: no connection | `ConnectFailed` | | may go elsewhere |
-//! | none: connection lost | `Reset` | | may go elsewhere after the guard |
+//! | 2xx | established | | established |
+//! | 503 with Reason Q.850;cause=34 (no circuit) or 44 | `Full` | `NoCircuit` | may be retried elsewhere |
+//! | 503, 500 with Reason Q.850;cause=42 (congestion) | `Full` | `ProcessorFull`, with the Retry-After | may be retried elsewhere |
+//! | 486, 600, or any with Reason Q.850;cause=17 | `Error` | `NumberBusy` | the controller refuses it |
+//! | 408, 504 | `TimedOut` | | may be retried elsewhere after the guard |
+//! | 487 | `Cancelled` | | may be retried elsewhere after the guard |
+//! | 404, 410, 413, 415, 416, 484, 485, 488, 603, 604, 606 | `Error` | | final: the number or the offer is at fault |
+//! | any other 3xx to 6xx | `Error` | | may be retried elsewhere |
+//! | none: no connection | `ConnectFailed` | | may be retried elsewhere |
+//! | none: connection lost | `Reset` | | may be retried elsewhere after the guard |
 //!
 //! To the caller:
 //!
 //! | decision | after | status |
 //! | --- | --- | --- |
-//! | refused | the number's lines were busy | 486, Retry-After |
+//! | refused | the number's lines were busy | that status (486 or the like), Retry-After |
 //! | refused | anything else | 503, Retry-After |
-//! | failed | a final response of a switch | that response |
-//! | failed | no answer | 504 |
+//! | failed | a final response of a switch other than 408, 487, 503 and 504 | that response |
+//! | failed | anything else | 504 |
 
 use std::time::Duration;
 
@@ -32,34 +32,34 @@
 /// Whether other switches may still take the call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Retryability {
-    /// Another attempt can help.
+    /// Another attempt may succeed.
     Retryable,
-    /// None can: the answer goes to the caller as it is.
+    /// No attempt can succeed: the response goes to the caller as it is.
     Final,
 }
 
 /// What a final response of 300 or more means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseMeaning {
-    /// The outcome.
+    /// The outcome of the attempt.
     pub outcome: Outcome,
-    /// What is said beside it.
+    /// The cause, as far as the response gives one.
     pub note: Note,
-    /// What becomes of the call.
+    /// Whether another switch may still take the call.
     pub retryability: Retryability,
 }
 
-/// What a response told beside its status.
+/// What a response says beside its status.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ResponseDetails {
-    /// Retry-After.
+    /// The value of Retry-After.
     pub retry_after: Option<Duration>,
-    /// The cause of a Reason in Q.850.
+    /// The Q.850 cause of a Reason header.
     pub q850: Option<u16>,
 }
 
 impl ResponseDetails {
-    /// Reads a response.
+    /// Reads the Retry-After and Reason headers of a response.
     #[must_use]
     pub fn from_response(response: &Message) -> Self {
         let retry = response.get(Name::RetryAfter).and_then(|v| {
@@ -73,20 +73,21 @@
     }
 }
 
-/// The table from a switch's final response.
+/// The meaning of a switch's final response.
 #[must_use]
-pub fn response_meaning(status: u16, told: ResponseDetails) -> ResponseMeaning {
-    let (outcome, note) = match (status, told.q850) {
+pub fn response_meaning(status: u16, details: ResponseDetails) -> ResponseMeaning {
+    let (outcome, note) = match (status, details.q850) {
         (_, Some(17)) | (486 | 600, _) => (Outcome::Error, Note::NumberBusy),
         (503, Some(34 | 44)) => (Outcome::Full, Note::NoCircuit),
-        (503, _) | (500, Some(42)) => (Outcome::Full, Note::ProcessorFull(told.retry_after)),
+        (503, _) | (500, Some(42)) => (Outcome::Full, Note::ProcessorFull(details.retry_after)),
         (408 | 504, _) => (Outcome::TimedOut, Note::None),
         (487, _) => (Outcome::Cancelled, Note::None),
         _ => (Outcome::Error, Note::None),
     };
-    let ends = matches!(status, 404 | 410 | 413 | 415 | 416 | 484 | 485 | 488 | 603 | 604 | 606);
-    let finality = if ends && note == Note::None { Retryability::Final } else { Retryability::Retryable };
-    ResponseMeaning { outcome, note, retryability: finality }
+    let is_final = matches!(status, 404 | 410 | 413 | 415 | 416 | 484 | 485 | 488 | 603 | 604 | 606);
+    let retryability =
+        if is_final && note == Note::None { Retryability::Final } else { Retryability::Retryable };
+    ResponseMeaning { outcome, note, retryability }
 }
 
 /// A final answer to the caller.
@@ -94,14 +95,14 @@
 pub struct FinalAnswer {
     /// The status.
     pub status: u16,
-    /// Retry-After, whole seconds.
+    /// The value of Retry-After, in seconds.
     pub retry_after_s: Option<u64>,
     /// The text of the Reason header.
     pub text: &'static str,
 }
 
-/// The table towards the caller. `refused` is the controller's refusal with its advice, `None` its failure;
-/// `last` is the last final response of a switch to this call.
+/// The final answer to the caller. `refused` is the Retry-After of the controller's refusal, or `None` if the
+/// call failed; `last` is the last final response of a switch to this call.
 #[must_use]
 pub fn answer_to_caller(refused: Option<Duration>, last: Option<(u16, Note)>) -> FinalAnswer {
     match (refused, last) {
@@ -111,7 +112,7 @@
         (Some(wait), _) => {
             FinalAnswer { status: 503, retry_after_s: seconds(wait), text: "no switch could take the call" }
         }
-        // A switch's 408 or 503 is not the caller's: it would tell it to go elsewhere itself.
+        // A switch's 408 or 503 is not passed on: it would make the caller try another gateway itself.
         (None, Some((status, _))) if !matches!(status, 408 | 487 | 503 | 504) => {
             FinalAnswer { status, retry_after_s: None, text: "the switch refused the call" }
         }
@@ -123,15 +124,16 @@
     (!wait.is_zero()).then(|| retry_after_seconds(wait))
 }
 
-/// The seconds of a Retry-After, rounded up: a caller that comes earlier than it should is worse than one a little
-/// later.
+/// The seconds of a Retry-After, rounded up: a caller that retries too early does more harm than one that
+/// retries a little late.
 #[must_use]
 pub fn retry_after_seconds(wait: Duration) -> u64 {
     wait.as_secs() + u64::from(wait.subsec_nanos() > 0)
 }
 
-/// A switch's own overload control in the Via it sends back (RFC 7339 §4, RFC 7415 §3): a share of set-ups to hold
-/// back, or a rate. The rate is this gateway's part; the report wants what all senders may send.
+/// A switch's overload control in the Via that it sends back (RFC 7339 §4, RFC 7415 §3): a share of set-ups
+/// to hold back, or a rate. The rate in the Via is for this gateway alone; the report states the rate for all
+/// gateways together.
 #[must_use]
 pub fn overload_report(via: &Via<'_>, gateways: u32) -> Option<Report> {
     let oc = via.params.get("oc").filter(|v| !v.is_empty())?.parse::<f64>().ok();
@@ -151,7 +153,7 @@
     use super::*;
 
     #[test]
-    fn every_row_of_the_table_from_a_switch_holds() {
+    fn switch_responses_map_to_outcomes_as_tabulated() {
         let wait = Some(Duration::from_secs(2));
         let rows = [
             (503, None, None, Outcome::Full, Note::ProcessorFull(None), Retryability::Retryable),
@@ -167,8 +169,8 @@
             (604, None, None, Outcome::Error, Note::None, Retryability::Final),
             (302, None, None, Outcome::Error, Note::None, Retryability::Retryable),
         ];
-        for (status, retry_after, q850, outcome, note, finality) in rows {
-            let expected = ResponseMeaning { outcome, note, retryability: finality };
+        for (status, retry_after, q850, outcome, note, retryability) in rows {
+            let expected = ResponseMeaning { outcome, note, retryability };
             assert_eq!(
                 response_meaning(status, ResponseDetails { retry_after, q850 }),
                 expected,
@@ -178,7 +180,7 @@
     }
 
     #[test]
-    fn every_row_of_the_table_towards_the_caller_holds() {
+    fn decisions_map_to_caller_statuses_as_tabulated() {
         let ms = Duration::from_millis;
         let answer = |refused, last| {
             let a = answer_to_caller(refused, last);
@@ -193,14 +195,14 @@
     }
 
     #[test]
-    fn overload_words_become_a_share_or_a_rate() {
-        let words = |text: &str| overload_report(&Via::parse(text).expect("a Via"), 4);
-        let loss = words("SIP/2.0/TCP h;branch=z;oc=20;oc-algo=\"loss\";oc-validity=500;oc-seq=1.1");
+    fn overload_parameters_become_a_share_or_a_rate() {
+        let report = |text: &str| overload_report(&Via::parse(text).expect("a Via"), 4);
+        let loss = report("SIP/2.0/TCP h;branch=z;oc=20;oc-algo=\"loss\";oc-validity=500;oc-seq=1.1");
         assert_eq!(loss.and_then(|r| r.hold_back), Some(0.2));
-        let rate = words("SIP/2.0/TCP h;branch=z;oc=150;oc-algo=\"rate\";oc-validity=1000");
+        let rate = report("SIP/2.0/TCP h;branch=z;oc=150;oc-algo=\"rate\";oc-validity=1000");
         assert_eq!(rate.and_then(|r| r.can_take), Some(600.0));
-        assert_eq!(words("SIP/2.0/TCP h;oc=70;oc-validity=0").and_then(|r| r.hold_back), Some(0.0));
-        assert_eq!(words("SIP/2.0/TCP h;branch=z;oc"), None);
-        assert_eq!(words("SIP/2.0/TCP h;oc=-5"), None);
+        assert_eq!(report("SIP/2.0/TCP h;oc=70;oc-validity=0").and_then(|r| r.hold_back), Some(0.0));
+        assert_eq!(report("SIP/2.0/TCP h;branch=z;oc"), None);
+        assert_eq!(report("SIP/2.0/TCP h;oc=-5"), None);
     }
 }
--- a/crates/fawnrouter-engine/src/table.rs
+++ b/crates/fawnrouter-engine/src/table.rs
@@ -1,4 +1,4 @@
-//! The call table: calls, their attempt legs, the connections to switches, and what is due when.
+//! The call table: calls, their attempt legs, the connections to switches and clients, and the timers.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -13,69 +13,72 @@
 use crate::timer::{LegId, TimerKey};
 use fawnrouter_machine::{Backoff, Due};
 
-/// Where a call stands.
+/// The stage of a call.
 #[derive(Debug)]
 pub(crate) enum Stage {
-    /// Held or out; no final answer yet.
+    /// The call is held by the controller or an attempt is out; the caller has no final answer yet.
     Routing,
-    /// The caller was told 200.
+    /// The caller got 200.
     Established {
-        /// The leg that it stands on.
+        /// The leg to the switch.
         leg: LegId,
         /// The dialog with the caller.
         dialog: Box<Dialog>,
-        /// The caller has acknowledged it.
+        /// The caller has acknowledged the 200.
         acked: bool,
-        /// Since when.
+        /// When the call was established.
         established_at: Time,
     },
-    /// The caller was told another final answer, whose ACK is awaited.
+    /// The caller got another final answer, whose ACK is awaited.
     Ended,
 }
 
+/// A call with the transaction towards its caller.
 #[derive(Debug)]
 pub(crate) struct Call {
     pub client: ClientId,
-    /// Dropped once the call has ended.
+    /// The caller's INVITE; dropped once the call is established or has ended.
     pub invite: Option<Box<Message>>,
     pub branch: String,
     pub call_id: Arc<str>,
-    /// Random part of the tags towards the caller.
+    /// Random part of the To tags towards the caller.
     pub tag: u32,
-    /// RFC 7989 identifier, the same on both sides.
+    /// Session identifier of RFC 7989, the same on both legs.
     pub session_id: String,
     pub server_transaction: InviteServer,
     pub stage: Stage,
     pub received_at: Time,
-    /// When its caller's time is up.
+    /// When the caller's time is up.
     pub deadline: Time,
-    /// What the controller will be told of it when its turn has come.
+    /// The call to be submitted to the controller, while it waits for admission.
     pub queued: Option<NewCall>,
+    /// The leg of the attempt that is out.
     pub current_leg: Option<LegId>,
     pub attempts: u32,
-    /// The last final response of a switch.
+    /// Status and meaning of the last final response of a switch.
     pub last_response: Option<(u16, Note)>,
 }
 
-/// Where an attempt's leg stands.
+/// The state of an attempt's leg.
 #[derive(Debug)]
 pub(crate) enum LegState {
-    /// The controller waits for its outcome.
+    /// The attempt is out, and the controller waits for its outcome.
     Pending,
-    /// The controller has been told of its end; a late answer is released.
+    /// The attempt has ended for the controller; a late 2xx is released.
     Abandoned,
-    /// The call stands on it.
+    /// The call is established on this leg.
     Established {
         dialog: Box<Dialog>,
-        /// Its connection was lost meanwhile.
+        /// The connection is lost at present.
         connection_lost: bool,
         /// The connection was lost and came back.
         reconnected: bool,
     },
-    /// A BYE is out, or waits for the connection to come back.
+    /// A BYE was sent, or is pending until the connection comes back.
     Releasing { dialog: Box<Dialog>, bye_pending: bool },
 }
 
+/// An attempt's leg to a switch.
 #[derive(Debug)]
 pub(crate) struct Leg {
     pub call: CallId,
@@ -89,28 +92,31 @@
     pub from: String,
     pub to: String,
     pub call_id: String,
-    /// The ACK of the 2xx, to repeat when the switch repeats its answer.
+    /// The ACK of the 2xx, to be sent again when the switch repeats the 2xx.
     pub ack: Option<Vec<u8>>,
 }
 
+/// The state of the connection to a switch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TrunkState {
-    /// Waits to be opened again.
+    /// Closed until the next attempt to connect.
     Closed,
     Opening,
     Up,
 }
 
+/// A switch with its connection.
 #[derive(Debug)]
 pub(crate) struct Trunk {
     pub switch: Switch,
-    /// The list still names it.
+    /// The switch is on the list.
     pub listed: bool,
     pub state: TrunkState,
     pub backoff: Backoff,
     pub legs: BTreeSet<LegId>,
 }
 
+/// A client's connection.
 #[derive(Debug)]
 pub(crate) struct Client {
     pub peer: SocketAddr,
@@ -119,7 +125,7 @@
     pub identity: Identity,
 }
 
-/// Calls, legs, switches and clients, each found by its id.
+/// Calls, legs, switches and clients by id, and the timers.
 #[derive(Debug, Default)]
 pub(crate) struct CallTable {
     pub calls: BTreeMap<CallId, Call>,
@@ -128,30 +134,30 @@
     pub clients: BTreeMap<ClientId, Client>,
     /// INVITE transactions by connection and branch (RFC 3261 §17.2.3).
     pub by_branch: BTreeMap<(ClientId, String), CallId>,
-    /// Calls that wait only for the ACK of their refusal, oldest first.
+    /// Calls that only wait for the ACK of their final answer, oldest first; may hold ids of removed calls.
     pub ended: VecDeque<CallId>,
-    /// Calls that are ended, of those in `calls`.
+    /// Number of calls in `calls` that have ended.
     pub ended_count: usize,
     pub timers: Due<TimerKey>,
 }
 
 impl CallTable {
-    /// Calls that are held, out or standing.
+    /// Calls that have not ended.
     pub fn live_calls(&self) -> usize {
         self.calls.len() - self.ended_count
     }
 
-    /// Whether there is a connection to a switch.
+    /// Whether the connection to a switch is open.
     pub fn is_connected(&self, server: ServerId) -> bool {
         self.trunks.get(&server).is_some_and(|t| t.state == TrunkState::Up)
     }
 
-    /// The legs to a switch, as they are now.
+    /// The legs to a switch.
     pub fn legs_on(&self, server: ServerId) -> Vec<LegId> {
         self.trunks.get(&server).map(|t| t.legs.iter().copied().collect()).unwrap_or_default()
     }
 
-    /// Forgets a call.
+    /// Removes a call.
     pub fn remove_call(&mut self, id: CallId) -> Option<Call> {
         let call = self.calls.remove(&id)?;
         self.timers.clear(TimerKey::Call(id));
@@ -165,8 +171,8 @@
         Some(call)
     }
 
-    /// Keeps only what is needed to know a call's ACK and repeats. At the limit the oldest such call is forgotten:
-    /// its ACK will then be of no known call, which is ignored.
+    /// Ends a call and keeps only what is needed to recognise its ACK and repeated INVITEs. At the limit the
+    /// oldest ended call is removed; its ACK then belongs to no known call and is ignored.
     pub fn retire(&mut self, id: CallId, limit: usize) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.invite = None;
@@ -183,13 +189,13 @@
                 self.remove_call(oldest);
             }
         }
-        // Ids of calls that are gone already are dropped as they reach the front.
+        // Ids of removed calls are dropped as they reach the front.
         while self.ended.front().is_some_and(|id| !self.calls.contains_key(id)) {
             self.ended.pop_front();
         }
     }
 
-    /// Forgets a leg; tells the server it was on.
+    /// Removes a leg and returns it.
     pub fn remove_leg(&mut self, id: LegId) -> Option<Leg> {
         let leg = self.legs.remove(&id)?;
         self.timers.clear(TimerKey::Leg(id));
--- a/crates/fawnrouter-engine/src/timer.rs
+++ b/crates/fawnrouter-engine/src/timer.rs
@@ -1,4 +1,4 @@
-//! What comes due, by the ids of calls, legs and switches.
+//! Keys of the engine's timers.
 
 use fawnrouter::{CallId, ServerId, TimerId};
 
@@ -6,15 +6,15 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct LegId(pub u64);
 
-/// What comes due.
+/// What a timer is set for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum TimerKey {
     /// A timer of the controller.
     Controller(TimerId),
-    /// A call's time is up, or its ACK has not come.
+    /// The caller's deadline, or the end of the wait for its ACK.
     Call(CallId),
-    /// A leg's time-out, or its end of patience.
+    /// The time-out of an attempt, or the end of the wait for a late answer.
     Leg(LegId),
-    /// A connection may be tried again.
+    /// The next attempt to connect to a switch.
     Trunk(ServerId),
 }
--- a/crates/fawnrouter-engine/src/trunk.rs
+++ b/crates/fawnrouter-engine/src/trunk.rs
@@ -1,4 +1,4 @@
-//! The attempt legs: set-ups that go out to switches, and what comes back.
+//! The attempt legs: set-ups sent to switches, and the messages received from switches.
 
 use std::time::Duration;
 
@@ -15,7 +15,8 @@
 use crate::table::{Leg, LegState, Stage};
 use crate::timer::{LegId, TimerKey};
 
-/// Fields of the caller's INVITE that the gateway writes itself or that concern one hop only. All others pass.
+/// Header fields of the caller's INVITE that are not forwarded, because the gateway sets them itself or they
+/// concern one hop only. All other unknown fields are forwarded.
 const NOT_FORWARDED: [&str; 15] = [
     "Date",
     "Timestamp",
@@ -35,16 +36,17 @@
 ];
 
 impl Engine {
-    /// Sends if there is a connection. Without one, what is lost is an ACK or a CANCEL of a switch that is away.
+    /// Sends a message if the connection is open. Without one, only an ACK or a CANCEL to an unreachable
+    /// switch is lost.
     fn send_to_trunk(&mut self, server: ServerId, bytes: Vec<u8>) {
         if self.table.is_connected(server) {
             self.outputs.push(Output::ToTrunk { server, bytes });
         }
     }
 
-    /// Carries out the controller's decision to send a set-up.
+    /// Sends a set-up to a switch, as the controller decided.
     pub(crate) fn send_set_up(&mut self, id: CallId, server: ServerId, within: Duration) {
-        let up = self.table.is_connected(server);
+        let connected = self.table.is_connected(server);
         let Some(call) = self.table.calls.get_mut(&id).filter(|c| matches!(c.stage, Stage::Routing)) else {
             return;
         };
@@ -54,9 +56,9 @@
             .invite
             .as_deref()
             .zip(self.table.trunks.get(&server).map(|t| t.switch.address))
-            .filter(|_| up)
+            .filter(|_| connected)
         else {
-            // No connection: the set-up certainly never ran.
+            // Without a connection the set-up has certainly not been processed.
             let (outcome, note, took) = (Outcome::ConnectFailed, Note::None, Duration::ZERO);
             let (done, report) = (false, Report::default());
             self.events.push_back(Event::Closed {
@@ -75,8 +77,9 @@
         let leg_id = LegId(self.next_leg);
         let random = self.rng.next_u32();
         let host = &self.settings.host;
-        // RFC 7339 §5.1: the gateway heeds overload control by loss and by rate. `fr-within`, a parameter of our
-        // own that others ignore (§25.1 via-extension), tells after how many milliseconds it stops waiting.
+        // RFC 7339 §5.1: the gateway supports overload control by loss and by rate. `fr-within`, a private
+        // parameter that other implementations ignore (RFC 3261 §25.1 via-extension), is the time in
+        // milliseconds after which the gateway stops waiting.
         let via = format!(
             "SIP/2.0/TCP {host};branch=z9hG4bK{:x}.{random:08x};oc;oc-algo=\"loss,rate\";fr-within={}",
             leg_id.0,
@@ -107,14 +110,14 @@
             .field(Name::SessionId, &format!("{};remote={:032}", call.session_id, 0))
             .field(Name::Allow, ALLOW);
         for (name, raw, value) in invite.fields() {
-            let passes = match name {
+            let forwarded = match name {
                 Name::Subject | Name::Priority | Name::ResourcePriority | Name::UserAgent | Name::Accept => {
                     true
                 }
-                Name::Other => !NOT_FORWARDED.iter().any(|own| raw.eq_ignore_ascii_case(own)),
+                Name::Other => !NOT_FORWARDED.iter().any(|excluded| raw.eq_ignore_ascii_case(excluded)),
                 _ => false,
             };
-            if passes {
+            if forwarded {
                 draft.named(raw, value);
             }
         }
@@ -145,8 +148,8 @@
         self.send_to_trunk(server, bytes);
     }
 
-    /// A request that belongs to a leg's INVITE: CANCEL (§9.1), or the ACK of a final response of 300 or more
-    /// (§17.1.1.3). Both repeat its branch.
+    /// A request in the transaction of a leg's INVITE, with the same branch: CANCEL (§9.1), or the ACK of a
+    /// final response of 300 or more (§17.1.1.3).
     fn request_in_transaction(leg: &Leg, method: Method, to: &str) -> Vec<u8> {
         Draft::request(method, &leg.uri)
             .field(Name::Via, &leg.via)
@@ -169,7 +172,8 @@
         format!("SIP/2.0/TCP {};branch=z9hG4bKr{:016x}", self.settings.host, self.rng.next_u64())
     }
 
-    /// Acknowledges the 2xx of a leg, with the body of the caller's ACK (an answer to a late offer, §13.2.2.4).
+    /// Acknowledges the 2xx of a leg, with the body of the caller's ACK (an answer to a late offer,
+    /// §13.2.2.4).
     pub(crate) fn ack_leg(&mut self, id: LegId, from_caller: Option<&Message>) {
         let via = self.new_via();
         let Some(leg) = self.table.legs.get_mut(&id) else { return };
@@ -187,7 +191,7 @@
         self.send_to_trunk(server, bytes);
     }
 
-    /// Releases a leg whose call has ended: BYE now, or when the connection is back.
+    /// Releases a leg whose call has ended: sends BYE now, or when the connection is back.
     pub(crate) fn release_leg(&mut self, id: LegId) {
         let Some(leg) = self.table.legs.get_mut(&id) else { return };
         let state = std::mem::replace(&mut leg.state, LegState::Abandoned);
@@ -202,10 +206,10 @@
 
     pub(crate) fn send_bye(&mut self, id: LegId) {
         let via = self.new_via();
-        let up = self.table.legs.get(&id).is_some_and(|leg| self.table.is_connected(leg.server));
+        let connected = self.table.legs.get(&id).is_some_and(|leg| self.table.is_connected(leg.server));
         let Some(leg) = self.table.legs.get_mut(&id) else { return };
         let LegState::Releasing { dialog, bye_pending } = &mut leg.state else { return };
-        if up && *bye_pending {
+        if connected && *bye_pending {
             *bye_pending = false;
             let (server, bytes) = (leg.server, dialog.request(Method::Bye, &via).finish(b""));
             self.send_to_trunk(server, bytes);
@@ -232,14 +236,14 @@
         let branch = via.branch().unwrap_or("");
         let id = branch.strip_prefix("z9hG4bK").and_then(|b| b.split('.').next());
         let id = id.and_then(|hex| u64::from_str_radix(hex, 16).ok()).map(LegId);
-        let fits = |leg: &&mut Leg| {
+        let matches = |leg: &&mut Leg| {
             leg.server == server
                 && fawnrouter_sip::Via::parse(&leg.via).is_ok_and(|v| v.branch() == Some(branch))
         };
-        let known = id.and_then(|id| self.table.legs.get_mut(&id).filter(fits).map(|leg| (id, leg)));
+        let known = id.and_then(|id| self.table.legs.get_mut(&id).filter(matches).map(|leg| (id, leg)));
         let Some((id, leg)) = known else {
-            // Guards against a 2xx that comes when its attempt has long been forgotten: the switch would hold the
-            // call for ever. It could do harm only to a switch that answers what was never asked.
+            // A 2xx after its leg has been removed is released, or the switch would hold the call for ever.
+            // This can only affect a switch that answers a request that was never sent.
             if (200..300).contains(&status) {
                 self.release_unknown_dialog(server, response);
             }
@@ -247,12 +251,13 @@
         };
         match leg.client_transaction.on_response(status) {
             ClientStep::Provisional => {
-                let (call, attempt, out) = (leg.call, leg.attempt, matches!(leg.state, LegState::Pending));
+                let (call, attempt) = (leg.call, leg.attempt);
+                let pending = matches!(leg.state, LegState::Pending);
                 if let Some(report) = report {
                     let (took, ok) = (Duration::ZERO, true);
                     self.events.push_back(Event::Probed { server, ok, took, report });
                 }
-                if out && status > 100 {
+                if pending && status > 100 {
                     self.send_provisional(call, status, Some((response, attempt.0)));
                 }
             }
@@ -269,7 +274,7 @@
         let Some(leg) = self.table.legs.get_mut(&id) else { return };
         let (call, attempt, server, took) = (leg.call, leg.attempt, leg.server, self.now.since(leg.sent_at));
         let Ok(dialog) = Dialog::caller(response, &leg.uri, 1) else {
-            // A 2xx that cannot be acknowledged, as its To or Contact cannot be read, sets nothing up.
+            // A 2xx whose To or Contact cannot be parsed cannot be acknowledged, so it establishes no call.
             self.close_attempt(id, Outcome::Error, false);
             return;
         };
@@ -316,13 +321,13 @@
         let Some(leg) = self.table.legs.get(&id) else { return };
         let ack = Self::request_in_transaction(leg, Method::Ack, response.get(Name::To).unwrap_or(&leg.to));
         let (call, attempt, server) = (leg.call, leg.attempt, leg.server);
-        let (out, took) = (matches!(leg.state, LegState::Pending), self.now.since(leg.sent_at));
+        let (pending, took) = (matches!(leg.state, LegState::Pending), self.now.since(leg.sent_at));
         self.send_to_trunk(server, ack);
         self.table.remove_leg(id);
-        if out {
-            let status::ResponseMeaning { outcome, note, retryability: finality } =
+        if pending {
+            let status::ResponseMeaning { outcome, note, retryability } =
                 status::response_meaning(status, ResponseDetails::from_response(response));
-            let done = finality == Retryability::Final;
+            let done = retryability == Retryability::Final;
             if let Some(call) = self.table.calls.get_mut(&call) {
                 call.last_response = Some((status, note));
             }
@@ -336,7 +341,8 @@
         self.close_unused_trunk(server);
     }
 
-    /// A final response again. A second 2xx of another dialog, as a forking switch sends, is released on its own.
+    /// Handles a repeated final response. A second 2xx of another dialog, as a forking switch sends it, is
+    /// released separately.
     fn repeat_ack(&mut self, id: LegId, status: u16, response: &Message) {
         let Some(leg) = self.table.legs.get(&id) else { return };
         let server = leg.server;
@@ -352,7 +358,7 @@
         if to_tag(response).unwrap_or("") != dialog.remote_tag {
             return self.release_unknown_dialog(server, response);
         }
-        // Before the caller's ACK there is none to repeat: it will go out when that comes.
+        // Before the caller's ACK there is none to repeat: it will be sent when the caller's arrives.
         if let Some(ack) = leg.ack.clone() {
             self.send_to_trunk(server, ack);
         }
@@ -361,8 +367,8 @@
     fn on_bye_answer(&mut self, server: ServerId, response: &Message) {
         let tag = response.get(Name::From).and_then(|f| Address::parse(f).ok()).and_then(|a| a.tag());
         let id = tag.and_then(|t| self.leg_of_tag(t, server));
-        let over = id.filter(|id| matches!(self.table.legs[id].state, LegState::Releasing { .. }));
-        if let Some(id) = over {
+        let released = id.filter(|id| matches!(self.table.legs[id].state, LegState::Releasing { .. }));
+        if let Some(id) = released {
             self.table.remove_leg(id);
             self.close_unused_trunk(server);
         }
@@ -408,14 +414,14 @@
                         self.table.remove_leg(id);
                         self.close_unused_trunk(server);
                     }
-                    // The two BYEs crossed.
+                    // The BYEs of both sides crossed.
                     LegState::Releasing { dialog, .. } if dialog.matches(request) => answer(self, 200),
                     _ => answer(self, 481),
                 }
             }
             (Method::Bye, None) => answer(self, 481),
             (Method::Options, _) => answer(self, 200),
-            // A change of the session, or a call towards the callers: neither is passed on.
+            // A change of the session, or a call to one of the callers: neither is supported.
             (Method::Invite, Some(_)) => answer(self, 488),
             (Method::Invite, None) => answer(self, 403),
             (Method::Cancel, _) => answer(self, 481),
@@ -424,7 +430,8 @@
     }
 }
 
-/// The target at a switch: what was called, at its address. A tel URI becomes a sip one (RFC 3261 §19.1.6).
+/// The request-URI at a switch: the user part that was called, at the switch's address. A tel URI becomes a
+/// sip URI (RFC 3261 §19.1.6).
 fn request_uri(target: &str, address: std::net::SocketAddr) -> String {
     match Uri::parse(target) {
         Ok(uri) if uri.tel => format!("sip:{}{}@{address};user=phone", uri.user, uri.params.0),
