--- a/crates/fawnrouter-engine/tests/common/mod.rs
+++ b/crates/fawnrouter-engine/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! An engine driven by hand: a clock, clients and switches that answer what the test tells them to.
+//! A test rig around an engine: a clock, clients, and switches that answer as the test demands.
 #![allow(dead_code)]
 
 use std::collections::BTreeSet;
@@ -84,14 +84,14 @@
     Switch { entry, address: format!("127.0.0.1:{}", 5000 + id).parse().expect("an address") }
 }
 
-/// What left the engine, parsed.
+/// An output of the engine, with its message parsed.
 #[derive(Clone, Debug)]
 pub enum Sent {
     Client(ClientId, Message),
     Trunk(ServerId, Message),
     Open(ServerId),
     CloseTrunk(ServerId),
-    Known(ClientId, String),
+    ClientIdentified(ClientId, String),
     CloseClient(ClientId),
     Drained,
 }
@@ -100,30 +100,32 @@
     pub engine: Engine,
     pub now: Time,
     pub sent: Vec<Sent>,
-    /// When each of `sent` went out.
+    /// When each item of `sent` was sent.
     pub times: Vec<Time>,
-    /// Connections that the engine asked for are opened at once, except to these switches.
-    pub refuses: BTreeSet<u32>,
-    pub up: BTreeSet<u32>,
+    /// Switches that refuse connections. Connections to all others open at once when the engine asks for
+    /// them.
+    pub unreachable: BTreeSet<u32>,
+    pub connected: BTreeSet<u32>,
     calls: u64,
 }
 
-pub const C: ClientId = ClientId(1);
+pub const CLIENT: ClientId = ClientId(1);
 
 impl Rig {
     pub fn new(settings: EngineSettings) -> Self {
-        Self::around(Engine::new(settings).expect("the settings are sound"))
+        Self::with_engine(Engine::new(settings).expect("the settings are sound"))
     }
 
-    pub fn around(engine: Engine) -> Self {
+    pub fn with_engine(engine: Engine) -> Self {
         let now = Time::from_nanos(1_700_000_000_000_000_000);
-        let (sent, times, refuses, up) = (Vec::new(), Vec::new(), BTreeSet::new(), BTreeSet::new());
-        let mut rig = Self { engine, now, sent, times, refuses, up, calls: 0 };
-        rig.client_up(C, [127, 0, 0, 1]);
+        let (unreachable, connected) = (BTreeSet::new(), BTreeSet::new());
+        let mut rig =
+            Self { engine, now, sent: Vec::new(), times: Vec::new(), unreachable, connected, calls: 0 };
+        rig.client_up(CLIENT, [127, 0, 0, 1]);
         rig
     }
 
-    /// With switches 70, 71, ... of pools 0, 1, ..., all connected.
+    /// A rig with connected switches 70, 71, ... of pools 0, 1, ...
     pub fn with_switches(count: u32) -> Self {
         let mut rig = Self::new(settings());
         rig.list(ListKind::Whole, (70..70 + count).map(switch).collect());
@@ -134,7 +136,7 @@
         self.input(Input::List { kind, switches });
     }
 
-    /// A client's connection from this address.
+    /// Opens a client's connection from this address.
     pub fn client_up(&mut self, client: ClientId, address: [u8; 4]) {
         let peer = std::net::SocketAddr::from((address, 999));
         self.input(Input::ClientUp { client, peer, origin: peer.ip(), must_authenticate: false });
@@ -150,7 +152,7 @@
             match output {
                 Output::ToClient { client, bytes } => self.sent.push(Sent::Client(client, parse(&bytes))),
                 Output::ToTrunk { server, bytes } => {
-                    assert!(self.up.contains(&server.0), "sent to a switch without a connection");
+                    assert!(self.connected.contains(&server.0), "sent to a switch without a connection");
                     self.sent.push(Sent::Trunk(server, parse(&bytes)));
                 }
                 Output::OpenTrunk { server, .. } => {
@@ -158,11 +160,11 @@
                     opened.push(server);
                 }
                 Output::CloseTrunk { server } => {
-                    self.up.remove(&server.0);
+                    self.connected.remove(&server.0);
                     self.sent.push(Sent::CloseTrunk(server));
                 }
                 Output::ClientIdentified { client, name } => {
-                    self.sent.push(Sent::Known(client, name.to_string()))
+                    self.sent.push(Sent::ClientIdentified(client, name.to_string()))
                 }
                 Output::CloseClient { client, .. } => self.sent.push(Sent::CloseClient(client)),
                 Output::Drained => self.sent.push(Sent::Drained),
@@ -171,31 +173,31 @@
         }
         self.times.resize(self.sent.len(), self.now);
         for server in opened {
-            if self.refuses.contains(&server.0) {
+            if self.unreachable.contains(&server.0) {
                 self.input(Input::TrunkDown { server });
             } else {
-                self.up.insert(server.0);
+                self.connected.insert(server.0);
                 self.input(Input::TrunkUp { server });
             }
         }
     }
 
     pub fn trunk_down(&mut self, server: u32) {
-        self.up.remove(&server);
+        self.connected.remove(&server);
         self.input(Input::TrunkDown { server: ServerId(server) });
     }
 
-    /// Lets time pass, waking the engine whenever it asks for it.
-    pub fn pass(&mut self, span: Duration) {
-        let end = self.now.plus(span);
-        while let Some(due) = self.engine.next_wake().filter(|t| *t <= end) {
-            self.now = self.now.max(due);
+    /// Advances the clock and wakes the engine whenever it asks for it.
+    pub fn advance(&mut self, time: Duration) {
+        let end = self.now.plus(time);
+        while let Some(wake) = self.engine.next_wake().filter(|t| *t <= end) {
+            self.now = self.now.max(wake);
             self.input(Input::Wake);
         }
         self.now = end;
     }
 
-    /// A fresh INVITE; the number tells calls apart.
+    /// A new INVITE; each has its own number.
     pub fn invite(&mut self, expires: Option<u64>, extra: &[(&str, &str)]) -> Message {
         self.calls += 1;
         let n = self.calls;
@@ -218,58 +220,60 @@
         parse(&draft.finish(b"v=0 offer"))
     }
 
-    pub fn client_says(&mut self, message: &Message) {
-        self.says(C, message);
+    pub fn send_from_client(&mut self, message: &Message) {
+        self.send_from(CLIENT, message);
     }
 
-    pub fn says(&mut self, client: ClientId, message: &Message) {
+    pub fn send_from(&mut self, client: ClientId, message: &Message) {
         self.input(Input::ClientMessage { client, message: Box::new(message.clone()) });
     }
 
-    /// Sends a fresh INVITE.
+    /// Sends a new INVITE.
     pub fn call(&mut self, expires: u64) -> Message {
         let invite = self.invite(Some(expires), &[]);
-        self.client_says(&invite);
+        self.send_from_client(&invite);
         invite
     }
 
-    pub fn switch_says(&mut self, server: ServerId, message: &Message) {
+    pub fn send_from_switch(&mut self, server: ServerId, message: &Message) {
         self.input(Input::TrunkMessage { server, message: Box::new(message.clone()) });
     }
 
-    /// A switch answers an INVITE (or another request) of the gateway.
+    /// Sends a switch's response to an INVITE or another request of the gateway.
     pub fn answer(&mut self, server: ServerId, request: &Message, status: u16, extra: &[(Name, &str)]) {
         let response = response(request, status, extra);
-        self.switch_says(server, &response);
+        self.send_from_switch(server, &response);
     }
 
-    /// Takes what was sent so far.
-    pub fn take(&mut self) -> Vec<Sent> {
+    /// Takes everything that was sent so far.
+    pub fn take_sent(&mut self) -> Vec<Sent> {
         self.times.clear();
         std::mem::take(&mut self.sent)
     }
 
-    /// Requests of this method sent to switches so far, with where.
-    pub fn to_switches(&self, method: Method) -> Vec<(ServerId, Message)> {
-        let hits = self.sent.iter().filter_map(|s| match s {
+    /// Requests of this method that were sent to switches so far, with the switch.
+    pub fn requests_to_switches(&self, method: Method) -> Vec<(ServerId, Message)> {
+        let requests = self.sent.iter().filter_map(|s| match s {
             Sent::Trunk(server, m) if m.method() == Some(method) => Some((*server, m.clone())),
             _ => None,
         });
-        hits.collect()
+        requests.collect()
     }
 
-    /// The last such request.
-    pub fn last_to_switch(&self, method: Method) -> (ServerId, Message) {
-        self.to_switches(method).pop().unwrap_or_else(|| panic!("no {method:?} was sent: {:#?}", self.sent))
+    /// The last request of this method that was sent to a switch.
+    pub fn last_request_to_switch(&self, method: Method) -> (ServerId, Message) {
+        self.requests_to_switches(method)
+            .pop()
+            .unwrap_or_else(|| panic!("no {method:?} was sent: {:#?}", self.sent))
     }
 
-    /// Statuses of all responses to the INVITE with this Call-ID.
+    /// Statuses of all responses to a request of a client.
     pub fn statuses(&self, invite: &Message) -> Vec<u16> {
-        self.answers(invite).iter().filter_map(Message::status).collect()
+        self.responses(invite).iter().filter_map(Message::status).collect()
     }
 
-    pub fn answers(&self, invite: &Message) -> Vec<Message> {
-        let hits = self.sent.iter().filter_map(|s| match s {
+    pub fn responses(&self, invite: &Message) -> Vec<Message> {
+        let responses = self.sent.iter().filter_map(|s| match s {
             Sent::Client(_, m)
                 if m.status().is_some()
                     && m.get(Name::CallId) == invite.get(Name::CallId)
@@ -279,31 +283,32 @@
             }
             _ => None,
         });
-        hits.collect()
+        responses.collect()
     }
 
-    /// The final statuses among them.
-    pub fn finals(&self, invite: &Message) -> Vec<u16> {
+    /// Statuses of all final responses to a request of a client.
+    pub fn final_statuses(&self, invite: &Message) -> Vec<u16> {
         self.statuses(invite).into_iter().filter(|s| *s >= 200).collect()
     }
 
-    /// Requests of the gateway to the client.
-    pub fn to_client(&self, method: Method) -> Vec<Message> {
-        let hits = self.sent.iter().filter_map(|s| match s {
+    /// Requests of this method that were sent to clients so far.
+    pub fn requests_to_client(&self, method: Method) -> Vec<Message> {
+        let requests = self.sent.iter().filter_map(|s| match s {
             Sent::Client(_, m) if m.method() == Some(method) => Some(m.clone()),
             _ => None,
         });
-        hits.collect()
+        requests.collect()
     }
 
-    /// A call that stands, acknowledged: its INVITE, its 200, the switch and the INVITE that went there.
-    pub fn standing(&mut self) -> (Message, Message, ServerId, Message) {
+    /// Establishes and acknowledges a call. Returns its INVITE, its 200, the switch and the INVITE sent
+    /// there.
+    pub fn establish_call(&mut self) -> (Message, Message, ServerId, Message) {
         let invite = self.call(9);
-        let (server, out) = self.last_to_switch(Method::Invite);
+        let (server, out) = self.last_request_to_switch(Method::Invite);
         self.answer(server, &out, 200, &[]);
-        let ok = self.answers(&invite).pop().expect("an answer");
+        let ok = self.responses(&invite).pop().expect("an answer");
         assert_eq!(ok.status(), Some(200));
-        self.client_says(&in_dialog(&invite, &ok, Method::Ack, 1));
+        self.send_from_client(&in_dialog(&invite, &ok, Method::Ack, 1));
         (invite, ok, server, out)
     }
 }
@@ -312,7 +317,7 @@
     Message::parse(bytes, &SipLimits::default()).expect("a sound message")
 }
 
-/// What a switch answers.
+/// A switch's response to a request.
 pub fn response(request: &Message, status: u16, extra: &[(Name, &str)]) -> Message {
     let mut draft = Draft::answer(request, status, None, "sw", None);
     if (200..300).contains(&status) {
@@ -326,7 +331,7 @@
     parse(&draft.finish(body))
 }
 
-/// The caller's request in the dialog that its 200 began.
+/// The caller's request in the dialog that the 200 established.
 pub fn in_dialog(invite: &Message, ok: &Message, method: Method, cseq: u32) -> Message {
     let mut draft = Draft::request(method, "sip:gateway@gw.example;transport=ws");
     draft
@@ -347,7 +352,7 @@
     parse(&draft.finish(b""))
 }
 
-/// The caller's ACK of a refusal.
+/// The caller's ACK of a final response of 300 or more.
 pub fn ack_refusal(invite: &Message, refusal: &Message) -> Message {
     let mut draft = Draft::request(Method::Ack, "sip:x@gw.example");
     draft.copy(invite, Name::Via).copy(invite, Name::MaxForwards).copy(invite, Name::From);
--- a/crates/fawnrouter-engine/tests/gate.rs
+++ b/crates/fawnrouter-engine/tests/gate.rs
@@ -1,4 +1,4 @@
-//! Before the controller: who a client is, and whose set-up is next.
+//! Tests of the checks before the controller: authentication of clients and admission of set-ups.
 
 mod common;
 
@@ -24,14 +24,13 @@
     KnownClient { name: name.into(), secret, limits: limits(pending) }
 }
 
-fn guarded(strangers: UnknownClients) -> EngineSettings {
+/// Settings with authentication.
+fn authenticating(unknown_clients: UnknownClients) -> EngineSettings {
     let guard = GuardSettings { realm: REALM.into(), md5: false, nonce_life: ms(60_000), attempts: 3 };
-    EngineSettings {
-        auth: Some(AuthSettings { guard, key: [3; 32], unknown_clients: strangers }),
-        ..settings()
-    }
+    EngineSettings { auth: Some(AuthSettings { guard, key: [3; 32], unknown_clients }), ..settings() }
 }
 
+/// Admission of set-ups with room for `held` of them at the controller.
 fn queued(held: usize) -> SetUpSettings {
     SetUpSettings {
         known: limits(100),
@@ -53,21 +52,21 @@
     let mut rig = Rig::new(settings);
     rig.list(ListKind::Whole, vec![switch(70)]);
     rig.input(Input::KnownClients(vec![known("branch", "tellers", 100), known("app", "beans", 2)]));
-    rig.take();
+    rig.take_sent();
     rig
 }
 
 /// The nonce of the last challenge.
 fn nonce(rig: &Rig) -> String {
-    let asked = rig.sent.iter().rev().find_map(|s| match s {
+    let challenge = rig.sent.iter().rev().find_map(|s| match s {
         Sent::Client(_, m) => m.get(Name::WwwAuthenticate).map(str::to_owned),
         _ => None,
     });
-    let asked = asked.expect("a challenge");
-    asked.split("nonce=\"").nth(1).and_then(|r| r.split('"').next()).expect("a nonce").to_owned()
+    let challenge = challenge.expect("a challenge");
+    challenge.split("nonce=\"").nth(1).and_then(|r| r.split('"').next()).expect("a nonce").to_owned()
 }
 
-/// The request once more, with credentials and the next CSeq (RFC 3261 §22.2).
+/// The same request with credentials and the next CSeq (RFC 3261 §22.2).
 fn with_credentials(request: &Message, name: &str, password: &str, nonce: &str, nc: u32) -> Message {
     let Start::Request { name: method, uri, .. } = request.start() else { panic!("a request") };
     let (nc_text, hash) = (format!("{nc:08x}"), ha1(Algorithm::Sha256, name, REALM, password));
@@ -95,18 +94,18 @@
 }
 
 #[test]
-fn a_call_is_challenged_comes_again_with_its_proof_and_later_ones_need_none() {
-    let mut rig = rig(guarded(UnknownClients::Challenged));
+fn call_is_challenged_and_accepted_with_credentials_and_later_calls_need_none() {
+    let mut rig = rig(authenticating(UnknownClients::Challenged));
     let invite = rig.call(9);
-    assert_eq!(rig.finals(&invite), [401]);
-    assert!(rig.to_switches(Method::Invite).is_empty(), "nothing goes out for it");
+    assert_eq!(rig.final_statuses(&invite), [401]);
+    assert!(rig.requests_to_switches(Method::Invite).is_empty(), "no set-up is sent without credentials");
     let proven = with_credentials(&invite, "branch", "tellers", &nonce(&rig), 1);
-    rig.client_says(&proven);
-    assert!(rig.sent.iter().any(|s| matches!(s, Sent::Known(C, name) if name == "branch")));
-    let (server, out) = rig.last_to_switch(Method::Invite);
-    assert_eq!(out.get_named("Authorization"), None, "the proof stays here");
+    rig.send_from_client(&proven);
+    assert!(rig.sent.iter().any(|s| matches!(s, Sent::ClientIdentified(CLIENT, name) if name == "branch")));
+    let (server, out) = rig.last_request_to_switch(Method::Invite);
+    assert_eq!(out.get_named("Authorization"), None, "the credentials are not forwarded");
     rig.answer(server, &out, 200, &[]);
-    assert_eq!(rig.finals(&proven), [200]);
+    assert_eq!(rig.final_statuses(&proven), [200]);
     let next = rig.call(9);
     assert_eq!(rig.statuses(&next), [100]);
     let c = rig.engine.counters();
@@ -114,33 +113,33 @@
 }
 
 #[test]
-fn a_thief_of_the_proof_a_wrong_secret_and_another_name_get_nowhere() {
-    let mut rig = rig(guarded(UnknownClients::Challenged));
+fn stolen_credentials_wrong_secrets_and_another_clients_name_are_refused() {
+    let mut rig = rig(authenticating(UnknownClients::Challenged));
     let invite = rig.call(9);
     let proven = with_credentials(&invite, "branch", "tellers", &nonce(&rig), 1);
-    rig.client_says(&proven);
+    rig.send_from_client(&proven);
     let thief = ClientId(2);
     rig.client_up(thief, [127, 0, 0, 1]);
-    rig.take();
-    rig.says(thief, &proven);
-    assert_eq!(rig.finals(&proven), [401], "the nonce is good on its own connection only");
-    // One connection, one client.
-    let other = with_credentials(&invite, "app", "beans", &nonce_on(&mut rig, C, &invite), 2);
-    rig.take();
-    rig.client_says(&other);
-    assert_eq!(rig.finals(&other), [403]);
+    rig.take_sent();
+    rig.send_from(thief, &proven);
+    assert_eq!(rig.final_statuses(&proven), [401], "the nonce is valid on its own connection only");
+    // A connection belongs to one client.
+    let other = with_credentials(&invite, "app", "beans", &nonce_on(&mut rig, CLIENT, &invite), 2);
+    rig.take_sent();
+    rig.send_from_client(&other);
+    assert_eq!(rig.final_statuses(&other), [403]);
     for n in 1..=3 {
-        rig.take();
+        rig.take_sent();
         let guess = with_credentials(&invite, "branch", "guess", &nonce_on(&mut rig, thief, &invite), n);
-        rig.take();
-        rig.says(thief, &guess);
-        assert_eq!(rig.finals(&guess), [if n < 3 { 401 } else { 403 }]);
+        rig.take_sent();
+        rig.send_from(thief, &guess);
+        assert_eq!(rig.final_statuses(&guess), [if n < 3 { 401 } else { 403 }]);
     }
     assert!(rig.sent.iter().any(|s| matches!(s, Sent::CloseClient(c) if *c == thief)));
     assert_eq!(rig.engine.counters().auth_failures, 1);
 }
 
-/// A fresh nonce for a connection, asked for with an empty one.
+/// A new nonce for a connection, requested with an empty one.
 fn nonce_on(rig: &mut Rig, client: ClientId, like: &Message) -> String {
     let mut draft = Draft::request(Method::Options, "sip:gw.example");
     draft.field(Name::Via, "SIP/2.0/WS c1.invalid;branch=z9hG4bKask").copy(like, Name::MaxForwards);
@@ -151,16 +150,16 @@
         .field(Name::CSeq, "1 OPTIONS");
     let empty = format!("Digest username=\"x\", realm=\"{REALM}\", nonce=\"\", uri=\"\", response=\"\"");
     draft.field(Name::Authorization, &empty);
-    rig.says(client, &parse(&draft.finish(b"")));
+    rig.send_from(client, &parse(&draft.finish(b"")));
     nonce(rig)
 }
 
 #[test]
-fn where_strangers_may_call_a_client_can_still_show_who_it_is_and_is_told_by_its_options() {
-    let mut rig = rig(guarded(UnknownClients::Allowed));
+fn client_can_authenticate_with_options_where_unknown_clients_may_call() {
+    let mut rig = rig(authenticating(UnknownClients::Allowed));
     let invite = rig.call(9);
     assert_eq!(rig.statuses(&invite), [100]);
-    let nonce = nonce_on(&mut rig, C, &invite);
+    let nonce = nonce_on(&mut rig, CLIENT, &invite);
     let mut draft = Draft::request(Method::Options, "sip:gw.example");
     draft.field(Name::Via, "SIP/2.0/WS c1.invalid;branch=z9hG4bKo").copy(&invite, Name::MaxForwards);
     draft
@@ -169,60 +168,60 @@
         .field(Name::CallId, "o")
         .field(Name::CSeq, "1 OPTIONS");
     let options = with_credentials(&parse(&draft.finish(b"")), "branch", "tellers", &nonce, 1);
-    rig.client_says(&options);
-    let told = rig.answers(&options).pop().expect("an answer");
-    assert_eq!(told.status(), Some(200));
-    assert!(told.get(Name::AuthenticationInfo).is_some_and(|i| i.contains("rspauth=")));
-    assert_eq!(rig.engine.client_name(C).map(|n| &**n), Some("branch"));
+    rig.send_from_client(&options);
+    let response = rig.responses(&options).pop().expect("a response");
+    assert_eq!(response.status(), Some(200));
+    assert!(response.get(Name::AuthenticationInfo).is_some_and(|i| i.contains("rspauth=")));
+    assert_eq!(rig.engine.client_name(CLIENT).map(|n| &**n), Some("branch"));
 }
 
 #[test]
-fn one_on_probation_gets_nothing_until_it_has_shown_who_it_is() {
-    let mut rig = rig(guarded(UnknownClients::Allowed));
+fn connection_that_must_authenticate_is_not_served_before() {
+    let mut rig = rig(authenticating(UnknownClients::Allowed));
     let late = ClientId(7);
     let peer = std::net::SocketAddr::from(([127, 0, 0, 7], 7));
     rig.input(Input::ClientUp { client: late, peer, origin: peer.ip(), must_authenticate: true });
     let invite = rig.invite(Some(9), &[]);
-    rig.says(late, &invite);
-    assert_eq!(rig.finals(&invite), [401]);
+    rig.send_from(late, &invite);
+    assert_eq!(rig.final_statuses(&invite), [401]);
     let proven = with_credentials(&invite, "branch", "tellers", &nonce(&rig), 1);
-    rig.says(late, &proven);
+    rig.send_from(late, &proven);
     assert_eq!(rig.statuses(&proven), [100]);
 }
 
 #[test]
-fn a_client_whose_secret_changed_shows_again_who_it_is_and_keeps_its_calls() {
-    let mut rig = rig(guarded(UnknownClients::Challenged));
+fn client_whose_secret_changed_authenticates_again_and_keeps_its_calls() {
+    let mut rig = rig(authenticating(UnknownClients::Challenged));
     let invite = rig.call(9);
     let proven = with_credentials(&invite, "branch", "tellers", &nonce(&rig), 1);
-    rig.client_says(&proven);
-    let (server, out) = rig.last_to_switch(Method::Invite);
+    rig.send_from_client(&proven);
+    let (server, out) = rig.last_request_to_switch(Method::Invite);
     rig.answer(server, &out, 200, &[]);
     rig.input(Input::KnownClients(vec![known("branch", "new", 100)]));
     assert_eq!(rig.engine.live_calls(), 1);
     let next = rig.call(9);
-    assert_eq!(rig.finals(&next), [401]);
+    assert_eq!(rig.final_statuses(&next), [401]);
     let proven = with_credentials(&next, "branch", "new", &nonce(&rig), 2);
-    rig.client_says(&proven);
+    rig.send_from_client(&proven);
     assert_eq!(rig.statuses(&proven), [100]);
 }
 
-/// Decides nothing but to hold each call until the test lets the first one go, by a list.
+/// A controller that holds each call, and sends out the first one whenever it gets a list.
 #[derive(Debug, Default)]
-struct Holds {
+struct HoldingController {
     held: VecDeque<CallId>,
-    heard: BTreeSet<CallId>,
+    submitted: BTreeSet<CallId>,
 }
 
-impl Decide for Holds {
+impl Decide for HoldingController {
     fn handle(&mut self, _: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Call(call) => {
                 self.held.push_back(call.id);
-                self.heard.insert(call.id);
+                self.submitted.insert(call.id);
             }
             Event::Lapsed(call) => {
-                assert!(self.heard.contains(&call), "the controller was never told of it");
+                assert!(self.submitted.contains(&call), "the call was never submitted to the controller");
                 self.held.retain(|c| *c != call);
             }
             Event::List { .. } => {
@@ -235,55 +234,59 @@
     }
 }
 
-/// An engine whose controller holds what it gets, with room for so many.
-fn holding(room: usize) -> Rig {
-    let settings = EngineSettings { set_ups: Some(queued(room)), ..settings() };
-    let mut rig = Rig::around(Engine::with_controller(settings, Box::new(Holds::default())));
-    let_go(&mut rig);
+/// An engine whose controller holds its calls, with room for `held` of them.
+fn holding(held: usize) -> Rig {
+    let settings = EngineSettings { set_ups: Some(queued(held)), ..settings() };
+    let mut rig = Rig::with_engine(Engine::with_controller(settings, Box::new(HoldingController::default())));
+    send_first_held(&mut rig);
     rig
 }
 
-/// The first call that is held goes out.
-fn let_go(rig: &mut Rig) {
+/// Makes the controller send out the first call that it holds.
+fn send_first_held(rig: &mut Rig) {
     rig.list(ListKind::Whole, vec![switch(70)]);
 }
 
 #[test]
-fn one_clients_burst_waits_behind_itself_and_each_gets_one_answer_in_time() {
+fn burst_of_one_client_does_not_delay_others_and_each_call_gets_one_answer_in_time() {
     let mut rig = holding(2);
-    let calm = ClientId(2);
-    rig.client_up(calm, [127, 0, 0, 2]);
+    let other = ClientId(2);
+    rig.client_up(other, [127, 0, 0, 2]);
     let burst: Vec<Message> = (0..20).map(|_| rig.call(9)).collect();
-    let one = rig.invite(Some(9), &[]);
-    rig.says(calm, &one);
-    let seen = rig.engine.set_up_admission().expect("on");
-    assert_eq!((seen.held(), seen.waiting()), (2, 19));
-    assert!(burst.iter().all(|i| rig.statuses(i) == [100]), "each is told that it is worked on");
-    // Three go out: the two that were held, and the first of the burst that waited. Then it is the other's turn.
-    (0..4).for_each(|_| let_go(&mut rig));
-    let (server, out) = rig.last_to_switch(Method::Invite);
-    assert_eq!(out.get(Name::To), one.get(Name::To));
+    let single = rig.invite(Some(9), &[]);
+    rig.send_from(other, &single);
+    let set_ups = rig.engine.set_up_admission().expect("on");
+    assert_eq!((set_ups.held(), set_ups.waiting()), (2, 19));
+    assert!(burst.iter().all(|i| rig.statuses(i) == [100]), "each waiting call has got its 100");
+    // Three calls are sent first: the two that were held, and the first waiting one of the burst. Then it is
+    // the other client's turn.
+    (0..4).for_each(|_| send_first_held(&mut rig));
+    let (server, out) = rig.last_request_to_switch(Method::Invite);
+    assert_eq!(out.get(Name::To), single.get(Name::To));
     rig.answer(server, &out, 200, &[]);
-    assert_eq!(rig.finals(&one), [200]);
-    rig.pass(ms(500));
-    let late = burst.iter().filter(|i| rig.finals(i) == [503]).count();
+    assert_eq!(rig.final_statuses(&single), [200]);
+    rig.advance(ms(500));
+    let late = burst.iter().filter(|i| rig.final_statuses(i) == [503]).count();
     assert_eq!(
         (late, rig.engine.set_up_admission().expect("on").waiting()),
         (15, 0),
-        "no turn came for them in time"
+        "calls that were not admitted in time are refused"
     );
-    let told: Vec<u64> = burst
+    let retry_after_s: Vec<u64> = burst
         .iter()
-        .filter(|i| rig.finals(i) == [503])
-        .filter_map(|i| rig.answers(i).pop()?.get(Name::RetryAfter)?.parse().ok())
+        .filter(|i| rig.final_statuses(i) == [503])
+        .filter_map(|i| rig.responses(i).pop()?.get(Name::RetryAfter)?.parse().ok())
         .collect();
-    assert!(told.len() == 15 && told.iter().all(|s| (1..=2).contains(s)), "{told:?}");
-    rig.pass(ms(10_000));
-    assert!(burst.iter().all(|i| rig.finals(i).len() == 1), "exactly one final answer each");
+    assert!(
+        retry_after_s.len() == 15 && retry_after_s.iter().all(|s| (1..=2).contains(s)),
+        "{retry_after_s:?}"
+    );
+    rig.advance(ms(10_000));
+    assert!(burst.iter().all(|i| rig.final_statuses(i).len() == 1), "exactly one final answer each");
 }
 
 #[test]
-fn turns_go_round_among_clients_as_set_ups_go_out() {
+fn waiting_set_ups_are_admitted_round_robin_among_clients() {
     let mut rig = holding(1);
     for client in 2..5u8 {
         rig.client_up(ClientId(client.into()), [127, 0, 0, client]);
@@ -291,64 +294,65 @@
     let mut order = Vec::new();
     for client in [2u64, 2, 2, 2, 3, 3, 4] {
         let invite = rig.invite(Some(9), &[]);
-        rig.says(ClientId(client), &invite);
+        rig.send_from(ClientId(client), &invite);
         order.push((invite.get(Name::To).expect("a To").to_owned(), client));
     }
-    (0..7).for_each(|_| let_go(&mut rig));
-    let whose = |m: &Message| order.iter().find(|(to, _)| m.get(Name::To) == Some(to)).map(|o| o.1);
-    let sent: Vec<u64> = rig.to_switches(Method::Invite).iter().filter_map(|(_, m)| whose(m)).collect();
-    assert_eq!(sent, [2, 2, 3, 4, 2, 3, 2], "the first was held already, then turn by turn");
+    (0..7).for_each(|_| send_first_held(&mut rig));
+    let client_of = |m: &Message| order.iter().find(|(to, _)| m.get(Name::To) == Some(to)).map(|o| o.1);
+    let sent: Vec<u64> =
+        rig.requests_to_switches(Method::Invite).iter().filter_map(|(_, m)| client_of(m)).collect();
+    assert_eq!(sent, [2, 2, 3, 4, 2, 3, 2], "the first was held already, then the clients take turns");
 }
 
 #[test]
-fn a_caller_that_leaves_while_it_waits_is_answered_and_the_controller_hears_nothing_of_it() {
+fn call_cancelled_while_it_waits_is_answered_and_never_submitted_to_the_controller() {
     let mut rig = holding(1);
-    let (held, waits, gone) = (rig.call(9), rig.call(9), rig.call(9));
-    rig.client_says(&cancel(&waits));
-    assert_eq!((rig.finals(&held), rig.finals(&waits)), (vec![], vec![487]));
+    let (held, cancelled, disconnected) = (rig.call(9), rig.call(9), rig.call(9));
+    rig.send_from_client(&cancel(&cancelled));
+    assert_eq!((rig.final_statuses(&held), rig.final_statuses(&cancelled)), (vec![], vec![487]));
     assert_eq!(rig.engine.set_up_admission().expect("on").waiting(), 1);
-    rig.input(Input::ClientDown { client: C });
+    rig.input(Input::ClientDown { client: CLIENT });
     assert_eq!(rig.engine.live_calls(), 0);
-    assert!(rig.finals(&gone).is_empty(), "nobody is there to be told");
-    (0..3).for_each(|_| let_go(&mut rig));
-    rig.pass(ms(5000));
-    assert!(rig.to_switches(Method::Invite).is_empty());
+    assert!(rig.final_statuses(&disconnected).is_empty(), "a disconnected caller gets no answer");
+    (0..3).for_each(|_| send_first_held(&mut rig));
+    rig.advance(ms(5000));
+    assert!(rig.requests_to_switches(Method::Invite).is_empty());
 }
 
 #[test]
-fn a_call_whose_time_is_nearly_up_when_its_turn_comes_has_only_what_is_left() {
+fn time_spent_waiting_counts_against_the_deadline_of_the_call() {
     let mut rig = holding(1);
     let (first, second) = (rig.call(9), rig.call(1));
-    rig.pass(ms(400));
-    let_go(&mut rig);
-    rig.pass(ms(599));
-    assert_eq!((rig.finals(&first), rig.finals(&second)), (vec![], vec![]));
-    rig.pass(ms(1));
-    assert_eq!(rig.finals(&second), [504], "one second after it came, not one after its turn");
+    rig.advance(ms(400));
+    send_first_held(&mut rig);
+    rig.advance(ms(599));
+    assert_eq!((rig.final_statuses(&first), rig.final_statuses(&second)), (vec![], vec![]));
+    rig.advance(ms(1));
+    assert_eq!(rig.final_statuses(&second), [504], "one second after its INVITE, not after its admission");
 }
 
 #[test]
-fn a_gate_that_is_off_and_one_with_room_for_all_give_the_same_outputs_to_the_byte() {
+fn admission_with_room_for_all_gives_the_same_outputs_as_none() {
     let outputs = |settings: EngineSettings| {
         let mut rig = Rig::new(settings);
         rig.list(ListKind::Whole, (70..73).map(switch).collect());
         for n in 0..200 {
             rig.call(3);
-            if let Some((server, out)) = rig.to_switches(Method::Invite).pop() {
+            if let Some((server, out)) = rig.requests_to_switches(Method::Invite).pop() {
                 rig.answer(server, &out, [503, 200, 486, 200, 408][n % 5], &[]);
             }
             if n % 40 == 20 {
                 rig.trunk_down(70 + (n as u32 / 40) % 3);
             }
-            rig.pass(ms(17));
+            rig.advance(ms(17));
         }
-        rig.pass(ms(5000));
-        rig.input(Input::ClientDown { client: C });
-        rig.pass(ms(40_000));
+        rig.advance(ms(5000));
+        rig.input(Input::ClientDown { client: CLIENT });
+        rig.advance(ms(40_000));
         format!("{:?}", rig.sent)
     };
     let wide = SetUpSettings { held_least: 100_000, stranger: limits(10_000), ..queued(1) };
     let off = outputs(settings());
-    assert!(off.len() > 100_000, "something happened");
+    assert!(off.len() > 100_000, "the scenario produces many outputs");
     assert!(off == outputs(EngineSettings { set_ups: Some(wide), ..settings() }));
 }
--- a/crates/fawnrouter-engine/tests/property.rs
+++ b/crates/fawnrouter-engine/tests/property.rs
@@ -1,4 +1,5 @@
-//! Any order of calls, answers, losses and lists: the rules hold, and nothing is left over.
+//! Property tests: in any order of calls, responses, connection losses and lists the rules on attempts and
+//! answers hold, and no call, leg or timer is left over.
 
 mod common;
 
@@ -13,16 +14,26 @@
 
 #[derive(Clone, Debug)]
 enum Op {
+    /// A new call with this `Expires`, in seconds.
     Call(u64),
+    /// The caller cancels a call.
     Cancel(usize),
+    /// The caller acknowledges the final answer of a call.
     Ack(usize),
+    /// The caller releases a call.
     Bye(usize),
+    /// A switch answers an INVITE with this status; counted from the latest INVITE.
     Answer(usize, u16),
+    /// The connection to a switch is lost.
     Down(u32),
+    /// A switch refuses connections from now on, or accepts them again.
     Refuse(u32, bool),
+    /// A new list: bits 0 to 2 list switches 70 to 72, bits 3 to 5 mark them as draining.
     List(u8),
+    /// The client disconnects.
     Disconnect,
-    Pass(u64),
+    /// Time passes, in milliseconds.
+    Advance(u64),
 }
 
 fn op() -> impl Strategy<Value = Op> {
@@ -39,29 +50,34 @@
         1 => ((70u32..73), any::<bool>()).prop_map(|(s, on)| Op::Refuse(s, on)),
         1 => any::<u8>().prop_map(Op::List),
         1 => Just(Op::Disconnect),
-        6 => (0u64..1500).prop_map(Op::Pass),
+        6 => (0u64..1500).prop_map(Op::Advance),
     ]
 }
 
-/// An attempt seen on the wire.
-struct Seen {
+/// An attempt as it was sent.
+struct Attempt {
     server: ServerId,
-    sent: Time,
-    within: u64,
-    /// Its end, and whether the guard counts from it.
+    sent_at: Time,
+    /// Its time-out in milliseconds, as the INVITE states it.
+    within_ms: u64,
+    /// When it ended, and whether the release guard counts from then.
     end: Option<(Time, bool)>,
 }
 
+/// Checks the messages of the engine against the rules.
 #[derive(Default)]
-struct Judge {
+struct RuleChecker {
     /// Attempts by session, with the branch of each.
-    attempts: BTreeMap<String, Vec<(String, Seen)>>,
+    attempts: BTreeMap<String, Vec<(String, Attempt)>>,
+    /// Final statuses by the caller's Call-ID.
     finals: BTreeMap<String, Vec<u16>>,
-    drained: BTreeMap<ServerId, Time>,
+    /// Switches that are draining or off the list.
+    not_ready: BTreeMap<ServerId, Time>,
 }
 
-impl Judge {
-    fn watch(&mut self, rig: &Rig, from: usize) {
+impl RuleChecker {
+    /// Checks what was sent from this index on.
+    fn check(&mut self, rig: &Rig, from: usize) {
         for (sent, at) in rig.sent.iter().zip(&rig.times).skip(from) {
             match sent {
                 Sent::Client(_, m) if m.cseq().is_ok_and(|c| c.method == "INVITE") => {
@@ -73,42 +89,47 @@
                     }
                 }
                 Sent::Trunk(server, m) if m.method() == Some(Method::Invite) => {
-                    assert!(!self.drained.contains_key(server), "sent to a switch that was told to drain");
+                    assert!(!self.not_ready.contains_key(server), "sent to a switch that is not ready");
                     let session = m.get(Name::SessionId).unwrap().to_owned();
                     for (_, earlier) in self.attempts.get(&session).into_iter().flatten() {
-                        let timed_out = earlier.sent.plus(ms(earlier.within));
+                        let timed_out = earlier.sent_at.plus(ms(earlier.within_ms));
                         let (end, guarded) = earlier.end.unwrap_or((timed_out, true));
                         assert!(end <= *at, "two attempts at once");
                         assert!(
                             !guarded || at.since(end) >= ms(300),
-                            "again within the guard: {:?}",
+                            "next attempt within the guard: {:?}",
                             at.since(end)
                         );
                     }
                     let via = m.via().unwrap();
-                    let within = via.params.get("fr-within").unwrap().parse().unwrap();
-                    let seen = Seen { server: *server, sent: *at, within, end: None };
-                    self.attempts.entry(session).or_default().push((via.branch().unwrap().to_owned(), seen));
+                    let within_ms = via.params.get("fr-within").unwrap().parse().unwrap();
+                    let attempt = Attempt { server: *server, sent_at: *at, within_ms, end: None };
+                    let branch = via.branch().unwrap().to_owned();
+                    self.attempts.entry(session).or_default().push((branch, attempt));
                 }
                 Sent::Trunk(_, m) if m.method() == Some(Method::Cancel) => {
-                    self.end(m.via().unwrap().branch().unwrap(), *at, true);
+                    self.end_attempt(m.via().unwrap().branch().unwrap(), *at, true);
                 }
                 _ => {}
             }
         }
     }
 
-    fn end(&mut self, branch: &str, at: Time, guarded: bool) {
-        let hit = self.attempts.values_mut().flatten().find(|(b, _)| b == branch);
-        if let Some((_, seen)) = hit.filter(|(_, s)| s.end.is_none() && s.sent.plus(ms(s.within)) > at) {
-            seen.end = Some((at, guarded));
+    /// Notes the end of an attempt, unless it has ended or timed out before.
+    fn end_attempt(&mut self, branch: &str, at: Time, guarded: bool) {
+        let attempt = self.attempts.values_mut().flatten().find(|(b, _)| b == branch);
+        let open = |a: &Attempt| a.end.is_none() && a.sent_at.plus(ms(a.within_ms)) > at;
+        if let Some((_, attempt)) = attempt.filter(|(_, a)| open(a)) {
+            attempt.end = Some((at, guarded));
         }
     }
 
-    fn lost(&mut self, server: ServerId, at: Time) {
-        for (_, seen) in self.attempts.values_mut().flatten() {
-            if seen.server == server && seen.end.is_none() && seen.sent.plus(ms(seen.within)) > at {
-                seen.end = Some((at, true));
+    /// Notes the end of all attempts at a switch whose connection is lost.
+    fn end_attempts_at(&mut self, server: ServerId, at: Time) {
+        for (_, attempt) in self.attempts.values_mut().flatten() {
+            let open = attempt.end.is_none() && attempt.sent_at.plus(ms(attempt.within_ms)) > at;
+            if attempt.server == server && open {
+                attempt.end = Some((at, true));
             }
         }
     }
@@ -117,48 +138,49 @@
 fn run(ops: Vec<Op>, settings: EngineSettings) {
     let mut rig = Rig::new(settings);
     rig.list(ListKind::Whole, (70..73).map(switch).collect());
-    let mut judge = Judge::default();
-    let (mut invites, mut outs): (Vec<Message>, Vec<(ServerId, Message)>) = (Vec::new(), Vec::new());
+    let mut checker = RuleChecker::default();
+    let mut invites: Vec<Message> = Vec::new();
+    let mut set_ups: Vec<(ServerId, Message)> = Vec::new();
     let mut connected = true;
-    let mut seen = 0;
+    let mut checked = 0;
     for op in ops {
         match op {
             Op::Call(expires) if connected => invites.push(rig.call(expires)),
             Op::Cancel(n) if !invites.is_empty() && connected => {
                 let message = cancel(&invites[n % invites.len()]);
-                rig.client_says(&message);
+                rig.send_from_client(&message);
             }
             Op::Ack(n) | Op::Bye(n) if !invites.is_empty() && connected => {
                 let invite = invites[n % invites.len()].clone();
-                let last = rig.answers(&invite).pop().filter(|m| m.status().is_some_and(|s| s >= 200));
+                let last = rig.responses(&invite).pop().filter(|m| m.status().is_some_and(|s| s >= 200));
                 let Some(last) = last else { continue };
                 let message = match (op, last.status()) {
                     (Op::Bye(_), Some(200)) => in_dialog(&invite, &last, Method::Bye, 2),
                     (_, Some(200)) => in_dialog(&invite, &last, Method::Ack, 1),
                     _ => ack_refusal(&invite, &last),
                 };
-                rig.client_says(&message);
+                rig.send_from_client(&message);
             }
-            Op::Answer(n, status) if !outs.is_empty() => {
-                // The latest are answered most, as on a real day.
-                let (server, invite) = outs[outs.len() - 1 - n % outs.len()].clone();
-                if rig.up.contains(&server.0) {
+            Op::Answer(n, status) if !set_ups.is_empty() => {
+                // Counted from the latest, so that recent set-ups are answered most, as in normal operation.
+                let (server, invite) = set_ups[set_ups.len() - 1 - n % set_ups.len()].clone();
+                if rig.connected.contains(&server.0) {
                     if status >= 200 {
                         let guarded = matches!(status, 408 | 487);
-                        judge.end(invite.via().unwrap().branch().unwrap(), rig.now, guarded);
+                        checker.end_attempt(invite.via().unwrap().branch().unwrap(), rig.now, guarded);
                     }
                     rig.answer(server, &invite, status, &[]);
                 }
             }
-            Op::Down(server) if rig.up.contains(&server) => {
-                judge.lost(ServerId(server), rig.now);
+            Op::Down(server) if rig.connected.contains(&server) => {
+                checker.end_attempts_at(ServerId(server), rig.now);
                 rig.trunk_down(server);
             }
             Op::Refuse(server, on) => {
                 if on {
-                    rig.refuses.insert(server)
+                    rig.unreachable.insert(server)
                 } else {
-                    rig.refuses.remove(&server)
+                    rig.unreachable.remove(&server)
                 };
             }
             Op::List(bits) => {
@@ -170,39 +192,39 @@
                     s
                 });
                 let listed: Vec<_> = listed.collect();
-                judge.drained = (70..73).map(ServerId).map(|id| (id, rig.now)).collect();
+                checker.not_ready = (70..73).map(ServerId).map(|id| (id, rig.now)).collect();
                 for s in listed.iter().filter(|s| s.entry.state == ServerState::Ready) {
-                    judge.drained.remove(&s.entry.id);
+                    checker.not_ready.remove(&s.entry.id);
                 }
                 rig.list(ListKind::Whole, listed);
             }
             Op::Disconnect if connected => {
                 connected = false;
-                rig.input(Input::ClientDown { client: C });
+                rig.input(Input::ClientDown { client: CLIENT });
             }
-            Op::Pass(span) => rig.pass(ms(span)),
+            Op::Advance(time) => rig.advance(ms(time)),
             _ => {}
         }
-        judge.watch(&rig, seen);
-        outs.extend(rig.sent[seen..].iter().filter_map(|s| match s {
+        checker.check(&rig, checked);
+        set_ups.extend(rig.sent[checked..].iter().filter_map(|s| match s {
             Sent::Trunk(server, m) if m.method() == Some(Method::Invite) => Some((*server, m.clone())),
             _ => None,
         }));
-        seen = rig.sent.len();
+        checked = rig.sent.len();
         assert!(rig.engine.timer_count() <= rig.engine.leg_count() + invites.len() + 4);
     }
-    rig.pass(ms(7000));
-    judge.watch(&rig, seen);
+    rig.advance(ms(7000));
+    checker.check(&rig, checked);
     if connected {
         for invite in &invites {
-            let finals = judge.finals.get(invite.get(Name::CallId).unwrap()).map_or(0, Vec::len);
+            let finals = checker.finals.get(invite.get(Name::CallId).unwrap()).map_or(0, Vec::len);
             assert_eq!(finals, 1, "{invite:?}");
         }
     }
-    // Everything ends and nothing is left.
+    // After a stop everything ends and nothing is left.
     rig.input(Input::Stop);
-    rig.refuses.clear();
-    rig.pass(ms(70_000));
+    rig.unreachable.clear();
+    rig.advance(ms(70_000));
     assert_eq!((rig.engine.live_calls(), rig.engine.leg_count()), (0, 0));
     if let Some(set_ups) = rig.engine.set_up_admission() {
         assert_eq!((set_ups.waiting(), set_ups.held(), set_ups.largest(9).len()), (0, 0, 0));
@@ -214,12 +236,12 @@
     #![proptest_config(ProptestConfig { cases: 300, rng_seed: proptest::test_runner::RngSeed::Fixed(11), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn the_rules_hold_in_any_order_of_things(ops in proptest::collection::vec(op(), 1..120)) {
+    fn rules_hold_in_any_order_of_events(ops in proptest::collection::vec(op(), 1..120)) {
         run(ops, settings());
     }
 
     #[test]
-    fn the_rules_hold_with_a_queue_of_set_ups_before_the_controller(ops in proptest::collection::vec(op(), 1..120)) {
+    fn rules_hold_with_a_queue_of_set_ups_before_the_controller(ops in proptest::collection::vec(op(), 1..120)) {
         let limits = ClientLimits { weight: 1, rate: Rate::per_second(20.0, 15), pending: 12, calls: 20 };
         let set_ups = SetUpSettings {
             known: limits, stranger: limits, strangers_weight: 1, strangers_rate: None, strangers_share: 0.5, held_least: 1, held_span: ms(50), waiting: 6,
@@ -230,17 +252,17 @@
 }
 
 #[test]
-fn the_same_inputs_give_the_same_outputs() {
+fn same_inputs_give_the_same_outputs() {
     let outputs = || {
         let mut rig = Rig::with_switches(3);
         for n in 0..50 {
             rig.call(3);
-            if let Some((server, out)) = rig.to_switches(Method::Invite).pop() {
+            if let Some((server, out)) = rig.requests_to_switches(Method::Invite).pop() {
                 rig.answer(server, &out, if n % 3 == 0 { 503 } else { 200 }, &[]);
             }
-            rig.pass(ms(37));
+            rig.advance(ms(37));
         }
-        rig.pass(ms(4000));
+        rig.advance(ms(4000));
         format!("{:?}", rig.sent)
     };
     assert_eq!(outputs(), outputs());
