--- a/crates/fawnrouter-engine/src/caller.rs
+++ b/crates/fawnrouter-engine/src/caller.rs
@@ -362,8 +362,8 @@
     /// session as it is (§14.2).
     fn on_reinvite(&mut self, client: ClientId, invite: &Message) {
         let known = to_tag(invite).and_then(|tag| self.call_of_tag(tag));
-        let standing = known.and_then(|id| self.table.calls.get_mut(&id));
-        let status = match standing.map(|c| &mut c.stage) {
+        let established = known.and_then(|id| self.table.calls.get_mut(&id));
+        let status = match established.map(|c| &mut c.stage) {
             Some(Stage::Established { dialog, .. }) if dialog.matches(invite) => {
                 let in_order = dialog.accepts(invite.cseq().map_or(0, |c| c.number));
                 if in_order { 488 } else { 500 }
@@ -402,8 +402,8 @@
     }
 
     pub(crate) fn on_client_down(&mut self, client: ClientId) {
-        let Some(gone) = self.table.clients.remove(&client) else { return };
-        for id in gone.calls {
+        let Some(removed) = self.table.clients.remove(&client) else { return };
+        for id in removed.calls {
             match self.table.calls.get(&id).map(|c| &c.stage) {
                 // The caller cannot be answered any more; the call ends like a cancelled one.
                 Some(Stage::Routing) => {
--- a/crates/fawnrouter-zones/src/policy.rs
+++ b/crates/fawnrouter-zones/src/policy.rs
@@ -230,11 +230,11 @@
         }
     }
 
-    fn ended(&mut self, call: CallId, stood: bool) {
+    fn ended(&mut self, call: CallId, established: bool) {
         self.recorded_as_held.remove(&call);
         self.counted_as_demand.remove(&call);
         let now = self.now;
-        let Some(failed) = self.spilled.remove(&call).filter(|_| !stood) else { return };
+        let Some(failed) = self.spilled.remove(&call).filter(|_| !established) else { return };
         self.account.refund(now.0, &failed.charge);
         self.record.subtract_call(failed.at.0, &failed.key, failed.charge.cost());
     }
@@ -270,7 +270,7 @@
         self.with(|policy| policy.sent(now, wanted, server));
     }
 
-    fn ended(&mut self, call: CallId, stood: bool) {
-        self.with(|policy| policy.ended(call, stood));
+    fn ended(&mut self, call: CallId, established: bool) {
+        self.with(|policy| policy.ended(call, established));
     }
 }
--- a/crates/fawnrouter-zones/tests/policy.rs
+++ b/crates/fawnrouter-zones/tests/policy.rs
@@ -154,11 +154,11 @@
         0.0,
     );
     let spent = |z: &ZonePolicy| z.account().budget_views()[0].1.spent.0;
-    for (n, stood) in [(1, false), (2, true), (3, false)] {
+    for (n, established) in [(1, false), (2, true), (3, false)] {
         let call = wanted(n, 5.0, 0);
         assert!(may_go(&mut z, 5000, call, "north"));
         z.sent(t(5000), &call, &server(9, "north"));
-        z.ended(call.call, stood);
+        z.ended(call.call, established);
         z.ended(call.call, false);
     }
     assert_eq!(spent(&z), 1);
