--- a/crates/fawnrouter-engine/src/authenticate.rs
+++ b/crates/fawnrouter-engine/src/authenticate.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use fawnrouter_digest::{Checked, Request};
+use fawnrouter_digest::{AuthOutcome, Request};
 use fawnrouter_sip::{Message, Method, Name};
 
 use crate::engine::Engine;
@@ -62,7 +62,7 @@
         let signed = Request { method: request.method_text(), uri };
         let checked = guard.check(now, client.0, &mut identity.proof, signed, fields);
         match checked {
-            Checked::Known { client: name, info } => {
+            AuthOutcome::Known { client: name, info } => {
                 // A connection belongs to one client: otherwise a client could lend its connection to another
                 // client and so evade the other's limits.
                 if identity.client_name.as_ref().is_some_and(|known| *known != name) {
@@ -77,14 +77,14 @@
                 }
                 AuthCheck::Proceed(Some(info))
             }
-            Checked::Ask { stale, .. } => {
+            AuthOutcome::Challenge { stale, .. } => {
                 self.counters.challenged += 1;
                 let challenge = guard.challenge(now, client.0, stale);
                 let extra: Vec<_> = challenge.iter().map(|c| (Name::WwwAuthenticate, c.as_str())).collect();
                 self.respond(client, request, 401, None, &extra);
                 AuthCheck::Answered
             }
-            Checked::Refuse => {
+            AuthOutcome::Refuse => {
                 self.counters.auth_failures += 1;
                 self.respond(client, request, 403, None, &[]);
                 self.outputs.push(Output::CloseClient { client, reason: "too many wrong answers" });
--- a/crates/fawnrouter-engine/src/caller.rs
+++ b/crates/fawnrouter-engine/src/caller.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use fawnrouter::{CallId, NewCall, Outcome};
-use fawnrouter_admission::{SetUps, Stay, Turn};
+use fawnrouter_admission::{CallState, SetUpAdmission, SetUpDecision};
 use fawnrouter_sip::transaction::{ACK_WAIT, InviteServer, ServerStep};
 use fawnrouter_sip::{Address, Dialog, Draft, Message, Method, Name, Start, Uri, UriError};
 use rand_core::RngCore;
@@ -131,8 +131,8 @@
         let class_name = class.map(|c| c.name.clone()).unwrap_or_default();
         let id = self.new_call_id();
         let turn = self.admit_set_up(client, id);
-        if let Turn::Refuse { why, retry_after } = turn {
-            return self.reject_invite(client, &invite, why.text(), retry_after);
+        if let SetUpDecision::Refuse { reason, retry_after } = turn {
+            return self.reject_invite(client, &invite, reason.text(), retry_after);
         }
         let session_id = session_id_of(&invite)
             .unwrap_or_else(|| format!("{:016x}{:016x}", self.rng.next_u64(), self.rng.next_u64()));
@@ -170,7 +170,7 @@
         let new = NewCall {
             id,
             class: classified.class,
-            left,
+            time_left: left,
             number: classified.number.into(),
             width: 1.0,
             tenant: classified.tenant,
@@ -178,8 +178,8 @@
             transit: false,
             destination: classified.destination,
         };
-        if turn == Turn::Wait {
-            let wait = self.set_up_admission().map_or(left, SetUps::wait).min(left);
+        if turn == SetUpDecision::Wait {
+            let wait = self.set_up_admission().map_or(left, SetUpAdmission::max_wait).min(left);
             self.table.timers.set(TimerKey::Call(id), self.now.plus(wait));
             if let Some(call) = self.table.calls.get_mut(&id) {
                 call.queued = Some(new);
@@ -281,7 +281,7 @@
             call.current_leg = None;
             call.invite = None;
         }
-        self.set_up_stage_changed(id, Stay::Standing);
+        self.set_up_stage_changed(id, CallState::Established);
         self.pending -= 1;
         self.counters.established += 1;
         self.table.timers.set(TimerKey::Call(id), self.now.plus(ACK_WAIT));
--- a/crates/fawnrouter-engine/src/engine.rs
+++ b/crates/fawnrouter-engine/src/engine.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use fawnrouter::{
-    Action, AttemptNo, CallId, Controller, Event, ListKind, Note, Outcome, Report, ServerId, ServerState,
-    SettingsError, Time,
+    Action, AttemptNo, CallId, Controller, Event, ListKind, LoadReport, Outcome, OutcomeDetail, ServerId,
+    ServerState, SettingsError, Time,
 };
-use fawnrouter_admission::Stay;
+use fawnrouter_admission::CallState;
 use fawnrouter_sip::transaction::{ACK_WAIT, CancelStep};
 use fawnrouter_zones::{BudgetError, SharedZonePolicy, ZonePolicy};
 use rand_chacha::ChaCha8Rng;
@@ -20,7 +20,7 @@
 use crate::status;
 use crate::table::*;
 use crate::timer::{LegId, TimerKey};
-use fawnrouter_machine::{Backoff, Decide, Machine};
+use fawnrouter_machine::{Backoff, Decide, StateMachine};
 
 /// Invalid settings of an engine.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
@@ -57,7 +57,7 @@
     drain_reported: bool,
 }
 
-impl Machine for Engine {
+impl StateMachine for Engine {
     type Input = Input;
     type Output = Output;
 
@@ -84,7 +84,7 @@
         let mut controller = Controller::new(settings.controller.clone(), seed)?;
         let zones = settings.zones.clone().map(ZonePolicy::new).transpose()?.map(SharedZonePolicy::new);
         if let Some(zones) = &zones {
-            controller = controller.with_voice(Box::new(zones.clone()));
+            controller = controller.with_routing_policy(Box::new(zones.clone()));
         }
         let mut engine = Self::with_controller(settings, Box::new(controller));
         engine.zones = zones;
@@ -155,7 +155,7 @@
     /// The latest time for the next [`Input::Wake`].
     #[must_use]
     pub fn next_wake(&self) -> Option<Time> {
-        self.table.timers.first()
+        self.table.timers.next_at()
     }
 
     /// The policy for traffic across zones, if it is on.
@@ -219,7 +219,7 @@
         while let Some(event) = self.events.pop_front() {
             // After an attempt without an established call the controller holds the call again.
             if let Event::Closed { call, done: false, .. } = &event {
-                self.set_up_stage_changed(*call, Stay::Held);
+                self.set_up_stage_changed(*call, CallState::Routing);
             }
             self.controller.handle(self.now, event, &mut actions);
             for action in actions.drain(..) {
@@ -240,7 +240,7 @@
             Action::Log(line) => self.outputs.push(Output::Log(line)),
             // Probes and messages between gateways are off in the engine's settings, and the list is pushed:
             // the controller does not use these actions here.
-            Action::Probe(_) | Action::Tell { .. } | Action::Subscribe | Action::FetchList => {}
+            Action::Probe(_) | Action::SendToPeer { .. } | Action::Subscribe | Action::FetchList => {}
         }
     }
 
@@ -274,8 +274,8 @@
             return;
         };
         let (call, attempt, server, took) = (leg.call, leg.attempt, leg.server, self.now.since(leg.sent_at));
-        let (note, report) = (Note::None, Report::default());
-        self.events.push_back(Event::Closed { call, attempt, server, done, outcome, note, took, report });
+        let (detail, report) = (OutcomeDetail::None, LoadReport::default());
+        self.events.push_back(Event::Closed { call, attempt, server, done, outcome, detail, took, report });
         self.emit_call_event(call, || CallEvent::AttemptClosed { attempt, outcome });
         self.abandon_leg(id);
     }
@@ -300,7 +300,7 @@
     // ---- Timers -------------------------------------------------------------------------------------------
 
     fn fire_timers(&mut self) {
-        while let Some(key) = self.table.timers.pop(self.now) {
+        while let Some(key) = self.table.timers.pop_due(self.now) {
             match key {
                 TimerKey::Controller(timer) => self.events.push_back(Event::Timer(timer)),
                 TimerKey::Call(call) => self.on_call_timer(call),
@@ -345,7 +345,7 @@
         if queued {
             return;
         }
-        self.events.push_back(Event::Lapsed(id));
+        self.events.push_back(Event::Abandoned(id));
         if let Some(leg) = current_leg {
             self.close_attempt(leg, Outcome::Cancelled, true);
         }
@@ -422,7 +422,7 @@
     }
 
     fn on_list(&mut self, kind: ListKind, switches: Vec<Switch>) {
-        if matches!(kind, ListKind::Whole | ListKind::Cached) {
+        if matches!(kind, ListKind::Snapshot | ListKind::Cached) {
             let listed = |id: &ServerId| switches.iter().any(|s| s.entry.id == *id);
             for trunk in self.table.trunks.iter_mut().filter(|(id, _)| !listed(id)).map(|(_, t)| t) {
                 trunk.listed = false;
@@ -531,9 +531,18 @@
         {
             let (attempt, server) = (leg.attempt, leg.server);
             let took = self.now.since(leg.sent_at);
-            let (note, report) = (Note::None, Report::default());
+            let (detail, report) = (OutcomeDetail::None, LoadReport::default());
             let done = true;
-            self.events.push_back(Event::Closed { call, attempt, server, done, outcome, note, took, report });
+            self.events.push_back(Event::Closed {
+                call,
+                attempt,
+                server,
+                done,
+                outcome,
+                detail,
+                took,
+                report,
+            });
             let established_for = self.now.since(*established_at);
             self.emit_call_event(call, || CallEvent::Released { outcome, established_for });
         }
--- a/crates/fawnrouter-engine/src/gate.rs
+++ b/crates/fawnrouter-engine/src/gate.rs
@@ -2,8 +2,8 @@
 //! implemented in `fawnrouter_digest` and `fawnrouter_admission`; the modules `authenticate` and
 //! `set_up_admission` apply them.
 
-use fawnrouter_admission::{SetUpSettings, SetUps};
-use fawnrouter_digest::Guard;
+use fawnrouter_admission::{SetUpAdmission, SetUpSettings};
+use fawnrouter_digest::Authenticator;
 
 use crate::identity::{AuthSettings, UnknownClients};
 
@@ -11,14 +11,14 @@
 #[derive(Debug)]
 pub(crate) struct Gate {
     /// Digest authentication, and how unknown clients are treated.
-    pub guard: Option<(Guard, UnknownClients)>,
+    pub guard: Option<(Authenticator, UnknownClients)>,
     /// Admission of set-ups.
-    pub set_ups: Option<SetUps>,
+    pub set_ups: Option<SetUpAdmission>,
 }
 
 impl Gate {
     pub fn new(auth: Option<AuthSettings>, set_ups: Option<SetUpSettings>) -> Self {
-        let guard = auth.map(|a| (Guard::new(a.guard, a.key), a.unknown_clients));
-        Self { guard, set_ups: set_ups.map(SetUps::new) }
+        let guard = auth.map(|a| (Authenticator::new(a.guard, a.key), a.unknown_clients));
+        Self { guard, set_ups: set_ups.map(SetUpAdmission::new) }
     }
 }
--- a/crates/fawnrouter-engine/src/identity.rs
+++ b/crates/fawnrouter-engine/src/identity.rs
@@ -4,8 +4,8 @@
 use std::net::IpAddr;
 use std::sync::Arc;
 
-use fawnrouter_admission::{ClientLimits, Who};
-use fawnrouter_digest::{GuardSettings, Proof, Secret};
+use fawnrouter_admission::{ClientIdentity, ClientLimits};
+use fawnrouter_digest::{AuthState, AuthenticatorSettings, Secret};
 
 /// What clients may do that have not authenticated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AuthSettings {
     /// Realm, algorithms, nonces.
-    pub guard: GuardSettings,
+    pub guard: AuthenticatorSettings,
     /// Secret key of the nonces, new at each start.
     pub key: [u8; 32],
     /// Whether clients may call without authentication.
@@ -47,19 +47,19 @@
     pub client_name: Option<Arc<str>>,
     /// No request is served before the client has authenticated.
     pub must_authenticate: bool,
-    pub proof: Proof,
+    pub proof: AuthState,
 }
 
 impl Identity {
     pub fn new(origin: IpAddr, must_authenticate: bool) -> Self {
-        Self { origin, client_name: None, must_authenticate, proof: Proof::default() }
+        Self { origin, client_name: None, must_authenticate, proof: AuthState::default() }
     }
 
     /// The client as the admission of set-ups tells clients apart.
-    pub(crate) fn who(&self) -> Who {
+    pub(crate) fn who(&self) -> ClientIdentity {
         match &self.client_name {
-            Some(name) => Who::Known(name.clone()),
-            None => Who::Stranger(self.origin),
+            Some(name) => ClientIdentity::Known(name.clone()),
+            None => ClientIdentity::Unknown(self.origin),
         }
     }
 }
--- a/crates/fawnrouter-engine/src/set_up_admission.rs
+++ b/crates/fawnrouter-engine/src/set_up_admission.rs
@@ -2,7 +2,7 @@
 //! this module sends the answers and sets the timers.
 
 use fawnrouter::{CallId, Event, NewCall};
-use fawnrouter_admission::{SetUps, Stay, Turn};
+use fawnrouter_admission::{CallState, SetUpAdmission, SetUpDecision};
 
 use crate::engine::Engine;
 use crate::interface::ClientId;
@@ -11,9 +11,9 @@
 
 impl Engine {
     /// Whether a new set-up may proceed, waits or is refused.
-    pub(crate) fn admit_set_up(&mut self, client: ClientId, id: CallId) -> Turn {
+    pub(crate) fn admit_set_up(&mut self, client: ClientId, id: CallId) -> SetUpDecision {
         let (Some(set_ups), Some(known)) = (&mut self.gate.set_ups, self.table.clients.get(&client)) else {
-            return Turn::Go;
+            return SetUpDecision::Proceed;
         };
         let (turn, displaced) = set_ups.offer(self.now.0, known.identity.who(), id.0);
         if let Some((other, turn)) = displaced {
@@ -23,18 +23,18 @@
     }
 
     /// Sends the final answer of a call that was refused after it had waited.
-    fn refuse_set_up(&mut self, id: CallId, turn: Turn) {
-        if let Turn::Refuse { why, retry_after } = turn {
+    fn refuse_set_up(&mut self, id: CallId, turn: SetUpDecision) {
+        if let SetUpDecision::Refuse { reason, retry_after } = turn {
             self.counters.refused += 1;
             let retry_after_s = Some(retry_after_seconds(retry_after).max(1));
-            self.send_final(id, FinalAnswer { status: 503, retry_after_s, text: why.text() });
+            self.send_final(id, FinalAnswer { status: 503, retry_after_s, text: reason.text() });
         }
     }
 
     /// Refuses a call whose longest wait has passed. Returns `false` if the call does not wait.
     pub(crate) fn set_up_wait_expired(&mut self, id: CallId) -> bool {
         let now = self.now.0;
-        let turn = self.gate.set_ups.as_mut().and_then(|s| s.waited(now, id.0));
+        let turn = self.gate.set_ups.as_mut().and_then(|s| s.wait_expired(now, id.0));
         match turn {
             Some(turn) => {
                 self.refuse_set_up(id, turn);
@@ -48,7 +48,7 @@
     pub(crate) fn submit_call(&mut self, mut call: NewCall) {
         let Some(known) = self.table.calls.get(&call.id) else { return };
         let deadline = known.deadline;
-        call.left = deadline.since(self.now);
+        call.time_left = deadline.since(self.now);
         self.table.timers.set(TimerKey::Call(call.id), deadline);
         self.events.push_back(Event::Call(call));
     }
@@ -56,7 +56,7 @@
     /// Submits the waiting calls that may proceed now.
     pub(crate) fn submit_admitted_calls(&mut self) {
         let now = self.now.0;
-        while let Some(id) = self.gate.set_ups.as_mut().and_then(|s| s.next(now)) {
+        while let Some(id) = self.gate.set_ups.as_mut().and_then(|s| s.next_ready(now)) {
             let waiting = self.table.calls.get_mut(&CallId(id)).and_then(|c| c.queued.take());
             if let Some(call) = waiting {
                 self.submit_call(call);
@@ -66,10 +66,10 @@
     }
 
     /// Reports to the admission of set-ups that a call is at another stage.
-    pub(crate) fn set_up_stage_changed(&mut self, id: CallId, stay: Stay) {
+    pub(crate) fn set_up_stage_changed(&mut self, id: CallId, stay: CallState) {
         let now = self.now.0;
         if let Some(set_ups) = &mut self.gate.set_ups {
-            set_ups.moved(now, id.0, stay);
+            set_ups.set_state(now, id.0, stay);
         }
     }
 
@@ -77,13 +77,13 @@
     pub(crate) fn set_up_ended(&mut self, id: CallId) {
         let now = self.now.0;
         if let Some(set_ups) = &mut self.gate.set_ups {
-            set_ups.over(now, id.0);
+            set_ups.call_ended(now, id.0);
         }
     }
 
     /// The admission of set-ups, for operators' reports, if it is on.
     #[must_use]
-    pub fn set_up_admission(&self) -> Option<&SetUps> {
+    pub fn set_up_admission(&self) -> Option<&SetUpAdmission> {
         self.gate.set_ups.as_ref()
     }
 }
--- a/crates/fawnrouter-engine/src/status.rs
+++ b/crates/fawnrouter-engine/src/status.rs
@@ -2,7 +2,7 @@
 //!
 //! From a switch (RFC 3261 §21; Reason RFC 3326; causes of ITU-T Q.850 table 1):
 //!
-//! | final response | outcome | note | consequence for the call |
+//! | final response | outcome | detail | consequence for the call |
 //! | --- | --- | --- | --- |
 //! | 2xx | established | | established |
 //! | 503 with Reason Q.850;cause=34 (no circuit) or 44 | `Full` | `NoCircuit` | may be retried elsewhere |
@@ -26,7 +26,7 @@
 
 use std::time::Duration;
 
-use fawnrouter::{Note, Outcome, Report};
+use fawnrouter::{LoadReport, Outcome, OutcomeDetail};
 use fawnrouter_sip::{Message, Name, Reason, Via};
 
 /// Whether other switches may still take the call.
@@ -44,7 +44,7 @@
     /// The outcome of the attempt.
     pub outcome: Outcome,
     /// The cause, as far as the response gives one.
-    pub note: Note,
+    pub detail: OutcomeDetail,
     /// Whether another switch may still take the call.
     pub retryability: Retryability,
 }
@@ -76,18 +76,18 @@
 /// The meaning of a switch's final response.
 #[must_use]
 pub fn response_meaning(status: u16, details: ResponseDetails) -> ResponseMeaning {
-    let (outcome, note) = match (status, details.q850) {
-        (_, Some(17)) | (486 | 600, _) => (Outcome::Error, Note::NumberBusy),
-        (503, Some(34 | 44)) => (Outcome::Full, Note::NoCircuit),
-        (503, _) | (500, Some(42)) => (Outcome::Full, Note::ProcessorFull(details.retry_after)),
-        (408 | 504, _) => (Outcome::TimedOut, Note::None),
-        (487, _) => (Outcome::Cancelled, Note::None),
-        _ => (Outcome::Error, Note::None),
+    let (outcome, detail) = match (status, details.q850) {
+        (_, Some(17)) | (486 | 600, _) => (Outcome::Error, OutcomeDetail::NumberBusy),
+        (503, Some(34 | 44)) => (Outcome::Full, OutcomeDetail::NoCircuit),
+        (503, _) | (500, Some(42)) => (Outcome::Full, OutcomeDetail::ProcessorFull(details.retry_after)),
+        (408 | 504, _) => (Outcome::TimedOut, OutcomeDetail::None),
+        (487, _) => (Outcome::Cancelled, OutcomeDetail::None),
+        _ => (Outcome::Error, OutcomeDetail::None),
     };
     let is_final = matches!(status, 404 | 410 | 413 | 415 | 416 | 484 | 485 | 488 | 603 | 604 | 606);
     let retryability =
-        if is_final && note == Note::None { Retryability::Final } else { Retryability::Retryable };
-    ResponseMeaning { outcome, note, retryability }
+        if is_final && detail == OutcomeDetail::None { Retryability::Final } else { Retryability::Retryable };
+    ResponseMeaning { outcome, detail, retryability }
 }
 
 /// A final answer to the caller.
@@ -104,9 +104,9 @@
 /// The final answer to the caller. `refused` is the Retry-After of the controller's refusal, or `None` if the
 /// call failed; `last` is the last final response of a switch to this call.
 #[must_use]
-pub fn answer_to_caller(refused: Option<Duration>, last: Option<(u16, Note)>) -> FinalAnswer {
+pub fn answer_to_caller(refused: Option<Duration>, last: Option<(u16, OutcomeDetail)>) -> FinalAnswer {
     match (refused, last) {
-        (Some(wait), Some((status, Note::NumberBusy))) => {
+        (Some(wait), Some((status, OutcomeDetail::NumberBusy))) => {
             FinalAnswer { status, retry_after_s: seconds(wait), text: "all lines of the number are busy" }
         }
         (Some(wait), _) => {
@@ -135,16 +135,18 @@
 /// to hold back, or a rate. The rate in the Via is for this gateway alone; the report states the rate for all
 /// gateways together.
 #[must_use]
-pub fn overload_report(via: &Via<'_>, gateways: u32) -> Option<Report> {
+pub fn overload_report(via: &Via<'_>, gateways: u32) -> Option<LoadReport> {
     let oc = via.params.get("oc").filter(|v| !v.is_empty())?.parse::<f64>().ok();
     let oc = oc.filter(|x| x.is_finite() && *x >= 0.0)?;
     // A validity of 0 ends overload control (RFC 7339 §4.3).
     if via.params.get("oc-validity").is_some_and(|v| v.trim() == "0") {
-        return Some(Report { hold_back: Some(0.0), ..Report::default() });
+        return Some(LoadReport { hold_back_share: Some(0.0), ..LoadReport::default() });
     }
     match via.params.get("oc-algo").unwrap_or("loss") {
-        "rate" => Some(Report { can_take: Some(oc * f64::from(gateways)), ..Report::default() }),
-        _ => Some(Report { hold_back: Some((oc / 100.0).min(1.0)), ..Report::default() }),
+        "rate" => {
+            Some(LoadReport { acceptable_rate: Some(oc * f64::from(gateways)), ..LoadReport::default() })
+        }
+        _ => Some(LoadReport { hold_back_share: Some((oc / 100.0).min(1.0)), ..LoadReport::default() }),
     }
 }
 
@@ -156,21 +158,21 @@
     fn switch_responses_map_to_outcomes_as_tabulated() {
         let wait = Some(Duration::from_secs(2));
         let rows = [
-            (503, None, None, Outcome::Full, Note::ProcessorFull(None), Retryability::Retryable),
-            (503, wait, None, Outcome::Full, Note::ProcessorFull(wait), Retryability::Retryable),
-            (503, wait, Some(34), Outcome::Full, Note::NoCircuit, Retryability::Retryable),
-            (500, None, Some(42), Outcome::Full, Note::ProcessorFull(None), Retryability::Retryable),
-            (500, None, None, Outcome::Error, Note::None, Retryability::Retryable),
-            (486, None, None, Outcome::Error, Note::NumberBusy, Retryability::Retryable),
-            (480, None, Some(17), Outcome::Error, Note::NumberBusy, Retryability::Retryable),
-            (408, None, None, Outcome::TimedOut, Note::None, Retryability::Retryable),
-            (487, None, None, Outcome::Cancelled, Note::None, Retryability::Retryable),
-            (404, None, None, Outcome::Error, Note::None, Retryability::Final),
-            (604, None, None, Outcome::Error, Note::None, Retryability::Final),
-            (302, None, None, Outcome::Error, Note::None, Retryability::Retryable),
+            (503, None, None, Outcome::Full, OutcomeDetail::ProcessorFull(None), Retryability::Retryable),
+            (503, wait, None, Outcome::Full, OutcomeDetail::ProcessorFull(wait), Retryability::Retryable),
+            (503, wait, Some(34), Outcome::Full, OutcomeDetail::NoCircuit, Retryability::Retryable),
+            (500, None, Some(42), Outcome::Full, OutcomeDetail::ProcessorFull(None), Retryability::Retryable),
+            (500, None, None, Outcome::Error, OutcomeDetail::None, Retryability::Retryable),
+            (486, None, None, Outcome::Error, OutcomeDetail::NumberBusy, Retryability::Retryable),
+            (480, None, Some(17), Outcome::Error, OutcomeDetail::NumberBusy, Retryability::Retryable),
+            (408, None, None, Outcome::TimedOut, OutcomeDetail::None, Retryability::Retryable),
+            (487, None, None, Outcome::Cancelled, OutcomeDetail::None, Retryability::Retryable),
+            (404, None, None, Outcome::Error, OutcomeDetail::None, Retryability::Final),
+            (604, None, None, Outcome::Error, OutcomeDetail::None, Retryability::Final),
+            (302, None, None, Outcome::Error, OutcomeDetail::None, Retryability::Retryable),
         ];
-        for (status, retry_after, q850, outcome, note, retryability) in rows {
-            let expected = ResponseMeaning { outcome, note, retryability };
+        for (status, retry_after, q850, outcome, detail, retryability) in rows {
+            let expected = ResponseMeaning { outcome, detail, retryability };
             assert_eq!(
                 response_meaning(status, ResponseDetails { retry_after, q850 }),
                 expected,
@@ -187,21 +189,21 @@
             (a.status, a.retry_after_s)
         };
         assert_eq!(answer(Some(ms(0)), None), (503, None));
-        assert_eq!(answer(Some(ms(1001)), Some((503, Note::ProcessorFull(None)))), (503, Some(2)));
-        assert_eq!(answer(Some(ms(2000)), Some((486, Note::NumberBusy))), (486, Some(2)));
+        assert_eq!(answer(Some(ms(1001)), Some((503, OutcomeDetail::ProcessorFull(None)))), (503, Some(2)));
+        assert_eq!(answer(Some(ms(2000)), Some((486, OutcomeDetail::NumberBusy))), (486, Some(2)));
         assert_eq!(answer(None, None), (504, None));
-        assert_eq!(answer(None, Some((500, Note::None))), (500, None));
-        assert_eq!(answer(None, Some((503, Note::None))), (504, None));
+        assert_eq!(answer(None, Some((500, OutcomeDetail::None))), (500, None));
+        assert_eq!(answer(None, Some((503, OutcomeDetail::None))), (504, None));
     }
 
     #[test]
     fn overload_parameters_become_a_share_or_a_rate() {
         let report = |text: &str| overload_report(&Via::parse(text).expect("a Via"), 4);
         let loss = report("SIP/2.0/TCP h;branch=z;oc=20;oc-algo=\"loss\";oc-validity=500;oc-seq=1.1");
-        assert_eq!(loss.and_then(|r| r.hold_back), Some(0.2));
+        assert_eq!(loss.and_then(|r| r.hold_back_share), Some(0.2));
         let rate = report("SIP/2.0/TCP h;branch=z;oc=150;oc-algo=\"rate\";oc-validity=1000");
-        assert_eq!(rate.and_then(|r| r.can_take), Some(600.0));
-        assert_eq!(report("SIP/2.0/TCP h;oc=70;oc-validity=0").and_then(|r| r.hold_back), Some(0.0));
+        assert_eq!(rate.and_then(|r| r.acceptable_rate), Some(600.0));
+        assert_eq!(report("SIP/2.0/TCP h;oc=70;oc-validity=0").and_then(|r| r.hold_back_share), Some(0.0));
         assert_eq!(report("SIP/2.0/TCP h;branch=z;oc"), None);
         assert_eq!(report("SIP/2.0/TCP h;oc=-5"), None);
     }
--- a/crates/fawnrouter-engine/src/table.rs
+++ b/crates/fawnrouter-engine/src/table.rs
@@ -4,14 +4,14 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use fawnrouter::{AttemptNo, CallId, NewCall, Note, ServerId, Time};
+use fawnrouter::{AttemptNo, CallId, NewCall, OutcomeDetail, ServerId, Time};
 use fawnrouter_sip::transaction::{InviteClient, InviteServer};
 use fawnrouter_sip::{Dialog, Message};
 
 use crate::identity::Identity;
 use crate::interface::{ClientId, Switch};
 use crate::timer::{LegId, TimerKey};
-use fawnrouter_machine::{Backoff, Due};
+use fawnrouter_machine::{Backoff, TimerQueue};
 
 /// The stage of a call.
 #[derive(Debug)]
@@ -56,7 +56,7 @@
     pub current_leg: Option<LegId>,
     pub attempts: u32,
     /// Status and meaning of the last final response of a switch.
-    pub last_response: Option<(u16, Note)>,
+    pub last_response: Option<(u16, OutcomeDetail)>,
 }
 
 /// The state of an attempt's leg.
@@ -138,7 +138,7 @@
     pub ended: VecDeque<CallId>,
     /// Number of calls in `calls` that have ended.
     pub ended_count: usize,
-    pub timers: Due<TimerKey>,
+    pub timers: TimerQueue<TimerKey>,
 }
 
 impl CallTable {
--- a/crates/fawnrouter-engine/src/trunk.rs
+++ b/crates/fawnrouter-engine/src/trunk.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use fawnrouter::{AttemptNo, CallId, Event, Note, Outcome, Report, ServerId};
-use fawnrouter_admission::Stay;
+use fawnrouter::{AttemptNo, CallId, Event, LoadReport, Outcome, OutcomeDetail, ServerId};
+use fawnrouter_admission::CallState;
 use fawnrouter_sip::transaction::{ACK_WAIT, ClientStep, InviteClient};
 use fawnrouter_sip::{Address, Dialog, Draft, Message, Method, Name, Uri};
 use rand_core::RngCore;
@@ -59,15 +59,15 @@
             .filter(|_| connected)
         else {
             // Without a connection the set-up has certainly not been processed.
-            let (outcome, note, took) = (Outcome::ConnectFailed, Note::None, Duration::ZERO);
-            let (done, report) = (false, Report::default());
+            let (outcome, detail, took) = (Outcome::ConnectFailed, OutcomeDetail::None, Duration::ZERO);
+            let (done, report) = (false, LoadReport::default());
             self.events.push_back(Event::Closed {
                 call: id,
                 attempt,
                 server,
                 done,
                 outcome,
-                note,
+                detail: detail,
                 took,
                 report,
             });
@@ -123,7 +123,7 @@
         }
         let bytes = draft.finish_with_body_of(invite);
         call.current_leg = Some(leg_id);
-        self.set_up_stage_changed(id, Stay::Out);
+        self.set_up_stage_changed(id, CallState::AttemptSent);
         let leg = Leg {
             call: id,
             attempt,
@@ -281,7 +281,7 @@
         leg.state =
             LegState::Established { dialog: Box::new(dialog), connection_lost: false, reconnected: false };
         self.table.timers.clear(TimerKey::Leg(id));
-        self.events.push_back(Event::Standing { call, attempt, server, took });
+        self.events.push_back(Event::Established { call, attempt, server, took });
         if !self.establish(call, id, response, attempt.0) {
             self.ack_leg(id, None);
             self.release_leg(id);
@@ -317,7 +317,7 @@
         }
     }
 
-    fn on_failed(&mut self, id: LegId, status: u16, response: &Message, report: Option<Report>) {
+    fn on_failed(&mut self, id: LegId, status: u16, response: &Message, report: Option<LoadReport>) {
         let Some(leg) = self.table.legs.get(&id) else { return };
         let ack = Self::request_in_transaction(leg, Method::Ack, response.get(Name::To).unwrap_or(&leg.to));
         let (call, attempt, server) = (leg.call, leg.attempt, leg.server);
@@ -325,14 +325,23 @@
         self.send_to_trunk(server, ack);
         self.table.remove_leg(id);
         if pending {
-            let status::ResponseMeaning { outcome, note, retryability } =
+            let status::ResponseMeaning { outcome, detail, retryability } =
                 status::response_meaning(status, ResponseDetails::from_response(response));
             let done = retryability == Retryability::Final;
             if let Some(call) = self.table.calls.get_mut(&call) {
-                call.last_response = Some((status, note));
+                call.last_response = Some((status, detail));
             }
             let report = report.unwrap_or_default();
-            self.events.push_back(Event::Closed { call, attempt, server, done, outcome, note, took, report });
+            self.events.push_back(Event::Closed {
+                call,
+                attempt,
+                server,
+                done,
+                outcome,
+                detail,
+                took,
+                report,
+            });
             self.emit_call_event(call, || CallEvent::AttemptClosed { attempt, outcome });
             if done {
                 self.pass_on_final(call, status);
--- a/crates/fawnrouter-engine/tests/calls.rs
+++ b/crates/fawnrouter-engine/tests/calls.rs
@@ -217,7 +217,7 @@
     rig.advance(ms(3000));
     let mut restarted = switch(server.0);
     restarted.entry.up_since = Some(rig.now);
-    rig.list(ListKind::Whole, vec![restarted]);
+    rig.list(ListKind::Snapshot, vec![restarted]);
     assert_eq!((rig.requests_to_client(Method::Bye).len(), rig.engine.live_calls()), (1, 0));
 }
 
@@ -297,7 +297,7 @@
     let mut rig = Rig::with_switches(2);
     let mut draining = switch(70);
     draining.entry.state = ServerState::Draining;
-    rig.list(ListKind::Whole, vec![draining, switch(71)]);
+    rig.list(ListKind::Snapshot, vec![draining, switch(71)]);
     for _ in 0..20 {
         rig.call(9);
         rig.advance(ms(50));
@@ -310,14 +310,14 @@
 fn without_any_switch_calls_are_held_and_answered_in_time_and_established_calls_continue() {
     let mut rig = Rig::with_switches(1);
     let (_, _, _, _) = rig.establish_call();
-    rig.list(ListKind::Whole, vec![]);
+    rig.list(ListKind::Snapshot, vec![]);
     let invite = rig.call(2);
     assert!(rig.final_statuses(&invite).is_empty());
     rig.advance(ms(2000));
     assert_eq!(rig.final_statuses(&invite), [503]);
     assert_eq!((rig.engine.live_calls(), rig.requests_to_client(Method::Bye).len()), (1, 0));
     // After the switch is listed again, calls go to it.
-    rig.list(ListKind::Whole, vec![switch(70)]);
+    rig.list(ListKind::Snapshot, vec![switch(70)]);
     rig.take_sent();
     rig.call(9);
     rig.advance(ms(1000));
@@ -330,7 +330,7 @@
     let invites: Vec<Message> = (0..6).map(|_| rig.call(3)).collect();
     rig.unreachable.extend(70..73);
     (70..73).for_each(|s| rig.trunk_down(s));
-    rig.list(ListKind::Whole, vec![]);
+    rig.list(ListKind::Snapshot, vec![]);
     rig.advance(ms(3000));
     invites.iter().for_each(|i| assert_eq!(rig.final_statuses(i).len(), 1));
     assert_eq!((rig.engine.live_calls(), rig.engine.leg_count()), (0, 0));
@@ -340,7 +340,7 @@
 fn call_goes_to_another_switch_if_the_first_choice_is_not_connected() {
     let mut rig = Rig::new(settings());
     rig.unreachable.insert(70);
-    rig.list(ListKind::Whole, vec![switch(70), switch(71)]);
+    rig.list(ListKind::Snapshot, vec![switch(70), switch(71)]);
     let invite = rig.call(9);
     rig.advance(ms(500));
     let (server, out) = rig.last_request_to_switch(Method::Invite);
@@ -525,7 +525,7 @@
 fn stop_answers_or_releases_every_call() {
     let mut rig = Rig::with_switches(1);
     rig.establish_call();
-    rig.list(ListKind::Whole, vec![]);
+    rig.list(ListKind::Snapshot, vec![]);
     let held = rig.call(9);
     rig.input(Input::Stop);
     assert_eq!(rig.final_statuses(&held), [503]);
--- a/crates/fawnrouter-engine/tests/common/mod.rs
+++ b/crates/fawnrouter-engine/tests/common/mod.rs
@@ -25,7 +25,7 @@
     EngineSettings {
         controller: Settings {
             gateways: 1,
-            me: PeerId(0),
+            own_id: PeerId(0),
             classes: vec![class("check", 1.0), class("transfer", 3.0)],
             tenants: vec![],
             over_share_worth: 1.0,
@@ -36,7 +36,7 @@
                 fall_multiple: 3.0,
                 fall_time: ms(1000),
                 release_guard: ms(300),
-                ask_within: ms(10_000),
+                subscribe_within: ms(10_000),
             },
             limits: fawnrouter_engine::fawnrouter::Limits {
                 max_attempts: 5,
@@ -68,7 +68,7 @@
             destination: vec![CallRule { when: CallMatch::default(), value: PoolChoice::Pool(Cell(0)) }],
         },
         intake: IntakeLimits { calls: 50_000, pending: 20_000, per_client: 20_000, retry_after: ms(2000) },
-        backoff: BackoffSettings { first: ms(100), most: ms(2000) },
+        backoff: BackoffSettings { initial: ms(100), max: ms(2000) },
         cut_after: ms(5000),
         max_expires: ms(60_000),
         auth: None,
@@ -128,7 +128,7 @@
     /// A rig with connected switches 70, 71, ... of pools 0, 1, ...
     pub fn with_switches(count: u32) -> Self {
         let mut rig = Self::new(settings());
-        rig.list(ListKind::Whole, (70..70 + count).map(switch).collect());
+        rig.list(ListKind::Snapshot, (70..70 + count).map(switch).collect());
         rig
     }
 
--- a/crates/fawnrouter-engine/tests/gate.rs
+++ b/crates/fawnrouter-engine/tests/gate.rs
@@ -6,7 +6,9 @@
 
 use common::*;
 use fawnrouter_engine::admission::{ClientLimits, Rate, SetUpSettings};
-use fawnrouter_engine::digest::{Algorithm, Credentials, GuardSettings, Secret, answer, ha1};
+use fawnrouter_engine::digest::{
+    Algorithm, AuthenticatorSettings, Credentials, Secret, client_response, ha1,
+};
 use fawnrouter_engine::fawnrouter::{Action, CallId, Event, ListKind, ServerId, Time};
 use fawnrouter_engine::sip::{Draft, Message, Method, Name, Start};
 use fawnrouter_engine::{
@@ -26,7 +28,12 @@
 
 /// Settings with authentication.
 fn authenticating(unknown_clients: UnknownClients) -> EngineSettings {
-    let guard = GuardSettings { realm: REALM.into(), md5: false, nonce_life: ms(60_000), attempts: 3 };
+    let guard = AuthenticatorSettings {
+        realm: REALM.into(),
+        md5: false,
+        nonce_lifetime: ms(60_000),
+        max_failures: 3,
+    };
     EngineSettings { auth: Some(AuthSettings { guard, key: [3; 32], unknown_clients }), ..settings() }
 }
 
@@ -34,15 +41,15 @@
 fn queued(held: usize) -> SetUpSettings {
     SetUpSettings {
         known: limits(100),
-        stranger: limits(100),
-        strangers_weight: 1,
-        strangers_rate: None,
-        strangers_share: 1.0,
-        held_least: held,
-        held_span: ms(0),
-        waiting: 100,
-        wait: ms(500),
-        addresses: 100,
+        unknown: limits(100),
+        unknown_weight: 1,
+        unknown_rate: None,
+        unknown_share: 1.0,
+        min_routing: held,
+        routing_span: ms(0),
+        max_waiting: 100,
+        max_wait: ms(500),
+        tracked_addresses: 100,
         retry_after: ms(1000),
         seed: 1,
     }
@@ -50,7 +57,7 @@
 
 fn rig(settings: EngineSettings) -> Rig {
     let mut rig = Rig::new(settings);
-    rig.list(ListKind::Whole, vec![switch(70)]);
+    rig.list(ListKind::Snapshot, vec![switch(70)]);
     rig.input(Input::KnownClients(vec![known("branch", "tellers", 100), known("app", "beans", 2)]));
     rig.take_sent();
     rig
@@ -70,7 +77,7 @@
 fn with_credentials(request: &Message, name: &str, password: &str, nonce: &str, nc: u32) -> Message {
     let Start::Request { name: method, uri, .. } = request.start() else { panic!("a request") };
     let (nc_text, hash) = (format!("{nc:08x}"), ha1(Algorithm::Sha256, name, REALM, password));
-    let response = answer(Algorithm::Sha256, &hash, (method, uri), nonce, &nc_text, "c");
+    let response = client_response(Algorithm::Sha256, &hash, (method, uri), nonce, &nc_text, "c");
     let credentials = Credentials {
         username: name.into(),
         realm: REALM.into(),
@@ -220,7 +227,7 @@
                 self.held.push_back(call.id);
                 self.submitted.insert(call.id);
             }
-            Event::Lapsed(call) => {
+            Event::Abandoned(call) => {
                 assert!(self.submitted.contains(&call), "the call was never submitted to the controller");
                 self.held.retain(|c| *c != call);
             }
@@ -244,7 +251,7 @@
 
 /// Makes the controller send out the first call that it holds.
 fn send_first_held(rig: &mut Rig) {
-    rig.list(ListKind::Whole, vec![switch(70)]);
+    rig.list(ListKind::Snapshot, vec![switch(70)]);
 }
 
 #[test]
@@ -256,7 +263,7 @@
     let single = rig.invite(Some(9), &[]);
     rig.send_from(other, &single);
     let set_ups = rig.engine.set_up_admission().expect("on");
-    assert_eq!((set_ups.held(), set_ups.waiting()), (2, 19));
+    assert_eq!((set_ups.routing(), set_ups.waiting()), (2, 19));
     assert!(burst.iter().all(|i| rig.statuses(i) == [100]), "each waiting call has got its 100");
     // Three calls are sent first: the two that were held, and the first waiting one of the burst. Then it is
     // the other client's turn.
@@ -335,7 +342,7 @@
 fn admission_with_room_for_all_gives_the_same_outputs_as_none() {
     let outputs = |settings: EngineSettings| {
         let mut rig = Rig::new(settings);
-        rig.list(ListKind::Whole, (70..73).map(switch).collect());
+        rig.list(ListKind::Snapshot, (70..73).map(switch).collect());
         for n in 0..200 {
             rig.call(3);
             if let Some((server, out)) = rig.requests_to_switches(Method::Invite).pop() {
@@ -351,7 +358,7 @@
         rig.advance(ms(40_000));
         format!("{:?}", rig.sent)
     };
-    let wide = SetUpSettings { held_least: 100_000, stranger: limits(10_000), ..queued(1) };
+    let wide = SetUpSettings { min_routing: 100_000, unknown: limits(10_000), ..queued(1) };
     let off = outputs(settings());
     assert!(off.len() > 100_000, "the scenario produces many outputs");
     assert!(off == outputs(EngineSettings { set_ups: Some(wide), ..settings() }));
--- a/crates/fawnrouter-engine/tests/zones.rs
+++ b/crates/fawnrouter-engine/tests/zones.rs
@@ -52,13 +52,13 @@
 #[test]
 fn calls_stay_in_the_own_zone_and_spill_within_the_budget_when_it_is_down() {
     let mut rig = Rig::new(in_kochi(15));
-    rig.list(ListKind::Whole, two_switches());
+    rig.list(ListKind::Snapshot, two_switches());
     let calm = send_calls(&mut rig, 20);
     assert!(calm.len() >= 20 && calm.iter().all(|s| *s == 71), "though 70 is the first choice: {calm:?}");
     // The switch in the own zone is gone.
     rig.trunk_down(71);
     rig.unreachable.insert(71);
-    rig.list(ListKind::Whole, vec![two_switches()[0].clone()]);
+    rig.list(ListKind::Snapshot, vec![two_switches()[0].clone()]);
     rig.advance(ms(3000));
     let zones = rig.engine.zones().expect("on").clone();
     assert_eq!(zones.with(|z| z.state()), ZoneState::Down);
--- a/crates/fawnrouter-node/tests/settings.rs
+++ b/crates/fawnrouter-node/tests/settings.rs
@@ -96,7 +96,7 @@
         ("/settings/me", json!(7)),
     ] {
         let error = read(&with(place, Some(value))).unwrap_err();
-        assert!(matches!(error, BootError::Settings(_)), "{error:?}");
+        assert!(matches!(error, BootError::InvalidSettings(_)), "{error:?}");
     }
 }
 
@@ -108,14 +108,14 @@
         Node::new(NodeSettings::new(&boot)).err().map(|error| (error.clone(), error.to_string()))
     };
     assert_eq!(refused(|_| ()), None);
-    let (error, told) = refused(|s| s.me = PeerId(2)).unwrap();
-    assert_eq!(error, SettingsError::NotAGateway { me: 2, gateways: 2 });
+    let (error, told) = refused(|s| s.own_id = PeerId(2)).unwrap();
+    assert_eq!(error, SettingsError::GatewayOutOfRange { own_id: 2, gateways: 2 });
     assert!(told.contains("gateway 2 of 2") && told.contains("from 0"), "{told}");
     let (error, told) = refused(|s| s.classes[0].aim = s.classes[0].deadline * 2).unwrap();
-    assert_eq!(error, SettingsError::NoTime("voice".into()));
+    assert_eq!(error, SettingsError::BadDeadline("voice".into()));
     assert!(told.contains("\"voice\"") && told.contains("set the deadline"), "{told}");
     let (error, told) = refused(|s| s.rules.fall_multiple = 0.0).unwrap();
-    assert_eq!(error, SettingsError::BadFigure("fall_multiple"));
+    assert_eq!(error, SettingsError::FigureOutOfRange("fall_multiple"));
     assert!(told.contains("fall_multiple; it must be above 0"), "{told}");
     let warm = |s: &mut Settings| (s.rules.fall_multiple, s.rules.cold_time) = (0.0, Duration::ZERO);
     assert_eq!(refused(warm), None, "where nothing is cold the multiple says nothing");
@@ -128,7 +128,7 @@
         config.pointer_mut(place).unwrap()["newField"] = json!({"any": [1, null]});
     }
     let (old, new) = (read(&good()).unwrap(), read(&config).unwrap());
-    assert_eq!((old.settings, old.sockets), (new.settings, new.sockets));
+    assert_eq!((old.settings, old.connections), (new.settings, new.connections));
 }
 
 #[test]
--- a/crates/fawnrouter-zones/src/health.rs
+++ b/crates/fawnrouter-zones/src/health.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use fawnrouter::{Seen, ServerId};
+use fawnrouter::{ServerId, ServerView};
 
 /// Thresholds and times of the zone's health.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -91,15 +91,15 @@
     }
 
     /// Updates the health from the present observation of the zone's switches.
-    pub fn observe<'a>(&mut self, now: Duration, servers: impl Iterator<Item = Seen<'a>>) {
+    pub fn observe<'a>(&mut self, now: Duration, servers: impl Iterator<Item = ServerView<'a>>) {
         let now = now.max(self.observed_at);
         let elapsed = now.saturating_sub(self.observed_at);
         let (mut healthy, mut fraction_sum) = (0usize, 0.0);
         for server in servers {
             if server.ready {
                 self.last_ready.insert(server.entry.id, now);
-                healthy += usize::from(server.well);
-                fraction_sum += if server.well { server.fraction } else { 0.0 };
+                healthy += usize::from(server.healthy);
+                fraction_sum += if server.healthy { server.allowed_fraction } else { 0.0 };
             }
         }
         let memory = self.settings.switch_memory;
@@ -194,11 +194,11 @@
     fn observe(health: &mut Health, now: u64, ready: u32, healthy: u32, fraction: f64) -> ZoneState {
         let entries: Vec<ServerEntry> =
             (0..10).map(|n| ServerEntry { id: ServerId(n), ..ServerEntry::default() }).collect();
-        let seen = entries.iter().zip(0..).map(|(entry, n)| Seen {
+        let seen = entries.iter().zip(0..).map(|(entry, n)| ServerView {
             entry,
             ready: n < ready,
-            well: n < healthy,
-            fraction,
+            healthy: n < healthy,
+            allowed_fraction: fraction,
         });
         health.observe(ms(now), seen);
         health.state()
--- a/crates/fawnrouter-zones/src/policy.rs
+++ b/crates/fawnrouter-zones/src/policy.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, PoisonError};
 
-use fawnrouter::{CallId, Seen, ServerEntry, Time, Voice, Wanted};
+use fawnrouter::{CallId, RoutingPolicy, RoutingRequest, ServerEntry, ServerView, Time};
 
 use crate::account::{Account, Charge, SavedAccount};
 use crate::budget::{Budget, BudgetError, Money};
@@ -146,7 +146,7 @@
     }
 
     /// Worth that the call would lose by waiting for the own zone, in points.
-    fn worth_at_stake(&self, wanted: &Wanted) -> f64 {
+    fn worth_at_stake(&self, wanted: &RoutingRequest) -> f64 {
         let state = self.health.state();
         if state == ZoneState::Down || !self.health.has_switches() {
             return wanted.worth;
@@ -158,21 +158,21 @@
     }
 }
 
-fn spill_key(wanted: &Wanted, server: &ServerEntry, cause: SpillCause) -> SpillKey {
+fn spill_key(wanted: &RoutingRequest, server: &ServerEntry, cause: SpillCause) -> SpillKey {
     let class = wanted.class.and_then(|c| u32::try_from(c.0).ok()).unwrap_or(u32::MAX);
     SpillKey { class, to: server.zone.clone(), trunk_group: server.cell.0, cause }
 }
 
-impl Voice for ZonePolicy {
-    fn observe(&mut self, now: Time, servers: &mut dyn Iterator<Item = Seen<'_>>) {
+impl RoutingPolicy for ZonePolicy {
+    fn observe(&mut self, now: Time, servers: &mut dyn Iterator<Item = ServerView<'_>>) {
         self.now = self.now.max(now);
         let own_zone = self.settings.own_zone.clone();
         let in_own_zone =
-            |s: &Seen<'_>| own_zone.is_empty() || s.entry.zone.is_empty() || s.entry.zone == own_zone;
+            |s: &ServerView<'_>| own_zone.is_empty() || s.entry.zone.is_empty() || s.entry.zone == own_zone;
         self.health.observe(now.0, servers.filter(in_own_zone));
     }
 
-    fn weigh(&mut self, now: Time, wanted: &Wanted, server: &ServerEntry) -> f64 {
+    fn server_weight(&mut self, now: Time, wanted: &RoutingRequest, server: &ServerEntry) -> f64 {
         if self.is_own(&server.zone) {
             return 1.0;
         }
@@ -209,7 +209,7 @@
         left / (1.0 + cost.to_units() * price)
     }
 
-    fn sent(&mut self, now: Time, wanted: &Wanted, server: &ServerEntry) {
+    fn attempt_sent(&mut self, now: Time, wanted: &RoutingRequest, server: &ServerEntry) {
         self.now = self.now.max(now);
         if self.is_own(&server.zone) {
             return;
@@ -230,7 +230,7 @@
         }
     }
 
-    fn ended(&mut self, call: CallId, established: bool) {
+    fn attempt_resolved(&mut self, call: CallId, established: bool) {
         self.recorded_as_held.remove(&call);
         self.counted_as_demand.remove(&call);
         let now = self.now;
@@ -257,20 +257,20 @@
     }
 }
 
-impl Voice for SharedZonePolicy {
-    fn observe(&mut self, now: Time, servers: &mut dyn Iterator<Item = Seen<'_>>) {
+impl RoutingPolicy for SharedZonePolicy {
+    fn observe(&mut self, now: Time, servers: &mut dyn Iterator<Item = ServerView<'_>>) {
         self.with(|policy| policy.observe(now, servers));
     }
 
-    fn weigh(&mut self, now: Time, wanted: &Wanted, server: &ServerEntry) -> f64 {
-        self.with(|policy| policy.weigh(now, wanted, server))
+    fn server_weight(&mut self, now: Time, wanted: &RoutingRequest, server: &ServerEntry) -> f64 {
+        self.with(|policy| policy.server_weight(now, wanted, server))
     }
 
-    fn sent(&mut self, now: Time, wanted: &Wanted, server: &ServerEntry) {
-        self.with(|policy| policy.sent(now, wanted, server));
+    fn attempt_sent(&mut self, now: Time, wanted: &RoutingRequest, server: &ServerEntry) {
+        self.with(|policy| policy.attempt_sent(now, wanted, server));
     }
 
-    fn ended(&mut self, call: CallId, established: bool) {
-        self.with(|policy| policy.ended(call, established));
+    fn attempt_resolved(&mut self, call: CallId, established: bool) {
+        self.with(|policy| policy.attempt_resolved(call, established));
     }
 }
--- a/crates/fawnrouter-zones/tests/common/mod.rs
+++ b/crates/fawnrouter-zones/tests/common/mod.rs
@@ -96,13 +96,13 @@
 #[derive(Debug)]
 struct Preference(Arc<str>);
 
-impl Voice for Preference {
-    fn observe(&mut self, _: Time, _: &mut dyn Iterator<Item = Seen<'_>>) {}
-    fn weigh(&mut self, _: Time, _: &Wanted, server: &ServerEntry) -> f64 {
+impl RoutingPolicy for Preference {
+    fn observe(&mut self, _: Time, _: &mut dyn Iterator<Item = ServerView<'_>>) {}
+    fn server_weight(&mut self, _: Time, _: &RoutingRequest, server: &ServerEntry) -> f64 {
         if server.zone == self.0 { 1.0 } else { 0.1 }
     }
-    fn sent(&mut self, _: Time, _: &Wanted, _: &ServerEntry) {}
-    fn ended(&mut self, _: CallId, _: bool) {}
+    fn attempt_sent(&mut self, _: Time, _: &RoutingRequest, _: &ServerEntry) {}
+    fn attempt_resolved(&mut self, _: CallId, _: bool) {}
 }
 
 struct Switch {
@@ -171,7 +171,7 @@
     };
     Settings {
         gateways,
-        me: PeerId(me),
+        own_id: PeerId(me),
         classes: vec![class("check", 1.0), class("transfer", 3.0)],
         tenants: vec![],
         over_share_worth: 1.0,
@@ -182,7 +182,7 @@
             fall_multiple: 3.0,
             fall_time: Duration::from_secs(1),
             release_guard: Duration::from_millis(300),
-            ask_within: Duration::from_secs(10),
+            subscribe_within: Duration::from_secs(10),
         },
         limits: Limits {
             max_attempts: 5,
@@ -230,7 +230,7 @@
 }
 
 /// The zone policy of a gateway, if it has one. A [`ZonePolicy`] is also added to `policies`.
-fn policy_of(plan: &Plan, me: u32, policies: &mut Vec<SharedZonePolicy>) -> Option<Box<dyn Voice>> {
+fn policy_of(plan: &Plan, me: u32, policies: &mut Vec<SharedZonePolicy>) -> Option<Box<dyn RoutingPolicy>> {
     match plan.policy {
         Policy::ZoneBlind => None,
         Policy::Preference => Some(Box::new(Preference(ZONES[zone_of(me)].into()))),
@@ -255,7 +255,7 @@
             let controller = Controller::new(settings(plan.gateways, me), u64::from(me) + plan.seed * 1000);
             let controller = controller.expect("sound settings");
             match policy_of(plan, me, &mut policies) {
-                Some(policy) => controller.with_voice(policy),
+                Some(policy) => controller.with_routing_policy(policy),
                 None => controller,
             }
         })
@@ -323,9 +323,18 @@
                     s.entry.up_since = s.cold_since;
                     for (g, call, attempt, _) in s.queue.drain(..) {
                         let (server, took) = (s.entry.id, Duration::ZERO);
-                        let (outcome, note, report) = (Outcome::Reset, Note::None, Report::default());
-                        let event =
-                            Event::Closed { call, attempt, server, done: false, outcome, note, took, report };
+                        let (outcome, detail, report) =
+                            (Outcome::Reset, OutcomeDetail::None, LoadReport::default());
+                        let event = Event::Closed {
+                            call,
+                            attempt,
+                            server,
+                            done: false,
+                            outcome,
+                            detail,
+                            took,
+                            report,
+                        };
                         handle_event(&mut fleet, g, event, &mut pending_actions);
                     }
                     changed.push(s.entry.clone());
@@ -360,7 +369,7 @@
                 let new = NewCall {
                     id,
                     class: Some(ClassId(class)),
-                    left: Duration::from_secs(3),
+                    time_left: Duration::from_secs(3),
                     number: format!("n{next_call}").into(),
                     width: 1.0,
                     tenant: None,
@@ -410,14 +419,15 @@
                 handle_event(
                     &mut fleet,
                     g,
-                    Event::Standing { call, attempt, server, took },
+                    Event::Established { call, attempt, server, took },
                     &mut pending_actions,
                 );
-                let (done, outcome, note, report) = (true, Outcome::Ended, Note::None, Report::default());
+                let (done, outcome, detail, report) =
+                    (true, Outcome::Ended, OutcomeDetail::None, LoadReport::default());
                 handle_event(
                     &mut fleet,
                     g,
-                    Event::Closed { call, attempt, server, done, outcome, note, took, report },
+                    Event::Closed { call, attempt, server, done, outcome, detail, took, report },
                     &mut pending_actions,
                 );
                 attempts.remove(&call);
@@ -444,9 +454,9 @@
                 s.queue.retain(|(_, c, a, _)| (c, a) != (call, attempt));
                 if s.queue.len() < before {
                     let (call, attempt, server, took) = (*call, *attempt, *server, Duration::ZERO);
-                    let (done, outcome, note, report) =
-                        (false, Outcome::TimedOut, Note::None, Report::default());
-                    let event = Event::Closed { call, attempt, server, done, outcome, note, took, report };
+                    let (done, outcome, detail, report) =
+                        (false, Outcome::TimedOut, OutcomeDetail::None, LoadReport::default());
+                    let event = Event::Closed { call, attempt, server, done, outcome, detail, took, report };
                     let mut actions = Vec::new();
                     fleet[*g].handle(now, event, &mut actions);
                     pending_actions.extend(actions.into_iter().map(|a| (*g, a)));
@@ -464,22 +474,22 @@
                     if *s.entry.zone != *ZONES[zone_of(g as u32)] {
                         *result.spill_attempts.entry(second).or_default() += 1;
                     }
-                    let closed = |outcome, note| {
-                        let (done, took, report) = (false, Duration::ZERO, Report::default());
-                        Event::Closed { call, attempt: no, server, done, outcome, note, took, report }
+                    let closed = |outcome, detail| {
+                        let (done, took, report) = (false, Duration::ZERO, LoadReport::default());
+                        Event::Closed { call, attempt: no, server, done, outcome, detail, took, report }
                     };
                     if s.failed {
                         handle_event(
                             &mut fleet,
                             g,
-                            closed(Outcome::ConnectFailed, Note::None),
+                            closed(Outcome::ConnectFailed, OutcomeDetail::None),
                             &mut pending_actions,
                         );
                     } else if s.queue.len() as f64 > MAX_QUEUE_S * plan.capacity {
                         handle_event(
                             &mut fleet,
                             g,
-                            closed(Outcome::Full, Note::ProcessorFull(None)),
+                            closed(Outcome::Full, OutcomeDetail::ProcessorFull(None)),
                             &mut pending_actions,
                         );
                     } else {
--- a/crates/fawnrouter-zones/tests/policy.rs
+++ b/crates/fawnrouter-zones/tests/policy.rs
@@ -44,9 +44,16 @@
     ServerEntry { id: ServerId(id), zone: zone.into(), ..ServerEntry::default() }
 }
 
-fn wanted(call: u64, worth: f64, aim_left_ms: u64) -> Wanted {
+fn wanted(call: u64, worth: f64, aim_left_ms: u64) -> RoutingRequest {
     let (aim, aim_left) = (Duration::from_secs(2), Duration::from_millis(aim_left_ms));
-    Wanted { call: CallId(call), class: Some(ClassId(0)), worth, aim, aim_left, left: Duration::from_secs(3) }
+    RoutingRequest {
+        call: CallId(call),
+        class: Some(ClassId(0)),
+        worth,
+        aim,
+        aim_left,
+        time_left: Duration::from_secs(3),
+    }
 }
 
 /// A policy whose own zone has four switches, of which `healthy` are healthy with this fraction for the last
@@ -57,16 +64,16 @@
     for step in 0..50 {
         let state_of = |n: u32| (step < 5 || n < healthy, if step < 5 { 1.0 } else { fraction });
         let mut seen = own.iter().zip(0..).map(|(entry, n)| {
-            let (well, fraction) = state_of(n);
-            Seen { entry, ready: true, well, fraction }
+            let (healthy, allowed_fraction) = state_of(n);
+            ServerView { entry, ready: true, healthy, allowed_fraction }
         });
         policy.observe(t(step * 100), &mut seen);
     }
     policy
 }
 
-fn may_go(policy: &mut ZonePolicy, now: u64, wanted: Wanted, zone: &str) -> bool {
-    policy.weigh(t(now), &wanted, &server(9, zone)) > 0.0
+fn may_go(policy: &mut ZonePolicy, now: u64, wanted: RoutingRequest, zone: &str) -> bool {
+    policy.server_weight(t(now), &wanted, &server(9, zone)) > 0.0
 }
 
 #[test]
@@ -75,7 +82,7 @@
     assert_eq!(z.state(), ZoneState::Calm);
     for call in 0..50 {
         assert!(!may_go(&mut z, 5000, wanted(call, 100.0, 0), "north"));
-        assert_eq!(z.weigh(t(5000), &wanted(call, 1.0, 2000), &server(1, "kochi")), 1.0);
+        assert_eq!(z.server_weight(t(5000), &wanted(call, 1.0, 2000), &server(1, "kochi")), 1.0);
     }
 }
 
@@ -120,7 +127,7 @@
     assert!(!may_go(&mut alone, 4000, wanted(1, 1.0, 2000), "north"), "no switch has been observed yet");
     alone.observe(t(4500), &mut std::iter::empty());
     assert!(may_go(&mut alone, 5000, wanted(1, 1.0, 2000), "north"));
-    alone.sent(t(5000), &wanted(1, 1.0, 2000), &server(9, "north"));
+    alone.attempt_sent(t(5000), &wanted(1, 1.0, 2000), &server(9, "north"));
     assert_eq!(alone.record().total().keys().next().map(|k| k.cause), Some(SpillCause::NoSwitch));
 }
 
@@ -137,10 +144,10 @@
         for (class, worth) in [(0, 1.0), (1, 3.0)] {
             let call = wanted(n * 2 + class as u64, worth, 1000);
             if may_go(&mut z, 5000 + n * 100, call, "north") {
-                z.sent(t(5000 + n * 100), &call, &server(9, "north"));
+                z.attempt_sent(t(5000 + n * 100), &call, &server(9, "north"));
                 spilled[class] += 1;
             }
-            z.ended(call.call, true);
+            z.attempt_resolved(call.call, true);
         }
     }
     assert!(spilled[0] + spilled[1] <= 20 && spilled[1] >= 8 && spilled[1] > spilled[0], "{spilled:?}");
@@ -157,9 +164,9 @@
     for (n, established) in [(1, false), (2, true), (3, false)] {
         let call = wanted(n, 5.0, 0);
         assert!(may_go(&mut z, 5000, call, "north"));
-        z.sent(t(5000), &call, &server(9, "north"));
-        z.ended(call.call, established);
-        z.ended(call.call, false);
+        z.attempt_sent(t(5000), &call, &server(9, "north"));
+        z.attempt_resolved(call.call, established);
+        z.attempt_resolved(call.call, false);
     }
     assert_eq!(spent(&z), 1);
     let total: u64 = z.record().total().values().map(|c| c.calls).sum();
@@ -171,12 +178,13 @@
     let mut z = policy(settings("kochi", 10), 0, 0.0);
     let call = wanted(1, 5.0, 0);
     assert!(may_go(&mut z, 5000, call, "north"));
-    z.sent(t(5000), &call, &server(9, "north"));
+    z.attempt_sent(t(5000), &call, &server(9, "north"));
     // The list now says that switch 9 is in the own zone.
     let moved = server(9, "kochi");
-    let mut seen = std::iter::once(Seen { entry: &moved, ready: true, well: true, fraction: 1.0 });
+    let mut seen =
+        std::iter::once(ServerView { entry: &moved, ready: true, healthy: true, allowed_fraction: 1.0 });
     z.observe(t(5100), &mut seen);
-    z.ended(call.call, false);
+    z.attempt_resolved(call.call, false);
     assert_eq!(z.account().budget_views()[0].1.spent.0, 0);
-    assert_eq!(z.weigh(t(5200), &wanted(2, 1.0, 2000), &moved), 1.0);
+    assert_eq!(z.server_weight(t(5200), &wanted(2, 1.0, 2000), &moved), 1.0);
 }
--- a/crates/fawnrouterd/src/node/gate.rs
+++ b/crates/fawnrouterd/src/node/gate.rs
@@ -10,7 +10,7 @@
 use async_io::Async;
 use fawnrouter_node::fawnrouter::Time;
 use fawnrouter_node::jsonl::Tag;
-use fawnrouter_node::{ClientId, Input, LinkId, Node, Output, Shares};
+use fawnrouter_node::{ClientId, DescriptorShares, Input, LinkId, Node, Output};
 
 use super::reader::{Reader, Room};
 use crate::flag::Flag;
@@ -65,7 +65,7 @@
     closing: Cell<usize>,
     /// Clients' connections that a task still serves or closes.
     driven: Cell<usize>,
-    shares: Shares,
+    shares: DescriptorShares,
     open_trunk: Opener,
     executor: Weak<LocalExecutor<'static>>,
     log: RefCell<LogRate>,
@@ -75,7 +75,7 @@
 impl Gate {
     pub fn new(
         node: Node,
-        shares: Shares,
+        shares: DescriptorShares,
         nameserver: SocketAddr,
         open_trunk: Opener,
         executor: &Rc<LocalExecutor<'static>>,
@@ -122,7 +122,7 @@
 
     /// Whether there is room for one more connection of a client's, its way out included.
     pub fn has_room(&self) -> bool {
-        self.driven.get() < self.shares.callers()
+        self.driven.get() < self.shares.max_client_connections()
     }
 
     /// A client has ended its side, or its connection cannot be written to: what has not been said will not be heard.
@@ -132,15 +132,15 @@
 
     fn forget(&self, client: ClientId) -> Vec<Input> {
         let peer = self.clients.borrow_mut().remove(&client);
-        let unheard = peer.into_iter().flat_map(|peer| peer.outbox.unwritten());
-        let unheard = unheard.map(|tag| Input::Unheard { tag: Tag(tag) });
-        std::iter::once(Input::ClientEnded { client }).chain(unheard).collect()
+        let unheard = peer.into_iter().flat_map(|peer| peer.outbox.unwritten_marks());
+        let unheard = unheard.map(|tag| Input::NotDelivered { tag: Tag(tag) });
+        std::iter::once(Input::ClientHalfClosed { client }).chain(unheard).collect()
     }
 
     /// A client's connection takes nothing more.
     pub fn client_gone(self: &Rc<Self>, client: ClientId) {
         self.client_ended(client);
-        self.input(Input::ClientDown { client });
+        self.input(Input::ClientDisconnected { client });
     }
 
     /// Whether this is still a connection of the gateway's.
@@ -187,12 +187,12 @@
                     peer.outbox.push(|out| out.extend_from_slice(&line));
                 }
             }
-            Output::Tell { client, tag, line } => match self.clients.borrow().get(&client) {
+            Output::NotifyCaller { client, tag, line } => match self.clients.borrow().get(&client) {
                 Some(peer) => {
                     peer.outbox.push_marked(tag.0, &line);
                     next.push_back(Next::Look(client));
                 }
-                None => next.push_back(Next::Input(Input::Unheard { tag })),
+                None => next.push_back(Next::Input(Input::NotDelivered { tag })),
             },
             Output::CloseClient { client } => {
                 if let Some(peer) = self.clients.borrow().get(&client) {
@@ -215,17 +215,17 @@
                     next.push_back(Next::Look(client));
                 }
             }
-            Output::GiveUp { link, tag, line } => {
+            Output::CancelSetUp { link, tag, line } => {
                 if let Some(outbox) = self.links.borrow().get(&link)
-                    && !outbox.take_back(tag.0)
+                    && !outbox.remove_unwritten(tag.0)
                 {
                     outbox.push(|out| out.extend_from_slice(&line));
                 }
             }
-            Output::Recall { link } => {
-                let back = self.links.borrow().get(&link).map(|outbox| outbox.take_back_all());
+            Output::RecallSetUps { link } => {
+                let back = self.links.borrow().get(&link).map(|outbox| outbox.remove_all_unwritten());
                 let back = back.into_iter().flatten();
-                next.extend(back.map(|mark| Next::Input(Input::Recalled { link, tag: Tag(mark) })));
+                next.extend(back.map(|mark| Next::Input(Input::SetUpRecalled { link, tag: Tag(mark) })));
             }
             Output::CloseLink { link } => self.drop_link(link),
             Output::Log(line) => self.log(now, &line),
@@ -242,7 +242,7 @@
     /// calls may go elsewhere. What gives up or releases others is written.
     pub fn drop_link(&self, link: LinkId) {
         if let Some(outbox) = self.links.borrow_mut().remove(&link) {
-            outbox.take_back_all();
+            outbox.remove_all_unwritten();
             outbox.finish();
         }
     }
@@ -302,16 +302,16 @@
         let (c, held) = self.pump.with(|node| (node.counters(), node.held()));
         let [open, standing, clients, links, switches] = held;
         tracing::info!(
-            taken = c.taken,
-            stood = c.stood,
+            taken = c.accepted,
+            stood = c.established,
             refused = c.refused,
             failed = c.failed,
-            lapsed = c.lapsed,
+            lapsed = c.abandoned,
             invalid = c.invalid,
             attempts = c.attempts,
-            cut = c.cut,
-            spoilt = c.spoilt,
-            unseated = c.unseated,
+            cut = c.calls_lost,
+            spoilt = c.invalid_responses,
+            unseated = c.evicted_clients,
             open,
             standing,
             clients,
