--- a/crates/fawnrouter-engine/src/authenticate.rs
+++ b/crates/fawnrouter-engine/src/authenticate.rs
@@ -27,9 +27,9 @@
         if let Some(set_ups) = &mut self.gate.set_ups {
             set_ups.set_clients(clients.iter().map(|c| (c.name.clone(), c.limits)));
         }
-        let Some((guard, _)) = &mut self.gate.guard else { return };
+        let Some((authenticator, _)) = &mut self.gate.authenticator else { return };
         let secrets: BTreeMap<_, _> = clients.into_iter().map(|c| (c.name, c.secret)).collect();
-        let changed = guard.set_secrets(secrets);
+        let changed = authenticator.set_secrets(secrets);
         for identity in self.table.clients.values_mut().map(|c| &mut c.identity) {
             if identity.client_name.as_ref().is_some_and(|name| changed.contains(name)) {
                 identity.client_name = None;
@@ -41,7 +41,9 @@
     /// Authenticates a request before anything is done for it. ACK and CANCEL cannot be challenged (RFC 3261
     /// §22.1), and a BYE belongs to a call that was accepted before.
     pub(crate) fn authenticate(&mut self, client: ClientId, request: &Message, uri: &str) -> AuthCheck {
-        let Some((guard, unknown_clients)) = &self.gate.guard else { return AuthCheck::Proceed(None) };
+        let Some((authenticator, unknown_clients)) = &self.gate.authenticator else {
+            return AuthCheck::Proceed(None);
+        };
         let method = request.method().unwrap_or(Method::Other);
         if matches!(method, Method::Ack | Method::Cancel | Method::Bye) {
             return AuthCheck::Proceed(None);
@@ -60,7 +62,7 @@
             }
         }
         let signed = Request { method: request.method_text(), uri };
-        let checked = guard.check(now, client.0, &mut identity.proof, signed, fields);
+        let checked = authenticator.check(now, client.0, &mut identity.auth_state, signed, fields);
         match checked {
             AuthOutcome::Known { client: name, info } => {
                 // A connection belongs to one client: otherwise a client could lend its connection to another
@@ -79,7 +81,7 @@
             }
             AuthOutcome::Challenge { stale, .. } => {
                 self.counters.challenged += 1;
-                let challenge = guard.challenge(now, client.0, stale);
+                let challenge = authenticator.challenge(now, client.0, stale);
                 let extra: Vec<_> = challenge.iter().map(|c| (Name::WwwAuthenticate, c.as_str())).collect();
                 self.respond(client, request, 401, None, &extra);
                 AuthCheck::Answered
--- a/crates/fawnrouter-engine/src/caller.rs
+++ b/crates/fawnrouter-engine/src/caller.rs
@@ -89,11 +89,11 @@
     }
 
     /// Rejects an INVITE with 503 without creating a call.
-    fn reject_invite(&mut self, client: ClientId, invite: &Message, why: &str, wait: Duration) {
+    fn reject_invite(&mut self, client: ClientId, invite: &Message, reason: &str, retry_after: Duration) {
         self.counters.rejected += 1;
-        let wait = retry_after_seconds(wait).max(1).to_string();
-        let reason = format!("SIP;cause=503;text=\"{why}\"");
-        let extra = [(Name::RetryAfter, wait.as_str()), (Name::Reason, reason.as_str())];
+        let seconds = retry_after_seconds(retry_after).max(1).to_string();
+        let reason = format!("SIP;cause=503;text=\"{reason}\"");
+        let extra = [(Name::RetryAfter, seconds.as_str()), (Name::Reason, reason.as_str())];
         self.respond(client, invite, 503, None, &extra);
     }
 
@@ -130,8 +130,8 @@
         let left = expires.unwrap_or(default).min(self.settings.max_expires);
         let class_name = class.map(|c| c.name.clone()).unwrap_or_default();
         let id = self.new_call_id();
-        let turn = self.admit_set_up(client, id);
-        if let SetUpDecision::Refuse { reason, retry_after } = turn {
+        let decision = self.admit_set_up(client, id);
+        if let SetUpDecision::Refuse { reason, retry_after } = decision {
             return self.reject_invite(client, &invite, reason.text(), retry_after);
         }
         let session_id = session_id_of(&invite)
@@ -178,7 +178,7 @@
             transit: false,
             destination: classified.destination,
         };
-        if turn == SetUpDecision::Wait {
+        if decision == SetUpDecision::Wait {
             let wait = self.set_up_admission().map_or(left, SetUpAdmission::max_wait).min(left);
             self.table.timers.set(TimerKey::Call(id), self.now.plus(wait));
             if let Some(call) = self.table.calls.get_mut(&id) {
--- a/crates/fawnrouter-engine/src/gate.rs
+++ b/crates/fawnrouter-engine/src/gate.rs
@@ -11,14 +11,14 @@
 #[derive(Debug)]
 pub(crate) struct Gate {
     /// Digest authentication, and how unknown clients are treated.
-    pub guard: Option<(Authenticator, UnknownClients)>,
+    pub authenticator: Option<(Authenticator, UnknownClients)>,
     /// Admission of set-ups.
     pub set_ups: Option<SetUpAdmission>,
 }
 
 impl Gate {
     pub fn new(auth: Option<AuthSettings>, set_ups: Option<SetUpSettings>) -> Self {
-        let guard = auth.map(|a| (Authenticator::new(a.guard, a.key), a.unknown_clients));
-        Self { guard, set_ups: set_ups.map(SetUpAdmission::new) }
+        let authenticator = auth.map(|a| (Authenticator::new(a.guard, a.key), a.unknown_clients));
+        Self { authenticator, set_ups: set_ups.map(SetUpAdmission::new) }
     }
 }
--- a/crates/fawnrouter-engine/src/identity.rs
+++ b/crates/fawnrouter-engine/src/identity.rs
@@ -47,12 +47,12 @@
     pub client_name: Option<Arc<str>>,
     /// No request is served before the client has authenticated.
     pub must_authenticate: bool,
-    pub proof: AuthState,
+    pub auth_state: AuthState,
 }
 
 impl Identity {
     pub fn new(origin: IpAddr, must_authenticate: bool) -> Self {
-        Self { origin, client_name: None, must_authenticate, proof: AuthState::default() }
+        Self { origin, client_name: None, must_authenticate, auth_state: AuthState::default() }
     }
 
     /// The client as the admission of set-ups tells clients apart.
--- a/crates/fawnrouter-engine/src/set_up_admission.rs
+++ b/crates/fawnrouter-engine/src/set_up_admission.rs
@@ -15,16 +15,16 @@
         let (Some(set_ups), Some(known)) = (&mut self.gate.set_ups, self.table.clients.get(&client)) else {
             return SetUpDecision::Proceed;
         };
-        let (turn, displaced) = set_ups.offer(self.now.0, known.identity.who(), id.0);
-        if let Some((other, turn)) = displaced {
-            self.refuse_set_up(CallId(other), turn);
+        let (decision, displaced) = set_ups.offer(self.now.0, known.identity.who(), id.0);
+        if let Some((other, decision)) = displaced {
+            self.refuse_set_up(CallId(other), decision);
         }
-        turn
+        decision
     }
 
     /// Sends the final answer of a call that was refused after it had waited.
-    fn refuse_set_up(&mut self, id: CallId, turn: SetUpDecision) {
-        if let SetUpDecision::Refuse { reason, retry_after } = turn {
+    fn refuse_set_up(&mut self, id: CallId, decision: SetUpDecision) {
+        if let SetUpDecision::Refuse { reason, retry_after } = decision {
             self.counters.refused += 1;
             let retry_after_s = Some(retry_after_seconds(retry_after).max(1));
             self.send_final(id, FinalAnswer { status: 503, retry_after_s, text: reason.text() });
@@ -34,10 +34,10 @@
     /// Refuses a call whose longest wait has passed. Returns `false` if the call does not wait.
     pub(crate) fn set_up_wait_expired(&mut self, id: CallId) -> bool {
         let now = self.now.0;
-        let turn = self.gate.set_ups.as_mut().and_then(|s| s.wait_expired(now, id.0));
-        match turn {
-            Some(turn) => {
-                self.refuse_set_up(id, turn);
+        let decision = self.gate.set_ups.as_mut().and_then(|s| s.wait_expired(now, id.0));
+        match decision {
+            Some(decision) => {
+                self.refuse_set_up(id, decision);
                 true
             }
             None => false,
--- a/crates/fawnrouter-engine/src/trunk.rs
+++ b/crates/fawnrouter-engine/src/trunk.rs
@@ -67,7 +67,7 @@
                 server,
                 done,
                 outcome,
-                detail: detail,
+                detail,
                 took,
                 report,
             });
--- a/crates/fawnrouter-zones/src/lib.rs
+++ b/crates/fawnrouter-zones/src/lib.rs
@@ -1,7 +1,8 @@
 #![forbid(unsafe_code)]
-//! Traffic across zones: a policy that the router consults when it selects a server ([`fawnrouter::RoutingPolicy`]).
-//! It lets calls spill into other zones when the gateway's own zone is pressed or down and a budget allows
-//! it. The crate does no I/O, reads no clock and uses no randomness: the same calls give the same answers.
+//! Traffic across zones: a policy that the router consults when it selects a server
+//! ([`fawnrouter::RoutingPolicy`]). It lets calls spill into other zones when the gateway's own zone is
+//! pressed or down and a budget allows it. The crate does no I/O, reads no clock and uses no randomness: the
+//! same calls give the same answers.
 //!
 //! | module | contents |
 //! | --- | --- |
--- a/crates/fawnrouter-zones/src/policy.rs
+++ b/crates/fawnrouter-zones/src/policy.rs
@@ -146,20 +146,20 @@
     }
 
     /// Worth that the call would lose by waiting for the own zone, in points.
-    fn worth_at_stake(&self, wanted: &RoutingRequest) -> f64 {
+    fn worth_at_stake(&self, request: &RoutingRequest) -> f64 {
         let state = self.health.state();
         if state == ZoneState::Down || !self.health.has_switches() {
-            return wanted.worth;
+            return request.worth;
         }
         // In a pressed zone the chance to be held back again grows with the pressure, and the loss with the
         // elapsed share of the aim.
-        let elapsed = 1.0 - wanted.aim_left.as_secs_f64() / wanted.aim.as_secs_f64().max(1e-3);
-        wanted.worth * self.health.pressure().clamp(0.0, 1.0) * elapsed.clamp(0.0, 1.0)
+        let elapsed = 1.0 - request.aim_left.as_secs_f64() / request.aim.as_secs_f64().max(1e-3);
+        request.worth * self.health.pressure().clamp(0.0, 1.0) * elapsed.clamp(0.0, 1.0)
     }
 }
 
-fn spill_key(wanted: &RoutingRequest, server: &ServerEntry, cause: SpillCause) -> SpillKey {
-    let class = wanted.class.and_then(|c| u32::try_from(c.0).ok()).unwrap_or(u32::MAX);
+fn spill_key(request: &RoutingRequest, server: &ServerEntry, cause: SpillCause) -> SpillKey {
+    let class = request.class.and_then(|c| u32::try_from(c.0).ok()).unwrap_or(u32::MAX);
     SpillKey { class, to: server.zone.clone(), trunk_group: server.cell.0, cause }
 }
 
@@ -172,7 +172,7 @@
         self.health.observe(now.0, servers.filter(in_own_zone));
     }
 
-    fn server_weight(&mut self, now: Time, wanted: &RoutingRequest, server: &ServerEntry) -> f64 {
+    fn server_weight(&mut self, now: Time, request: &RoutingRequest, server: &ServerEntry) -> f64 {
         if self.is_own(&server.zone) {
             return 1.0;
         }
@@ -188,19 +188,19 @@
         let level = self.health.emergency_level();
         let price = self.account.price(now.0, &server.zone, level);
         let worth_the_price =
-            self.worth_at_stake(wanted) >= cost.to_units() * self.settings.points_per_unit * price;
+            self.worth_at_stake(request) >= cost.to_units() * self.settings.points_per_unit * price;
         if !worth_the_price {
             return 0.0;
         }
         // A call that is worth the price counts as demand even if there is no budget for it, because the
         // price follows the demand. It counts once, however often a server is drawn for it.
-        if self.counted_as_demand.len() < MAX_TRACKED_CALLS && self.counted_as_demand.insert(wanted.call) {
+        if self.counted_as_demand.len() < MAX_TRACKED_CALLS && self.counted_as_demand.insert(request.call) {
             self.account.record_demand(now.0, &server.zone);
         }
         if !self.account.can_afford(now.0, &server.zone, cost, level) {
             // Recorded once per call, however often a server is drawn for it.
-            if self.recorded_as_held.len() < MAX_TRACKED_CALLS && self.recorded_as_held.insert(wanted.call) {
-                self.record.add_call(now.0, &spill_key(wanted, server, SpillCause::BudgetOut), Money(0));
+            if self.recorded_as_held.len() < MAX_TRACKED_CALLS && self.recorded_as_held.insert(request.call) {
+                self.record.add_call(now.0, &spill_key(request, server, SpillCause::BudgetOut), Money(0));
             }
             return 0.0;
         }
@@ -209,7 +209,7 @@
         left / (1.0 + cost.to_units() * price)
     }
 
-    fn attempt_sent(&mut self, now: Time, wanted: &RoutingRequest, server: &ServerEntry) {
+    fn attempt_sent(&mut self, now: Time, request: &RoutingRequest, server: &ServerEntry) {
         self.now = self.now.max(now);
         if self.is_own(&server.zone) {
             return;
@@ -222,10 +222,10 @@
         // The call was weighed at the same instant, so the budget still covers it. A charge that fails is a
         // breach of the budget and would show as a difference between the record and the account.
         if let Ok(charge) = self.account.charge(now.0, &server.zone, cost, self.health.emergency_level()) {
-            let key = spill_key(wanted, server, cause);
+            let key = spill_key(request, server, cause);
             self.record.add_call(now.0, &key, cost);
             if self.spilled.len() < MAX_TRACKED_CALLS {
-                self.spilled.insert(wanted.call, SpilledCall { key, charge, at: now });
+                self.spilled.insert(request.call, SpilledCall { key, charge, at: now });
             }
         }
     }
@@ -262,12 +262,12 @@
         self.with(|policy| policy.observe(now, servers));
     }
 
-    fn server_weight(&mut self, now: Time, wanted: &RoutingRequest, server: &ServerEntry) -> f64 {
-        self.with(|policy| policy.server_weight(now, wanted, server))
+    fn server_weight(&mut self, now: Time, request: &RoutingRequest, server: &ServerEntry) -> f64 {
+        self.with(|policy| policy.server_weight(now, request, server))
     }
 
-    fn attempt_sent(&mut self, now: Time, wanted: &RoutingRequest, server: &ServerEntry) {
-        self.with(|policy| policy.attempt_sent(now, wanted, server));
+    fn attempt_sent(&mut self, now: Time, request: &RoutingRequest, server: &ServerEntry) {
+        self.with(|policy| policy.attempt_sent(now, request, server));
     }
 
     fn attempt_resolved(&mut self, call: CallId, established: bool) {
