--- a/crates/fawnrouter-engine/src/trunk.rs
+++ b/crates/fawnrouter-engine/src/trunk.rs
@@ -1,4 +1,4 @@
-//! The attempt legs: set-ups that go out to switches, and what comes back.
+//! The attempt legs: set-ups sent to switches, and the messages received from switches.
 
 use std::time::Duration;
 
@@ -9,14 +9,15 @@
 use rand_core::RngCore;
 
 use crate::caller::{ALLOW, to_tag};
-use crate::due::{Key, LegId};
 use crate::engine::Engine;
 use crate::interface::{CallEvent, Output};
 use crate::status::{self, ResponseDetails, Retryability};
 use crate::table::{Leg, LegState, Stage};
+use crate::timer::{LegId, TimerKey};
 
-/// Fields of the caller's INVITE that the gateway writes itself or that concern one hop only. All others pass.
-const OWN: [&str; 15] = [
+/// Header fields of the caller's INVITE that are not forwarded, because the gateway sets them itself or they
+/// concern one hop only. All other unknown fields are forwarded.
+const NOT_FORWARDED: [&str; 15] = [
     "Date",
     "Timestamp",
     "MIME-Version",
@@ -35,16 +36,17 @@
 ];
 
 impl Engine {
-    /// Sends if there is a connection. Without one, what is lost is an ACK or a CANCEL of a switch that is away.
+    /// Sends a message if the connection is open. Without one, only an ACK or a CANCEL to an unreachable
+    /// switch is lost.
     fn send_to_trunk(&mut self, server: ServerId, bytes: Vec<u8>) {
-        if self.table.is_up(server) {
-            self.out.push(Output::ToTrunk { server, bytes });
+        if self.table.is_connected(server) {
+            self.outputs.push(Output::ToTrunk { server, bytes });
         }
     }
 
-    /// Carries out the controller's decision to send a set-up.
-    pub(crate) fn issue(&mut self, id: CallId, server: ServerId, within: Duration) {
-        let up = self.table.is_up(server);
+    /// Sends a set-up to a switch, as the controller decided.
+    pub(crate) fn send_set_up(&mut self, id: CallId, server: ServerId, within: Duration) {
+        let connected = self.table.is_connected(server);
         let Some(call) = self.table.calls.get_mut(&id).filter(|c| matches!(c.stage, Stage::Routing)) else {
             return;
         };
@@ -54,10 +56,10 @@
             .invite
             .as_deref()
             .zip(self.table.trunks.get(&server).map(|t| t.switch.address))
-            .filter(|_| up)
+            .filter(|_| connected)
         else {
-            // No connection: the set-up certainly never ran.
-            let (outcome, note, took) = (Outcome::ConnectFailed, OutcomeDetail::None, Duration::ZERO);
+            // Without a connection the set-up has certainly not been processed.
+            let (outcome, detail, took) = (Outcome::ConnectFailed, OutcomeDetail::None, Duration::ZERO);
             let (done, report) = (false, LoadReport::default());
             self.events.push_back(Event::Closed {
                 call: id,
@@ -65,7 +67,7 @@
                 server,
                 done,
                 outcome,
-                detail: note,
+                detail,
                 took,
                 report,
             });
@@ -75,8 +77,9 @@
         let leg_id = LegId(self.next_leg);
         let random = self.rng.next_u32();
         let host = &self.settings.host;
-        // RFC 7339 §5.1: the gateway heeds overload control by loss and by rate. `fr-within`, a parameter of our
-        // own that others ignore (§25.1 via-extension), tells after how many milliseconds it stops waiting.
+        // RFC 7339 §5.1: the gateway supports overload control by loss and by rate. `fr-within`, a private
+        // parameter that other implementations ignore (RFC 3261 §25.1 via-extension), is the time in
+        // milliseconds after which the gateway stops waiting.
         let via = format!(
             "SIP/2.0/TCP {host};branch=z9hG4bK{:x}.{random:08x};oc;oc-algo=\"loss,rate\";fr-within={}",
             leg_id.0,
@@ -104,30 +107,30 @@
             .field(Name::CSeq, "1 INVITE")
             .field(Name::Contact, &format!("<sip:gateway@{host};transport=tcp>"))
             .field(Name::Expires, &(within.as_secs_f64().ceil().max(1.0) as u64).to_string())
-            .field(Name::SessionId, &format!("{};remote={:032}", call.session, 0))
+            .field(Name::SessionId, &format!("{};remote={:032}", call.session_id, 0))
             .field(Name::Allow, ALLOW);
         for (name, raw, value) in invite.fields() {
-            let passes = match name {
+            let forwarded = match name {
                 Name::Subject | Name::Priority | Name::ResourcePriority | Name::UserAgent | Name::Accept => {
                     true
                 }
-                Name::Other => !OWN.iter().any(|own| raw.eq_ignore_ascii_case(own)),
+                Name::Other => !NOT_FORWARDED.iter().any(|excluded| raw.eq_ignore_ascii_case(excluded)),
                 _ => false,
             };
-            if passes {
+            if forwarded {
                 draft.named(raw, value);
             }
         }
         let bytes = draft.finish_with_body_of(invite);
-        call.out = Some(leg_id);
-        self.set_up_moved(id, CallState::AttemptSent);
+        call.current_leg = Some(leg_id);
+        self.set_up_stage_changed(id, CallState::AttemptSent);
         let leg = Leg {
             call: id,
             attempt,
             server,
-            tx: InviteClient::default(),
-            state: LegState::Out,
-            sent: self.now,
+            client_transaction: InviteClient::default(),
+            state: LegState::Pending,
+            sent_at: self.now,
             uri: target,
             via,
             from,
@@ -139,15 +142,15 @@
         if let Some(trunk) = self.table.trunks.get_mut(&server) {
             trunk.legs.insert(leg_id);
         }
-        self.table.due.set(Key::Leg(leg_id), self.now.plus(within));
+        self.table.timers.set(TimerKey::Leg(leg_id), self.now.plus(within));
         self.counters.attempts += 1;
-        self.word(id, || CallEvent::AttemptSent { attempt, server });
+        self.emit_call_event(id, || CallEvent::AttemptSent { attempt, server });
         self.send_to_trunk(server, bytes);
     }
 
-    /// A request that belongs to a leg's INVITE: CANCEL (§9.1), or the ACK of a final response of 300 or more
-    /// (§17.1.1.3). Both repeat its branch.
-    fn same_transaction(leg: &Leg, method: Method, to: &str) -> Vec<u8> {
+    /// A request in the transaction of a leg's INVITE, with the same branch: CANCEL (§9.1), or the ACK of a
+    /// final response of 300 or more (§17.1.1.3).
+    fn request_in_transaction(leg: &Leg, method: Method, to: &str) -> Vec<u8> {
         Draft::request(method, &leg.uri)
             .field(Name::Via, &leg.via)
             .field(Name::MaxForwards, "70")
@@ -160,20 +163,22 @@
 
     pub(crate) fn send_cancel(&mut self, id: LegId) {
         if let Some(leg) = self.table.legs.get(&id) {
-            let (server, bytes) = (leg.server, Self::same_transaction(leg, Method::Cancel, &leg.to));
+            let (server, bytes) = (leg.server, Self::request_in_transaction(leg, Method::Cancel, &leg.to));
             self.send_to_trunk(server, bytes);
         }
     }
 
-    fn own_via(&mut self) -> String {
+    fn new_via(&mut self) -> String {
         format!("SIP/2.0/TCP {};branch=z9hG4bKr{:016x}", self.settings.host, self.rng.next_u64())
     }
 
-    /// Acknowledges the 2xx of a leg, with the body of the caller's ACK (an answer to a late offer, §13.2.2.4).
+    /// Acknowledges the 2xx of a leg, with the body of the caller's ACK (an answer to a late offer,
+    /// §13.2.2.4).
     pub(crate) fn ack_leg(&mut self, id: LegId, from_caller: Option<&Message>) {
-        let via = self.own_via();
+        let via = self.new_via();
         let Some(leg) = self.table.legs.get_mut(&id) else { return };
-        let (LegState::Standing { dialog, .. } | LegState::Releasing { dialog, .. }) = &mut leg.state else {
+        let (LegState::Established { dialog, .. } | LegState::Releasing { dialog, .. }) = &mut leg.state
+        else {
             return;
         };
         let mut draft = dialog.request(Method::Ack, &via);
@@ -186,26 +191,26 @@
         self.send_to_trunk(server, bytes);
     }
 
-    /// Releases a leg whose call has ended: BYE now, or when the connection is back.
+    /// Releases a leg whose call has ended: sends BYE now, or when the connection is back.
     pub(crate) fn release_leg(&mut self, id: LegId) {
         let Some(leg) = self.table.legs.get_mut(&id) else { return };
-        let state = std::mem::replace(&mut leg.state, LegState::GivenUp);
-        let LegState::Standing { dialog, .. } = state else {
+        let state = std::mem::replace(&mut leg.state, LegState::Abandoned);
+        let LegState::Established { dialog, .. } = state else {
             leg.state = state;
             return;
         };
-        leg.state = LegState::Releasing { dialog, unsent: true };
-        self.table.due.set(Key::Leg(id), self.now.plus(ACK_WAIT));
+        leg.state = LegState::Releasing { dialog, bye_pending: true };
+        self.table.timers.set(TimerKey::Leg(id), self.now.plus(ACK_WAIT));
         self.send_bye(id);
     }
 
     pub(crate) fn send_bye(&mut self, id: LegId) {
-        let via = self.own_via();
-        let up = self.table.legs.get(&id).is_some_and(|leg| self.table.is_up(leg.server));
+        let via = self.new_via();
+        let connected = self.table.legs.get(&id).is_some_and(|leg| self.table.is_connected(leg.server));
         let Some(leg) = self.table.legs.get_mut(&id) else { return };
-        let LegState::Releasing { dialog, unsent } = &mut leg.state else { return };
-        if up && *unsent {
-            *unsent = false;
+        let LegState::Releasing { dialog, bye_pending } = &mut leg.state else { return };
+        if connected && *bye_pending {
+            *bye_pending = false;
             let (server, bytes) = (leg.server, dialog.request(Method::Bye, &via).finish(b""));
             self.send_to_trunk(server, bytes);
         }
@@ -231,51 +236,53 @@
         let branch = via.branch().unwrap_or("");
         let id = branch.strip_prefix("z9hG4bK").and_then(|b| b.split('.').next());
         let id = id.and_then(|hex| u64::from_str_radix(hex, 16).ok()).map(LegId);
-        let fits = |leg: &&mut Leg| {
+        let matches = |leg: &&mut Leg| {
             leg.server == server
                 && fawnrouter_sip::Via::parse(&leg.via).is_ok_and(|v| v.branch() == Some(branch))
         };
-        let known = id.and_then(|id| self.table.legs.get_mut(&id).filter(fits).map(|leg| (id, leg)));
+        let known = id.and_then(|id| self.table.legs.get_mut(&id).filter(matches).map(|leg| (id, leg)));
         let Some((id, leg)) = known else {
-            // Guards against a 2xx that comes when its attempt has long been forgotten: the switch would hold the
-            // call for ever. It could do harm only to a switch that answers what was never asked.
+            // A 2xx after its leg has been removed is released, or the switch would hold the call for ever.
+            // This can only affect a switch that answers a request that was never sent.
             if (200..300).contains(&status) {
-                self.release_unknown(server, response);
+                self.release_unknown_dialog(server, response);
             }
             return;
         };
-        match leg.tx.on_response(status) {
+        match leg.client_transaction.on_response(status) {
             ClientStep::Provisional => {
-                let (call, attempt, out) = (leg.call, leg.attempt, matches!(leg.state, LegState::Out));
+                let (call, attempt) = (leg.call, leg.attempt);
+                let pending = matches!(leg.state, LegState::Pending);
                 if let Some(report) = report {
                     let (took, ok) = (Duration::ZERO, true);
                     self.events.push_back(Event::Probed { server, ok, took, report });
                 }
-                if out && status > 100 {
-                    self.provisional(call, status, Some((response, attempt.0)));
+                if pending && status > 100 {
+                    self.send_provisional(call, status, Some((response, attempt.0)));
                 }
             }
             ClientStep::CancelNow => self.send_cancel(id),
             ClientStep::Accepted => self.on_accepted(id, response),
             ClientStep::Unwanted => self.on_unwanted(id, response),
             ClientStep::Failed => self.on_failed(id, status, response, report),
-            ClientStep::AckAgain => self.ack_again(id, status, response),
+            ClientStep::AckAgain => self.repeat_ack(id, status, response),
             ClientStep::Drop => {}
         }
     }
 
     fn on_accepted(&mut self, id: LegId, response: &Message) {
         let Some(leg) = self.table.legs.get_mut(&id) else { return };
-        let (call, attempt, server, took) = (leg.call, leg.attempt, leg.server, self.now.since(leg.sent));
+        let (call, attempt, server, took) = (leg.call, leg.attempt, leg.server, self.now.since(leg.sent_at));
         let Ok(dialog) = Dialog::caller(response, &leg.uri, 1) else {
-            // A 2xx that cannot be acknowledged, as its To or Contact cannot be read, sets nothing up.
-            self.close_leg(id, Outcome::Error, false);
+            // A 2xx whose To or Contact cannot be parsed cannot be acknowledged, so it establishes no call.
+            self.close_attempt(id, Outcome::Error, false);
             return;
         };
-        leg.state = LegState::Standing { dialog: Box::new(dialog), orphan: false, revived: false };
-        self.table.due.clear(Key::Leg(id));
+        leg.state =
+            LegState::Established { dialog: Box::new(dialog), connection_lost: false, reconnected: false };
+        self.table.timers.clear(TimerKey::Leg(id));
         self.events.push_back(Event::Established { call, attempt, server, took });
-        if !self.stand(call, id, response, attempt.0) {
+        if !self.establish(call, id, response, attempt.0) {
             self.ack_leg(id, None);
             self.release_leg(id);
         }
@@ -286,21 +293,25 @@
         let Some(leg) = self.table.legs.get_mut(&id) else { return };
         match Dialog::caller(response, &leg.uri, 1) {
             Ok(dialog) => {
-                leg.state = LegState::Standing { dialog: Box::new(dialog), orphan: false, revived: false };
+                leg.state = LegState::Established {
+                    dialog: Box::new(dialog),
+                    connection_lost: false,
+                    reconnected: false,
+                };
                 self.ack_leg(id, None);
                 self.release_leg(id);
             }
-            Err(_) => drop(self.table.drop_leg(id)),
+            Err(_) => drop(self.table.remove_leg(id)),
         }
     }
 
-    fn release_unknown(&mut self, server: ServerId, response: &Message) {
+    fn release_unknown_dialog(&mut self, server: ServerId, response: &Message) {
         let uri =
             response.get(Name::To).and_then(|t| Address::parse(t).ok()).map_or("", |a| a.uri).to_owned();
         let number = response.cseq().map_or(1, |c| c.number);
         let Ok(mut dialog) = Dialog::caller(response, &uri, number) else { return };
         for method in [Method::Ack, Method::Bye] {
-            let via = self.own_via();
+            let via = self.new_via();
             let bytes = dialog.request(method, &via).finish(b"");
             self.send_to_trunk(server, bytes);
         }
@@ -308,17 +319,17 @@
 
     fn on_failed(&mut self, id: LegId, status: u16, response: &Message, report: Option<LoadReport>) {
         let Some(leg) = self.table.legs.get(&id) else { return };
-        let ack = Self::same_transaction(leg, Method::Ack, response.get(Name::To).unwrap_or(&leg.to));
+        let ack = Self::request_in_transaction(leg, Method::Ack, response.get(Name::To).unwrap_or(&leg.to));
         let (call, attempt, server) = (leg.call, leg.attempt, leg.server);
-        let (out, took) = (matches!(leg.state, LegState::Out), self.now.since(leg.sent));
+        let (pending, took) = (matches!(leg.state, LegState::Pending), self.now.since(leg.sent_at));
         self.send_to_trunk(server, ack);
-        self.table.drop_leg(id);
-        if out {
-            let status::ResponseMeaning { outcome, note, retryability: finality } =
+        self.table.remove_leg(id);
+        if pending {
+            let status::ResponseMeaning { outcome, detail, retryability } =
                 status::response_meaning(status, ResponseDetails::from_response(response));
-            let done = finality == Retryability::Final;
+            let done = retryability == Retryability::Final;
             if let Some(call) = self.table.calls.get_mut(&call) {
-                call.last = Some((status, note));
+                call.last_response = Some((status, detail));
             }
             let report = report.unwrap_or_default();
             self.events.push_back(Event::Closed {
@@ -327,34 +338,36 @@
                 server,
                 done,
                 outcome,
-                detail: note,
+                detail,
                 took,
                 report,
             });
-            self.word(call, || CallEvent::AttemptClosed { attempt, outcome });
+            self.emit_call_event(call, || CallEvent::AttemptClosed { attempt, outcome });
             if done {
-                self.pass_final(call, status);
+                self.pass_on_final(call, status);
             }
         }
-        self.close_unused(server);
+        self.close_unused_trunk(server);
     }
 
-    /// A final response again. A second 2xx of another dialog, as a forking switch sends, is released on its own.
-    fn ack_again(&mut self, id: LegId, status: u16, response: &Message) {
+    /// Handles a repeated final response. A second 2xx of another dialog, as a forking switch sends it, is
+    /// released separately.
+    fn repeat_ack(&mut self, id: LegId, status: u16, response: &Message) {
         let Some(leg) = self.table.legs.get(&id) else { return };
         let server = leg.server;
         if status >= 300 {
-            let ack = Self::same_transaction(leg, Method::Ack, response.get(Name::To).unwrap_or(&leg.to));
+            let ack =
+                Self::request_in_transaction(leg, Method::Ack, response.get(Name::To).unwrap_or(&leg.to));
             self.send_to_trunk(server, ack);
             return;
         }
-        let (LegState::Standing { dialog, .. } | LegState::Releasing { dialog, .. }) = &leg.state else {
+        let (LegState::Established { dialog, .. } | LegState::Releasing { dialog, .. }) = &leg.state else {
             return;
         };
         if to_tag(response).unwrap_or("") != dialog.remote_tag {
-            return self.release_unknown(server, response);
+            return self.release_unknown_dialog(server, response);
         }
-        // Before the caller's ACK there is none to repeat: it will go out when that comes.
+        // Before the caller's ACK there is none to repeat: it will be sent when the caller's arrives.
         if let Some(ack) = leg.ack.clone() {
             self.send_to_trunk(server, ack);
         }
@@ -363,10 +376,10 @@
     fn on_bye_answer(&mut self, server: ServerId, response: &Message) {
         let tag = response.get(Name::From).and_then(|f| Address::parse(f).ok()).and_then(|a| a.tag());
         let id = tag.and_then(|t| self.leg_of_tag(t, server));
-        let over = id.filter(|id| matches!(self.table.legs[id].state, LegState::Releasing { .. }));
-        if let Some(id) = over {
-            self.table.drop_leg(id);
-            self.close_unused(server);
+        let released = id.filter(|id| matches!(self.table.legs[id].state, LegState::Releasing { .. }));
+        if let Some(id) = released {
+            self.table.remove_leg(id);
+            self.close_unused_trunk(server);
         }
     }
 
@@ -400,24 +413,24 @@
                 let Some(leg) = self.table.legs.get_mut(&id) else { return };
                 let call = leg.call;
                 match &mut leg.state {
-                    LegState::Standing { dialog, .. } if dialog.matches(request) => {
+                    LegState::Established { dialog, .. } if dialog.matches(request) => {
                         if !dialog.accepts(number) {
                             return answer(self, 500);
                         }
                         answer(self, 200);
-                        self.bye_caller(call, request.get(Name::Reason).unwrap_or("Q.850;cause=16"));
-                        self.end_standing(call, id, Outcome::Ended);
-                        self.table.drop_leg(id);
-                        self.close_unused(server);
+                        self.send_bye_to_caller(call, request.get(Name::Reason).unwrap_or("Q.850;cause=16"));
+                        self.end_established(call, id, Outcome::Ended);
+                        self.table.remove_leg(id);
+                        self.close_unused_trunk(server);
                     }
-                    // The two BYEs crossed.
+                    // The BYEs of both sides crossed.
                     LegState::Releasing { dialog, .. } if dialog.matches(request) => answer(self, 200),
                     _ => answer(self, 481),
                 }
             }
             (Method::Bye, None) => answer(self, 481),
             (Method::Options, _) => answer(self, 200),
-            // A change of the session, or a call towards the callers: neither is passed on.
+            // A change of the session, or a call to one of the callers: neither is supported.
             (Method::Invite, Some(_)) => answer(self, 488),
             (Method::Invite, None) => answer(self, 403),
             (Method::Cancel, _) => answer(self, 481),
@@ -426,7 +439,8 @@
     }
 }
 
-/// The target at a switch: what was called, at its address. A tel URI becomes a sip one (RFC 3261 §19.1.6).
+/// The request-URI at a switch: the user part that was called, at the switch's address. A tel URI becomes a
+/// sip URI (RFC 3261 §19.1.6).
 fn request_uri(target: &str, address: std::net::SocketAddr) -> String {
     match Uri::parse(target) {
         Ok(uri) if uri.tel => format!("sip:{}{}@{address};user=phone", uri.user, uri.params.0),
