--- a/crates/fawnrouter-config/src/document.rs
+++ b/crates/fawnrouter-config/src/document.rs
@@ -7,24 +7,24 @@
 use serde::de::DeserializeOwned;
 use serde_json::{Map, Value};
 
-/// One thing that is wrong.
+/// An error in one field.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FieldError {
     /// The field, as a JSON pointer (RFC 6901): `/classes/0/points`.
     pub pointer: String,
-    /// What is wrong and what to do.
+    /// What is wrong, and how to correct it.
     pub message: String,
 }
 
 impl FieldError {
-    /// A fault at a field.
+    /// Creates an error for the field at `pointer`.
     #[must_use]
-    pub fn new(pointer: impl Into<String>, text: impl Into<String>) -> Self {
-        Self { pointer: pointer.into(), message: text.into() }
+    pub fn new(pointer: impl Into<String>, message: impl Into<String>) -> Self {
+        Self { pointer: pointer.into(), message: message.into() }
     }
 }
 
-/// All that is wrong with a file, a line each: `file:line: field: what is wrong; what to do`.
+/// All errors in a file, one line each: `file:line: field: what is wrong; how to correct it`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
     lines: Vec<String>,
@@ -35,7 +35,7 @@
         Self { lines: vec![format!("{name}: cannot be read: {error}; give the path of a file that can be")] }
     }
 
-    /// Each fault as a line.
+    /// Each error as one line of text.
     #[must_use]
     pub fn lines(&self) -> &[String] {
         &self.lines
@@ -50,32 +50,35 @@
 
 impl std::error::Error for ConfigError {}
 
-/// A parsed document.
+/// A parsed YAML document that remembers the line of each field.
 #[derive(Debug)]
 pub struct Document {
     name: String,
     value: Value,
-    /// The line of each field by its pointer.
+    /// JSON pointers of the fields, each with its line.
     lines: Vec<(String, usize)>,
 }
 
 impl Document {
-    /// Parses YAML 1.2. Keys are text, and none stands twice in a mapping.
+    /// Parses YAML 1.2. Keys must be strings, and unique within a mapping.
     ///
     /// # Errors
-    /// Where it is no YAML, or more or less than one document.
+    /// If the text is not valid YAML, or not exactly one document.
     pub fn parse(name: &str, text: &str) -> Result<Self, ConfigError> {
-        let fail = |line: usize, what: String| ConfigError { lines: vec![format!("{name}:{line}: {what}")] };
+        let fail =
+            |line: usize, message: String| ConfigError { lines: vec![format!("{name}:{line}: {message}")] };
         let documents = MarkedYaml::load_from_str(text)
             .map_err(|e| fail(e.marker().line(), format!("not YAML: {}; correct this line", e.info())))?;
         let [root] = documents.as_slice() else {
-            return Err(fail(1, "the file holds no document, or several; write one mapping".into()));
+            return Err(fail(1, "the file does not hold exactly one document; write one mapping".into()));
         };
         let mut document = Self { name: name.to_owned(), value: Value::Null, lines: Vec::new() };
-        document.value = document.convert(root, String::new()).map_err(|(line, what)| fail(line, what))?;
+        document.value =
+            document.convert(root, String::new()).map_err(|(line, message)| fail(line, message))?;
         Ok(document)
     }
 
+    /// Converts a node to JSON and records the lines of its fields. An error is a line number with a message.
     fn convert(&mut self, node: &MarkedYaml<'_>, pointer: String) -> Result<Value, (usize, String)> {
         let line = node.span.start.line();
         if !self.lines.iter().any(|(p, _)| *p == pointer) {
@@ -107,7 +110,7 @@
                     self.lines.push((pointer.clone(), key.span.start.line()));
                     let value = self.convert(value, pointer)?;
                     if map.insert(name.to_string(), value).is_some() {
-                        return Err((key.span.start.line(), format!("{name} stands twice; remove one")));
+                        return Err((key.span.start.line(), format!("duplicate key {name}; remove one")));
                     }
                 }
                 Value::Object(map)
@@ -115,48 +118,49 @@
             _ => {
                 return Err((
                     line,
-                    "tags and unknown anchors are not used here; write the value itself".into(),
+                    "tags and unknown anchors are not supported; write the value itself".into(),
                 ));
             }
         })
     }
 
-    /// Reads the document as `T` if its schema allows it.
+    /// Checks the document against the schema of `T` and deserializes it.
     ///
     /// # Errors
-    /// All that the schema finds wrong.
+    /// All violations of the schema.
     pub fn deserialize<T: DeserializeOwned + schemars::JsonSchema>(&self) -> Result<T, ConfigError> {
         let schema = schemars::schema_for!(T).to_value();
         let validator = jsonschema::validator_for(&schema).map_err(|e| {
-            self.locate_errors(vec![FieldError::new("", format!("the schema itself is wrong: {e}"))])
+            self.locate_errors(vec![FieldError::new("", format!("the schema itself is invalid: {e}"))])
         })?;
-        let faults: Vec<FieldError> = validator.iter_errors(&self.value).flat_map(|e| explain(&e)).collect();
-        if !faults.is_empty() {
-            return Err(self.locate_errors(faults));
+        let errors: Vec<FieldError> =
+            validator.iter_errors(&self.value).flat_map(|e| field_errors(&e)).collect();
+        if !errors.is_empty() {
+            return Err(self.locate_errors(errors));
         }
         T::deserialize(&self.value).map_err(|e| self.locate_errors(vec![FieldError::new("", e.to_string())]))
     }
 
-    /// Gives faults their lines.
+    /// Combines errors into one, each with the line of its field.
     #[must_use]
-    pub fn locate_errors(&self, mut faults: Vec<FieldError>) -> ConfigError {
-        faults.dedup();
-        let mut lines: Vec<(usize, String)> = faults
+    pub fn locate_errors(&self, mut errors: Vec<FieldError>) -> ConfigError {
+        errors.dedup();
+        let mut lines: Vec<(usize, String)> = errors
             .into_iter()
-            .map(|fault| {
-                let field = match fault.pointer.trim_start_matches('/') {
+            .map(|error| {
+                let field = match error.pointer.trim_start_matches('/') {
                     "" => "(the whole file)".to_owned(),
                     path => path.replace('/', "."),
                 };
-                let line = self.line_of(&fault.pointer);
-                (line, format!("{}:{line}: {field}: {}", self.name, fault.message))
+                let line = self.line_of(&error.pointer);
+                (line, format!("{}:{line}: {field}: {}", self.name, error.message))
             })
             .collect();
         lines.sort();
         ConfigError { lines: lines.into_iter().map(|(_, text)| text).collect() }
     }
 
-    /// The line of a field, or of the nearest one around it that is there.
+    /// The line of a field, or of its nearest ancestor that is present.
     fn line_of(&self, pointer: &str) -> usize {
         let mut pointer = pointer;
         loop {
@@ -164,30 +168,31 @@
                 return *line;
             }
             match pointer.rfind('/') {
-                Some(at) => pointer = &pointer[..at],
+                Some(end) => pointer = &pointer[..end],
                 None => return 1,
             }
         }
     }
 }
 
-fn explain(error: &jsonschema::ValidationError<'_>) -> Vec<FieldError> {
-    let at = error.instance_path().to_string();
-    let seen = error.instance();
-    let one = |text: String| vec![FieldError::new(at.clone(), text)];
+/// Describes a violation of the schema, with the pointer to its field.
+fn field_errors(error: &jsonschema::ValidationError<'_>) -> Vec<FieldError> {
+    let pointer = error.instance_path().to_string();
+    let value = error.instance();
+    let one = |message: String| vec![FieldError::new(pointer.clone(), message)];
     match error.kind() {
         Kind::AdditionalProperties { unexpected } | Kind::UnevaluatedProperties { unexpected } => unexpected
             .iter()
             .map(|name| {
-                FieldError::new(format!("{at}/{name}"), "no such field; remove it or correct its name")
+                FieldError::new(format!("{pointer}/{name}"), "no such field; remove it or correct its name")
             })
             .collect(),
         Kind::Required { property } => {
             one(format!("{} is missing; add it", property.as_str().unwrap_or("a field")))
         }
         Kind::Type { .. } => one(format!("{error}; give a value of that type")),
-        Kind::Enum { options } => one(format!("{seen} is none of {options}; choose one of them")),
-        // Values with a description each are a choice of constants in the schema.
+        Kind::Enum { options } => one(format!("{value} is none of {options}; choose one of them")),
+        // schemars writes an enum with described variants as a choice of constants.
         Kind::OneOfNotValid { context } | Kind::AnyOf { context } => {
             let options = context.iter().flatten().filter_map(|e| match e.kind() {
                 Kind::Constant { expected_value } => Some(expected_value.to_string()),
@@ -196,14 +201,14 @@
             let options = options.collect::<Vec<_>>().join(", ");
             one(match options.as_str() {
                 "" => format!("{error}; see `fawnrouter schema`"),
-                options => format!("{seen} is none of {options}; choose one of them"),
+                options => format!("{value} is none of {options}; choose one of them"),
             })
         }
         Kind::Minimum { limit } | Kind::ExclusiveMinimum { limit } => {
-            one(format!("{seen} is too small; the least is {limit}"))
+            one(format!("{value} is too small; the least is {limit}"))
         }
         Kind::Maximum { limit } | Kind::ExclusiveMaximum { limit } => {
-            one(format!("{seen} is too large; the most is {limit}"))
+            one(format!("{value} is too large; the most is {limit}"))
         }
         Kind::MinItems { limit } => one(format!("too few entries; give at least {limit}")),
         Kind::MaxItems { limit } => one(format!("too many entries; give at most {limit}")),
--- a/crates/fawnrouter-config/src/lib.rs
+++ b/crates/fawnrouter-config/src/lib.rs
@@ -1,6 +1,7 @@
 #![forbid(unsafe_code)]
-//! Settings of the gateway and the file that lists its switches: YAML, checked against a JSON schema that is made
-//! from the types, then for sense. An error names file, line and field, and says what to do.
+//! Settings of the gateway, its list of switches and its list of clients. The files are YAML. They are
+//! checked against a JSON schema generated from the types, then for consistency. An error names the file,
+//! line and field, and says how to correct it.
 
 mod document;
 mod settings;
@@ -12,25 +13,25 @@
 
 use std::path::Path;
 
-/// Reads settings from a file.
+/// Loads settings from a file.
 ///
 /// # Errors
-/// All faults found, each with its line, field and remedy.
+/// All errors found, each with its line, field and correction.
 pub fn load(path: &Path) -> Result<Settings, ConfigError> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|e| ConfigError::unreadable(&name, &e))?;
     parse(&name, &text)
 }
 
-/// Reads settings from a text; `name` stands for it in errors.
+/// Parses settings. Errors refer to the text as `name`.
 ///
 /// # Errors
 /// As [`load`].
 pub fn parse(name: &str, text: &str) -> Result<Settings, ConfigError> {
     let document = Document::parse(name, text)?;
     let settings: Settings = document.deserialize()?;
-    let faults = settings.field_errors();
-    if faults.is_empty() { Ok(settings) } else { Err(document.locate_errors(faults)) }
+    let errors = settings.field_errors();
+    if errors.is_empty() { Ok(settings) } else { Err(document.locate_errors(errors)) }
 }
 
 /// The JSON schema of the settings.
--- a/crates/fawnrouter-config/src/settings/admission.rs
+++ b/crates/fawnrouter-config/src/settings/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: who gets in, and whose set-up is next.
+//! Admission of connections and set-ups.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -7,61 +7,62 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-use super::{ClientEntry, Clients, Limits, Settings, ms};
+use super::{ClientEntry, Clients, Limits, Settings, milliseconds};
 use crate::document::FieldError;
 
-/// Who gets in when too many connect. `limits.connections` is the number of places.
+/// Which connections are accepted when too many clients connect. `limits.connections` is the number of
+/// places.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Admission {
-    /// Connections of one address.
+    /// Most connections per address.
     #[schemars(range(min = 1, max = 1_000_000))]
     pub per_address: usize,
-    /// Connections of one network.
+    /// Most connections per network.
     #[schemars(range(min = 1, max = 1_000_000))]
     pub per_network: usize,
-    /// Leading bits of an IPv4 address that make its network.
+    /// Prefix length that defines the network of an IPv4 address.
     #[schemars(range(max = 32))]
     pub network_bits_v4: u8,
-    /// Leading bits of an IPv6 address that make its network.
+    /// Prefix length that defines the network of an IPv6 address.
     #[schemars(range(max = 128))]
     pub network_bits_v6: u8,
-    /// Networks with a cap of their own, as offices behind one address need it.
+    /// Networks with a cap of their own, for example offices behind one address.
     #[schemars(length(max = 10_000))]
     pub exceptions: Vec<NetworkCap>,
-    /// New connections a second of one address.
+    /// New connections per second and address.
     #[schemars(range(min = 0.001, max = 1e6))]
     pub rate_per_s: f64,
-    /// New connections of one address that may come at once.
+    /// Most new connections of one address in one burst.
     #[schemars(range(min = 1, max = 1_000_000))]
     pub burst: u32,
-    /// Addresses whose rate is kept exactly; about 200 bytes each.
+    /// Number of addresses whose rate is tracked exactly; about 200 bytes each.
     #[schemars(range(min = 16, max = 10_000_000))]
     pub addresses: usize,
-    /// Handshakes under way, of all addresses.
+    /// Most unfinished handshakes, over all addresses.
     #[schemars(range(min = 1, max = 1_000_000))]
     pub handshakes: usize,
-    /// Handshakes under way of one address.
+    /// Most unfinished handshakes per address.
     #[schemars(range(min = 1, max = 1_000_000))]
     pub handshakes_per_address: usize,
-    /// Forwarders that are believed when they say where a connection comes from (RFC 7239): networks.
+    /// Networks of trusted proxies, whose statement of a connection's origin (RFC 7239) is accepted.
     #[schemars(length(max = 1000))]
     pub forwarders: Vec<Network>,
-    /// A stranger without a call that does nothing for this long is closed; 0: never.
+    /// An unknown client's connection without calls is closed after being idle this long; 0: never.
     #[schemars(range(max = 86_400_000))]
     pub idle_ms: u64,
-    /// A connection without a call that takes none of the bytes that wait for it for this long is closed; 0: never.
+    /// A connection without calls is closed if it reads none of its waiting bytes for this long; 0: never.
     #[schemars(range(max = 3_600_000))]
     pub slow_reader_ms: u64,
-    /// Messages a second of a stranger's connection; beyond it the connection is read more slowly.
+    /// Messages per second on an unknown client's connection; beyond this the connection is read more slowly.
     #[schemars(range(min = 0.1, max = 1e6))]
     pub messages_per_s: f64,
-    /// Messages a second of a known client's connection.
+    /// Messages per second on a known client's connection.
     #[schemars(range(min = 0.1, max = 1e6))]
     pub known_messages_per_s: f64,
-    /// Places that only known clients may use; without a section `clients` there are none.
+    /// Places reserved for known clients; there are none without a section `clients`.
     pub reserve: Reserve,
-    /// Whose set-up is next.
+    /// Order and limits of set-ups under overload.
     pub set_ups: SetUpScheduling,
 }
 
@@ -89,52 +90,53 @@
     }
 }
 
-/// A network with a cap of its own.
+/// A network with its own cap on connections.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct NetworkCap {
-    /// An address in it.
+    /// Any address of the network.
     pub address: IpAddr,
-    /// Its leading bits.
+    /// Its prefix length.
     #[schemars(range(max = 128))]
     pub bits: u8,
-    /// Connections of it.
+    /// Most connections of the network.
     #[schemars(range(min = 1, max = 1_000_000))]
     pub connections: usize,
 }
 
-/// A network.
+/// A network, or a single address.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Network {
-    /// An address in it.
+    /// Any address of the network.
     pub address: IpAddr,
-    /// Its leading bits; left out, the address alone.
+    /// Its prefix length; if left out, the address alone.
     #[serde(default)]
     #[schemars(range(max = 128))]
     pub bits: Option<u8>,
 }
 
 impl Network {
-    fn bits(&self) -> u8 {
+    fn prefix_length(&self) -> u8 {
         self.bits.unwrap_or(if self.address.is_ipv4() { 32 } else { 128 })
     }
 }
 
-/// Places that only known clients may use. They follow what known clients hold, within bounds.
+/// Places that only known clients may use. Their number follows the number of connections that known clients
+/// hold, within bounds.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Reserve {
-    /// It is never smaller, as a share of `limits.connections`.
+    /// Smallest reserve, as a fraction of `limits.connections`.
     #[schemars(range(min = 0.0, max = 0.95))]
     pub least_share: f64,
-    /// It is never larger, as a share of `limits.connections`.
+    /// Largest reserve, as a fraction of `limits.connections`.
     #[schemars(range(min = 0.0, max = 0.95))]
     pub most_share: f64,
-    /// Room beyond what known clients hold, as a share of that.
+    /// Reserved places beyond the connections that known clients hold, as a fraction of those.
     #[schemars(range(min = 0.0, max = 10.0))]
     pub headroom: f64,
-    /// It halves its distance to what is held in this time.
+    /// Time in which the reserve halves its distance to its target.
     #[schemars(range(min = 1, max = 86_400_000))]
     pub half_life_ms: u64,
 }
@@ -145,27 +147,27 @@
     }
 }
 
-/// What one known client may do, where its own line does not say otherwise.
+/// Limits of a known client, unless its own entry sets others.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 #[schemars(rename = "ClientPlan")]
 pub struct KnownClientDefaults {
-    /// Connections.
+    /// Most connections at once.
     #[schemars(range(min = 1, max = 1_000_000))]
     pub connections: usize,
-    /// Set-ups in one turn, against other clients.
+    /// Set-ups per turn, when clients take turns.
     #[schemars(range(min = 1, max = 1000))]
     pub weight: u32,
-    /// Set-ups a second.
+    /// Most set-ups per second.
     #[schemars(range(min = 0.001, max = 1e6))]
     pub rate_per_s: f64,
-    /// Set-ups at once.
+    /// Most set-ups in one burst.
     #[schemars(range(min = 1, max = 1_000_000))]
     pub burst: u32,
-    /// Calls without a final answer.
+    /// Most calls without a final answer.
     #[schemars(range(min = 1, max = 10_000_000))]
     pub pending: usize,
-    /// Calls in all.
+    /// Most calls in total.
     #[schemars(range(min = 1, max = 10_000_000))]
     pub calls: usize,
 }
@@ -177,7 +179,7 @@
 }
 
 impl KnownClientDefaults {
-    /// A client's limits: its own where its line has them.
+    /// The limits of a client: those of its entry, and these defaults for the rest.
     pub(super) fn limits(&self, own: Option<&ClientEntry>) -> ClientLimits {
         let rate_per_s = own.and_then(|o| o.rate_per_s).unwrap_or(self.rate_per_s);
         let burst = own.and_then(|o| o.burst).unwrap_or(self.burst);
@@ -190,30 +192,30 @@
     }
 }
 
-/// What one address of strangers may do, and all of them together.
+/// Limits of unknown clients, per address and all together.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 #[schemars(rename = "StrangerPlan")]
 pub struct UnknownClientLimits {
-    /// Set-ups of all strangers in one turn, against one known client's.
+    /// Set-ups per turn of all unknown clients together, when clients take turns.
     #[schemars(range(min = 1, max = 1000))]
     pub weight: u32,
-    /// Set-ups a second of all strangers; left out: as many as there is room for.
+    /// Most set-ups per second of all unknown clients; if left out, as many as there is room for.
     #[schemars(range(min = 0.001, max = 1e6))]
     pub all_per_s: Option<f64>,
-    /// Of what the decisions on routes may hold, the share that may be strangers'.
+    /// Fraction of the set-ups held by the routing decisions that may belong to unknown clients.
     #[schemars(range(min = 0.0, max = 1.0))]
     pub held_share: f64,
-    /// Set-ups a second of one address.
+    /// Most set-ups per second and address.
     #[schemars(range(min = 0.001, max = 1e6))]
     pub rate_per_s: f64,
-    /// Set-ups at once of one address.
+    /// Most set-ups of one address in one burst.
     #[schemars(range(min = 1, max = 1_000_000))]
     pub burst: u32,
-    /// Calls of one address without a final answer.
+    /// Most calls per address without a final answer.
     #[schemars(range(min = 1, max = 10_000_000))]
     pub pending: usize,
-    /// Calls of one address in all.
+    /// Most calls per address in total.
     #[schemars(range(min = 1, max = 10_000_000))]
     pub calls: usize,
 }
@@ -225,25 +227,25 @@
     }
 }
 
-/// Whose set-up is next, when more come than are sent.
+/// Order and limits of set-ups when more arrive than can be sent.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 #[schemars(rename = "SetUpsPlan")]
 pub struct SetUpScheduling {
-    /// Known clients, where their own lines do not say otherwise.
+    /// Limits of known clients, unless their own entries set others.
     pub known: KnownClientDefaults,
-    /// Strangers.
+    /// Limits of unknown clients.
     pub strangers: UnknownClientLimits,
-    /// Set-ups that the decisions on routes may hold, whatever is sent.
+    /// Number of set-ups that the routing decisions may always hold, whatever the rate of sending.
     #[schemars(range(min = 1, max = 1_000_000))]
     pub held_least: usize,
-    /// Beyond that they may hold what is sent in this time; others wait for their clients' turns.
+    /// Beyond that they may hold as many as are sent in this time; the others wait for their clients' turns.
     #[schemars(range(min = 0, max = 60_000))]
     pub held_ms: u64,
-    /// Set-ups that may wait.
+    /// Most set-ups that wait for their turn.
     #[schemars(range(min = 1, max = 1_000_000))]
     pub waiting: usize,
-    /// The longest that one waits.
+    /// Longest time that a set-up waits for its turn.
     #[schemars(range(min = 1, max = 60_000))]
     pub wait_ms: u64,
 }
@@ -262,82 +264,87 @@
 }
 
 impl Admission {
-    /// What the schema can't see.
-    pub(super) fn faults(&self, limits: &Limits, clients: Option<&Clients>, faults: &mut Vec<FieldError>) {
-        let mut fault = |pointer: String, text: &str| faults.push(FieldError::new(pointer, text));
+    /// Adds the errors that the schema cannot express.
+    pub(super) fn collect_errors(
+        &self,
+        limits: &Limits,
+        clients: Option<&Clients>,
+        errors: &mut Vec<FieldError>,
+    ) {
+        let mut add = |pointer: String, message: &str| errors.push(FieldError::new(pointer, message));
         for (n, cap) in self.exceptions.iter().enumerate() {
             if cap.address.is_ipv4() && cap.bits > 32 {
                 let pointer = format!("/admission/exceptions/{n}/bits");
-                fault(pointer, "is beyond the 32 bits of an IPv4 address; lower it");
+                add(pointer, "is beyond the 32 bits of an IPv4 address; lower it");
             }
         }
         for (n, network) in self.forwarders.iter().enumerate() {
-            if network.address.is_ipv4() && network.bits() > 32 {
+            if network.address.is_ipv4() && network.prefix_length() > 32 {
                 let pointer = format!("/admission/forwarders/{n}/bits");
-                fault(pointer, "is beyond the 32 bits of an IPv4 address; lower it");
+                add(pointer, "is beyond the 32 bits of an IPv4 address; lower it");
             }
         }
         if self.reserve.least_share > self.reserve.most_share {
-            fault("/admission/reserve/least_share".into(), "is beyond most_share; lower it");
+            add("/admission/reserve/least_share".into(), "is beyond most_share; lower it");
         }
         let reserve = self.reserve_settings(limits, clients);
         if reserve.most.max(reserve.least) >= limits.connections {
-            fault("/admission/reserve".into(), "takes all of limits.connections; lower its shares");
+            add("/admission/reserve".into(), "takes all of limits.connections; lower its shares");
         }
     }
 
     fn reserve_settings(&self, limits: &Limits, clients: Option<&Clients>) -> ReserveSettings {
-        let part = |share: f64| (share * limits.connections as f64) as usize;
-        // Without known clients there is nobody to keep places for.
+        let places = |share: f64| (share * limits.connections as f64) as usize;
+        // Without known clients no places are reserved.
         let (least, most) = match clients {
-            Some(_) => (part(self.reserve.least_share), part(self.reserve.most_share)),
+            Some(_) => (places(self.reserve.least_share), places(self.reserve.most_share)),
             None => (0, 0),
         };
         ReserveSettings {
             least,
             most,
             headroom: self.reserve.headroom,
-            half_life: ms(self.reserve.half_life_ms),
+            half_life: milliseconds(self.reserve.half_life_ms),
         }
     }
 }
 
 impl Settings {
-    /// The settings of the admission of connections, if it is on.
+    /// Settings of the admission of connections, if it is on.
     #[must_use]
     pub fn admission_settings(&self, seed: u64) -> Option<AdmissionSettings> {
-        let a = self.admission.as_ref()?;
+        let admission = self.admission.as_ref()?;
         Some(AdmissionSettings {
             total: self.limits.connections,
-            per_address: a.per_address,
-            per_prefix: a.per_network,
-            prefixes: Prefixes { v4: a.network_bits_v4, v6: a.network_bits_v6 },
-            exceptions: a.exceptions.iter().map(|e| (e.address, e.bits, e.connections)).collect(),
-            rate: Rate::per_second(a.rate_per_s, a.burst),
-            addresses: a.addresses,
-            handshakes: a.handshakes,
-            handshakes_per_address: a.handshakes_per_address,
-            forwarders: a.forwarders.iter().map(|n| (n.address, n.bits())).collect(),
-            prove: ms(self.clients.as_ref().map_or(0, |c| c.prove_ms)),
-            idle: ms(a.idle_ms),
-            slow: ms(a.slow_reader_ms),
-            // A second's worth may come at once.
+            per_address: admission.per_address,
+            per_prefix: admission.per_network,
+            prefixes: Prefixes { v4: admission.network_bits_v4, v6: admission.network_bits_v6 },
+            exceptions: admission.exceptions.iter().map(|e| (e.address, e.bits, e.connections)).collect(),
+            rate: Rate::per_second(admission.rate_per_s, admission.burst),
+            addresses: admission.addresses,
+            handshakes: admission.handshakes,
+            handshakes_per_address: admission.handshakes_per_address,
+            forwarders: admission.forwarders.iter().map(|n| (n.address, n.prefix_length())).collect(),
+            prove: milliseconds(self.clients.as_ref().map_or(0, |c| c.prove_ms)),
+            idle: milliseconds(admission.idle_ms),
+            slow: milliseconds(admission.slow_reader_ms),
+            // The burst is one second's worth.
             pace: (
-                Rate::per_second(a.messages_per_s, a.messages_per_s as u32),
-                Rate::per_second(a.known_messages_per_s, a.known_messages_per_s as u32),
+                Rate::per_second(admission.messages_per_s, admission.messages_per_s as u32),
+                Rate::per_second(admission.known_messages_per_s, admission.known_messages_per_s as u32),
             ),
-            reserve: a.reserve_settings(&self.limits, self.clients.as_ref()),
-            per_client: a.set_ups.known.connections,
-            retry_after: ms(self.limits.retry_after_ms),
+            reserve: admission.reserve_settings(&self.limits, self.clients.as_ref()),
+            per_client: admission.set_ups.known.connections,
+            retry_after: milliseconds(self.limits.retry_after_ms),
             seed,
         })
     }
 
-    /// The settings of the queue of set-ups, if admission is on.
+    /// Settings of the queue of set-ups, if admission is on.
     #[must_use]
     pub fn set_up_settings(&self, seed: u64) -> Option<SetUpSettings> {
-        let a = self.admission.as_ref()?;
-        let (plan, strangers) = (&a.set_ups, &a.set_ups.strangers);
+        let admission = self.admission.as_ref()?;
+        let (plan, strangers) = (&admission.set_ups, &admission.set_ups.strangers);
         Some(SetUpSettings {
             known: plan.known.limits(None),
             stranger: ClientLimits {
@@ -347,27 +354,27 @@
                 calls: strangers.calls,
             },
             strangers_weight: strangers.weight,
-            // A second's worth may come at once.
+            // The burst is one second's worth.
             strangers_rate: strangers.all_per_s.map(|rate| Rate::per_second(rate, rate as u32)),
-            // Where nobody is known, strangers have all there is.
+            // Without known clients, unknown ones may use everything.
             strangers_share: if self.clients.is_some() { strangers.held_share } else { 1.0 },
             held_least: plan.held_least,
-            held_span: ms(plan.held_ms),
+            held_span: milliseconds(plan.held_ms),
             waiting: plan.waiting,
-            wait: ms(plan.wait_ms),
-            addresses: a.addresses,
-            retry_after: ms(self.limits.retry_after_ms),
+            wait: milliseconds(plan.wait_ms),
+            addresses: admission.addresses,
+            retry_after: milliseconds(self.limits.retry_after_ms),
             seed,
         })
     }
 
-    /// Connections of each known client that has a limit of its own.
+    /// Limits on the connections of those known clients whose entries set one.
     #[must_use]
     pub fn client_connection_limits(&self, clients: &[ClientEntry]) -> Vec<(Arc<str>, usize)> {
         clients.iter().filter_map(|c| c.connections.map(|n| (c.name.as_str().into(), n))).collect()
     }
 
-    /// A known client's limits on set-ups.
+    /// Limits on the set-ups of a known client.
     pub(super) fn client_limits(&self, client: &ClientEntry) -> ClientLimits {
         let plan = self.admission.as_ref().map(|a| a.set_ups.known.clone()).unwrap_or_default();
         plan.limits(Some(client))
--- a/crates/fawnrouter-config/src/settings/mod.rs
+++ b/crates/fawnrouter-config/src/settings/mod.rs
@@ -1,5 +1,5 @@
-//! The settings' types. Times are whole milliseconds, sizes bytes. A section that a subsystem made is in a file of its
-//! own, with what it means to that subsystem.
+//! The sections of the settings. Times are whole milliseconds, sizes are bytes. A section that belongs to one
+//! subsystem is in a module of its own, together with its conversion to the settings of that subsystem.
 
 mod admission;
 mod clients;
@@ -24,46 +24,46 @@
 
 use crate::document::FieldError;
 
-/// All settings of a gateway.
+/// All settings of one gateway.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// This gateway among the others.
+    /// This gateway's place among the others.
     pub gateway: Gateway,
-    /// Where clients connect.
+    /// Where and how clients connect.
     pub listen: Listen,
-    /// Where the list of switches comes from.
+    /// The source of the list of switches.
     pub switches: Switches,
-    /// Classes of call, in any order; the rules under `calls` name them.
+    /// Classes of call, in any order; the rules under `calls` refer to them by name.
     #[schemars(length(min = 1, max = 64))]
     pub classes: Vec<Class>,
     /// Tenants that share the service.
     #[serde(default)]
     #[schemars(length(max = 1024))]
     pub tenants: Vec<Tenant>,
-    /// Worth of a call beyond its tenant's share, as a share of the usual.
-    #[serde(default = "one")]
+    /// Worth of a call beyond its tenant's quota, as a fraction of its usual worth.
+    #[serde(default = "default_one")]
     #[schemars(range(min = 0.0, max = 1.0))]
     pub over_share_worth: f64,
-    /// How calls are told apart.
+    /// How calls are assigned to classes, tenants and pools.
     #[serde(default)]
     pub calls: CallClassification,
-    /// The figures of the rules.
+    /// Parameters of the routing rules.
     #[serde(default)]
     pub rules: RoutingRules,
-    /// Limits on what is held at once.
+    /// Limits on connections, calls, messages and buffers.
     #[serde(default)]
     pub limits: Limits,
-    /// Who gets in when too many connect; left out, only `limits.connections` counts.
+    /// Admission of connections and set-ups under overload; if left out, only `limits.connections` applies.
     #[serde(default)]
     pub admission: Option<Admission>,
-    /// Clients that are known by name; left out, nobody is asked who they are.
+    /// Clients known by name; if left out, no client is asked to authenticate.
     #[serde(default)]
     pub clients: Option<Clients>,
-    /// Traffic across zones; left out, every switch is as near as any other.
+    /// Traffic across zones; if left out, all switches count as equally near.
     #[serde(default)]
     pub zones: Option<CrossZoneRouting>,
-    /// Where operators' commands reach the running gateway; left out, they do not.
+    /// Where the running gateway takes operators' commands; if left out, it takes none.
     #[serde(default)]
     pub control: Option<Control>,
     /// Connections to switches.
@@ -72,61 +72,62 @@
     /// What is logged.
     #[serde(default)]
     pub log: Log,
-    /// How the gateway ends.
+    /// How the gateway shuts down.
     #[serde(default)]
     pub drain: Drain,
 }
 
-/// This gateway among the others.
+/// This gateway's place among the others.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Gateway {
-    /// Its number, from 0.
+    /// Its number, counted from 0.
     pub number: u32,
-    /// Number of gateways that share the switches; shares of what is scarce go by it.
+    /// Number of gateways that share the switches; each takes its share of limited capacity by it.
     #[schemars(range(min = 1, max = 100_000))]
     pub count: u32,
-    /// Host, and port if any, that it writes into Via and Contact.
-    #[serde(default = "host")]
+    /// Host, with an optional port, that it writes into Via and Contact.
+    #[serde(default = "default_host")]
     #[schemars(length(min = 1, max = 255))]
     pub host: String,
-    /// Seed of all random numbers; left out, each start draws one.
+    /// Seed of all random numbers; if left out, each start draws its own.
     #[serde(default)]
     pub seed: Option<u64>,
 }
 
-/// Where clients connect.
+/// Where and how clients connect.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
-    /// Address and port; port 0 takes a free one, which the `ready` line names.
+    /// Address and port; port 0 takes a free port, which the `ready` line names.
     pub address: SocketAddr,
-    /// The path of the WebSocket.
-    #[serde(default = "path")]
+    /// Path of the WebSocket endpoint.
+    #[serde(default = "default_path")]
     #[schemars(length(min = 1, max = 255))]
     pub path: String,
-    /// Origins of web pages that may connect; empty: all. Programs that send no Origin always may.
+    /// Origins of web pages that may connect; empty: all. Clients that send no Origin are always accepted.
     #[serde(default)]
     #[schemars(length(max = 256))]
     pub origins: Vec<String>,
-    /// A connection whose handshake takes longer is closed.
-    #[serde(default = "handshake_ms")]
+    /// Timeout of the handshake.
+    #[serde(default = "default_handshake_ms")]
     #[schemars(range(min = 10, max = 600_000))]
     pub handshake_ms: u64,
-    /// A connection that was silent this long gets a ping; silent as long again, it is closed.
-    #[serde(default = "ping_ms")]
+    /// A connection silent for this long is pinged; if it stays silent for as long again, it is closed.
+    #[serde(default = "default_ping_ms")]
     #[schemars(range(min = 100, max = 3_600_000))]
     pub ping_ms: u64,
 }
 
-/// Where the list of switches comes from.
+/// The source of the list of switches.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Switches {
-    /// A YAML file; see the operators' page for its form. Relative paths count from the settings' folder.
+    /// A YAML file with the list `switches`. Relative paths are resolved from the folder of the settings
+    /// file.
     pub file: PathBuf,
-    /// How often the file is looked at.
-    #[serde(default = "poll_ms")]
+    /// Interval at which the file is polled for changes.
+    #[serde(default = "default_poll_ms")]
     #[schemars(range(min = 10, max = 60_000))]
     pub poll_ms: u64,
 }
@@ -135,66 +136,66 @@
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name.
+    /// Its name, which rules refer to.
     #[schemars(length(min = 1, max = 128))]
     pub name: String,
-    /// A call that stands within this time earns its full worth.
+    /// A call established within this time has its full worth.
     #[schemars(range(min = 1, max = 600_000))]
     pub aim_ms: u64,
-    /// How long a caller keeps trying; the time left of an INVITE without Expires.
+    /// How long a caller keeps trying; applies to an INVITE without Expires.
     #[schemars(range(min = 1, max = 600_000))]
     pub deadline_ms: u64,
-    /// Worth of a call that stands.
-    #[serde(default = "one")]
+    /// Worth of an established call.
+    #[serde(default = "default_one")]
     #[schemars(range(min = 0.0, max = 1e6))]
     pub points: f64,
-    /// Share of the worth that is left after the aim.
+    /// Fraction of the worth that is left after `aim_ms`.
     #[serde(default)]
     #[schemars(range(min = 0.0, max = 1.0))]
     pub late_share: f64,
-    /// Pools that may take it; empty: all.
+    /// Pools that may take its calls; empty: all.
     #[serde(default)]
     #[schemars(length(max = 4096))]
     pub pools: Vec<u32>,
 }
 
-/// A tenant.
+/// A tenant with its share of the capacity.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its name.
+    /// Its name, which rules refer to.
     #[schemars(length(min = 1, max = 128))]
     pub name: String,
-    /// Calls a second inside its share, over all gateways; left out: no share.
+    /// Calls per second within its quota, over all gateways; if left out, it has no quota.
     #[serde(default)]
     #[schemars(range(min = 0.0, max = 1e9))]
     pub quota_per_s: Option<f64>,
 }
 
-/// How calls are told apart. In each list the first rule that fits decides.
+/// Rules that assign calls to classes, tenants and pools. In each list the first matching rule applies.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "Calls")]
 pub struct CallClassification {
-    /// Rules for the class; calls that none fits get the first class.
+    /// Rules for the class; calls without a matching rule get the first class.
     #[serde(default)]
     #[schemars(length(max = 10_000))]
     pub class: Vec<ClassRule>,
-    /// Rules for the tenant; calls that none fits have none.
+    /// Rules for the tenant; calls without a matching rule have none.
     #[serde(default)]
     #[schemars(length(max = 10_000))]
     pub tenant: Vec<TenantRule>,
-    /// Rules for the pool of first choice; calls that none fits are spread over `spread` by number.
+    /// Rules for the pool of first choice; calls without a matching rule are spread over `spread` by number.
     #[serde(default)]
     #[schemars(length(max = 10_000))]
     pub pool: Vec<PoolRule>,
-    /// Pools over which other calls are spread.
+    /// Pools over which calls without a pool rule are spread.
     #[serde(default)]
     #[schemars(length(max = 4096))]
     pub spread: Vec<u32>,
 }
 
-/// Which calls a rule fits: all parts that are given must.
+/// Condition of a rule: a call must match every field that is given.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "When")]
@@ -208,7 +209,7 @@
     /// Host of the From URI.
     #[serde(default)]
     pub from_host: Option<String>,
-    /// Trunk group that the caller names (RFC 4904 `tgrp`).
+    /// Trunk group given by the caller (RFC 4904 `tgrp`).
     #[serde(default)]
     pub trunk_group: Option<String>,
     /// A header field with this value.
@@ -219,77 +220,77 @@
     pub uri_param: Option<NameValue>,
 }
 
-/// A name and its value.
+/// A name with the value to match.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct NameValue {
-    /// The name.
+    /// Name of the header field or parameter.
     #[schemars(length(min = 1, max = 128))]
     pub name: String,
-    /// The value, compared without case.
+    /// The value; case is ignored.
     pub value: String,
 }
 
-/// A rule for the class.
+/// A rule that assigns a class.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ClassRule {
-    /// Which calls.
+    /// Calls that the rule applies to.
     #[serde(default)]
     pub when: CallCondition,
-    /// A name under `classes`.
+    /// The assigned class, a name under `classes`.
     pub class: String,
 }
 
-/// A rule for the tenant.
+/// A rule that assigns a tenant.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct TenantRule {
-    /// Which calls.
+    /// Calls that the rule applies to.
     #[serde(default)]
     pub when: CallCondition,
-    /// A name under `tenants`.
+    /// The assigned tenant, a name under `tenants`.
     pub tenant: String,
 }
 
-/// A rule for the pool of first choice.
+/// A rule that assigns the pool of first choice.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct PoolRule {
-    /// Which calls.
+    /// Calls that the rule applies to.
     #[serde(default)]
     pub when: CallCondition,
-    /// The pool.
+    /// The assigned pool.
     pub pool: u32,
 }
 
-/// The figures of the rules.
+/// Parameters of the routing rules.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 #[schemars(rename = "Rules")]
 pub struct RoutingRules {
-    /// Sends to a draining or gone switch end within this time.
+    /// Set-ups stop going to a draining or gone switch within this time.
     #[schemars(range(max = 600_000))]
     pub drain_grace_ms: u64,
-    /// A switch starts at this share of its capacity or more.
+    /// Least fraction of its capacity that a cold switch starts with.
     #[schemars(range(min = 0.01, max = 1.0))]
     pub cold_from: f64,
-    /// It is warm after this time at most.
+    /// Longest time until a started switch is warm.
     #[schemars(range(max = 3_600_000))]
     pub cold_ms: u64,
-    /// A cold switch sent over this many times its present capacity ...
+    /// A cold switch that receives more than this multiple of its present capacity for `fall_ms` fails.
     #[schemars(range(min = 1.0, max = 100.0))]
     pub fall_multiple: f64,
-    /// ... for this long falls over.
+    /// How long a cold switch withstands more than `fall_multiple` times its capacity.
     #[schemars(range(min = 1, max = 600_000))]
     pub fall_ms: u64,
-    /// No further attempt of a call within this time of a time-out, reset or cancel.
+    /// After a timeout, reset or cancel of an attempt, the call is not attempted again for this long.
     #[schemars(range(max = 60_000))]
     pub release_guard_ms: u64,
-    /// The most attempts of one call.
+    /// Most attempts per call.
     #[schemars(range(min = 1, max = 100))]
     pub max_attempts: u32,
-    /// The longest time that callers are asked to stay away.
+    /// Longest Retry-After given to callers.
     #[schemars(range(max = 600_000))]
     pub max_retry_after_ms: u64,
 }
@@ -309,45 +310,46 @@
     }
 }
 
-/// Limits on what is held at once. Reaching one is answered: 503 with Retry-After, or close 1013.
+/// Limits on connections, calls, messages and buffers. At a limit the gateway answers 503 with Retry-After,
+/// or closes with code 1013.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
-    /// Connections of clients.
+    /// Most client connections.
     #[schemars(range(min = 1, max = 1_000_000))]
     pub connections: usize,
-    /// Calls held, out or standing.
+    /// Most calls, whether queued, in set-up or established.
     #[schemars(range(min = 1, max = 10_000_000))]
     pub calls: usize,
-    /// Of these, calls without a final answer.
+    /// Of these, most calls without a final answer.
     #[schemars(range(min = 1, max = 10_000_000))]
     pub pending_calls: usize,
-    /// Calls of one connection.
+    /// Most calls per connection.
     #[schemars(range(min = 1, max = 10_000_000))]
     pub calls_per_connection: usize,
-    /// Start line and fields of a SIP message, or head of an HTTP request.
+    /// Size of the start line and header fields of a SIP message, or of the head of an HTTP request.
     #[schemars(range(min = 512, max = 1_048_576))]
     pub head_bytes: usize,
-    /// Fields of a message.
+    /// Most header fields per message.
     #[schemars(range(min = 16, max = 4096))]
     pub fields: usize,
-    /// Body of a SIP message.
+    /// Size of the body of a SIP message.
     #[schemars(range(min = 0, max = 16_777_216))]
     pub body_bytes: usize,
-    /// Messages in a row that are no SIP, after which a connection is closed (1008).
+    /// A connection is closed (1008) after this many consecutive messages that are not SIP.
     #[schemars(range(min = 1, max = 1_000_000))]
     pub bad_messages: usize,
-    /// Bytes that wait to be written to one client or switch; beyond it the connection is closed.
+    /// Bytes waiting to be written to one client or switch; beyond this its connection is closed.
     #[schemars(range(min = 4096, max = 1_073_741_824))]
     pub write_backlog_bytes: usize,
-    /// Bytes that wait in all, in messages that are not whole yet and to be written: the more of it is used, the less
+    /// Total bytes in incomplete incoming messages and in write queues. The more of it is in use, the less
     /// each connection may hold.
     #[schemars(range(min = 1_048_576, max = 1_099_511_627_776u64))]
     pub buffer_bytes: usize,
-    /// How long callers turned away for a limit should stay away.
+    /// Retry-After for callers refused at a limit.
     #[schemars(range(min = 0, max = 3_600_000))]
     pub retry_after_ms: u64,
-    /// The longest `Expires` that is believed.
+    /// Longest `Expires` that is honoured.
     #[schemars(range(min = 100, max = 600_000))]
     pub longest_try_ms: u64,
 }
@@ -375,19 +377,19 @@
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Trunk {
-    /// A connection that is not open after this time counts as failed.
+    /// Timeout of connection establishment.
     #[schemars(range(min = 10, max = 60_000))]
     pub connect_ms: u64,
-    /// First pause before a lost connection is tried again; pauses double.
+    /// First delay before a lost connection is retried; the delay doubles with each retry.
     #[schemars(range(min = 1, max = 60_000))]
     pub backoff_first_ms: u64,
-    /// The longest such pause.
+    /// Longest delay between retries.
     #[schemars(range(min = 1, max = 600_000))]
     pub backoff_most_ms: u64,
-    /// A standing call outlives the loss of its switch's connection this long.
+    /// An established call is kept for this long after the connection to its switch is lost.
     #[schemars(range(max = 600_000))]
     pub cut_after_ms: u64,
-    /// Descriptors kept for connections to switches, whatever clients do.
+    /// File descriptors reserved for connections to switches; clients cannot take them.
     #[schemars(range(min = 1, max = 100_000))]
     pub descriptors: usize,
 }
@@ -404,13 +406,13 @@
     }
 }
 
-/// What is logged, to standard error.
+/// Logging, to standard error.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Log {
-    /// One line of text or of JSON for an event.
+    /// Each event is one line, of text or of JSON.
     pub format: LogFormat,
-    /// The least important level that is logged. At `debug` each call is followed in a span with its Call-ID.
+    /// Least severe level that is logged. At `debug` each call is traced in a span with its Call-ID.
     pub level: LogLevel,
 }
 
@@ -420,35 +422,35 @@
     }
 }
 
-/// The form of the log.
+/// Format of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
-    /// For people.
+    /// Plain text.
     Text,
-    /// For programs.
+    /// One JSON object per line.
     Json,
 }
 
-/// Levels of the log.
+/// Log levels, the most severe first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum LogLevel {
-    /// What stops the gateway.
+    /// Failures that stop the gateway.
     Error,
-    /// What an operator should see.
+    /// Conditions that need an operator's attention.
     Warn,
     /// Changes of state.
     Info,
-    /// Each call.
+    /// Every call.
     Debug,
 }
 
-/// How the gateway ends on SIGTERM or SIGINT.
+/// How the gateway shuts down on SIGTERM or SIGINT.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Drain {
-    /// Standing calls may finish within this time; then they are released.
+    /// Established calls may finish within this time; then they are released.
     #[schemars(range(max = 86_400_000))]
     pub time_ms: u64,
 }
@@ -459,110 +461,112 @@
     }
 }
 
-fn one() -> f64 {
+fn default_one() -> f64 {
     1.0
 }
 
-fn host() -> String {
+fn default_host() -> String {
     "gateway.invalid".into()
 }
 
-fn path() -> String {
+fn default_path() -> String {
     "/".into()
 }
 
-fn handshake_ms() -> u64 {
+fn default_handshake_ms() -> u64 {
     5000
 }
 
-fn ping_ms() -> u64 {
+fn default_ping_ms() -> u64 {
     30_000
 }
 
-fn poll_ms() -> u64 {
+fn default_poll_ms() -> u64 {
     100
 }
 
-fn ms(n: u64) -> Duration {
+fn milliseconds(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
 impl Settings {
-    /// What the schema can't see: names that nothing bears, and figures that don't go together.
+    /// Errors that the schema cannot express: references to undefined names, and values that contradict each
+    /// other.
     #[must_use]
     pub fn field_errors(&self) -> Vec<FieldError> {
-        let mut faults = Vec::new();
-        let mut fault = |pointer: String, text: String| faults.push(FieldError::new(pointer, text));
+        let mut errors = Vec::new();
+        let mut add = |pointer: String, message: String| errors.push(FieldError::new(pointer, message));
         if self.gateway.number >= self.gateway.count {
-            let text = format!("is not below count ({}); numbers go from 0 to count - 1", self.gateway.count);
-            fault("/gateway/number".into(), text);
+            let message =
+                format!("is not below count ({}); numbers go from 0 to count - 1", self.gateway.count);
+            add("/gateway/number".into(), message);
         }
-        let mut seen = BTreeSet::new();
+        let mut class_names = BTreeSet::new();
         for (n, class) in self.classes.iter().enumerate() {
-            if !seen.insert(&class.name) {
-                fault(format!("/classes/{n}/name"), format!("{} stands twice; rename one", class.name));
+            if !class_names.insert(&class.name) {
+                add(format!("/classes/{n}/name"), format!("{} appears twice; rename one", class.name));
             }
             if class.aim_ms > class.deadline_ms {
-                let text = format!("is beyond deadline_ms ({}); lower it", class.deadline_ms);
-                fault(format!("/classes/{n}/aim_ms"), text);
+                let message = format!("is beyond deadline_ms ({}); lower it", class.deadline_ms);
+                add(format!("/classes/{n}/aim_ms"), message);
             }
         }
-        let mut seen = BTreeSet::new();
+        let mut tenant_names = BTreeSet::new();
         for (n, tenant) in self.tenants.iter().enumerate() {
-            if !seen.insert(&tenant.name) {
-                fault(format!("/tenants/{n}/name"), format!("{} stands twice; rename one", tenant.name));
+            if !tenant_names.insert(&tenant.name) {
+                add(format!("/tenants/{n}/name"), format!("{} appears twice; rename one", tenant.name));
             }
         }
         for (n, rule) in self.calls.class.iter().enumerate() {
             if !self.classes.iter().any(|c| c.name == rule.class) {
-                let text =
+                let message =
                     format!("no class is called {}; add it under classes or correct the name", rule.class);
-                fault(format!("/calls/class/{n}/class"), text);
+                add(format!("/calls/class/{n}/class"), message);
             }
         }
         for (n, rule) in self.calls.tenant.iter().enumerate() {
             if !self.tenants.iter().any(|t| t.name == rule.tenant) {
-                let text =
+                let message =
                     format!("no tenant is called {}; add it under tenants or correct the name", rule.tenant);
-                fault(format!("/calls/tenant/{n}/tenant"), text);
+                add(format!("/calls/tenant/{n}/tenant"), message);
             }
         }
         if self.trunk.backoff_first_ms > self.trunk.backoff_most_ms {
-            fault("/trunk/backoff_first_ms".into(), "is beyond backoff_most_ms; lower it".into());
+            add("/trunk/backoff_first_ms".into(), "is beyond backoff_most_ms; lower it".into());
         }
         if !self.listen.path.starts_with('/') {
-            fault("/listen/path".into(), "does not begin with a slash; write /sip or the like".into());
+            add("/listen/path".into(), "does not begin with a slash; write for example /sip".into());
         }
         if self.gateway.host.bytes().any(|b| !(b.is_ascii_alphanumeric() || b"-.:[]".contains(&b))) {
-            fault(
+            add(
                 "/gateway/host".into(),
-                "is no host; write a name or an address, and a port if need be".into(),
+                "is not a host; write a name or an address, with an optional port".into(),
             );
         }
         if let Some(admission) = &self.admission {
-            admission.faults(&self.limits, self.clients.as_ref(), &mut faults);
+            admission.collect_errors(&self.limits, self.clients.as_ref(), &mut errors);
         }
         if let Some(zones) = &self.zones {
-            zones.faults(&mut faults);
+            zones.collect_errors(&mut errors);
         }
         if let Some(clients) = &self.clients {
-            clients.faults(&mut faults);
+            clients.collect_errors(&mut errors);
         }
-        faults
+        errors
     }
 
-    /// The engine's settings. `seed` is used where the settings name none; `words` asks for a word on each step of
-    /// each call.
+    /// Settings of the engine. `seed` is used if the settings give none; `words` turns on reports of each
+    /// step of each call.
     #[must_use]
     pub fn engine_settings(&self, seed: u64, words: bool) -> EngineSettings {
-        let class_of = |name: &str| self.classes.iter().position(|c| c.name == name).map(ClassId);
-        let tenant_of = |name: &str| self.tenants.iter().position(|t| t.name == name).map(TenantId);
+        let class_id = |name: &str| self.classes.iter().position(|c| c.name == name).map(ClassId);
+        let tenant_id = |name: &str| self.tenants.iter().position(|t| t.name == name).map(TenantId);
         let mut class: Vec<Rule<ClassId>> = (self.calls.class.iter())
-            .filter_map(|r| class_of(&r.class).map(|gets| Rule { when: r.when.to_match(), gets }))
+            .filter_map(|r| class_id(&r.class).map(|gets| Rule { when: r.when.to_match(), gets }))
             .collect();
         class.push(Rule { when: Match::default(), gets: ClassId(0) });
         let tenant = (self.calls.tenant.iter())
-            .filter_map(|r| tenant_of(&r.tenant).map(|gets| Rule { when: r.when.to_match(), gets }))
+            .filter_map(|r| tenant_id(&r.tenant).map(|gets| Rule { when: r.when.to_match(), gets }))
             .collect();
         let mut destination: Vec<Rule<Destination>> = (self.calls.pool.iter())
             .map(|r| Rule { when: r.when.to_match(), gets: Destination::Pool(Cell(r.pool)) })
@@ -578,14 +582,14 @@
                 calls: self.limits.calls,
                 pending: self.limits.pending_calls,
                 per_client: self.limits.calls_per_connection,
-                retry_after: ms(self.limits.retry_after_ms),
+                retry_after: milliseconds(self.limits.retry_after_ms),
             },
             backoff: BackoffSettings {
-                first: ms(self.trunk.backoff_first_ms),
-                most: ms(self.trunk.backoff_most_ms),
+                first: milliseconds(self.trunk.backoff_first_ms),
+                most: milliseconds(self.trunk.backoff_most_ms),
             },
-            cut_after: ms(self.trunk.cut_after_ms),
-            longest_try: ms(self.limits.longest_try_ms),
+            cut_after: milliseconds(self.trunk.cut_after_ms),
+            longest_try: milliseconds(self.limits.longest_try_ms),
             auth: None,
             zones: self.zone_settings(),
             set_ups: self.set_up_settings(seed),
@@ -593,13 +597,13 @@
         }
     }
 
-    /// The decision module's settings.
+    /// Settings of the decision module.
     #[must_use]
     pub fn decision_settings(&self) -> module::Settings {
         let classes = self.classes.iter().map(|c| module::ClassSettings {
             name: c.name.clone(),
-            aim: ms(c.aim_ms),
-            deadline: ms(c.deadline_ms),
+            aim: milliseconds(c.aim_ms),
+            deadline: milliseconds(c.deadline_ms),
             points: c.points,
             late_share: c.late_share,
             effect: module::Effect::Safe,
@@ -616,13 +620,13 @@
             tenants: tenants.collect(),
             over_share_worth: self.over_share_worth,
             rules: module::Rules {
-                drain_grace: ms(rules.drain_grace_ms),
+                drain_grace: milliseconds(rules.drain_grace_ms),
                 cold_from: rules.cold_from,
-                cold_time: ms(rules.cold_ms),
+                cold_time: milliseconds(rules.cold_ms),
                 fall_multiple: rules.fall_multiple,
-                fall_time: ms(rules.fall_ms),
-                release_guard: ms(rules.release_guard_ms),
-                ask_within: ms(10_000),
+                fall_time: milliseconds(rules.fall_ms),
+                release_guard: milliseconds(rules.release_guard_ms),
+                ask_within: milliseconds(10_000),
             },
             limits: module::Limits {
                 max_attempts: rules.max_attempts,
@@ -630,26 +634,26 @@
                 peers: false,
                 probes: false,
                 retry_after: true,
-                max_retry_after: ms(rules.max_retry_after_ms),
+                max_retry_after: milliseconds(rules.max_retry_after_ms),
             },
             topology: module::Topology::Pools,
             discovery: module::Discovery::Push,
             resend: None,
-            tick: ms(1),
+            tick: milliseconds(1),
         }
     }
 }
 
 impl CallCondition {
     fn to_match(&self) -> Match {
-        let pair = |p: &Option<NameValue>| p.as_ref().map(|p| (p.name.clone(), p.value.clone()));
+        let name_value = |p: &Option<NameValue>| p.as_ref().map(|p| (p.name.clone(), p.value.clone()));
         Match {
             number_prefix: self.number_prefix.clone(),
             host: self.host.clone(),
             from_host: self.from_host.clone(),
             trunk_group: self.trunk_group.clone(),
-            header: pair(&self.header),
-            uri_param: pair(&self.uri_param),
+            header: name_value(&self.header),
+            uri_param: name_value(&self.uri_param),
         }
     }
 }
--- a/crates/fawnrouter-config/src/settings/zones.rs
+++ b/crates/fawnrouter-config/src/settings/zones.rs
@@ -1,4 +1,4 @@
-//! Traffic across zones: what it costs, and how much of it there may be.
+//! Traffic across zones: costs and budgets.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -10,38 +10,44 @@
 use super::Settings;
 use crate::document::FieldError;
 
-/// Traffic across zones. Costs and budgets may be the same text for all gateways: each takes what begins in its own zone.
+/// Fractional part of the golden ratio.
+const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_895;
+
+/// Traffic across zones. Costs and budgets may be the same for all gateways: each applies those that start in
+/// its own zone.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "ZonesPlan")]
 pub struct CrossZoneRouting {
-    /// This gateway's zone, as in the list of switches.
+    /// This gateway's zone, named as in the list of switches.
     #[schemars(length(min = 1, max = 128))]
     pub own: String,
-    /// Its number among the gateways of its zone, from 0.
+    /// This gateway's number among the gateways of its zone, counted from 0.
     #[serde(default)]
     pub number: u32,
-    /// Gateways of its zone, which divide its budgets.
-    #[serde(default = "one_gateway")]
+    /// Number of gateways in the zone, which divide its budgets between them.
+    #[serde(default = "default_gateways")]
     #[schemars(range(min = 1, max = 100_000))]
     pub gateways: u32,
-    /// What a call costs, by pair of zones.
+    /// Cost per call, by pair of zones.
     #[serde(default)]
     #[schemars(length(max = 10_000))]
     pub costs: Vec<ZonePairCost>,
-    /// What a call costs between zones that are not named under `costs`.
-    #[serde(default = "one")]
+    /// Cost per call between zones that are not listed under `costs`.
+    #[serde(default = "default_other_cost")]
     #[schemars(range(min = 0.0, max = 1e9))]
     pub other_cost: f64,
-    /// Points of worth that a unit of cost is worth while budget is ample.
-    #[serde(default = "points_a_unit")]
+    /// Points of worth that one unit of cost equals while the budget is ample.
+    #[serde(default = "default_points_a_unit")]
     #[schemars(range(min = 0.0, max = 1e6))]
     pub points_a_unit: f64,
-    /// Budgets; a call counts in each that covers it. Without any, only its worth holds a call back.
+    /// Budgets; a call counts against each that covers it. Without budgets, a call is only held back if its
+    /// cost exceeds its worth.
     #[serde(default)]
     #[schemars(length(max = 1000))]
     pub budgets: Vec<CrossZoneBudget>,
-    /// Where the account is kept over a restart. Relative paths count from the settings' folder.
+    /// File that keeps the account across restarts. Relative paths are resolved from the folder of the
+    /// settings file.
     pub account: PathBuf,
 }
 
@@ -50,24 +56,24 @@
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "PairCost")]
 pub struct ZonePairCost {
-    /// Where it comes from.
+    /// Zone that the call comes from.
     pub from: String,
-    /// Where it goes.
+    /// Zone that the call goes to.
     pub to: String,
-    /// What it costs; 0 makes the zone as good as the own one.
+    /// Cost per call; 0 makes the zone as good as the gateway's own.
     #[serde(default)]
     #[schemars(range(min = 0.0, max = 1e9))]
     pub per_call: Option<f64>,
-    /// No call may go there.
+    /// Forbids calls to that zone.
     #[serde(default)]
     pub forbidden: bool,
 }
 
-/// The window of a budget.
+/// Period of a budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Window {
-    /// 60 s.
+    /// 60 seconds.
     Minute,
     /// An hour.
     Hour,
@@ -75,80 +81,80 @@
     Day,
 }
 
-/// What may be spent in a window by all gateways of a zone.
+/// What all gateways of a zone together may spend per window.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "BudgetPlan")]
 pub struct CrossZoneBudget {
-    /// Calls of this zone; left out: of each zone by itself.
+    /// Zone that the calls come from; if left out, the budget applies to each zone separately.
     #[serde(default)]
     pub from: Option<String>,
-    /// Calls to this zone; left out: to all others together.
+    /// Zone that the calls go to; if left out, all other zones together.
     #[serde(default)]
     pub to: Option<String>,
-    /// The window.
+    /// Period after which the budget starts anew.
     pub window: Window,
-    /// Calls.
+    /// Most calls per window.
     #[serde(default)]
     pub calls: Option<u64>,
-    /// Cost.
+    /// Most cost per window.
     #[serde(default)]
     #[schemars(range(min = 0.0, max = 1e12))]
     pub money: Option<f64>,
-    /// The share of what a window left unused that goes into the next one.
+    /// Fraction of the unused budget of a window that is added to the next window.
     #[serde(default)]
     #[schemars(range(min = 0.0, max = 1.0))]
     pub carry: f64,
-    /// What may be spent beyond it while the zone is down, as a share of it.
+    /// What may be spent beyond the budget while the gateway's own zone is down, as a fraction of the budget.
     #[serde(default)]
     #[schemars(range(min = 0.0, max = 100.0))]
     pub emergency: f64,
 }
 
-fn one() -> f64 {
+fn default_other_cost() -> f64 {
     1.0
 }
 
-fn one_gateway() -> u32 {
+fn default_gateways() -> u32 {
     1
 }
 
-fn points_a_unit() -> f64 {
+fn default_points_a_unit() -> f64 {
     0.2
 }
 
 impl CrossZoneRouting {
-    /// What the schema can't see.
-    pub(super) fn faults(&self, faults: &mut Vec<FieldError>) {
-        let mut fault = |pointer: String, text: String| faults.push(FieldError::new(pointer, text));
+    /// Adds the errors that the schema cannot express.
+    pub(super) fn collect_errors(&self, errors: &mut Vec<FieldError>) {
+        let mut add = |pointer: String, message: String| errors.push(FieldError::new(pointer, message));
         if self.number >= self.gateways {
-            let text =
+            let message =
                 format!("is not below gateways ({}); numbers go from 0 to gateways - 1", self.gateways);
-            fault("/zones/number".into(), text);
+            add("/zones/number".into(), message);
         }
         for (n, cost) in self.costs.iter().enumerate() {
             if cost.forbidden == cost.per_call.is_some() {
-                let text = "give per_call, or forbidden: true, and not both".into();
-                fault(format!("/zones/costs/{n}"), text);
+                let message = "give per_call or forbidden: true, not both".into();
+                add(format!("/zones/costs/{n}"), message);
             }
             if cost.from == cost.to {
-                fault(format!("/zones/costs/{n}/to"), "is the zone itself; remove the entry".into());
+                add(format!("/zones/costs/{n}/to"), "is the zone itself; remove the entry".into());
             }
-            let earlier = |c: &&ZonePairCost| c.from == cost.from && c.to == cost.to;
-            if self.costs[..n].iter().any(|c| earlier(&c)) {
-                fault(format!("/zones/costs/{n}"), "this pair stands twice; remove one".into());
+            let same_pair = |c: &&ZonePairCost| c.from == cost.from && c.to == cost.to;
+            if self.costs[..n].iter().any(|c| same_pair(&c)) {
+                add(format!("/zones/costs/{n}"), "this pair appears twice; remove one".into());
             }
         }
         for (n, budget) in self.budgets.iter().enumerate() {
             if budget.calls.is_none() && budget.money.is_none() {
-                fault(format!("/zones/budgets/{n}"), "limits nothing; give calls or money".into());
+                add(format!("/zones/budgets/{n}"), "limits nothing; give calls or money".into());
             }
         }
     }
 }
 
 impl Settings {
-    /// The settings of traffic across zones, if it is decided on.
+    /// Settings of the routing across zones, if the section `zones` is present.
     #[must_use]
     pub fn zone_settings(&self) -> Option<ZoneSettings> {
         let plan = self.zones.as_ref()?;
@@ -156,8 +162,8 @@
             Some(units) if !c.forbidden => Cost::Money(Money::units(units)),
             _ => Cost::Forbidden,
         };
-        let own = plan.costs.iter().filter(|c| c.from == plan.own);
-        let costs: BTreeMap<_, _> = own.map(|c| (c.to.as_str().into(), cost(c))).collect();
+        let own_costs = plan.costs.iter().filter(|c| c.from == plan.own);
+        let costs: BTreeMap<_, _> = own_costs.map(|c| (c.to.as_str().into(), cost(c))).collect();
         let budget = |b: &CrossZoneBudget| Budget {
             from: Some(plan.own.as_str().into()),
             to: b.to.as_deref().map(Into::into),
@@ -171,17 +177,17 @@
             emergency: b.emergency,
             sharers: plan.gateways,
         };
-        let ours = plan.budgets.iter().filter(|b| b.from.as_ref().is_none_or(|f| *f == plan.own));
+        let own_budgets = plan.budgets.iter().filter(|b| b.from.as_ref().is_none_or(|f| *f == plan.own));
         Some(ZoneSettings {
             own: plan.own.as_str().into(),
             costs,
             other: Cost::Money(Money::units(plan.other_cost)),
-            budgets: ours.map(budget).collect(),
+            budgets: own_budgets.map(budget).collect(),
             me: plan.number,
             points_a_unit: plan.points_a_unit,
             health: HealthSettings::default(),
-            // Apart from each other by the golden ratio.
-            phase: (f64::from(self.gateway.number) * 0.618_033_988_749_895).fract(),
+            // Multiples of the golden ratio keep the phases of any number of gateways apart.
+            phase: (f64::from(self.gateway.number) * GOLDEN_RATIO_FRACTION).fract(),
         })
     }
 }
--- a/crates/fawnrouter-config/src/switches.rs
+++ b/crates/fawnrouter-config/src/switches.rs
@@ -1,4 +1,4 @@
-//! The file that lists the switches.
+//! The file that lists the core switches.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -11,30 +11,30 @@
 
 use crate::document::{ConfigError, Document, FieldError};
 
-/// The whole file.
+/// The content of the file.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct SwitchFile {
-    /// All switches in service. One that is missing is gone.
+    /// All switches in service. One that is left out counts as gone.
     #[schemars(length(max = 10_000))]
     pub switches: Vec<SwitchEntry>,
 }
 
-/// A switch.
+/// One core switch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct SwitchEntry {
-    /// Its number. It keeps it over a restart; a machine that replaces it has another.
+    /// Its number. A restarted switch keeps its number; a machine that replaces it has a new one.
     pub id: u32,
-    /// Its SIP listener, TCP.
+    /// Where it listens for SIP over TCP.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The zone that it is in.
     #[serde(default)]
     #[schemars(length(max = 128))]
     pub zone: String,
-    /// Its pool.
+    /// The pool that it belongs to.
     pub pool: u32,
-    /// Whether it takes calls.
+    /// Whether it takes new calls.
     #[serde(default)]
     pub state: SwitchState,
     /// When it last started: milliseconds since 1970 (Unix time). Left out: long ago.
@@ -42,33 +42,33 @@
     pub up_since_ms: Option<u64>,
 }
 
-/// What the list says of a switch.
+/// State of a switch as the list gives it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum SwitchState {
-    /// Takes calls.
+    /// Takes new calls.
     #[default]
     Ready,
-    /// Finishes its work.
+    /// Finishes its calls and takes no new ones.
     Draining,
 }
 
-/// Reads the list. The engine's clock is Unix time, so that start times need no conversion.
+/// Parses the list. The engine's clock is Unix time, so that start times need no conversion.
 ///
 /// # Errors
-/// All faults found, each with its line, field and remedy.
+/// All errors found, each with its line, field and correction.
 pub fn read_switches(name: &str, text: &str) -> Result<Vec<Switch>, ConfigError> {
     let document = Document::parse(name, text)?;
     let file: SwitchFile = document.deserialize()?;
     let mut seen = BTreeSet::new();
-    let twice = file.switches.iter().enumerate().filter(|(_, s)| !seen.insert(s.id));
-    let faults: Vec<FieldError> = twice
+    let duplicates = file.switches.iter().enumerate().filter(|(_, s)| !seen.insert(s.id));
+    let errors: Vec<FieldError> = duplicates
         .map(|(n, s)| {
             FieldError::new(format!("/switches/{n}/id"), format!("{} stands twice; ids are unique", s.id))
         })
         .collect();
-    if !faults.is_empty() {
-        return Err(document.locate_errors(faults));
+    if !errors.is_empty() {
+        return Err(document.locate_errors(errors));
     }
     Ok(file.switches.iter().map(SwitchEntry::to_switch).collect())
 }
--- a/crates/fawnrouter-config/tests/errors.rs
+++ b/crates/fawnrouter-config/tests/errors.rs
@@ -1,4 +1,4 @@
-//! What is wrong is told with its line, its field and a remedy.
+//! Errors name the line and the field, and say how to correct it.
 
 use fawnrouter_config::{parse, read_switches, schema};
 
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn the_example_settings_start() {
+fn engine_accepts_the_example_settings() {
     let settings = parse("g.yaml", GOOD).expect("the example is sound");
     let engine = settings.engine_settings(1, false);
     assert!(fawnrouter_engine::Engine::new(engine).is_ok());
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn each_fault_names_line_field_and_remedy() {
+fn each_error_names_line_field_and_correction() {
     let rows = [
         ("count: 2", "count: 0", "count: 2", "gateway.count: 0 is too small; the least is 1"),
         ("number: 0", "number: 7", "number: 0", "gateway.number: is not below count (2)"),
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn what_is_no_yaml_is_told_with_its_line() {
+fn invalid_yaml_is_reported_with_its_line() {
     assert!(errors("tenants:", "tenants: [")[0].starts_with("g.yaml:"));
     assert!(errors("  count: 2", "  number: 2")[0].contains("g.yaml:"));
     assert!(parse("g.yaml", "").is_err());
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn admission_is_off_unless_it_is_written_and_its_networks_are_checked() {
+fn admission_is_off_by_default_and_its_networks_are_checked() {
     assert!(parse("g.yaml", GOOD).unwrap().admission_settings(1).is_none());
     let on = parse("g.yaml", &format!("{GOOD}admission: {{}}\n")).unwrap();
     assert_eq!(on.admission_settings(1).map(|a| (a.total, a.per_address)), Some((1000, 200)));
@@ -85,25 +85,25 @@
 }
 
 #[test]
-fn an_address_that_is_none_is_told() {
+fn invalid_address_is_reported() {
     let lines = errors("address: 127.0.0.1:5080", "address: nowhere");
     assert!(lines[0].contains("socket address"), "{lines:?}");
 }
 
 #[test]
-fn a_switch_that_stands_twice_is_told() {
+fn duplicate_switch_is_reported() {
     let text = "switches:\n  - { id: 1, address: '127.0.0.1:1', pool: 0 }\n  - { id: 1, address: '127.0.0.1:2', pool: 0 }\n";
     let error = read_switches("s.yaml", text).unwrap_err();
     assert_eq!(error.lines(), ["s.yaml:3: switches.1.id: 1 stands twice; ids are unique"]);
 }
 
 #[test]
-fn an_empty_list_is_a_list() {
+fn empty_list_is_valid() {
     assert_eq!(read_switches("s.yaml", "switches: []"), Ok(vec![]));
 }
 
 #[test]
-fn the_schema_names_every_section() {
+fn schema_contains_every_section() {
     let schema = schema();
     for section in ["gateway", "listen", "switches", "classes", "rules", "limits", "trunk", "log", "drain"] {
         assert!(schema["properties"].get(section).is_some(), "{section}");
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn zones_take_what_begins_in_the_own_zone_and_contradictions_are_told() {
+fn zones_use_costs_and_budgets_of_the_own_zone_and_contradictions_are_reported() {
     let text = format!(
         "{GOOD}zones:\n  own: kochi\n  gateways: 3\n  account: z.json\n  costs:\n    - {{ from: kochi, to: north, per_call: 2 }}\n    \
          - {{ from: north, to: kochi, per_call: 5 }}\n    - {{ from: kochi, to: south, forbidden: true }}\n  budgets:\n    \
