--- a/crates/fawnrouterd/src/client.rs
+++ b/crates/fawnrouterd/src/client.rs
@@ -16,10 +16,10 @@
 };
 use futures_lite::{AsyncWriteExt, future};
 
+use crate::buffer_share::Share;
 use crate::connection_admission::Refusal;
 use crate::core::Core;
 use crate::outbox::Outbox;
-use crate::share::Share;
 
 /// How long a connection that ends may take to write its last bytes.
 const LAST_WORDS: Duration = Duration::from_secs(1);
--- a/crates/fawnrouterd/src/core.rs
+++ b/crates/fawnrouterd/src/core.rs
@@ -14,14 +14,14 @@
 use fawnrouter_sip::Limits;
 use fawnrouter_ws::{CloseCode, Opcode, encode};
 
+use crate::buffer_share::{BufferBudget, Share, buffer_budget};
 use crate::clock::Clock;
 use crate::connection_admission::ConnectionAdmission;
 use crate::connections::{Connections, goodbye};
 use crate::flag::Flag;
 use crate::log::Spans;
+use crate::machine_driver::Pump;
 use crate::outbox::Outbox;
-use crate::pump::Pump;
-use crate::share::{BufferBudget, Share, buffer_budget};
 
 /// Opens a connection to a switch. The core is told at its start who does that, so that it knows no driver.
 pub type Opener = fn(Rc<Core>, ServerId, SocketAddr, Rc<Outbox>);
--- a/crates/fawnrouterd/src/lib.rs
+++ b/crates/fawnrouterd/src/lib.rs
@@ -5,6 +5,7 @@
 //! wake it when it asks. Every buffer has a limit from the settings; beyond it a connection is closed.
 
 mod accept;
+mod buffer_share;
 mod cli;
 mod client;
 mod clock;
@@ -14,16 +15,15 @@
 mod core;
 mod flag;
 pub mod ledger;
-mod list;
 mod log;
+mod machine_driver;
 mod node;
 mod outbox;
-mod pump;
 mod report;
 mod run_error;
 mod serve;
-mod share;
 mod trunk;
+mod watched_files;
 
 pub use cli::{Cli, Command, run_command};
 pub use fawnrouter_config as config;
--- a/crates/fawnrouterd/src/node/client.rs
+++ b/crates/fawnrouterd/src/node/client.rs
@@ -9,7 +9,7 @@
 use fawnrouter_node::{ClientId, Input, Next};
 use futures_lite::future;
 
-use super::gate::{Gate, Peer};
+use super::gateway::{Gate, Peer};
 
 /// Lines of one connection that are handed on before the others have their turn.
 const TURN: usize = 8;
--- a/crates/fawnrouterd/src/node/gate.rs
+++ b/crates/fawnrouterd/src/node/gateway.rs
@@ -14,8 +14,8 @@
 
 use super::reader::{Reader, Room};
 use crate::flag::Flag;
+use crate::machine_driver::Pump;
 use crate::outbox::Outbox;
-use crate::pump::Pump;
 
 /// Bytes that may wait for one connection; a peer that does not read is given up beyond it. Four lines of the
 /// longest kind, or some hundred answers.
--- a/crates/fawnrouterd/src/node/listener.rs
+++ b/crates/fawnrouterd/src/node/listener.rs
@@ -7,7 +7,7 @@
 use async_io::{Async, Timer};
 use futures_lite::future;
 
-use super::gate::Gate;
+use super::gateway::Gate;
 
 /// Serves one connection. The listener is told at its start who does that.
 pub type Server = fn(Rc<Gate>, Async<TcpStream>);
--- a/crates/fawnrouterd/src/node/mod.rs
+++ b/crates/fawnrouterd/src/node/mod.rs
@@ -1,13 +1,13 @@
 //! The gateway on the users' platform: thin drivers around [`fawnrouter_node::Node`], one file each.
 //!
 //! A byte of a set-up goes `client` → `Decoder` → `Message` → `Node::handle` → `Controller` → `gate` → `Outbox` →
-//! `trunk`. Drivers know the [`gate::Gate`] and never each other.
+//! `trunk`. Drivers know the [`gateway::Gate`] and never each other.
 
 mod client;
 mod config;
-mod gate;
+mod gateway;
 mod listener;
-mod names;
+mod nameserver;
 mod reader;
 mod signals;
 mod trunk;
@@ -26,7 +26,7 @@
 use futures_lite::future;
 
 pub use config::{ConfigError, Source};
-use gate::Gate;
+use gateway::Gate;
 
 /// Why the gateway cannot run. Each text names what is wrong and what to do.
 #[derive(Debug, thiserror::Error)]
@@ -76,7 +76,7 @@
     let all = async {
         let tasks = [
             executor.spawn(wake(gate.clone())),
-            executor.spawn(names::poll_nameserver(gate.clone())),
+            executor.spawn(nameserver::poll_nameserver(gate.clone())),
             executor.spawn(signals::heed(gate.clone(), signals, source)),
         ];
         let listening = executor.spawn(listener::accept(gate.clone(), listener.clone(), client::serve));
--- a/crates/fawnrouterd/src/node/names.rs
+++ b/crates/fawnrouterd/src/node/nameserver.rs
@@ -9,7 +9,7 @@
 use fawnrouter_node::{Ask, Input};
 use futures_lite::future;
 
-use super::gate::Gate;
+use super::gateway::Gate;
 
 /// "Answers run to at most 8,000 bytes"; a longer datagram is cut and then does not read.
 const MAX_ANSWER: usize = 9000;
--- a/crates/fawnrouterd/src/node/signals.rs
+++ b/crates/fawnrouterd/src/node/signals.rs
@@ -7,7 +7,7 @@
 use futures_lite::StreamExt;
 
 use super::config::Source;
-use super::gate::Gate;
+use super::gateway::Gate;
 
 /// Heeds signals for ever.
 pub async fn heed(gate: Rc<Gate>, mut signals: Signals, source: Source) {
--- a/crates/fawnrouterd/src/node/trunk.rs
+++ b/crates/fawnrouterd/src/node/trunk.rs
@@ -10,7 +10,7 @@
 use fawnrouter_node::{Input, LinkEnd, LinkId};
 use futures_lite::future;
 
-use super::gate::Gate;
+use super::gateway::Gate;
 use crate::outbox::Outbox;
 
 /// What is still to be written to a connection that is closed gets this long.
--- a/crates/fawnrouterd/src/outbox.rs
+++ b/crates/fawnrouterd/src/outbox.rs
@@ -9,7 +9,7 @@
 
 use async_io::Async;
 
-use crate::share::Share;
+use crate::buffer_share::Share;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
--- a/crates/fawnrouterd/src/serve.rs
+++ b/crates/fawnrouterd/src/serve.rs
@@ -20,7 +20,7 @@
 use crate::connection_admission::ConnectionAdmission;
 use crate::core::Core;
 use crate::run_error::RunError;
-use crate::{accept, control, ledger, list, trunk};
+use crate::{accept, control, ledger, trunk, watched_files};
 
 /// Last bytes get this long to be written at the end.
 const LAST_WORDS: Duration = Duration::from_millis(500);
@@ -87,12 +87,12 @@
     let all = async {
         // One line a driver.
         let mut tasks = vec![
-            executor.spawn(list::switches(core.clone(), file)),
+            executor.spawn(watched_files::switches(core.clone(), file)),
             executor.spawn(wake(core.clone())),
             executor.spawn(house(core.clone())),
             executor.spawn(counts(core.clone())),
         ];
-        tasks.extend(clients.map(|file| executor.spawn(list::clients(core.clone(), file))));
+        tasks.extend(clients.map(|file| executor.spawn(watched_files::clients(core.clone(), file))));
         tasks.extend(operators.map(|socket| executor.spawn(control::serve(core.clone(), socket))));
         if let Some(file) = &account {
             ledger::restore(&core, file).await;
--- a/crates/fawnrouterd/src/trunk.rs
+++ b/crates/fawnrouterd/src/trunk.rs
@@ -12,9 +12,9 @@
 use fawnrouter_sip::{Chunk, StreamDecoder};
 use futures_lite::future;
 
+use crate::buffer_share::Share;
 use crate::core::Core;
 use crate::outbox::Outbox;
-use crate::share::Share;
 
 /// Begins a connection.
 pub fn open(core: Rc<Core>, server: ServerId, address: SocketAddr, outbox: Rc<Outbox>) {
