--- a/crates/fawnrouterd/src/buffer_share.rs
+++ b/crates/fawnrouterd/src/buffer_share.rs
@@ -10,39 +10,39 @@
 pub type BufferBudget = Rc<RefCell<Bytes>>;
 
 /// A budget that nobody holds anything of.
-pub fn buffer_budget(settings: ByteSettings) -> BufferBudget {
+pub fn new_buffer_budget(settings: ByteSettings) -> BufferBudget {
     Rc::new(RefCell::new(Bytes::new(settings)))
 }
 
 /// One share; given back when it is dropped.
-pub struct Share {
+pub struct BufferShare {
     budget: Option<BufferBudget>,
-    whose: For,
-    held: Cell<usize>,
+    owner: For,
+    reserved: Cell<usize>,
 }
 
-impl Share {
+impl BufferShare {
     /// A share of this budget.
-    pub fn of(budget: &BufferBudget, whose: For) -> Self {
-        Self { budget: Some(budget.clone()), whose, held: Cell::new(0) }
+    pub fn of_budget(budget: &BufferBudget, owner: For) -> Self {
+        Self { budget: Some(budget.clone()), owner, reserved: Cell::new(0) }
     }
 
     /// A share that is of no budget and may be any size.
-    pub fn unbound() -> Self {
-        Self { budget: None, whose: For::Client, held: Cell::new(0) }
+    pub fn unlimited() -> Self {
+        Self { budget: None, owner: For::Client, reserved: Cell::new(0) }
     }
 
     /// It is so large now; `false` if that is more than it may be.
-    pub fn set(&self, now: usize) -> bool {
-        let before = self.held.replace(now);
+    pub fn resize(&self, now: usize) -> bool {
+        let before = self.reserved.replace(now);
         // Most messages leave nothing behind.
         before == now
-            || self.budget.as_ref().is_none_or(|budget| budget.borrow_mut().change(self.whose, before, now))
+            || self.budget.as_ref().is_none_or(|budget| budget.borrow_mut().change(self.owner, before, now))
     }
 }
 
-impl Drop for Share {
+impl Drop for BufferShare {
     fn drop(&mut self) {
-        self.set(0);
+        self.resize(0);
     }
 }
--- a/crates/fawnrouterd/src/cli.rs
+++ b/crates/fawnrouterd/src/cli.rs
@@ -133,7 +133,7 @@
 pub fn run_command(cli: Cli) -> ExitCode {
     match cli.command {
         Command::Run { config } => match fawnrouter_config::load(&config) {
-            Err(error) => wrong(&error),
+            Err(error) => invalid_input(&error),
             Ok(settings) => {
                 let folder = config.parent().map(PathBuf::from).unwrap_or_default();
                 crate::log::start(&settings.log);
@@ -154,7 +154,7 @@
         Command::Node { config } => {
             crate::log::start(&fawnrouter_config::Log::default());
             let Some(config) = config else {
-                return wrong(
+                return invalid_input(
                     &"BALANCER_CONFIG is not set; set it to the gateway's configuration, or give --config FILE",
                 );
             };
@@ -167,19 +167,19 @@
             }
         }
         Command::Check { config } => match fawnrouter_config::load(&config) {
-            Err(error) => wrong(&error),
+            Err(error) => invalid_input(&error),
             Ok(settings) => check(&config, &settings),
         },
         Command::Admission { config, json, ask } => match fawnrouter_config::load(&config) {
-            Err(error) => wrong(&error),
+            Err(error) => invalid_input(&error),
             Ok(settings) => {
                 let Some(wanted) = settings.control else {
-                    return wrong(&format!(
+                    return invalid_input(&format!(
                         "{}: control: is missing; add `control: {{ socket: PATH }}` and start the gateway with it",
                         config.display()
                     ));
                 };
-                admission(
+                run_admission_command(
                     &folder_of(&config).join(wanted.socket),
                     ask.unwrap_or(AdmissionCommand::Show),
                     json,
@@ -188,11 +188,11 @@
         },
         Command::Report { on: ReportCommand::Spill { config, form, minutes } } => {
             match fawnrouter_config::load(&config) {
-                Err(error) => wrong(&error),
-                Ok(settings) => spill(&config, &settings, form, minutes),
+                Err(error) => invalid_input(&error),
+                Ok(settings) => report_spill(&config, &settings, form, minutes),
             }
         }
-        Command::Secret { name, realm, md5 } => secret(&name, &realm, md5),
+        Command::Secret { name, realm, md5 } => print_client_entry(&name, &realm, md5),
         Command::Schema => print_json(&fawnrouter_config::schema()),
     }
 }
@@ -202,7 +202,7 @@
 }
 
 /// Reads a list that the settings name; the number of its entries.
-fn list<T>(
+fn count_entries<T>(
     file: &Path,
     without: &str,
     read: fn(&str, &str) -> Result<Vec<T>, ConfigError>,
@@ -217,24 +217,24 @@
     let folder = folder_of(config);
     let switches = &settings.switches.file;
     let without = "the gateway would start without switches";
-    let switches = match list(&folder.join(switches), without, fawnrouter_config::read_switches) {
+    let switches = match count_entries(&folder.join(switches), without, fawnrouter_config::read_switches) {
         Ok(count) => count,
-        Err(error) => return wrong(&error),
+        Err(error) => return invalid_input(&error),
     };
     let mut known = String::new();
     if let Some(clients) = &settings.clients {
         let without = "the gateway would start without known clients";
-        match list(&folder.join(&clients.file), without, fawnrouter_config::read_clients) {
+        match count_entries(&folder.join(&clients.file), without, fawnrouter_config::read_clients) {
             Ok(count) => known = format!(", {count} clients known"),
-            Err(error) => return wrong(&error),
+            Err(error) => return invalid_input(&error),
         }
     }
     println!("{}: sound; {switches} switches listed{known}", config.display());
     ExitCode::SUCCESS
 }
 
-fn admission(socket: &Path, wanted: AdmissionCommand, json: bool) -> ExitCode {
-    let command = match wanted {
+fn run_admission_command(socket: &Path, command: AdmissionCommand, json: bool) -> ExitCode {
+    let command = match command {
         AdmissionCommand::Show => control::Command::Show,
         AdmissionCommand::Zones => control::Command::Zones,
         AdmissionCommand::Block { address, for_s } => control::Command::Block { address, for_s },
@@ -266,10 +266,12 @@
     }
 }
 
-fn spill(config: &Path, settings: &Settings, form: ReportFormat, minutes: u64) -> ExitCode {
+fn report_spill(config: &Path, settings: &Settings, form: ReportFormat, minutes: u64) -> ExitCode {
     let Some(zones) = &settings.zones else {
         let name = config.display();
-        return wrong(&format!("{name}: zones: is missing; without it no traffic across zones is counted"));
+        return invalid_input(&format!(
+            "{name}: zones: is missing; without it no traffic across zones is counted"
+        ));
     };
     let file = folder_of(config).join(&zones.account);
     let ledger = match crate::ledger::read(&file) {
@@ -293,16 +295,16 @@
     ExitCode::SUCCESS
 }
 
-fn secret(name: &str, realm: &str, md5: bool) -> ExitCode {
+fn print_client_entry(name: &str, realm: &str, md5: bool) -> ExitCode {
     let mut password = String::new();
     if let Err(error) = std::io::stdin().read_line(&mut password) {
-        return wrong(&format!(
+        return invalid_input(&format!(
             "the password cannot be read: {error}; give it as one line on standard input"
         ));
     }
     let password = password.trim_end_matches(['\r', '\n']);
     if password.is_empty() {
-        return wrong(&"the password is empty; give it as one line on standard input");
+        return invalid_input(&"the password is empty; give it as one line on standard input");
     }
     let hash = |algorithm| ha1(algorithm, name, realm, password).digits().to_owned();
     let mut line = serde_json::json!({ "name": name, "sha256": hash(Algorithm::Sha256) });
@@ -320,11 +322,11 @@
             println!("{text}");
             ExitCode::SUCCESS
         }
-        Err(error) => wrong(&error),
+        Err(error) => invalid_input(&error),
     }
 }
 
-fn wrong(error: &dyn std::fmt::Display) -> ExitCode {
+fn invalid_input(error: &dyn std::fmt::Display) -> ExitCode {
     eprintln!("{error}");
     ExitCode::from(2)
 }
--- a/crates/fawnrouterd/src/client.rs
+++ b/crates/fawnrouterd/src/client.rs
@@ -16,13 +16,13 @@
 };
 use futures_lite::{AsyncWriteExt, future};
 
-use crate::buffer_share::Share;
+use crate::buffer_share::BufferShare;
 use crate::connection_admission::Refusal;
 use crate::core::Core;
 use crate::outbox::Outbox;
 
 /// How long a connection that ends may take to write its last bytes.
-const LAST_WORDS: Duration = Duration::from_secs(1);
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Reads once into the shared buffer and hands the bytes on; `None` at the end of the stream.
 async fn read_some<T>(
@@ -37,20 +37,20 @@
 async fn read_at_most<T>(
     core: &Core,
     stream: &Async<TcpStream>,
-    most: usize,
+    max_bytes: usize,
     take: impl FnOnce(&[u8]) -> T,
 ) -> io::Result<Option<T>> {
     let read = |mut s: &TcpStream| {
         let scratch = &mut *core.scratch.borrow_mut();
-        let most = most.min(scratch.len());
-        s.read(&mut scratch[..most])
+        let max_bytes = max_bytes.min(scratch.len());
+        s.read(&mut scratch[..max_bytes])
     };
     let n = stream.read_with(read).await?;
     Ok((n > 0).then(|| take(&core.scratch.borrow()[..n])))
 }
 
 /// The terms of the handshake.
-pub fn terms(core: &Core) -> Terms {
+pub fn handshake_terms(core: &Core) -> Terms {
     let listen = &core.settings.listen;
     Terms {
         limits: HttpLimits { head: core.settings.limits.head_bytes, fields: core.settings.limits.fields },
@@ -65,7 +65,7 @@
 }
 
 /// Serves one connection to its end.
-pub async fn drive(
+pub async fn serve_connection(
     core: Rc<Core>,
     (conn, outbox): (Conn, Rc<Outbox>),
     stream: Async<TcpStream>,
@@ -73,35 +73,35 @@
     terms: Rc<Terms>,
 ) {
     serve(&core, conn, &outbox, stream, peer, &terms).await;
-    core.connections.borrow_mut().gone(conn);
-    core.connection_admission.borrow_mut().gone(core.clock().now(), conn);
+    core.connections.borrow_mut().remove(conn);
+    core.connection_admission.borrow_mut().connection_closed(core.clock().now(), conn);
 }
 
 /// The answer to a connection that does not get in.
-pub fn refusal(reason: Reason, wait: Duration) -> Vec<u8> {
+pub fn refusal_response(reason: Reason, wait: Duration) -> Vec<u8> {
     refuse(503, reason.text(), Some(whole_seconds(wait)))
 }
 
 /// Tells a connection that does not get in when to come back. The answer goes out before its request is read, and
 /// what it sends is read for a moment, so that the answer is not lost to a reset.
-pub async fn turn_away(
+pub async fn refuse_connection(
     core: Rc<Core>,
     outbox: Rc<Outbox>,
     stream: Async<TcpStream>,
     reason: Reason,
     wait: Duration,
 ) {
-    let answer = refusal(reason, wait);
-    let told = future::or(tell_and_end(&core, &stream, &answer), async {
-        Timer::after(LAST_WORDS).await;
+    let answer = refusal_response(reason, wait);
+    let told = future::or(send_final_response(&core, &stream, &answer), async {
+        Timer::after(FLUSH_TIMEOUT).await;
     });
     future::or(told, outbox.aborted()).await;
-    core.connection_admission.borrow_mut().refused(&outbox);
+    core.connection_admission.borrow_mut().refusal_finished(&outbox);
 }
 
 /// Writes the last answer and reads what still comes, so that the answer is not lost to a reset. Ends when the peer
 /// does; whoever calls it sets a time.
-async fn tell_and_end(core: &Core, mut stream: &Async<TcpStream>, answer: &[u8]) {
+async fn send_final_response(core: &Core, mut stream: &Async<TcpStream>, answer: &[u8]) {
     let _ = stream.write_all(answer).await;
     let _ = stream.get_ref().shutdown(std::net::Shutdown::Write);
     while let Ok(Some(())) = read_some(core, stream, |_| ()).await {}
@@ -117,71 +117,71 @@
 ) {
     let _ = stream.get_ref().set_nodelay(true);
     let limit = Duration::from_millis(core.settings.listen.handshake_ms);
-    let too_late = async {
+    let timed_out = async {
         Timer::after(limit).await;
         Err(refuse(408, "the handshake took too long", None))
     };
     // It may have to make room for another before it is done.
-    let made_room = async {
+    let evicted = async {
         let why = outbox.finished().await.unwrap_or("the gateway ends");
         Err(refuse(503, why, Some(whole_seconds(Duration::from_millis(core.settings.limits.retry_after_ms)))))
     };
-    let shaken =
-        future::or(handshake(core, conn, &stream, peer, terms), future::or(made_room, too_late)).await;
-    let shaken = match shaken {
-        Ok(Some(shaken)) => shaken,
+    let handshake_result =
+        future::or(handshake(core, conn, &stream, peer, terms), future::or(evicted, timed_out)).await;
+    let completed = match handshake_result {
+        Ok(Some(completed)) => completed,
         Ok(None) => return,
         Err(answer) => {
-            return future::or(tell_and_end(core, &stream, &answer), async {
-                Timer::after(LAST_WORDS).await;
+            return future::or(send_final_response(core, &stream, &answer), async {
+                Timer::after(FLUSH_TIMEOUT).await;
             })
             .await;
         }
     };
-    let Shaken { rest, origin, must_prove } = shaken;
+    let CompletedHandshake { rest, origin, must_prove } = completed;
     // Guards against a connection that had to make room while its 101 was being written: nobody counts it any more,
     // so it is told and ended. It could harm nobody else, as its place has been given away.
     if !outbox.is_open() {
         let mut goodbye = Vec::new();
         encode(Opcode::Close, &close_payload(CloseCode::LATER, "others want in"), None, &mut goodbye);
-        return future::or(tell_and_end(core, &stream, &goodbye), async {
-            Timer::after(LAST_WORDS).await;
+        return future::or(send_final_response(core, &stream, &goodbye), async {
+            Timer::after(FLUSH_TIMEOUT).await;
         })
         .await;
     }
-    let client = core.connections.borrow_mut().shaken(conn, outbox.clone());
+    let client = core.connections.borrow_mut().handshake_done(conn, outbox.clone());
     core.input(Input::ClientUp { client, peer, origin, must_prove });
     tracing::debug!(client = client.0, %peer, "client connected");
-    let heard = Cell::new(Instant::now());
+    let last_received = Cell::new(Instant::now());
     let reading = async {
         let limits = &core.settings.limits;
         let mut decoder = Decoder::new(Role::Server, limits.head_bytes + limits.body_bytes);
-        let held = Share::of(&core.buffer_budget, For::Client);
-        let mut session = Session { core, client, outbox, held: &held, bad_in_a_row: 0, messages: 0 };
-        let mut goes_on = session.take_all(&mut decoder, &rest);
+        let held = BufferShare::of_budget(&core.buffer_budget, For::Client);
+        let mut session = Session { core, client, outbox, held: &held, consecutive_invalid: 0, messages: 0 };
+        let mut stays_open = session.process_input(&mut decoder, &rest);
         drop(rest);
-        while goes_on {
+        while stays_open {
             // One client's stream of messages must not keep the others waiting.
             future::yield_now().await;
-            let turn = core.connection_admission.borrow().turn(conn);
-            let read = read_at_most(core, &stream, turn, |bytes| session.take_all(&mut decoder, bytes));
+            let turn = core.connection_admission.borrow().read_quota(conn);
+            let read = read_at_most(core, &stream, turn, |bytes| session.process_input(&mut decoder, bytes));
             match read.await {
-                Ok(Some(more)) => goes_on = more,
+                Ok(Some(more)) => stays_open = more,
                 _ => return outbox.abort(),
             }
-            heard.set(Instant::now());
+            last_received.set(Instant::now());
             let messages = std::mem::take(&mut session.messages);
-            let pause = core.connection_admission.borrow_mut().pace(core.clock().now(), conn, messages);
+            let pause = core.connection_admission.borrow_mut().read_pause(core.clock().now(), conn, messages);
             if !pause.is_zero() {
                 Timer::after(pause).await;
-                heard.set(Instant::now());
+                last_received.set(Instant::now());
             }
         }
     };
     let writing = async {
         let _ = outbox.write_to(&stream).await;
     };
-    let watching = future::or(outbox.aborted(), keep_alive(core, outbox, &heard));
+    let watching = future::or(outbox.aborted(), keep_alive(core, outbox, &last_received));
     future::or(future::or(reading, writing), watching).await;
     core.connections.borrow_mut().remove_client(client);
     core.input(Input::ClientDown { client });
@@ -190,7 +190,7 @@
         let _ = outbox.write_to(&stream).await;
     };
     future::or(last, async {
-        Timer::after(LAST_WORDS).await;
+        Timer::after(FLUSH_TIMEOUT).await;
     })
     .await;
     let _ = stream.get_ref().shutdown(std::net::Shutdown::Write);
@@ -198,7 +198,7 @@
 }
 
 /// A handshake that is done.
-struct Shaken {
+struct CompletedHandshake {
     /// Bytes that came behind the request.
     rest: Vec<u8>,
     /// Where the client is.
@@ -214,15 +214,15 @@
     stream: &Async<TcpStream>,
     peer: SocketAddr,
     terms: &Terms,
-) -> Result<Option<Shaken>, Vec<u8>> {
+) -> Result<Option<CompletedHandshake>, Vec<u8>> {
     let mut bytes = Vec::new();
-    let held = Share::of(&core.buffer_budget, For::Client);
+    let held = BufferShare::of_budget(&core.buffer_budget, For::Client);
     let accepted = loop {
         let more = read_some(core, stream, |b| bytes.extend_from_slice(b)).await;
         if !matches!(more, Ok(Some(()))) {
             return Ok(None);
         }
-        if !held.set(bytes.len()) {
+        if !held.resize(bytes.len()) {
             return Err(refuse(503, "no memory is left for the request", Some(1)));
         }
         match accept(&bytes, terms) {
@@ -231,40 +231,41 @@
             Err(error) => return Err(refuse(error.status(), &error.to_string(), None)),
         }
     };
-    let refused = |(reason, wait): Refusal| refusal(reason, wait);
+    let refused = |(reason, wait): Refusal| refusal_response(reason, wait);
     let now = core.clock().now();
     let mut origin = peer.ip();
     if core.connection_admission.borrow().is_forwarder(origin) {
         let hops = forwarded_for(accepted.forwarded.iter().map(String::as_str));
         let hops = hops.map_err(|error| refuse(400, &error.to_string(), None))?;
-        let believed = core.connection_admission.borrow_mut().forwarded(now, conn, &hops).map_err(refused)?;
+        let believed =
+            core.connection_admission.borrow_mut().apply_forwarded(now, conn, &hops).map_err(refused)?;
         origin = believed.unwrap_or(origin);
     }
     let must_prove = core
         .connection_admission
         .borrow_mut()
-        .shaken(now, &mut core.connections.borrow_mut(), conn)
+        .handshake_done(now, &mut core.connections.borrow_mut(), conn)
         .map_err(refused)?;
     let mut stream = stream;
     if stream.write_all(&accepted.response).await.is_err() {
         return Ok(None);
     }
-    Ok(Some(Shaken { rest: bytes.split_off(accepted.consumed), origin, must_prove }))
+    Ok(Some(CompletedHandshake { rest: bytes.split_off(accepted.consumed), origin, must_prove }))
 }
 
 /// Pings a silent client; ends when it stays silent.
-async fn keep_alive(core: &Core, outbox: &Outbox, heard: &Cell<Instant>) {
+async fn keep_alive(core: &Core, outbox: &Outbox, last_received: &Cell<Instant>) {
     let pause = Duration::from_millis(core.settings.listen.ping_ms);
     loop {
-        let silent = heard.get().elapsed();
+        let silent = last_received.get().elapsed();
         if silent >= pause * 2 {
             return outbox.abort();
         }
         if silent >= pause {
             outbox.push(|out| encode(Opcode::Ping, b"", None, out));
-            Timer::at(heard.get() + pause * 2).await;
+            Timer::at(last_received.get() + pause * 2).await;
         } else {
-            Timer::at(heard.get() + pause).await;
+            Timer::at(last_received.get() + pause).await;
         }
     }
 }
@@ -274,18 +275,18 @@
     client: fawnrouter_engine::ClientId,
     outbox: &'a Outbox,
     /// Bytes of a message that is not whole yet.
-    held: &'a Share,
-    bad_in_a_row: usize,
+    held: &'a BufferShare,
+    consecutive_invalid: usize,
     /// Messages since they were last counted.
     messages: u32,
 }
 
 impl Session<'_> {
     /// Works on all that is there; `false` when the connection is to end.
-    fn take_all(&mut self, decoder: &mut Decoder, mut input: &[u8]) -> bool {
+    fn process_input(&mut self, decoder: &mut Decoder, mut input: &[u8]) -> bool {
         loop {
             if input.is_empty() {
-                if self.held.set(decoder.held()) {
+                if self.held.resize(decoder.held()) {
                     return true;
                 }
                 return self.end(CloseCode::LATER, "no memory is left for the message");
@@ -335,17 +336,17 @@
         }
         match Message::parse(bytes, &self.core.sip_limits()) {
             Ok(message) => {
-                self.bad_in_a_row = 0;
+                self.consecutive_invalid = 0;
                 self.core.input(Input::ClientMessage { client: self.client, message: Box::new(message) });
                 None
             }
             // What is no SIP cannot be answered in SIP. It is dropped, as one bad message must not end the calls of
             // the rest; a client that sends nothing else is told by the close.
             Err(error) => {
-                self.bad_in_a_row += 1;
+                self.consecutive_invalid += 1;
                 tracing::debug!(client = self.client.0, "message dropped: {error}");
-                let most = self.core.settings.limits.bad_messages;
-                (self.bad_in_a_row >= most).then(|| format!("not SIP: {error}"))
+                let limit = self.core.settings.limits.bad_messages;
+                (self.consecutive_invalid >= limit).then(|| format!("not SIP: {error}"))
             }
         }
     }
--- a/crates/fawnrouterd/src/connection_admission.rs
+++ b/crates/fawnrouterd/src/connection_admission.rs
@@ -18,13 +18,13 @@
 
 /// What lasts and is told in the log when it begins and ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Cause {
+enum AlarmCause {
     Refused(Reason),
     Evicted(Eviction),
     SetUp(SetUpRefusal),
 }
 
-impl Cause {
+impl AlarmCause {
     const fn text(self) -> (&'static str, &'static str) {
         match self {
             Self::Refused(reason) => ("connections refused", reason.text()),
@@ -35,16 +35,16 @@
 }
 
 /// Nothing of a kind for this long, and it is over.
-const CALM: Duration = Duration::from_secs(5);
+const ALARM_CLEAR_TIME: Duration = Duration::from_secs(5);
 /// What goes on is told again after this time.
-const AGAIN: Duration = Duration::from_secs(60);
+const ALARM_REPEAT_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Whether a connection gets in, and on what terms.
-pub enum Entry {
+pub enum AdmissionOutcome {
     /// It is served.
-    In(Conn, Rc<Outbox>),
+    Accepted(Conn, Rc<Outbox>),
     /// It is told why not and when to come back; the outbox ends it when another needs its descriptor.
-    Out(Reason, Duration, Rc<Outbox>),
+    Refused(Reason, Duration, Rc<Outbox>),
 }
 
 /// Why a connection does not get in, and how long it should stay away.
@@ -55,14 +55,14 @@
     pub admission: Option<Admission>,
     pub descriptors: Descriptors,
     /// Those that are being told that they do not get in, the first one first.
-    refusing: VecDeque<Rc<Outbox>>,
+    being_refused: VecDeque<Rc<Outbox>>,
     /// Without admission: connections in all, and the time to stay away.
     connection_limit: usize,
     retry_after: Duration,
     spread: Spread,
     refused: BTreeMap<Reason, u64>,
-    alarms: Alarms<Cause>,
-    told: BTreeMap<Cause, u64>,
+    alarms: Alarms<AlarmCause>,
+    logged: BTreeMap<AlarmCause, u64>,
 }
 
 impl ConnectionAdmission {
@@ -76,12 +76,12 @@
             admission,
             connection_limit: descriptors.divide(connection_limit, connection_limit / 4 + 16).0,
             descriptors,
-            refusing: VecDeque::new(),
+            being_refused: VecDeque::new(),
             retry_after,
             spread: Spread::new(0),
             refused: BTreeMap::new(),
-            alarms: Alarms::new(CALM, AGAIN),
-            told: BTreeMap::new(),
+            alarms: Alarms::new(ALARM_CLEAR_TIME, ALARM_REPEAT_INTERVAL),
+            logged: BTreeMap::new(),
         }
     }
 
@@ -98,19 +98,19 @@
     }
 
     /// A connection has been accepted by the kernel: whether it gets in.
-    pub fn arrive(
+    pub fn admit(
         &mut self,
         now: Time,
         connections: &mut Connections,
         address: IpAddr,
         outbox: impl FnOnce() -> Outbox,
-    ) -> Entry {
+    ) -> AdmissionOutcome {
         let outbox = Rc::new(outbox());
-        let place = self.descriptors.arrive(connections.open(), self.refusing.len());
+        let place = self.descriptors.arrive(connections.open_count(), self.being_refused.len());
         let verdict = if place != Place::Serve {
             Err(self.refuse(now, Reason::Descriptors))
         } else {
-            let conn = connections.number();
+            let conn = connections.allocate_conn();
             let verdict = self.admission.as_mut().map(|a| a.arrive(now.0, Arrival { conn, address }));
             match verdict {
                 Some(Verdict::Refuse { reason, retry_after }) => Err((reason, retry_after)),
@@ -123,24 +123,24 @@
         };
         match verdict {
             Ok(conn) => {
-                connections.arrived(conn, outbox.clone());
-                Entry::In(conn, outbox)
+                connections.insert(conn, outbox.clone());
+                AdmissionOutcome::Accepted(conn, outbox)
             }
             Err((reason, wait)) => {
-                if self.descriptors.refuse(self.refusing.len()) == Place::RefuseAfterOldest
-                    && let Some(oldest) = self.refusing.pop_front()
+                if self.descriptors.refuse(self.being_refused.len()) == Place::RefuseAfterOldest
+                    && let Some(oldest) = self.being_refused.pop_front()
                 {
                     oldest.abort();
                 }
-                self.refusing.push_back(outbox.clone());
-                Entry::Out(reason, wait, outbox)
+                self.being_refused.push_back(outbox.clone());
+                AdmissionOutcome::Refused(reason, wait, outbox)
             }
         }
     }
 
     /// One that was being refused has ended.
-    pub fn refused(&mut self, outbox: &Rc<Outbox>) {
-        self.refusing.retain(|other| !Rc::ptr_eq(other, outbox));
+    pub fn refusal_finished(&mut self, outbox: &Rc<Outbox>) {
+        self.being_refused.retain(|other| !Rc::ptr_eq(other, outbox));
     }
 
     /// Whether what this peer says of where a connection comes from is believed.
@@ -149,7 +149,7 @@
     }
 
     /// A forwarder said through which hops a connection came: the address that is believed, and whether it gets in.
-    pub fn forwarded(
+    pub fn apply_forwarded(
         &mut self,
         now: Time,
         conn: Conn,
@@ -164,8 +164,13 @@
     }
 
     /// A handshake is done: whether the connection stays, and if so, whether it has to show who it is.
-    pub fn shaken(&mut self, now: Time, connections: &mut Connections, conn: Conn) -> Result<bool, Refusal> {
-        let full = connections.clients() >= self.connection_limit;
+    pub fn handshake_done(
+        &mut self,
+        now: Time,
+        connections: &mut Connections,
+        conn: Conn,
+    ) -> Result<bool, Refusal> {
+        let full = connections.client_count() >= self.connection_limit;
         match self.admission.as_mut().map(|a| a.shaken(now.0, conn)) {
             Some(Verdict::Refuse { reason, retry_after }) => Err((reason, retry_after)),
             Some(Verdict::Probation) => Ok(true),
@@ -181,7 +186,7 @@
     }
 
     /// A connection has shown that it is a known client's. An error is why it cannot stay.
-    pub fn known(
+    pub fn client_identified(
         &mut self,
         now: Time,
         connections: &mut Connections,
@@ -199,31 +204,31 @@
     }
 
     /// A connection does something, with so many calls.
-    pub fn active(&mut self, now: Time, conn: Conn, calls: usize) {
+    pub fn record_activity(&mut self, now: Time, conn: Conn, calls: usize) {
         if let Some(admission) = &mut self.admission {
             admission.active(now.0, conn, u32::try_from(calls).unwrap_or(u32::MAX));
         }
     }
 
     /// A connection has sent so many messages: how long it is not to be read.
-    pub fn pace(&mut self, now: Time, conn: Conn, messages: u32) -> Duration {
+    pub fn read_pause(&mut self, now: Time, conn: Conn, messages: u32) -> Duration {
         self.admission.as_mut().map_or(Duration::ZERO, |a| a.pace(now.0, conn, messages))
     }
 
     /// Bytes that a connection may have worked on in one turn.
-    pub fn turn(&self, conn: Conn) -> usize {
+    pub fn read_quota(&self, conn: Conn) -> usize {
         self.admission.as_ref().map_or(usize::MAX, |a| a.turn(conn))
     }
 
     /// A connection is gone, at whatever stage.
-    pub fn gone(&mut self, now: Time, conn: Conn) {
+    pub fn connection_closed(&mut self, now: Time, conn: Conn) {
         if let Some(admission) = &mut self.admission {
             admission.closed(now.0, conn);
         }
     }
 
     /// The kernel had no descriptor for a connection.
-    pub fn exhausted(&mut self, now: Time, spare: bool) -> Step {
+    pub fn descriptors_exhausted(&mut self, now: Time, spare: bool) -> Step {
         let (step, change) = self.descriptors.exhausted(now.0, spare);
         if change == Some(Change::Began) {
             tracing::warn!(
@@ -239,14 +244,14 @@
     }
 
     /// The kernel had a descriptor for a connection.
-    pub fn accepted(&mut self, now: Time) {
+    pub fn descriptor_available(&mut self, now: Time) {
         if let Some(Change::Ended(lasted)) = self.descriptors.accepted(now.0) {
             tracing::info!(lasted_ms = lasted.as_secs_f64() * 1e3, "descriptors are there again");
         }
     }
 
     /// Closes those that are idle, do not read, or have not shown who they are.
-    pub fn sweep(&mut self, now: Time, connections: &mut Connections) {
+    pub fn close_evicted(&mut self, now: Time, connections: &mut Connections) {
         let Some(admission) = &mut self.admission else { return };
         for (conn, connection) in connections.iter() {
             if connection.client.is_some() {
@@ -274,15 +279,15 @@
     }
 
     /// Writes a line for each change of state.
-    pub fn tell(&mut self, now: Time, set_ups: &BTreeMap<SetUpRefusal, u64>) {
+    pub fn log_changes(&mut self, now: Time, set_ups: &BTreeMap<SetUpRefusal, u64>) {
         let seen = self.snapshot(0);
-        let counts = (seen.refused.into_iter().map(|(r, n)| (Cause::Refused(r), n)))
-            .chain(seen.evicted.into_iter().map(|(e, n)| (Cause::Evicted(e), n)))
-            .chain(set_ups.iter().map(|(r, n)| (Cause::SetUp(*r), *n)));
+        let counts = (seen.refused.into_iter().map(|(r, n)| (AlarmCause::Refused(r), n)))
+            .chain(seen.evicted.into_iter().map(|(e, n)| (AlarmCause::Evicted(e), n)))
+            .chain(set_ups.iter().map(|(r, n)| (AlarmCause::SetUp(*r), *n)));
         let mut lines = Vec::new();
         for (cause, count) in counts {
-            let told = self.told.entry(cause).or_default();
-            let more = count - std::mem::replace(told, count);
+            let logged = self.logged.entry(cause).or_default();
+            let more = count - std::mem::replace(logged, count);
             if more > 0 {
                 lines.extend(self.alarms.note(now.0, cause, more));
             }
@@ -322,8 +327,12 @@
         ConnectionAdmission::new(admission, descriptors, connection_limit, Duration::from_secs(2))
     }
 
-    fn arrive(connection_admission: &mut ConnectionAdmission, connections: &mut Connections, n: u8) -> Entry {
-        connection_admission.arrive(
+    fn arrive(
+        connection_admission: &mut ConnectionAdmission,
+        connections: &mut Connections,
+        n: u8,
+    ) -> AdmissionOutcome {
+        connection_admission.admit(
             Time(Duration::from_secs(1)),
             connections,
             IpAddr::from([127, 0, 0, n]),
@@ -336,16 +345,20 @@
         let (mut connection_admission, mut connections) =
             (connection_admission(1, 1000), Connections::default());
         let now = Time(Duration::from_secs(1));
-        let Entry::In(first, outbox) = arrive(&mut connection_admission, &mut connections, 1) else {
+        let AdmissionOutcome::Accepted(first, outbox) =
+            arrive(&mut connection_admission, &mut connections, 1)
+        else {
             panic!("room")
         };
-        assert_eq!(connection_admission.shaken(now, &mut connections, first).ok(), Some(false));
-        let Entry::In(second, other) = arrive(&mut connection_admission, &mut connections, 1) else {
+        assert_eq!(connection_admission.handshake_done(now, &mut connections, first).ok(), Some(false));
+        let AdmissionOutcome::Accepted(second, other) =
+            arrive(&mut connection_admission, &mut connections, 1)
+        else {
             panic!("room")
         };
-        assert_eq!(connection_admission.shaken(now, &mut connections, second).ok(), Some(false));
+        assert_eq!(connection_admission.handshake_done(now, &mut connections, second).ok(), Some(false));
         assert_eq!(future::block_on(outbox.finished()), Some(Eviction::MadeRoom.text()));
-        assert!(other.is_open() && connections.open() == 1);
+        assert!(other.is_open() && connections.open_count() == 1);
     }
 
     #[test]
@@ -354,13 +367,15 @@
             (connection_admission(1000, 40), Connections::default());
         let mut refused = Vec::new();
         for n in 0..40 {
-            if let Entry::Out(reason, wait, outbox) = arrive(&mut connection_admission, &mut connections, n) {
+            if let AdmissionOutcome::Refused(reason, wait, outbox) =
+                arrive(&mut connection_admission, &mut connections, n)
+            {
                 assert!(reason == Reason::Descriptors && wait >= Duration::from_secs(2));
                 refused.push(outbox);
             }
         }
         // 40 less the spare, two to refuse with and eight for what was forgotten.
-        assert_eq!((connections.open(), refused.len()), (29, 11));
+        assert_eq!((connections.open_count(), refused.len()), (29, 11));
         assert!(refused[..9].iter().all(|o| !o.is_open()) && refused[9..].iter().all(|o| o.is_open()));
         assert_eq!(connection_admission.snapshot(0).refused[&Reason::Descriptors], 11);
     }
--- a/crates/fawnrouterd/src/connections.rs
+++ b/crates/fawnrouterd/src/connections.rs
@@ -32,17 +32,17 @@
 
 impl Connections {
     /// A number for a connection, never used again.
-    pub fn number(&mut self) -> Conn {
+    pub fn allocate_conn(&mut self) -> Conn {
         self.next_conn += 1;
         Conn(self.next_conn)
     }
 
-    pub fn arrived(&mut self, conn: Conn, outbox: Rc<Outbox>) {
+    pub fn insert(&mut self, conn: Conn, outbox: Rc<Outbox>) {
         self.accepted.insert(conn, ClientConnection { outbox, client: None });
     }
 
     /// Its handshake is done. A connection that had to make room meanwhile was told so already.
-    pub fn shaken(&mut self, conn: Conn, outbox: Rc<Outbox>) -> ClientId {
+    pub fn handshake_done(&mut self, conn: Conn, outbox: Rc<Outbox>) -> ClientId {
         self.next_client += 1;
         let id = ClientId(self.next_client);
         if let Some(connection) = self.accepted.get_mut(&conn) {
@@ -52,17 +52,17 @@
         id
     }
 
-    pub fn gone(&mut self, conn: Conn) {
+    pub fn remove(&mut self, conn: Conn) {
         self.accepted.remove(&conn);
     }
 
     /// Clients' connections, handshakes included.
-    pub fn open(&self) -> usize {
+    pub fn open_count(&self) -> usize {
         self.accepted.len()
     }
 
     /// Clients' connections whose handshake is done.
-    pub fn clients(&self) -> usize {
+    pub fn client_count(&self) -> usize {
         self.clients.len()
     }
 
@@ -99,16 +99,16 @@
     pub fn close(&mut self, conn: Conn, code: CloseCode, reason: &'static str) {
         let Some(connection) = self.accepted.remove(&conn) else { return };
         match connection.client {
-            Some(_) => goodbye(&connection.outbox, code, reason),
+            Some(_) => send_close(&connection.outbox, code, reason),
             // Still in its handshake, which tells it by HTTP.
             None => connection.outbox.finish_with_reason(reason),
         }
     }
 
     /// Closes all connections of clients.
-    pub fn close_all(&self, code: CloseCode, reason: &'static str) {
+    pub fn close_all_clients(&self, code: CloseCode, reason: &'static str) {
         for (_, outbox) in self.clients.values() {
-            goodbye(outbox, code, reason);
+            send_close(outbox, code, reason);
         }
         for connection in self.accepted.values().filter(|c| c.client.is_none()) {
             connection.outbox.finish_with_reason(reason);
@@ -116,14 +116,14 @@
     }
 
     /// Whether something waits to be written, or a handshake to be told that it comes to nothing.
-    pub fn busy(&self) -> bool {
+    pub fn has_pending_work(&self) -> bool {
         let mut outboxes = self.clients.values().map(|(_, o)| o).chain(self.trunks.values());
         outboxes.any(|o| o.backlog() > 0) || self.accepted.values().any(|c| c.client.is_none())
     }
 }
 
 /// Says goodbye to a client, and takes nothing more for it.
-pub fn goodbye(outbox: &Outbox, code: CloseCode, reason: &str) {
+pub fn send_close(outbox: &Outbox, code: CloseCode, reason: &str) {
     let payload = close_payload(code, reason);
     outbox.push(|out| encode(Opcode::Close, &payload, None, out));
     outbox.finish();
--- a/crates/fawnrouterd/src/control.rs
+++ b/crates/fawnrouterd/src/control.rs
@@ -20,11 +20,11 @@
 /// Operators that are served at once; others wait in the kernel.
 pub const MAX_OPERATOR_CONNECTIONS: usize = 4;
 /// Bytes of a command.
-const LONGEST: usize = 4096;
+const MAX_COMMAND_BYTES: usize = 4096;
 /// An operator's command takes no longer than this.
-const PATIENCE: Duration = Duration::from_secs(5);
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(5);
 /// Holders that are listed.
-const MOST_LISTED: usize = 20;
+const MAX_LISTED_HOLDERS: usize = 20;
 
 /// What an operator asks for.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -172,18 +172,18 @@
         let (working, served) = (core.clone(), served.clone());
         core.spawn(async move {
             let too_long = async {
-                Timer::after(PATIENCE).await;
+                Timer::after(COMMAND_TIMEOUT).await;
                 Ok(())
             };
-            let _: io::Result<()> = future::or(answer(&working, stream), too_long).await;
+            let _: io::Result<()> = future::or(answer_command(&working, stream), too_long).await;
             served.set(served.get() - 1);
         });
     }
 }
 
-async fn answer(core: &Core, mut stream: Async<UnixStream>) -> io::Result<()> {
+async fn answer_command(core: &Core, mut stream: Async<UnixStream>) -> io::Result<()> {
     let mut bytes = Vec::new();
-    while !bytes.contains(&b'\n') && bytes.len() < LONGEST {
+    while !bytes.contains(&b'\n') && bytes.len() < MAX_COMMAND_BYTES {
         let mut buffer = [0; 512];
         let n = stream.read(&mut buffer).await?;
         if n == 0 {
@@ -192,7 +192,7 @@
         bytes.extend_from_slice(&buffer[..n]);
     }
     let reply = match serde_json::from_slice(&bytes) {
-        Ok(command) => carry_out(core, &command),
+        Ok(command) => execute(core, &command),
         Err(error) => Reply::Failed(format!("the command cannot be read: {error}")),
     };
     let mut text = serde_json::to_vec(&reply).map_err(io::Error::other)?;
@@ -200,14 +200,14 @@
     stream.write_all(&text).await
 }
 
-fn carry_out(core: &Core, command: &Command) -> Reply {
+fn execute(core: &Core, command: &Command) -> Reply {
     let now = core.clock().now().0;
     if matches!(command, Command::Show) {
-        return Reply::Admission(Box::new(show(core)));
+        return Reply::Admission(Box::new(admission_status(core)));
     }
     if matches!(command, Command::Zones) {
-        return match zones(core) {
-            Some(shown) => Reply::Zones(Box::new(shown)),
+        return match zone_status(core) {
+            Some(status) => Reply::Zones(Box::new(status)),
             None => Reply::Failed("zones are off; add a section `zones` to the settings".into()),
         };
     }
@@ -231,7 +231,7 @@
     Reply::Done
 }
 
-fn zones(core: &Core) -> Option<ZoneStatus> {
+fn zone_status(core: &Core) -> Option<ZoneStatus> {
     let own = core.settings.zones.as_ref()?.own.clone();
     let look = |z: &mut fawnrouter_engine::zones::Zones| {
         let budgets = z.account().lines().into_iter().map(|(budget, state, (calls, money))| BudgetStatus {
@@ -242,7 +242,7 @@
         });
         let mut went: BTreeMap<(String, String), (u64, f64)> = BTreeMap::new();
         for (kind, cell) in z.record().total() {
-            let key = (kind.to.to_string(), crate::report::text(kind.cause).to_owned());
+            let key = (kind.to.to_string(), crate::report::cause_text(kind.cause).to_owned());
             let sum = went.entry(key).or_default();
             *sum = (sum.0 + cell.calls, sum.1 + cell.money.in_units());
         }
@@ -257,15 +257,15 @@
     core.with_engine(|engine| engine.zones().map(|zones| zones.with(look)))
 }
 
-fn show(core: &Core) -> AdmissionStatus {
+fn admission_status(core: &Core) -> AdmissionStatus {
     let (connection_admission, buffer_budget) =
         (core.connection_admission.borrow(), core.buffer_budget.borrow());
     let Snapshot { open, handshakes, known, reserve, refused, evicted, addresses, clients, blocked } =
-        connection_admission.snapshot(MOST_LISTED);
+        connection_admission.snapshot(MAX_LISTED_HOLDERS);
     let holder = |h: fawnrouter_admission::Holding| ResourceHolder { who: h.who, count: h.open };
-    let mut shown = AdmissionStatus {
+    let mut status = AdmissionStatus {
         admission: connection_admission.admission.is_some(),
-        open: open.max(core.connections.borrow().open()),
+        open: open.max(core.connections.borrow().open_count()),
         handshakes,
         known,
         reserve,
@@ -282,20 +282,20 @@
     };
     core.with_engine(|engine| {
         let c = engine.counters();
-        shown.proofs = (c.proofs, c.challenged, c.impostors);
+        status.proofs = (c.proofs, c.challenged, c.impostors);
         let Some(set_ups) = engine.set_ups() else { return };
-        shown.set_ups = (set_ups.waiting(), set_ups.held());
-        shown.set_up_room = set_ups.room();
-        shown.set_ups_refused = set_ups.refused().iter().map(|(r, n)| (r.text().to_owned(), *n)).collect();
+        status.set_ups = (set_ups.waiting(), set_ups.held());
+        status.set_up_room = set_ups.room();
+        status.set_ups_refused = set_ups.refused().iter().map(|(r, n)| (r.text().to_owned(), *n)).collect();
         let name = |who: Who| match who {
             Who::Known(name) => name.to_string(),
             Who::Stranger(address) => address.to_string(),
         };
-        let largest = set_ups.largest(MOST_LISTED).into_iter();
-        shown.callers =
+        let largest = set_ups.largest(MAX_LISTED_HOLDERS).into_iter();
+        status.callers =
             largest.map(|(who, _, calls)| ResourceHolder { who: name(who), count: calls }).collect();
     });
-    shown
+    status
 }
 
 /// An operator's side: sends a command and waits for the answer.
@@ -304,7 +304,7 @@
 /// Where no gateway answers.
 pub fn send_command(path: &Path, command: &Command) -> io::Result<Reply> {
     let mut stream = UnixStream::connect(path)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
+    stream.set_read_timeout(Some(COMMAND_TIMEOUT))?;
     let mut text = serde_json::to_vec(command).map_err(io::Error::other)?;
     text.push(b'\n');
     stream.write_all(&text)?;
--- a/crates/fawnrouterd/src/core.rs
+++ b/crates/fawnrouterd/src/core.rs
@@ -14,22 +14,22 @@
 use fawnrouter_sip::Limits;
 use fawnrouter_ws::{CloseCode, Opcode, encode};
 
-use crate::buffer_share::{BufferBudget, Share, buffer_budget};
+use crate::buffer_share::{BufferBudget, BufferShare, new_buffer_budget};
 use crate::clock::Clock;
 use crate::connection_admission::ConnectionAdmission;
-use crate::connections::{Connections, goodbye};
+use crate::connections::{Connections, send_close};
 use crate::flag::Flag;
-use crate::log::Spans;
-use crate::machine_driver::Pump;
+use crate::log::CallSpans;
+use crate::machine_driver::MachineDriver;
 use crate::outbox::Outbox;
 
 /// Opens a connection to a switch. The core is told at its start who does that, so that it knows no driver.
-pub type Opener = fn(Rc<Core>, ServerId, SocketAddr, Rc<Outbox>);
+pub type OpenTrunk = fn(Rc<Core>, ServerId, SocketAddr, Rc<Outbox>);
 
 /// What all tasks of the gateway share.
 pub struct Core {
-    pump: Pump<Engine>,
-    spans: RefCell<Spans>,
+    driver: MachineDriver<Engine>,
+    spans: RefCell<CallSpans>,
     pub connections: RefCell<Connections>,
     pub connection_admission: RefCell<ConnectionAdmission>,
     /// Memory for bytes that wait to be written or to be a whole message.
@@ -37,7 +37,7 @@
     /// Where reads go first: one buffer for all connections, as nothing awaits while it holds something.
     pub scratch: RefCell<Vec<u8>>,
     pub settings: Settings,
-    open_trunk: Opener,
+    open_trunk: OpenTrunk,
     executor: Weak<LocalExecutor<'static>>,
     drained: Flag,
 }
@@ -47,7 +47,7 @@
         settings: Settings,
         engine: Engine,
         connection_admission: ConnectionAdmission,
-        open_trunk: Opener,
+        open_trunk: OpenTrunk,
         executor: &Rc<LocalExecutor<'static>>,
     ) -> Rc<Self> {
         let limits = &settings.limits;
@@ -58,11 +58,11 @@
             floor: limits.head_bytes.min(4096),
         };
         Rc::new(Self {
-            pump: Pump::new(engine),
+            driver: MachineDriver::new(engine),
             spans: RefCell::default(),
             connections: RefCell::default(),
             connection_admission: RefCell::new(connection_admission),
-            buffer_budget: buffer_budget(bytes),
+            buffer_budget: new_buffer_budget(bytes),
             scratch: RefCell::new(vec![0; 64 * 1024]),
             settings,
             open_trunk,
@@ -86,10 +86,10 @@
     }
 
     /// A fresh outbox.
-    pub fn outbox(&self, whose: For) -> Outbox {
+    pub fn new_outbox(&self, owner: For) -> Outbox {
         Outbox::with_budget_share(
             self.settings.limits.write_backlog_bytes,
-            Share::of(&self.buffer_budget, whose),
+            BufferShare::of_budget(&self.buffer_budget, owner),
         )
     }
 
@@ -99,11 +99,11 @@
         let (mut connections, mut connection_admission) =
             (self.connections.borrow_mut(), self.connection_admission.borrow_mut());
         let (connections_now, admission_now) = (&mut *connections, &mut *connection_admission);
-        self.pump.input(input, |now, engine, output| match output {
+        self.driver.input(input, |now, engine, output| match output {
             Output::ToClient { client, bytes } => {
                 if let Some((conn, outbox)) = connections_now.client(client) {
                     // A message to a client means that one of its calls has changed.
-                    admission_now.active(now, conn, engine.calls_of(client));
+                    admission_now.record_activity(now, conn, engine.calls_of(client));
                     outbox.push(|out| encode(Opcode::Text, &bytes, None, out));
                 }
             }
@@ -113,7 +113,7 @@
                 }
             }
             Output::OpenTrunk { server, address } => {
-                let outbox = Rc::new(self.outbox(For::Trunk));
+                let outbox = Rc::new(self.new_outbox(For::Trunk));
                 connections_now.insert_trunk(server, outbox.clone());
                 opened.push((server, address, outbox));
             }
@@ -126,20 +126,20 @@
                 let Some((conn, outbox)) = connections_now.client(client) else { return };
                 let outbox = outbox.clone();
                 tracing::debug!(client = client.0, name = &*name, "client known");
-                if let Err(reason) = admission_now.known(now, connections_now, conn, &name) {
-                    goodbye(&outbox, CloseCode::LATER, reason.text());
+                if let Err(reason) = admission_now.client_identified(now, connections_now, conn, &name) {
+                    send_close(&outbox, CloseCode::LATER, reason.text());
                 }
             }
             Output::CloseClient { client, reason } => {
                 if let Some((_, outbox)) = connections_now.client(client) {
                     tracing::warn!(client = client.0, "connection closed: {reason}");
-                    goodbye(outbox, CloseCode::POLICY, reason);
+                    send_close(outbox, CloseCode::POLICY, reason);
                 }
             }
             Output::Log(line) => tracing::info!("{line}"),
-            Output::Word { call, word } => self.spans.borrow_mut().word(call, word),
+            Output::Word { call, word } => self.spans.borrow_mut().record(call, word),
             Output::Drained => {
-                self.drained.raise();
+                self.drained.set();
             }
         });
         drop((connections, connection_admission));
@@ -150,36 +150,36 @@
 
     /// The gateway's clock.
     pub fn clock(&self) -> Clock {
-        self.pump.clock
+        self.driver.clock
     }
 
     /// Wakes the engine when it asks for it, for ever.
-    pub async fn wake_engine(self: &Rc<Self>) {
-        self.pump.wake_with(|input| self.input(input)).await;
+    pub async fn run_engine_timer(self: &Rc<Self>) {
+        self.driver.run_timer(|input| self.input(input)).await;
     }
 
     /// Ends when the engine has no call left after a drain.
     pub async fn drained(&self) {
-        self.drained.raised().await;
+        self.drained.wait().await;
     }
 
     /// Looks at the engine.
-    pub fn with_engine<T>(&self, look: impl FnOnce(&Engine) -> T) -> T {
-        self.pump.with(look)
+    pub fn with_engine<T>(&self, read: impl FnOnce(&Engine) -> T) -> T {
+        self.driver.with_machine(read)
     }
 
     /// Closes who is to go, and writes what changed, for ever.
-    pub async fn keep_house(&self) {
+    pub async fn run_maintenance(&self) {
         loop {
-            Timer::after(HOUSE).await;
+            Timer::after(MAINTENANCE_INTERVAL).await;
             let now = self.clock().now();
             let mut connection_admission = self.connection_admission.borrow_mut();
-            connection_admission.sweep(now, &mut self.connections.borrow_mut());
+            connection_admission.close_evicted(now, &mut self.connections.borrow_mut());
             self.with_engine(|engine| {
                 if let Some(set_ups) = engine.set_ups() {
-                    connection_admission.tell(now, set_ups.refused());
+                    connection_admission.log_changes(now, set_ups.refused());
                 } else {
-                    connection_admission.tell(now, &Default::default());
+                    connection_admission.log_changes(now, &Default::default());
                 }
             });
         }
@@ -200,7 +200,7 @@
             invalid = c.invalid,
             attempts = c.attempts,
             live,
-            connections = connections.clients(),
+            connections = connections.client_count(),
             buffered_bytes = buffer_budget.used(),
             "counts"
         );
@@ -208,4 +208,4 @@
 }
 
 /// Between two looks at who is to go.
-const HOUSE: Duration = Duration::from_millis(250);
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
--- a/crates/fawnrouterd/src/flag.rs
+++ b/crates/fawnrouterd/src/flag.rs
@@ -13,7 +13,7 @@
 
 impl Flag {
     /// Says it; again changes nothing.
-    pub fn raise(&self) {
+    pub fn set(&self) {
         self.up.set(true);
         if let Some(waker) = self.waiting.take() {
             waker.wake();
@@ -21,16 +21,16 @@
     }
 
     /// Takes it back: what it was said for has been done.
-    pub fn lower(&self) {
+    pub fn clear(&self) {
         self.up.set(false);
     }
 
-    pub fn is_up(&self) -> bool {
+    pub fn is_set(&self) -> bool {
         self.up.get()
     }
 
     /// Ends when it has been said.
-    pub async fn raised(&self) {
+    pub async fn wait(&self) {
         poll_fn(|cx| {
             if self.up.get() {
                 return Poll::Ready(());
--- a/crates/fawnrouterd/src/ledger.rs
+++ b/crates/fawnrouterd/src/ledger.rs
@@ -14,7 +14,7 @@
 use crate::core::Core;
 
 /// Between two looks whether there is something to save: a gateway that is killed forgets this much of its spending.
-const PAUSE: Duration = Duration::from_millis(500);
+const SAVE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What the file holds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -46,8 +46,9 @@
 /// See [`LedgerError`].
 pub fn read(file: &Path) -> Result<Ledger, LedgerError> {
     let text = fs::read_to_string(file)?;
-    let (sum, body) = text.split_once('\n').ok_or_else(|| LedgerError::Damaged("it has one line".into()))?;
-    let wanted = u32::from_str_radix(sum.trim(), 16).ok();
+    let (checksum, body) =
+        text.split_once('\n').ok_or_else(|| LedgerError::Damaged("it has one line".into()))?;
+    let wanted = u32::from_str_radix(checksum.trim(), 16).ok();
     if wanted != Some(crc32fast::hash(body.as_bytes())) {
         return Err(LedgerError::Damaged("its sum does not fit".into()));
     }
@@ -57,11 +58,11 @@
 /// Replaces a file: written beside it, brought to the disk, and put in its place.
 fn write(file: &Path, ledger: &Ledger) -> io::Result<()> {
     let body = serde_json::to_string(ledger).map_err(io::Error::other)?;
-    let fresh = file.with_extension("new");
-    let mut out = fs::File::create(&fresh)?;
+    let temporary = file.with_extension("new");
+    let mut out = fs::File::create(&temporary)?;
     write!(out, "{:08x}\n{body}", crc32fast::hash(body.as_bytes()))?;
     out.sync_all()?;
-    fs::rename(fresh, file)
+    fs::rename(temporary, file)
 }
 
 /// Takes up the account of before a restart. One that is not there means a first start; one that is damaged means that
@@ -85,7 +86,7 @@
     }
 }
 
-fn ledger(core: &Core) -> Option<Ledger> {
+fn current_ledger(core: &Core) -> Option<Ledger> {
     let classes = core.settings.classes.iter().map(|c| c.name.clone()).collect();
     let own = core.settings.zones.as_ref()?.own.clone();
     core.with_engine(|engine| {
@@ -102,7 +103,7 @@
 
 /// Saves the account now.
 pub async fn save(core: &Rc<Core>, file: PathBuf) {
-    let Some(ledger) = ledger(core) else { return };
+    let Some(ledger) = current_ledger(core) else { return };
     let name = file.display().to_string();
     if let Err(error) = blocking::unblock(move || write(&file, &ledger)).await {
         tracing::warn!("{name}: the account of zones cannot be saved: {error}; calls go on");
@@ -113,7 +114,7 @@
 pub async fn save_periodically(core: Rc<Core>, file: PathBuf) {
     let mut last = None;
     loop {
-        Timer::after(PAUSE).await;
+        Timer::after(SAVE_INTERVAL).await;
         let now = core.with_engine(|e| e.zones().map(|z| z.with(|z| z.account().save().lines)));
         if now != last {
             save(&core, file.clone()).await;
--- a/crates/fawnrouterd/src/log.rs
+++ b/crates/fawnrouterd/src/log.rs
@@ -27,13 +27,13 @@
 
 /// The spans of calls that are not over. Bounded by the engine's limit on calls: each ends with its call.
 #[derive(Debug, Default)]
-pub struct Spans {
+pub struct CallSpans {
     spans: BTreeMap<CallId, tracing::Span>,
 }
 
-impl Spans {
+impl CallSpans {
     /// Logs a word about a call in its span.
-    pub fn word(&mut self, call: CallId, word: CallWord) {
+    pub fn record(&mut self, call: CallId, word: CallWord) {
         if let CallWord::Taken { call_id, class, number } = &word {
             let span = tracing::debug_span!("call", call_id = %call_id, class = %class, number = %number);
             self.spans.insert(call, span);
--- a/crates/fawnrouterd/src/machine_driver.rs
+++ b/crates/fawnrouterd/src/machine_driver.rs
@@ -12,26 +12,26 @@
 use crate::clock::Clock;
 
 /// A wake-up that is this late says that the process stood still, or that much has come in.
-const LATE: Duration = Duration::from_millis(3);
+const LATE_WAKE_THRESHOLD: Duration = Duration::from_millis(3);
 
 /// A state machine with the clock and what wakes it.
-pub struct Pump<M: Machine> {
+pub struct MachineDriver<M: Machine> {
     machine: RefCell<M>,
     outputs: RefCell<Vec<M::Output>>,
     pub clock: Clock,
     /// For when the timer's task sleeps, and what wakes it for an earlier time.
-    armed: Cell<Option<Time>>,
-    rearm: Cell<Option<Waker>>,
+    timer_due: Cell<Option<Time>>,
+    timer_waker: Cell<Option<Waker>>,
 }
 
-impl<M: Machine> Pump<M> {
+impl<M: Machine> MachineDriver<M> {
     pub fn new(machine: M) -> Self {
         Self {
             machine: RefCell::new(machine),
             outputs: RefCell::default(),
             clock: Clock::new(),
-            armed: Cell::new(None),
-            rearm: Cell::new(None),
+            timer_due: Cell::new(None),
+            timer_waker: Cell::new(None),
         }
     }
 
@@ -46,28 +46,28 @@
         }
         self.outputs.replace(outputs);
         let next = machine.next_wake();
-        let earlier = next.is_some_and(|next| self.armed.get().is_none_or(|armed| next < armed));
-        if earlier && let Some(waker) = self.rearm.take() {
+        let earlier = next.is_some_and(|next| self.timer_due.get().is_none_or(|due| next < due));
+        if earlier && let Some(waker) = self.timer_waker.take() {
             waker.wake();
         }
     }
 
     /// Looks at the machine.
-    pub fn with<T>(&self, look: impl FnOnce(&M) -> T) -> T {
-        look(&self.machine.borrow())
+    pub fn with_machine<T>(&self, read: impl FnOnce(&M) -> T) -> T {
+        read(&self.machine.borrow())
     }
 
     /// Calls `wake` whenever the machine wants to be woken, for ever.
-    pub async fn wake_with(&self, wake: impl Fn(M::Input)) {
+    pub async fn run_timer(&self, wake: impl Fn(M::Input)) {
         loop {
             let due = self.machine.borrow().next_wake();
-            self.armed.set(due);
-            let mut asked = false;
-            let rearmed = poll_fn(|cx| {
-                if std::mem::replace(&mut asked, true) && self.rearm.take().is_none() {
+            self.timer_due.set(due);
+            let mut polled = false;
+            let rescheduled = poll_fn(|cx| {
+                if std::mem::replace(&mut polled, true) && self.timer_waker.take().is_none() {
                     return Poll::Ready(());
                 }
-                self.rearm.set(Some(cx.waker().clone()));
+                self.timer_waker.set(Some(cx.waker().clone()));
                 Poll::Pending
             });
             match due {
@@ -75,17 +75,17 @@
                     let timer = async {
                         Timer::at(self.clock.instant(due)).await;
                     };
-                    futures_lite::future::or(timer, rearmed).await;
+                    futures_lite::future::or(timer, rescheduled).await;
                 }
-                None => rearmed.await,
+                None => rescheduled.await,
             }
-            self.armed.set(None);
+            self.timer_due.set(None);
             let Some(due) = self.machine.borrow().next_wake().filter(|due| *due <= self.clock.now()) else {
                 continue;
             };
             // This process stood still: what lies in the sockets came before this time was due, or may have. One
             // round through the reactor lets it be read first, so that no peer is blamed for our own stall.
-            if self.clock.now().since(due) > LATE {
+            if self.clock.now().since(due) > LATE_WAKE_THRESHOLD {
                 Timer::after(Duration::from_millis(1)).await;
                 futures_lite::future::yield_now().await;
             }
--- a/crates/fawnrouterd/src/node/config.rs
+++ b/crates/fawnrouterd/src/node/config.rs
@@ -11,7 +11,7 @@
     #[error(
         "{file}: cannot be read: {error}; set BALANCER_CONFIG or --config to the gateway's configuration"
     )]
-    Unread {
+    Unreadable {
         /// The file.
         file: String,
         /// Why.
@@ -19,7 +19,7 @@
     },
     /// It is wrong.
     #[error("{file}: {error}")]
-    Wrong {
+    Invalid {
         /// The file.
         file: String,
         /// What is wrong.
@@ -29,7 +29,7 @@
     #[error(
         "{variable} is {found}, and the configuration says {wanted}; make them agree or unset the variable"
     )]
-    Variable {
+    EnvironmentMismatch {
         /// Which.
         variable: &'static str,
         /// What it says.
@@ -40,11 +40,11 @@
 }
 
 /// Where the configuration is read from, at the start and at each SIGHUP.
-pub struct Source {
+pub struct ConfigSource {
     path: PathBuf,
 }
 
-impl Source {
+impl ConfigSource {
     pub fn new(path: PathBuf) -> Self {
         Self { path }
     }
@@ -52,17 +52,18 @@
     /// Reads and checks the whole file.
     pub fn read(&self) -> Result<Boot, ConfigError> {
         let file = || self.path.display().to_string();
-        let text = std::fs::read(&self.path).map_err(|error| ConfigError::Unread { file: file(), error })?;
-        Boot::read(&text).map_err(|error| ConfigError::Wrong { file: file(), error })
+        let text =
+            std::fs::read(&self.path).map_err(|error| ConfigError::Unreadable { file: file(), error })?;
+        Boot::read(&text).map_err(|error| ConfigError::Invalid { file: file(), error })
     }
 
     /// The platform tells name and address twice; where they differ, something is set up wrongly.
     pub fn check_environment(&self, boot: &Boot) -> Result<(), ConfigError> {
-        let told = [("BALANCER_NAME", boot.name.clone()), ("BALANCER_LISTEN", boot.listen.to_string())];
-        for (variable, wanted) in told {
+        let expected = [("BALANCER_NAME", boot.name.clone()), ("BALANCER_LISTEN", boot.listen.to_string())];
+        for (variable, wanted) in expected {
             if let Some(found) = std::env::var_os(variable).filter(|found| found.to_str() != Some(&wanted)) {
                 let found = found.to_string_lossy().into_owned();
-                return Err(ConfigError::Variable { variable, found, wanted });
+                return Err(ConfigError::EnvironmentMismatch { variable, found, wanted });
             }
         }
         Ok(())
--- a/crates/fawnrouterd/src/node/gateway.rs
+++ b/crates/fawnrouterd/src/node/gateway.rs
@@ -12,37 +12,37 @@
 use fawnrouter_node::jsonl::Tag;
 use fawnrouter_node::{ClientId, Input, LinkId, Node, Output, Shares};
 
-use super::reader::{Reader, Room};
+use super::reader::{ReadBuffer, Reader};
 use crate::flag::Flag;
-use crate::machine_driver::Pump;
+use crate::machine_driver::MachineDriver;
 use crate::outbox::Outbox;
 
-/// Bytes that may wait for one connection; a peer that does not read is given up beyond it. Four lines of the
+/// Bytes that may wait for one connection; a connection that does not read is given up beyond it. Four lines of the
 /// longest kind, or some hundred answers.
-const BACKLOG: usize = 64 * 1024;
+const MAX_BACKLOG_BYTES: usize = 64 * 1024;
 /// Lines in the log a second; what is beyond is counted.
-const LOG_LINES: u32 = 40;
+const MAX_LOG_LINES_PER_SECOND: u32 = 40;
 
-/// Opens a connection to a core switch. The gate is told at its start who does that, so that it knows no driver.
-pub type Opener = fn(Rc<Gate>, LinkId, SocketAddr, Duration, Rc<Outbox>);
+/// Opens a connection to a core switch. The gateway is told at its start who does that, so that it knows no driver.
+pub type OpenLink = fn(Rc<Gateway>, LinkId, SocketAddr, Duration, Rc<Outbox>);
 
 /// A client's connection, for its driver.
-pub struct Peer {
+pub struct ClientConnection {
     pub stream: Async<TcpStream>,
     pub outbox: Outbox,
     /// What has been read of it.
     pub reader: RefCell<Reader>,
     /// Something has been read beside the driver, which is to hand it on: the socket will not tell it.
-    pub read: Flag,
+    pub input_pending: Flag,
     /// The node lets go of it: what has come is to be taken, what is said to be written, and then it is closed.
-    pub leaving: Flag,
+    pub close_requested: Flag,
 }
 
-/// What the gate does next.
-enum Next {
+/// What the gateway does next.
+enum Step {
     Input(Input),
     /// Look at what a client has sent.
-    Look(ClientId),
+    CheckClient(ClientId),
 }
 
 /// Lines that went to the log in this second, and those that did not.
@@ -53,51 +53,51 @@
     dropped: u64,
 }
 
-pub struct Gate {
-    pub pump: Pump<Node>,
-    clients: RefCell<BTreeMap<ClientId, Rc<Peer>>>,
+pub struct Gateway {
+    pub driver: MachineDriver<Node>,
+    clients: RefCell<BTreeMap<ClientId, Rc<ClientConnection>>>,
     links: RefCell<BTreeMap<LinkId, Rc<Outbox>>>,
     next_client: Cell<u64>,
     /// Where reads go.
-    pub room: Room,
+    pub read_buffer: ReadBuffer,
     pub nameserver: Cell<SocketAddr>,
     /// Clients' connections that are being closed in order, and how many may be at once.
     closing: Cell<usize>,
     /// Clients' connections that a task still serves or closes.
-    driven: Cell<usize>,
+    client_tasks: Cell<usize>,
     shares: Shares,
-    open_trunk: Opener,
+    open_link: OpenLink,
     executor: Weak<LocalExecutor<'static>>,
     log: RefCell<LogRate>,
     done: Flag,
 }
 
-impl Gate {
+impl Gateway {
     pub fn new(
         node: Node,
         shares: Shares,
         nameserver: SocketAddr,
-        open_trunk: Opener,
+        open_link: OpenLink,
         executor: &Rc<LocalExecutor<'static>>,
     ) -> Rc<Self> {
         Rc::new(Self {
-            pump: Pump::new(node),
+            driver: MachineDriver::new(node),
             clients: RefCell::default(),
             links: RefCell::default(),
             next_client: Cell::new(0),
-            room: Room::new(32 * 1024),
+            read_buffer: ReadBuffer::new(32 * 1024),
             nameserver: Cell::new(nameserver),
             closing: Cell::new(0),
-            driven: Cell::new(0),
+            client_tasks: Cell::new(0),
             shares,
-            open_trunk,
+            open_link,
             executor: Rc::downgrade(executor),
             log: RefCell::default(),
             done: Flag::default(),
         })
     }
 
-    /// Runs a task beside the others. The tasks hold the gate and the executor holds the tasks, so the gate holds the
+    /// Runs a task beside the others. The tasks hold the gateway and the executor holds the tasks, so the gateway holds the
     /// executor weakly: all go when the gateway ends.
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         if let Some(executor) = self.executor.upgrade() {
@@ -106,39 +106,39 @@
     }
 
     /// A number and an outbox for a client that has connected.
-    pub fn client(&self, stream: Async<TcpStream>) -> (ClientId, Rc<Peer>) {
+    pub fn add_client(&self, stream: Async<TcpStream>) -> (ClientId, Rc<ClientConnection>) {
         self.next_client.set(self.next_client.get() + 1);
         let client = ClientId(self.next_client.get());
-        let peer = Rc::new(Peer {
+        let connection = Rc::new(ClientConnection {
             stream,
-            outbox: Outbox::new(BACKLOG),
+            outbox: Outbox::new(MAX_BACKLOG_BYTES),
             reader: RefCell::default(),
-            read: Flag::default(),
-            leaving: Flag::default(),
+            input_pending: Flag::default(),
+            close_requested: Flag::default(),
         });
-        self.clients.borrow_mut().insert(client, peer.clone());
-        (client, peer)
+        self.clients.borrow_mut().insert(client, connection.clone());
+        (client, connection)
     }
 
     /// Whether there is room for one more connection of a client's, its way out included.
-    pub fn has_room(&self) -> bool {
-        self.driven.get() < self.shares.callers()
+    pub fn has_client_capacity(&self) -> bool {
+        self.client_tasks.get() < self.shares.callers()
     }
 
     /// A client has ended its side, or its connection cannot be written to: what has not been said will not be heard.
     pub fn client_ended(self: &Rc<Self>, client: ClientId) {
-        self.forget(client).into_iter().for_each(|input| self.input(input));
+        self.remove_client(client).into_iter().for_each(|input| self.input(input));
     }
 
-    fn forget(&self, client: ClientId) -> Vec<Input> {
-        let peer = self.clients.borrow_mut().remove(&client);
-        let unheard = peer.into_iter().flat_map(|peer| peer.outbox.unwritten_marks());
-        let unheard = unheard.map(|tag| Input::Unheard { tag: Tag(tag) });
-        std::iter::once(Input::ClientEnded { client }).chain(unheard).collect()
+    fn remove_client(&self, client: ClientId) -> Vec<Input> {
+        let connection = self.clients.borrow_mut().remove(&client);
+        let undelivered = connection.into_iter().flat_map(|connection| connection.outbox.unwritten_marks());
+        let undelivered = undelivered.map(|tag| Input::Unheard { tag: Tag(tag) });
+        std::iter::once(Input::ClientEnded { client }).chain(undelivered).collect()
     }
 
     /// A client's connection takes nothing more.
-    pub fn client_gone(self: &Rc<Self>, client: ClientId) {
+    pub fn client_closed(self: &Rc<Self>, client: ClientId) {
         self.client_ended(client);
         self.input(Input::ClientDown { client });
     }
@@ -150,11 +150,11 @@
 
     /// Gives the node an input and carries out what it says, and what follows from that.
     pub fn input(self: &Rc<Self>, input: Input) {
-        let mut next = VecDeque::from([Next::Input(input)]);
+        let mut next = VecDeque::from([Step::Input(input)]);
         while let Some(step) = next.pop_front() {
             match step {
-                Next::Input(input) => self.carry_out(input, &mut next),
-                Next::Look(client) => self.look(client, &mut next),
+                Step::Input(input) => self.process_input(input, &mut next),
+                Step::CheckClient(client) => self.check_client(client, &mut next),
             }
         }
     }
@@ -162,45 +162,45 @@
     /// Looks whether a client has given something up, or has gone, before anything goes out that depends on it. Guards
     /// against set-ups for callers, and answers to them, who had left while this process did other things: the order in
     /// which sockets are found readable is not that in which their bytes came.
-    fn look(&self, client: ClientId, next: &mut VecDeque<Next>) {
-        let Some(peer) = self.clients.borrow().get(&client).cloned() else { return };
-        let mut reader = peer.reader.borrow_mut();
-        reader.fill(&self.room, peer.stream.get_ref());
-        if reader.has_news() {
-            peer.read.raise();
+    fn check_client(&self, client: ClientId, next: &mut VecDeque<Step>) {
+        let Some(connection) = self.clients.borrow().get(&client).cloned() else { return };
+        let mut reader = connection.reader.borrow_mut();
+        reader.fill(&self.read_buffer, connection.stream.get_ref());
+        if reader.has_unprocessed_input() {
+            connection.input_pending.set();
         }
         next.extend(
-            std::iter::from_fn(|| reader.next_end())
-                .map(|message| Next::Input(Input::ClientMessage { client, message })),
+            std::iter::from_fn(|| reader.next_call_end())
+                .map(|message| Step::Input(Input::ClientMessage { client, message })),
         );
-        if reader.end() {
+        if reader.take_end() {
             drop(reader);
-            next.extend(self.forget(client).into_iter().map(Next::Input));
+            next.extend(self.remove_client(client).into_iter().map(Step::Input));
         }
     }
 
-    fn carry_out(self: &Rc<Self>, input: Input, next: &mut VecDeque<Next>) {
+    fn process_input(self: &Rc<Self>, input: Input, next: &mut VecDeque<Step>) {
         let mut opened = Vec::new();
-        self.pump.input(input, |now, _, output| match output {
+        self.driver.input(input, |now, _, output| match output {
             Output::ToClient { client, line } => {
-                if let Some(peer) = self.clients.borrow().get(&client) {
-                    peer.outbox.push(|out| out.extend_from_slice(&line));
+                if let Some(connection) = self.clients.borrow().get(&client) {
+                    connection.outbox.push(|out| out.extend_from_slice(&line));
                 }
             }
             Output::Tell { client, tag, line } => match self.clients.borrow().get(&client) {
-                Some(peer) => {
-                    peer.outbox.push_marked(tag.0, &line);
-                    next.push_back(Next::Look(client));
+                Some(connection) => {
+                    connection.outbox.push_marked(tag.0, &line);
+                    next.push_back(Step::CheckClient(client));
                 }
-                None => next.push_back(Next::Input(Input::Unheard { tag })),
+                None => next.push_back(Step::Input(Input::Unheard { tag })),
             },
             Output::CloseClient { client } => {
-                if let Some(peer) = self.clients.borrow().get(&client) {
-                    peer.leaving.raise();
+                if let Some(connection) = self.clients.borrow().get(&client) {
+                    connection.close_requested.set();
                 }
             }
             Output::OpenLink { link, address, within } => {
-                let outbox = Rc::new(Outbox::new(BACKLOG));
+                let outbox = Rc::new(Outbox::new(MAX_BACKLOG_BYTES));
                 self.links.borrow_mut().insert(link, outbox.clone());
                 opened.push((link, address, within, outbox));
             }
@@ -212,7 +212,7 @@
             Output::SetUp { client, link, tag, line } => {
                 if let Some(outbox) = self.links.borrow().get(&link) {
                     outbox.push_marked(tag.0, &line);
-                    next.push_back(Next::Look(client));
+                    next.push_back(Step::CheckClient(client));
                 }
             }
             Output::GiveUp { link, tag, line } => {
@@ -225,16 +225,16 @@
             Output::Recall { link } => {
                 let back = self.links.borrow().get(&link).map(|outbox| outbox.remove_all_unwritten());
                 let back = back.into_iter().flatten();
-                next.extend(back.map(|mark| Next::Input(Input::Recalled { link, tag: Tag(mark) })));
+                next.extend(back.map(|mark| Step::Input(Input::Recalled { link, tag: Tag(mark) })));
             }
             Output::CloseLink { link } => self.drop_link(link),
-            Output::Log(line) => self.log(now, &line),
+            Output::Log(line) => self.log_limited(now, &line),
             Output::Done => {
-                self.done.raise();
+                self.done.set();
             }
         });
         for (link, address, within, outbox) in opened {
-            (self.open_trunk)(self.clone(), link, address, within, outbox);
+            (self.open_link)(self.clone(), link, address, within, outbox);
         }
     }
 
@@ -248,13 +248,13 @@
     }
 
     /// Wakes the node when it asks for it, for ever.
-    pub async fn wake(self: &Rc<Self>) {
-        self.pump.wake_with(|input| self.input(input)).await;
+    pub async fn run_node_timer(self: &Rc<Self>) {
+        self.driver.run_timer(|input| self.input(input)).await;
     }
 
     /// Ends when nothing is owed any more after a signal to end.
     pub async fn done(&self) {
-        self.done.raised().await;
+        self.done.wait().await;
     }
 
     /// One more connection is being closed in order; `false` if too many are.
@@ -269,18 +269,18 @@
     }
 
     /// A task serves one more client's connection, or one less.
-    pub fn drives(&self, more: bool) {
-        let driven = self.driven.get();
-        self.driven.set(if more { driven + 1 } else { driven.saturating_sub(1) });
+    pub fn count_client_task(&self, more: bool) {
+        let client_tasks = self.client_tasks.get();
+        self.client_tasks.set(if more { client_tasks + 1 } else { client_tasks.saturating_sub(1) });
     }
 
     /// Whether something waits to be written, or a client's connection is not closed yet.
-    pub fn is_winding_up(&self) -> bool {
-        self.driven.get() > 0 || self.links.borrow().values().any(|o| o.backlog() > 0)
+    pub fn has_open_work(&self) -> bool {
+        self.client_tasks.get() > 0 || self.links.borrow().values().any(|o| o.backlog() > 0)
     }
 
     /// A line for the operators, unless there were too many in this second.
-    pub fn log(&self, now: Time, line: &str) {
+    pub fn log_limited(&self, now: Time, line: &str) {
         let rate = &mut *self.log.borrow_mut();
         let second = now.0.as_secs();
         if rate.second != second {
@@ -289,7 +289,7 @@
             }
             *rate = LogRate { second, ..LogRate::default() };
         }
-        if rate.lines < LOG_LINES {
+        if rate.lines < MAX_LOG_LINES_PER_SECOND {
             rate.lines += 1;
             tracing::info!("{line}");
         } else {
@@ -299,7 +299,7 @@
 
     /// A line of counts for the log.
     pub fn log_counts(&self) {
-        let (c, held) = self.pump.with(|node| (node.counters(), node.held()));
+        let (c, held) = self.driver.with_machine(|node| (node.counters(), node.held()));
         let [open, standing, clients, links, switches] = held;
         tracing::info!(
             taken = c.taken,
--- a/crates/fawnrouterd/src/node/mod.rs
+++ b/crates/fawnrouterd/src/node/mod.rs
@@ -1,6 +1,6 @@
 //! The gateway on the users' platform: thin drivers around [`fawnrouter_node::Node`], one file each.
 //!
-//! A byte of a set-up goes `client` → `Decoder` → `Message` → `Node::handle` → `Controller` → `gate` → `Outbox` →
+//! A byte of a set-up goes `client` → `Decoder` → `Message` → `Node::handle` → `Controller` → `gateway` → `Outbox` →
 //! `trunk`. Drivers know the [`gateway::Gate`] and never each other.
 
 mod client;
@@ -25,8 +25,8 @@
 use fawnrouter_node::{Input, Node, NodeSettings, Shares};
 use futures_lite::future;
 
-pub use config::{ConfigError, Source};
-use gateway::Gate;
+pub use config::{ConfigError, ConfigSource};
+use gateway::Gateway;
 
 /// Why the gateway cannot run. Each text names what is wrong and what to do.
 #[derive(Debug, thiserror::Error)]
@@ -53,14 +53,14 @@
 }
 
 /// Last bytes get this long to be written at the end, and callers to end their side.
-const LAST_WORDS: Duration = Duration::from_millis(500);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Runs a gateway until SIGTERM or SIGINT and the end of what it has taken.
 ///
 /// # Errors
 /// Where it cannot start.
 pub fn run(path: PathBuf) -> Result<(), NodeError> {
-    let source = Source::new(path);
+    let source = ConfigSource::new(path);
     let boot = source.read()?;
     source.check_environment(&boot)?;
     let address = boot.listen;
@@ -70,36 +70,36 @@
     let node = Node::new(NodeSettings::new(&boot))?;
     let executor = Rc::new(LocalExecutor::new());
     let shares = Shares::of(boot.descriptors);
-    let gate = Gate::new(node, shares, boot.nameserver, trunk::open, &executor);
-    gate.input(Input::Known(boot.known));
+    let gateway = Gateway::new(node, shares, boot.nameserver, trunk::open, &executor);
+    gateway.input(Input::Known(boot.known));
     tracing::info!(name = boot.name, %address, "gateway ready");
     let all = async {
         let tasks = [
-            executor.spawn(wake(gate.clone())),
-            executor.spawn(nameserver::poll_nameserver(gate.clone())),
-            executor.spawn(signals::heed(gate.clone(), signals, source)),
+            executor.spawn(run_node_timer(gateway.clone())),
+            executor.spawn(nameserver::poll_nameserver(gateway.clone())),
+            executor.spawn(signals::handle_signals(gateway.clone(), signals, source)),
         ];
-        let listening = executor.spawn(listener::accept(gate.clone(), listener.clone(), client::serve));
-        gate.done().await;
+        let listening = executor.spawn(listener::accept(gateway.clone(), listener.clone(), client::serve));
+        gateway.done().await;
         drop(listening);
         // Who comes from now on is refused the connection, which proves that nothing was taken.
-        listener::close(&gate, listener, client::serve).await;
+        listener::accept_remaining(&gateway, listener, client::serve).await;
         let flushed = async {
-            while gate.is_winding_up() {
+            while gateway.has_open_work() {
                 Timer::after(Duration::from_millis(5)).await;
             }
         };
         future::or(flushed, async {
-            Timer::after(LAST_WORDS).await;
+            Timer::after(FLUSH_TIMEOUT).await;
         })
         .await;
-        gate.log_counts();
+        gateway.log_counts();
         drop(tasks);
     };
     async_io::block_on(executor.run(all));
     Ok(())
 }
 
-async fn wake(gate: Rc<Gate>) {
-    gate.wake().await;
+async fn run_node_timer(gateway: Rc<Gateway>) {
+    gateway.run_node_timer().await;
 }
--- a/crates/fawnrouterd/src/node/reader.rs
+++ b/crates/fawnrouterd/src/node/reader.rs
@@ -8,19 +8,19 @@
 use fawnrouter_node::{Intake, Next};
 
 /// Bytes of one connection that are read before any of them is handed on: five hundred set-ups and what gives them up.
-const LOOK_AHEAD: usize = 256 * 1024;
+const MAX_READ_AHEAD_BYTES: usize = 256 * 1024;
 /// The same over all connections; beyond it a connection reads on once its own have been handed on.
-const LOOK_AHEAD_ALL: usize = 1024 * 1024;
+const MAX_TOTAL_READ_AHEAD_BYTES: usize = 1024 * 1024;
 
 /// One buffer for all connections, as nothing awaits while it holds something, and how much lies read.
-pub struct Room {
+pub struct ReadBuffer {
     pub scratch: RefCell<Vec<u8>>,
-    ahead: Cell<usize>,
+    read_ahead_bytes: Cell<usize>,
 }
 
-impl Room {
+impl ReadBuffer {
     pub fn new(size: usize) -> Self {
-        Self { scratch: RefCell::new(vec![0; size]), ahead: Cell::new(0) }
+        Self { scratch: RefCell::new(vec![0; size]), read_ahead_bytes: Cell::new(0) }
     }
 }
 
@@ -30,29 +30,31 @@
     decoder: Decoder,
     intake: Intake,
     /// Bytes behind what the intake holds.
-    ahead: usize,
+    read_ahead_bytes: usize,
     /// The client's end, or a reset.
     ended: bool,
-    end_told: bool,
+    end_reported: bool,
     fault: Option<Fault>,
-    fault_told: bool,
+    fault_reported: bool,
     /// Something was read since the node last heard whether part of a line lies there, and whether one did then.
     read: bool,
-    half: bool,
+    partial_line: bool,
 }
 
 impl Reader {
     /// Reads what lies in the socket, within limits.
-    pub fn fill(&mut self, room: &Room, mut socket: &TcpStream) {
+    pub fn fill(&mut self, buffer: &ReadBuffer, mut socket: &TcpStream) {
         while !self.ended
             && self.fault.is_none()
-            && (self.ahead == 0 || self.ahead < LOOK_AHEAD && room.ahead.get() < LOOK_AHEAD_ALL)
+            && (self.read_ahead_bytes == 0
+                || self.read_ahead_bytes < MAX_READ_AHEAD_BYTES
+                    && buffer.read_ahead_bytes.get() < MAX_TOTAL_READ_AHEAD_BYTES)
         {
-            let scratch = &mut *room.scratch.borrow_mut();
+            let scratch = &mut *buffer.scratch.borrow_mut();
             match socket.read(scratch) {
                 Ok(n) if n > 0 => {
-                    self.ahead += n;
-                    room.ahead.set(room.ahead.get() + n);
+                    self.read_ahead_bytes += n;
+                    buffer.read_ahead_bytes.set(buffer.read_ahead_bytes.get() + n);
                     self.push(&scratch[..n]);
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
@@ -83,8 +85,8 @@
     }
 
     /// The client's end, told once.
-    pub fn end(&mut self) -> bool {
-        self.ended && !std::mem::replace(&mut self.end_told, true)
+    pub fn take_end(&mut self) -> bool {
+        self.ended && !std::mem::replace(&mut self.end_reported, true)
     }
 
     pub fn has_ended(&self) -> bool {
@@ -92,7 +94,7 @@
     }
 
     /// The next message that ends a call set up before.
-    pub fn next_end(&mut self) -> Option<Message> {
+    pub fn next_call_end(&mut self) -> Option<Message> {
         self.intake.take_end()
     }
 
@@ -106,29 +108,35 @@
     }
 
     /// Whether something has been read that is to be handed on or told.
-    pub fn has_news(&self) -> bool {
+    pub fn has_unprocessed_input(&self) -> bool {
         self.read || self.ended || !self.intake.is_empty()
     }
 
     /// Once all messages have been handed on: a fault, told once.
-    pub fn fault(&mut self) -> Option<Fault> {
-        if std::mem::replace(&mut self.fault_told, self.fault.is_some()) { None } else { self.fault.clone() }
+    pub fn take_fault(&mut self) -> Option<Fault> {
+        if std::mem::replace(&mut self.fault_reported, self.fault.is_some()) {
+            None
+        } else {
+            self.fault.clone()
+        }
     }
 
-    pub fn has_told_fault(&self) -> bool {
-        self.fault_told
+    pub fn is_fault_reported(&self) -> bool {
+        self.fault_reported
     }
 
     /// Once all messages have been handed on: whether part of a line lies there, if that is news.
-    pub fn half(&mut self) -> Option<bool> {
+    pub fn take_partial_line_change(&mut self) -> Option<bool> {
         let lies = self.decoder.held() > 0;
-        let before = std::mem::replace(&mut self.half, lies);
+        let before = std::mem::replace(&mut self.partial_line, lies);
         let news = std::mem::take(&mut self.read) && !self.ended && self.fault.is_none();
         (news && (lies || before)).then_some(lies)
     }
 
     /// What was read has been handed on, or will not be.
-    pub fn clear(&mut self, room: &Room) {
-        room.ahead.set(room.ahead.get().saturating_sub(std::mem::take(&mut self.ahead)));
+    pub fn release(&mut self, buffer: &ReadBuffer) {
+        buffer
+            .read_ahead_bytes
+            .set(buffer.read_ahead_bytes.get().saturating_sub(std::mem::take(&mut self.read_ahead_bytes)));
     }
 }
--- a/crates/fawnrouterd/src/node/trunk.rs
+++ b/crates/fawnrouterd/src/node/trunk.rs
@@ -10,18 +10,24 @@
 use fawnrouter_node::{Input, LinkEnd, LinkId};
 use futures_lite::future;
 
-use super::gateway::Gate;
+use super::gateway::Gateway;
 use crate::outbox::Outbox;
 
 /// What is still to be written to a connection that is closed gets this long.
-const LAST_WORDS: Duration = Duration::from_millis(300);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Begins a connection.
-pub fn open(gate: Rc<Gate>, link: LinkId, address: SocketAddr, within: Duration, outbox: Rc<Outbox>) {
-    gate.spawn(drive(gate.clone(), link, address, within, outbox));
+pub fn open(gateway: Rc<Gateway>, link: LinkId, address: SocketAddr, within: Duration, outbox: Rc<Outbox>) {
+    gateway.spawn(connect_and_serve(gateway.clone(), link, address, within, outbox));
 }
 
-async fn drive(gate: Rc<Gate>, link: LinkId, address: SocketAddr, within: Duration, outbox: Rc<Outbox>) {
+async fn connect_and_serve(
+    gateway: Rc<Gateway>,
+    link: LinkId,
+    address: SocketAddr,
+    within: Duration,
+    outbox: Rc<Outbox>,
+) {
     let connecting = async { Async::<TcpStream>::connect(address).await.map_err(|e| e.kind()) };
     let late = async {
         Timer::after(within).await;
@@ -34,44 +40,44 @@
     };
     let end = match future::or(future::or(connecting, late), dropped).await {
         Ok(stream) => {
-            serve(&gate, link, &stream, &outbox).await;
+            serve(&gateway, link, &stream, &outbox).await;
             LinkEnd::Broken
         }
         Err(ErrorKind::ConnectionRefused) => LinkEnd::Refused,
         Err(_) => LinkEnd::Unreached,
     };
-    if gate.has_link(link) {
-        gate.drop_link(link);
-        gate.input(Input::LinkDown { link, end });
+    if gateway.has_link(link) {
+        gateway.drop_link(link);
+        gateway.input(Input::LinkDown { link, end });
     }
 }
 
-async fn serve(gate: &Rc<Gate>, link: LinkId, stream: &Async<TcpStream>, outbox: &Rc<Outbox>) {
+async fn serve(gateway: &Rc<Gateway>, link: LinkId, stream: &Async<TcpStream>, outbox: &Rc<Outbox>) {
     let _ = stream.get_ref().set_nodelay(true);
-    gate.input(Input::LinkUp { link });
+    gateway.input(Input::LinkUp { link });
     let writing = async {
         let _ = outbox.write_to(stream).await;
     };
     let late = async {
         outbox.finished().await;
-        Timer::after(LAST_WORDS).await;
+        Timer::after(FLUSH_TIMEOUT).await;
     };
     let ends = future::or(late, outbox.aborted());
-    future::or(future::or(writing, read(gate, link, stream)), ends).await;
+    future::or(future::or(writing, read(gateway, link, stream)), ends).await;
 }
 
 /// Reads until the core switch's end, or until what it sends is no message.
-async fn read(gate: &Rc<Gate>, link: LinkId, stream: &Async<TcpStream>) {
+async fn read(gateway: &Rc<Gateway>, link: LinkId, stream: &Async<TcpStream>) {
     let mut decoder = Decoder::new();
     loop {
-        let n = stream.read_with(|mut s| s.read(&mut gate.room.scratch.borrow_mut())).await;
+        let n = stream.read_with(|mut s| s.read(&mut gateway.read_buffer.scratch.borrow_mut())).await;
         let Some(n) = n.ok().filter(|n| *n > 0) else { return };
-        decoder.push(&gate.room.scratch.borrow()[..n]);
-        while gate.has_link(link) {
+        decoder.push(&gateway.read_buffer.scratch.borrow()[..n]);
+        while gateway.has_link(link) {
             match decoder.next_message() {
-                Ok(Some(message)) => gate.input(Input::LinkMessage { link, message }),
+                Ok(Some(message)) => gateway.input(Input::LinkMessage { link, message }),
                 Ok(None) => break,
-                Err(fault) => return gate.input(Input::LinkFault { link, fault }),
+                Err(fault) => return gateway.input(Input::LinkFault { link, fault }),
             }
         }
         future::yield_now().await;
--- a/crates/fawnrouterd/src/outbox_tests.rs
+++ b/crates/fawnrouterd/src/outbox_tests.rs
@@ -15,7 +15,7 @@
 
 /// What is still to be written.
 fn rest(outbox: &Outbox) -> Vec<u8> {
-    [&outbox.writing.borrow()[outbox.written.get()..], &outbox.waiting.borrow()[..]].concat()
+    [&outbox.writing.borrow()[outbox.write_offset.get()..], &outbox.queued.borrow()[..]].concat()
 }
 
 #[test]
@@ -25,9 +25,9 @@
     outbox.push(|b| b.extend(b"said,"));
     outbox.push_marked(2, b"two,");
     // The writer has them, and has written the first byte.
-    std::mem::swap(&mut *outbox.waiting.borrow_mut(), &mut *outbox.writing.borrow_mut());
-    outbox.written.set(1);
-    outbox.taken.set(1);
+    std::mem::swap(&mut *outbox.queued.borrow_mut(), &mut *outbox.writing.borrow_mut());
+    outbox.write_offset.set(1);
+    outbox.total_written.set(1);
     outbox.push_marked(3, b"three,");
     outbox.push_marked(4, b"four,");
     outbox.push(|b| b.extend(b"end"));
--- a/crates/fawnrouterd/src/report.rs
+++ b/crates/fawnrouterd/src/report.rs
@@ -9,7 +9,7 @@
 use crate::ledger::Ledger;
 
 /// A cause in words.
-pub const fn text(cause: Cause) -> &'static str {
+pub const fn cause_text(cause: Cause) -> &'static str {
     match cause {
         Cause::Pressed => "own zone pressed",
         Cause::Down => "own zone down",
@@ -20,7 +20,7 @@
     }
 }
 
-fn class(ledger: &Ledger, class: u32) -> &str {
+fn class_name(ledger: &Ledger, class: u32) -> &str {
     ledger.classes.get(class as usize).map_or("(none)", String::as_str)
 }
 
@@ -30,7 +30,7 @@
     let mut sums: BTreeMap<(&str, &str, u32, &str), (u64, f64)> = BTreeMap::new();
     for minute in ledger.minutes.iter().filter(|m| m.minute + minutes > last) {
         for (kind, cell) in &minute.cells {
-            let key = (class(ledger, kind.class), &*kind.to, kind.trunk_group, text(kind.cause));
+            let key = (class_name(ledger, kind.class), &*kind.to, kind.trunk_group, cause_text(kind.cause));
             let sum = sums.entry(key).or_default();
             sum.0 += cell.calls;
             sum.1 += cell.money.in_units();
@@ -64,7 +64,7 @@
 }
 
 /// A field of CSV (RFC 4180).
-fn field(text: &str) -> String {
+fn csv_field(text: &str) -> String {
     if text.contains([',', '"', '\n', '\r']) {
         format!("\"{}\"", text.replace('"', "\"\""))
     } else {
@@ -81,11 +81,11 @@
                 out,
                 "{},{},{},{},{},{},{},{:.6}\r\n",
                 minute.minute * 60,
-                field(class(ledger, kind.class)),
-                field(&ledger.own),
-                field(&kind.to),
+                csv_field(class_name(ledger, kind.class)),
+                csv_field(&ledger.own),
+                csv_field(&kind.to),
                 kind.trunk_group,
-                text(kind.cause),
+                cause_text(kind.cause),
                 cell.calls,
                 cell.money.in_units()
             );
--- a/crates/fawnrouterd/src/serve.rs
+++ b/crates/fawnrouterd/src/serve.rs
@@ -23,9 +23,9 @@
 use crate::{accept, control, ledger, trunk, watched_files};
 
 /// Last bytes get this long to be written at the end.
-const LAST_WORDS: Duration = Duration::from_millis(500);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
 /// Between two lines of counts in the log.
-const COUNTS: Duration = Duration::from_secs(60);
+const COUNTS_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Runs a gateway until a signal; `folder` is where relative paths count from, `ready` is told where clients connect.
 /// `true` if it drained, `false` if it was cut short.
@@ -56,12 +56,12 @@
     let bound = listener.get_ref().local_addr().map_err(listen)?;
     let mut signals = Signals::new([Signal::Term, Signal::Int]).map_err(RunError::Signals)?;
     let words = settings.log.level >= fawnrouter_config::LogLevel::Debug;
-    let key = secret()?;
+    let key = random_key()?;
     let seed = u64::from_le_bytes(key[..8].try_into().unwrap_or_default());
     let mut engine_settings = settings.engine_settings(seed, words);
     engine_settings.auth = settings.auth_settings(key);
     let engine = engine(engine_settings)?;
-    let descriptors = descriptors(&settings)?;
+    let descriptors = plan_descriptors(&settings)?;
     let admission =
         settings.admission_settings(seed).map(|a| Admission::new(a.within(&descriptors))).transpose()?;
     let limits = &settings.limits;
@@ -87,12 +87,12 @@
     let all = async {
         // One line a driver.
         let mut tasks = vec![
-            executor.spawn(watched_files::switches(core.clone(), file)),
-            executor.spawn(wake(core.clone())),
-            executor.spawn(house(core.clone())),
-            executor.spawn(counts(core.clone())),
+            executor.spawn(watched_files::watch_switches(core.clone(), file)),
+            executor.spawn(run_engine_timer(core.clone())),
+            executor.spawn(run_maintenance(core.clone())),
+            executor.spawn(log_counts_periodically(core.clone())),
         ];
-        tasks.extend(clients.map(|file| executor.spawn(watched_files::clients(core.clone(), file))));
+        tasks.extend(clients.map(|file| executor.spawn(watched_files::watch_clients(core.clone(), file))));
         tasks.extend(operators.map(|socket| executor.spawn(control::serve(core.clone(), socket))));
         if let Some(file) = &account {
             ledger::restore(&core, file).await;
@@ -132,14 +132,14 @@
             },
         );
         let clean = clean.await;
-        core.connections.borrow().close_all(CloseCode::AWAY, "gateway ends");
+        core.connections.borrow().close_all_clients(CloseCode::AWAY, "gateway ends");
         let flushed = async {
-            while core.connections.borrow().busy() {
+            while core.connections.borrow().has_pending_work() {
                 Timer::after(Duration::from_millis(5)).await;
             }
         };
         future::or(flushed, async {
-            Timer::after(LAST_WORDS).await;
+            Timer::after(FLUSH_TIMEOUT).await;
         })
         .await;
         if let Some(file) = account {
@@ -157,23 +157,23 @@
     control::listen(&path).map_err(|error| RunError::Control { path, error })
 }
 
-async fn house(core: Rc<Core>) {
-    core.keep_house().await;
+async fn run_maintenance(core: Rc<Core>) {
+    core.run_maintenance().await;
 }
 
-async fn wake(core: Rc<Core>) {
-    core.wake_engine().await;
+async fn run_engine_timer(core: Rc<Core>) {
+    core.run_engine_timer().await;
 }
 
-async fn counts(core: Rc<Core>) {
+async fn log_counts_periodically(core: Rc<Core>) {
     loop {
-        Timer::after(COUNTS).await;
+        Timer::after(COUNTS_INTERVAL).await;
         core.log_counts();
     }
 }
 
 /// What may go wrong at the start, with the descriptors that are there.
-fn descriptors(settings: &Settings) -> Result<Descriptors, TooFew> {
+fn plan_descriptors(settings: &Settings) -> Result<Descriptors, TooFew> {
     let limit = rustix::process::getrlimit(Resource::Nofile).current;
     let limit = limit.and_then(|n| usize::try_from(n).ok()).unwrap_or(usize::MAX / 2);
     // Without a proc file system the usual number: the standard streams, the reactor's, the listener.
@@ -184,7 +184,7 @@
 }
 
 /// Bytes that nobody can guess.
-fn secret() -> Result<[u8; 32], RunError> {
+fn random_key() -> Result<[u8; 32], RunError> {
     let mut key = [0; 32];
     getrandom::fill(&mut key).map_err(|error| RunError::Random(error.to_string()))?;
     Ok(key)
--- a/crates/fawnrouterd/src/trunk.rs
+++ b/crates/fawnrouterd/src/trunk.rs
@@ -12,17 +12,17 @@
 use fawnrouter_sip::{Chunk, StreamDecoder};
 use futures_lite::future;
 
-use crate::buffer_share::Share;
+use crate::buffer_share::BufferShare;
 use crate::core::Core;
 use crate::outbox::Outbox;
 
 /// Begins a connection.
 pub fn open(core: Rc<Core>, server: ServerId, address: SocketAddr, outbox: Rc<Outbox>) {
-    core.spawn(drive(core.clone(), server, address, outbox));
+    core.spawn(connect_and_serve(core.clone(), server, address, outbox));
 }
 
 /// Opens the connection and serves it to its end.
-async fn drive(core: Rc<Core>, server: ServerId, address: SocketAddr, outbox: Rc<Outbox>) {
+async fn connect_and_serve(core: Rc<Core>, server: ServerId, address: SocketAddr, outbox: Rc<Outbox>) {
     let limit = Duration::from_millis(core.settings.trunk.connect_ms);
     let connecting = async { Async::<TcpStream>::connect(address).await.ok() };
     let connected = future::or(connecting, async {
@@ -47,7 +47,7 @@
 }
 
 async fn read(core: &Rc<Core>, server: ServerId, stream: &Async<TcpStream>, outbox: &Rc<Outbox>) {
-    let held = Share::of(&core.buffer_budget, For::Trunk);
+    let held = BufferShare::of_budget(&core.buffer_budget, For::Trunk);
     let mut decoder = StreamDecoder::new(core.sip_limits());
     loop {
         let n = stream.read_with(|mut s| s.read(&mut core.scratch.borrow_mut())).await;
@@ -55,7 +55,7 @@
         decoder.push(&core.scratch.borrow()[..n]);
         loop {
             match decoder.next_chunk() {
-                Ok(None) if held.set(decoder.held()) => break,
+                Ok(None) if held.resize(decoder.held()) => break,
                 Ok(None) => {
                     return tracing::warn!(switch = server.0, "connection closed: no memory for its message");
                 }
--- a/crates/fawnrouterd/src/watched_files.rs
+++ b/crates/fawnrouterd/src/watched_files.rs
@@ -13,9 +13,12 @@
 
 /// What tells one state of a file from another. Files are replaced by renaming, so the length and time suffice
 /// but for two writes of the same length within the file system's tick; the text itself is compared too.
-type Stamp = (SystemTime, u64);
+type FileStamp = (SystemTime, u64);
 
-fn look(path: &Path, known: Option<Stamp>) -> Option<(Option<Stamp>, Result<String, String>)> {
+fn read_if_changed(
+    path: &Path,
+    known: Option<FileStamp>,
+) -> Option<(Option<FileStamp>, Result<String, String>)> {
     let stamp = std::fs::metadata(path).and_then(|m| Ok((m.modified()?, m.len())));
     let stamp = match stamp {
         Ok(stamp) => stamp,
@@ -36,16 +39,16 @@
     what: &'static str,
     path: PathBuf,
     read: fn(&str, &str) -> Result<Vec<T>, ConfigError>,
-    take: impl Fn(&Rc<Core>, Vec<T>),
+    apply: impl Fn(&Rc<Core>, Vec<T>),
 ) {
     let pause = Duration::from_millis(core.settings.switches.poll_ms);
     let name = path.display().to_string();
-    let (mut known, mut last): (Option<Stamp>, Option<Result<String, String>>) = (None, None);
+    let (mut known, mut last): (Option<FileStamp>, Option<Result<String, String>>) = (None, None);
     loop {
         // Reading may block on a slow disk; the calls must not wait for it.
         let seen = {
             let path = path.clone();
-            blocking::unblock(move || look(&path, known)).await
+            blocking::unblock(move || read_if_changed(&path, known)).await
         };
         if let Some((stamp, text)) = seen {
             known = stamp;
@@ -54,7 +57,7 @@
                 match list.and_then(|t| read(&name, t).map_err(|e| e.to_string())) {
                     Ok(list) => {
                         tracing::info!(entries = list.len(), "{what} read");
-                        take(&core, list);
+                        apply(&core, list);
                     }
                     Err(error) => tracing::warn!("{what} kept as it was: {name}: {error}"),
                 }
@@ -66,18 +69,18 @@
 }
 
 /// The list of switches.
-pub async fn switches(core: Rc<Core>, path: PathBuf) {
-    let take = |core: &Rc<Core>, switches| core.input(Input::List { kind: ListKind::Whole, switches });
-    watch(core, "list of switches", path, read_switches, take).await;
+pub async fn watch_switches(core: Rc<Core>, path: PathBuf) {
+    let apply = |core: &Rc<Core>, switches| core.input(Input::List { kind: ListKind::Whole, switches });
+    watch(core, "list of switches", path, read_switches, apply).await;
 }
 
 /// The list of known clients, with their limits.
-pub async fn clients(core: Rc<Core>, path: PathBuf) {
-    let take = |core: &Rc<Core>, clients: Vec<ClientEntry>| {
+pub async fn watch_clients(core: Rc<Core>, path: PathBuf) {
+    let apply = |core: &Rc<Core>, clients: Vec<ClientEntry>| {
         if let Some(admission) = &mut core.connection_admission.borrow_mut().admission {
             admission.set_client_limits(core.settings.client_connection_limits(&clients));
         }
         core.input(Input::Clients(core.settings.known_clients(&clients)));
     };
-    watch(core, "list of known clients", path, read_clients, take).await;
+    watch(core, "list of known clients", path, read_clients, apply).await;
 }
