--- a/crates/fawnrouterd/src/accept.rs
+++ b/crates/fawnrouterd/src/accept.rs
@@ -1,4 +1,4 @@
-//! Takes connections from the kernel. Who gets in is decided in [`crate::connection_admission`].
+//! Accepts client connections. [`crate::connection_admission`] decides which of them are served.
 
 use std::fs::File;
 use std::io::{self, Read, Write};
@@ -13,30 +13,31 @@
 use crate::connection_admission::AdmissionOutcome;
 use crate::core::Core;
 
-/// A descriptor that is kept to be able to refuse politely when there is no other.
+/// A file descriptor held in reserve, so that a connection can be answered with a refusal when no other is
+/// left.
 enum SpareDescriptor {
-    /// It is there.
+    /// The reserve is held.
     Available(File),
-    /// It is a connection that was refused, which ends when the next one needs it.
+    /// It serves a refused connection, which is closed when the next one needs the descriptor.
     InUse(TcpStream),
-    /// Somebody else got it.
+    /// No descriptor could be reserved.
     Missing,
 }
 
 impl SpareDescriptor {
     fn reserve() -> Self {
-        // Nothing is read from it; it holds a descriptor.
+        // The file is not read; it only occupies a descriptor.
         File::open("/dev/null").map_or(Self::Missing, Self::Available)
     }
 }
 
-/// Whether the process or the system is out of descriptors (or of memory for them).
+/// Whether the process or the system is out of descriptors, or of memory for them.
 fn is_descriptor_shortage(error: &io::Error) -> bool {
     let errno = error.raw_os_error().map(Errno::from_raw_os_error);
     matches!(errno, Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM))
 }
 
-/// Accepts for ever.
+/// Accepts connections until the task is dropped.
 pub async fn accept(core: Rc<Core>, listener: Async<TcpListener>) {
     let terms = Rc::new(client::handshake_terms(&core));
     let mut spare = SpareDescriptor::reserve();
@@ -82,10 +83,10 @@
                         spare = SpareDescriptor::reserve();
                     }
                 }
-                // The others have their turn: a descriptor may come free.
+                // Other tasks run meanwhile and may free a descriptor.
                 futures_lite::future::yield_now().await;
             }
-            // What goes wrong with one connection before it is accepted concerns that one only (accept(2)).
+            // accept(2) also reports errors of the pending connection, which concern that connection only.
             Err(error) => {
                 tracing::debug!("a connection ended before it was accepted: {error}");
                 futures_lite::future::yield_now().await;
@@ -94,7 +95,7 @@
     }
 }
 
-/// Frees the spare, accepts one connection with it, and tells that one to come back.
+/// Frees the reserved descriptor and accepts one connection with it, which is refused with a Retry-After.
 fn refuse_next_connection(core: &Core, spare: SpareDescriptor, listener: &TcpListener) -> SpareDescriptor {
     match spare {
         SpareDescriptor::InUse(mut previous) => discard_received(&mut previous),
@@ -104,7 +105,7 @@
     match listener.accept() {
         Ok((mut stream, _)) => {
             let (reason, wait) = core.connection_admission.borrow_mut().refuse_with_spare(core.clock().now());
-            // The answer fits into the socket's own buffer, so that this does not block.
+            // The response fits into the socket's buffer, so this does not block.
             let _ = stream.set_nonblocking(true);
             let _ = stream.write_all(&client::refusal_response(reason, wait));
             let _ = stream.shutdown(Shutdown::Write);
@@ -115,7 +116,7 @@
     }
 }
 
-/// Reads what a refused client has sent: what is unread at the close would turn it into a reset.
+/// Discards what a refused client has sent: closing with unread data would send a reset.
 fn discard_received(stream: &mut TcpStream) {
     let mut buffer = [0; 4096];
     for _ in 0..16 {
--- a/crates/fawnrouterd/src/buffer_share.rs
+++ b/crates/fawnrouterd/src/buffer_share.rs
@@ -1,20 +1,20 @@
-//! A connection's share of the memory for bytes that wait. How much it may be is decided by
-//! [`fawnrouter_admission::Bytes`].
+//! Accounts the buffered bytes of each connection against a common budget. [`fawnrouter_admission::Bytes`]
+//! decides how much a connection may hold.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
 use fawnrouter_admission::{ByteSettings, Bytes, For};
 
-/// The memory for bytes that wait, shared by all connections.
+/// Budget for buffered bytes, shared by all connections.
 pub type BufferBudget = Rc<RefCell<Bytes>>;
 
-/// A budget that nobody holds anything of.
+/// Creates an unused budget.
 pub fn new_buffer_budget(settings: ByteSettings) -> BufferBudget {
     Rc::new(RefCell::new(Bytes::new(settings)))
 }
 
-/// One share; given back when it is dropped.
+/// What one connection holds of the budget; returned when dropped.
 pub struct BufferShare {
     budget: Option<BufferBudget>,
     owner: For,
@@ -22,20 +22,20 @@
 }
 
 impl BufferShare {
-    /// A share of this budget.
+    /// Creates an empty share of a budget.
     pub fn of_budget(budget: &BufferBudget, owner: For) -> Self {
         Self { budget: Some(budget.clone()), owner, reserved: Cell::new(0) }
     }
 
-    /// A share that is of no budget and may be any size.
+    /// Creates a share without a budget, which may grow to any size.
     pub fn unlimited() -> Self {
         Self { budget: None, owner: For::Client, reserved: Cell::new(0) }
     }
 
-    /// It is so large now; `false` if that is more than it may be.
+    /// Sets the share's size in bytes; `false` if the budget does not allow it.
     pub fn resize(&self, now: usize) -> bool {
         let before = self.reserved.replace(now);
-        // Most messages leave nothing behind.
+        // Fast path: after most messages nothing is left in the buffer.
         before == now
             || self.budget.as_ref().is_none_or(|budget| budget.borrow_mut().change(self.owner, before, now))
     }
--- a/crates/fawnrouterd/src/cli.rs
+++ b/crates/fawnrouterd/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line of `fawnrouter`.
 
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -12,123 +12,125 @@
 use crate::control::{self, Reply};
 use crate::{report, serve};
 
-/// A call router that sets up calls over trunk groups: SIP over WebSocket to callers, SIP over TCP to core switches.
+/// A call router that sets up calls over trunk groups: SIP over WebSocket to callers, SIP over TCP to core
+/// switches.
 #[derive(Debug, Parser)]
 #[command(name = "fawnrouter", version)]
 pub struct Cli {
-    /// What to do.
+    /// The command to run.
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// Sub-commands.
+/// Commands of the program.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Run the gateway until SIGTERM or SIGINT, which drain it; a second signal ends it at once.
+    /// Run the gateway. SIGTERM or SIGINT drains it; a second signal ends it at once.
     Run {
-        /// The settings, YAML.
+        /// Settings file, YAML.
         #[arg(long)]
         config: PathBuf,
     },
-    /// Run the gateway of the users' platform: JSON lines to callers and core switches, the list by DNS, settings from
-    /// the platform's JSON. SIGTERM ends it once all that it took is answered; SIGHUP has the configuration read anew.
-    /// BALANCER_NAME and BALANCER_LISTEN, where set, must agree with the configuration.
+    /// Run the gateway on the platform: JSON lines to callers and core switches, the list of switches by DNS,
+    /// settings from the platform's JSON. SIGTERM or SIGINT ends it once every accepted set-up is answered;
+    /// SIGHUP reloads the configuration. If BALANCER_NAME and BALANCER_LISTEN are set, they must agree with
+    /// the configuration.
     Node {
-        /// The platform's configuration, JSON.
+        /// Configuration of the platform, JSON.
         #[arg(long, env = "BALANCER_CONFIG")]
         config: Option<PathBuf>,
     },
-    /// Read the settings and the list of switches, and say what is wrong with them.
+    /// Check the settings, the list of switches and the list of clients, and report errors.
     Check {
-        /// The settings, YAML.
+        /// Settings file, YAML.
         #[arg(long)]
         config: PathBuf,
     },
     /// Print the JSON schema of the settings.
     Schema,
-    /// Ask a running gateway who holds what, who is refused or what crosses zones; block or free an address.
+    /// Query a running gateway's connections, refusals and traffic across zones; block or unblock an address.
     #[command(name = "admission", alias = "ask")]
     Admission {
-        /// The running gateway's settings, YAML; `control.socket` in them says where it listens.
+        /// Settings of the running gateway, YAML; `control.socket` in them is the path of its control socket.
         #[arg(long)]
         config: PathBuf,
-        /// Print JSON.
+        /// Print the reply as JSON.
         #[arg(long)]
         json: bool,
-        /// What to ask; `show` if nothing is given.
+        /// Command to the gateway; `show` by default.
         #[command(subcommand)]
         ask: Option<AdmissionCommand>,
     },
-    /// Report on what a gateway did.
+    /// Print a report of a gateway's past traffic.
     Report {
-        /// What on.
+        /// The report to print.
         #[command(subcommand)]
         on: ReportCommand,
     },
-    /// Read a password, one line on standard input, and print a known client's line for the file of clients.
+    /// Read a password (one line on standard input) and print an entry for the list of clients.
     Secret {
-        /// The client's name.
+        /// Name of the client.
         name: String,
-        /// The realm, as in `clients.realm`.
+        /// Realm, as in `clients.realm`.
         #[arg(long)]
         realm: String,
-        /// Add the hash by MD5 too.
+        /// Add the MD5 hash too.
         #[arg(long)]
         md5: bool,
     },
 }
 
-/// Reports.
+/// Reports about past traffic.
 #[derive(Clone, Debug, Subcommand)]
 pub enum ReportCommand {
-    /// Calls that went to other zones, by class, zones and cause, from the account that the settings name.
+    /// Calls to other zones by class, zones and cause, from the account file in the settings.
     Spill {
-        /// The gateway's settings, YAML.
+        /// Settings of the gateway, YAML.
         #[arg(long)]
         config: PathBuf,
-        /// In what form.
+        /// Output format.
         #[arg(long, value_enum, default_value_t = ReportFormat::Table)]
         form: ReportFormat,
-        /// The table's last minutes.
+        /// Number of minutes that the table covers, up to the last one.
         #[arg(long, default_value_t = 1440)]
         minutes: u64,
     },
 }
 
-/// The form of a report.
+/// Output format of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum ReportFormat {
-    /// For people.
+    /// A table for reading.
     Table,
-    /// For programs: a record a minute, class, zone and cause.
+    /// CSV with one record per minute, class, zone, trunk group and cause.
     Csv,
-    /// Drawn, calls a minute.
+    /// A chart of the calls per minute.
     Svg,
 }
 
-/// What a running gateway is asked.
+/// Commands to a running gateway.
 #[derive(Clone, Debug, Subcommand)]
 pub enum AdmissionCommand {
-    /// Who holds what, who is refused and why.
+    /// Show present connections and calls, and refusals by reason.
     Show,
-    /// How the own zone fares, and what is left of the budgets across zones.
+    /// Show the state of the gateway's own zone and of the budgets across zones.
     Zones,
-    /// Take no connection of an address for a time.
+    /// Refuse connections of an address for a time.
     Block {
-        /// The address.
+        /// The client address.
         address: std::net::IpAddr,
-        /// For how long, seconds.
+        /// How long, in seconds.
         #[arg(long = "for", default_value_t = 600, value_parser = clap::value_parser!(u64).range(1..=31_536_000))]
         for_s: u64,
     },
-    /// Unblock an address, and forgive what it owes for its rate.
+    /// Unblock an address and reset its rate limit.
     Free {
-        /// The address.
+        /// The client address.
         address: std::net::IpAddr,
     },
 }
 
-/// Does what was asked for. Exit codes: 0 done, 1 it failed or was cut short, 2 the settings are wrong.
+/// Runs a command. Exit codes: 0 success, 1 failure or an interrupted drain, 2 invalid settings or input.
 #[must_use]
 pub fn run_command(cli: Cli) -> ExitCode {
     match cli.command {
@@ -138,7 +140,8 @@
                 let folder = config.parent().map(PathBuf::from).unwrap_or_default();
                 crate::log::start(&settings.log);
                 match serve::run(settings, folder, |address, path| {
-                    // The one line on standard output, for those who started the gateway on port 0.
+                    // The only line on standard output; it gives the port to whoever started the gateway with
+                    // port 0.
                     println!("ready ws://{address}{path}");
                     let _ = std::io::stdout().flush();
                 }) {
@@ -173,14 +176,14 @@
         Command::Admission { config, json, ask } => match fawnrouter_config::load(&config) {
             Err(error) => invalid_input(&error),
             Ok(settings) => {
-                let Some(wanted) = settings.control else {
+                let Some(control) = settings.control else {
                     return invalid_input(&format!(
                         "{}: control: is missing; add `control: {{ socket: PATH }}` and start the gateway with it",
                         config.display()
                     ));
                 };
                 run_admission_command(
-                    &folder_of(&config).join(wanted.socket),
+                    &folder_of(&config).join(control.socket),
                     ask.unwrap_or(AdmissionCommand::Show),
                     json,
                 )
@@ -197,34 +200,37 @@
     }
 }
 
+/// The folder that relative paths in the settings are resolved from.
 fn folder_of(config: &Path) -> PathBuf {
     config.parent().map(PathBuf::from).unwrap_or_default()
 }
 
-/// Reads a list that the settings name; the number of its entries.
+/// Reads a list named in the settings and counts its entries. `consequence` is the effect of an unreadable
+/// file.
 fn count_entries<T>(
     file: &Path,
-    without: &str,
+    consequence: &str,
     read: fn(&str, &str) -> Result<Vec<T>, ConfigError>,
 ) -> Result<usize, String> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file)
-        .map_err(|error| format!("{name}: cannot be read: {error}; {without}"))?;
+        .map_err(|error| format!("{name}: cannot be read: {error}; {consequence}"))?;
     read(&name, &text).map(|list| list.len()).map_err(|error| error.to_string())
 }
 
 fn check(config: &Path, settings: &Settings) -> ExitCode {
     let folder = folder_of(config);
     let switches = &settings.switches.file;
-    let without = "the gateway would start without switches";
-    let switches = match count_entries(&folder.join(switches), without, fawnrouter_config::read_switches) {
+    let consequence = "the gateway would start without switches";
+    let switches = match count_entries(&folder.join(switches), consequence, fawnrouter_config::read_switches)
+    {
         Ok(count) => count,
         Err(error) => return invalid_input(&error),
     };
     let mut known = String::new();
     if let Some(clients) = &settings.clients {
-        let without = "the gateway would start without known clients";
-        match count_entries(&folder.join(&clients.file), without, fawnrouter_config::read_clients) {
+        let consequence = "the gateway would start without known clients";
+        match count_entries(&folder.join(&clients.file), consequence, fawnrouter_config::read_clients) {
             Ok(count) => known = format!(", {count} clients known"),
             Err(error) => return invalid_input(&error),
         }
@@ -242,7 +248,10 @@
     };
     match control::send_command(socket, &command) {
         Err(error) => {
-            eprintln!("{}: no gateway answers: {error}; is it running with this setting?", socket.display());
+            eprintln!(
+                "{}: no gateway answers: {error}; check that it runs with these settings",
+                socket.display()
+            );
             ExitCode::FAILURE
         }
         Ok(Reply::Failed(why)) => {
@@ -311,7 +320,7 @@
     if md5 {
         line["md5"] = hash(Algorithm::Md5).into();
     }
-    // JSON is YAML.
+    // JSON is valid YAML.
     println!("  - {line}");
     ExitCode::SUCCESS
 }
@@ -326,6 +335,7 @@
     }
 }
 
+/// Prints an error in the settings or the input, and returns its exit code.
 fn invalid_input(error: &dyn std::fmt::Display) -> ExitCode {
     eprintln!("{error}");
     ExitCode::from(2)
--- a/crates/fawnrouterd/src/client.rs
+++ b/crates/fawnrouterd/src/client.rs
@@ -1,4 +1,4 @@
-//! A client's connection: the handshake, then SIP in WebSocket messages (RFC 7118).
+//! A client connection: the WebSocket handshake, then SIP in WebSocket messages (RFC 7118).
 
 use std::cell::Cell;
 use std::io::{self, Read};
@@ -21,10 +21,10 @@
 use crate::core::Core;
 use crate::outbox::Outbox;
 
-/// How long a connection that ends may take to write its last bytes.
+/// How long a closing connection may take to write its remaining bytes.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Reads once into the shared buffer and hands the bytes on; `None` at the end of the stream.
+/// Reads once into the shared buffer and passes the bytes to `take`; `None` at the end of the stream.
 async fn read_some<T>(
     core: &Core,
     stream: &Async<TcpStream>,
@@ -33,7 +33,7 @@
     read_at_most(core, stream, usize::MAX, take).await
 }
 
-/// As [`read_some`], with so many bytes at the most.
+/// As [`read_some`], limited to `max_bytes`.
 async fn read_at_most<T>(
     core: &Core,
     stream: &Async<TcpStream>,
@@ -49,7 +49,7 @@
     Ok((n > 0).then(|| take(&core.scratch.borrow()[..n])))
 }
 
-/// The terms of the handshake.
+/// Terms on which handshakes are accepted.
 pub fn handshake_terms(core: &Core) -> Terms {
     let listen = &core.settings.listen;
     Terms {
@@ -64,7 +64,7 @@
     }
 }
 
-/// Serves one connection to its end.
+/// Serves one connection until it ends.
 pub async fn serve_connection(
     core: Rc<Core>,
     (conn, outbox): (Conn, Rc<Outbox>),
@@ -77,13 +77,14 @@
     core.connection_admission.borrow_mut().connection_closed(core.clock().now(), conn);
 }
 
-/// The answer to a connection that does not get in.
+/// The HTTP response to a refused connection.
 pub fn refusal_response(reason: Reason, wait: Duration) -> Vec<u8> {
     refuse(503, reason.text(), Some(whole_seconds(wait)))
 }
 
-/// Tells a connection that does not get in when to come back. The answer goes out before its request is read, and
-/// what it sends is read for a moment, so that the answer is not lost to a reset.
+/// Refuses a connection with a Retry-After. The response is sent before the request is read. Then the
+/// client's input is read for a moment, because closing with unread data would send a reset and lose the
+/// response.
 pub async fn refuse_connection(
     core: Rc<Core>,
     outbox: Rc<Outbox>,
@@ -92,15 +93,15 @@
     wait: Duration,
 ) {
     let answer = refusal_response(reason, wait);
-    let told = future::or(send_final_response(&core, &stream, &answer), async {
+    let refused = future::or(send_final_response(&core, &stream, &answer), async {
         Timer::after(FLUSH_TIMEOUT).await;
     });
-    future::or(told, outbox.aborted()).await;
+    future::or(refused, outbox.aborted()).await;
     core.connection_admission.borrow_mut().refusal_finished(&outbox);
 }
 
-/// Writes the last answer and reads what still comes, so that the answer is not lost to a reset. Ends when the peer
-/// does; whoever calls it sets a time.
+/// Writes a final response and reads until the peer closes, because closing with unread data would send a
+/// reset and lose the response. The caller sets a timeout.
 async fn send_final_response(core: &Core, mut stream: &Async<TcpStream>, answer: &[u8]) {
     let _ = stream.write_all(answer).await;
     let _ = stream.get_ref().shutdown(std::net::Shutdown::Write);
@@ -121,7 +122,7 @@
         Timer::after(limit).await;
         Err(refuse(408, "the handshake took too long", None))
     };
-    // It may have to make room for another before it is done.
+    // The connection may be closed during the handshake to make room for another.
     let evicted = async {
         let why = outbox.finished().await.unwrap_or("the gateway ends");
         Err(refuse(503, why, Some(whole_seconds(Duration::from_millis(core.settings.limits.retry_after_ms)))))
@@ -139,12 +140,12 @@
         }
     };
     let CompletedHandshake { rest, origin, must_prove } = completed;
-    // Guards against a connection that had to make room while its 101 was being written: nobody counts it any more,
-    // so it is told and ended. It could harm nobody else, as its place has been given away.
+    // The connection was closed to make room while its 101 response was being written. Its place is given
+    // away and it is no longer counted, so only the reason is still sent.
     if !outbox.is_open() {
-        let mut goodbye = Vec::new();
-        encode(Opcode::Close, &close_payload(CloseCode::LATER, "others want in"), None, &mut goodbye);
-        return future::or(send_final_response(core, &stream, &goodbye), async {
+        let mut close_frame = Vec::new();
+        encode(Opcode::Close, &close_payload(CloseCode::LATER, "others want in"), None, &mut close_frame);
+        return future::or(send_final_response(core, &stream, &close_frame), async {
             Timer::after(FLUSH_TIMEOUT).await;
         })
         .await;
@@ -161,7 +162,7 @@
         let mut stays_open = session.process_input(&mut decoder, &rest);
         drop(rest);
         while stays_open {
-            // One client's stream of messages must not keep the others waiting.
+            // One client's stream of messages must not delay the others.
             future::yield_now().await;
             let turn = core.connection_admission.borrow().read_quota(conn);
             let read = read_at_most(core, &stream, turn, |bytes| session.process_input(&mut decoder, bytes));
@@ -197,17 +198,18 @@
     tracing::debug!(client = client.0, "client gone");
 }
 
-/// A handshake that is done.
+/// Result of a completed handshake.
 struct CompletedHandshake {
-    /// Bytes that came behind the request.
+    /// Bytes received after the request.
     rest: Vec<u8>,
-    /// Where the client is.
+    /// Address of the client, behind trusted proxies if any.
     origin: IpAddr,
-    /// It has to show who it is before it gets anything.
+    /// The client has to authenticate before it is served.
     must_prove: bool,
 }
 
-/// Agrees with the client. `Ok(None)` if it went away, an error is the answer to one that does not get in.
+/// Performs the handshake. `Ok(None)` if the client closed the connection; an error is the HTTP response that
+/// refuses it.
 async fn handshake(
     core: &Core,
     conn: Conn,
@@ -253,7 +255,7 @@
     Ok(Some(CompletedHandshake { rest: bytes.split_off(accepted.consumed), origin, must_prove }))
 }
 
-/// Pings a silent client; ends when it stays silent.
+/// Pings a silent client, and aborts the connection if it stays silent.
 async fn keep_alive(core: &Core, outbox: &Outbox, last_received: &Cell<Instant>) {
     let pause = Duration::from_millis(core.settings.listen.ping_ms);
     loop {
@@ -270,26 +272,28 @@
     }
 }
 
+/// Processes the messages of one connection after its handshake.
 struct Session<'a> {
     core: &'a Rc<Core>,
     client: fawnrouter_engine::ClientId,
     outbox: &'a Outbox,
-    /// Bytes of a message that is not whole yet.
+    /// Buffered bytes of an incomplete message.
     held: &'a BufferShare,
+    /// Consecutive messages that were not SIP.
     consecutive_invalid: usize,
-    /// Messages since they were last counted.
+    /// Messages since the read pause was last computed.
     messages: u32,
 }
 
 impl Session<'_> {
-    /// Works on all that is there; `false` when the connection is to end.
+    /// Processes all input; `false` if the connection is to be closed.
     fn process_input(&mut self, decoder: &mut Decoder, mut input: &[u8]) -> bool {
         loop {
             if input.is_empty() {
                 if self.held.resize(decoder.held()) {
                     return true;
                 }
-                return self.end(CloseCode::LATER, "no memory is left for the message");
+                return self.close(CloseCode::LATER, "no memory is left for the message");
             }
             self.messages += 1;
             let (code, reason) = match decoder.feed(&mut input) {
@@ -297,11 +301,11 @@
                     self.messages -= 1;
                     return true;
                 }
-                Ok(Some(Event::Text(text))) => match self.message(text.as_bytes()) {
+                Ok(Some(Event::Text(text))) => match self.handle_message(text.as_bytes()) {
                     Some(reason) => (CloseCode::POLICY, reason),
                     None => continue,
                 },
-                Ok(Some(Event::Binary(bytes))) => match self.message(bytes) {
+                Ok(Some(Event::Binary(bytes))) => match self.handle_message(bytes) {
                     Some(reason) => (CloseCode::POLICY, reason),
                     None => continue,
                 },
@@ -313,12 +317,12 @@
                 Ok(Some(Event::Close(code))) => (code.unwrap_or(CloseCode::NORMAL), String::new()),
                 Err(error) => (error.close_code(), error.to_string()),
             };
-            return self.end(code, &reason);
+            return self.close(code, &reason);
         }
     }
 
-    /// Says why the connection ends; always `false`, as nothing more is taken.
-    fn end(&self, code: CloseCode, reason: &str) -> bool {
+    /// Sends a close frame with the reason. Always `false`, as no more input is processed.
+    fn close(&self, code: CloseCode, reason: &str) -> bool {
         if !reason.is_empty() {
             tracing::warn!(client = self.client.0, code = code.0, "connection closed: {reason}");
         }
@@ -327,9 +331,10 @@
         false
     }
 
-    /// One WebSocket message; a reason when the client has sent too much that is no SIP.
-    fn message(&mut self, bytes: &[u8]) -> Option<String> {
-        // A keep-alive of clients that follow RFC 5626 §3.5.1.
+    /// Processes one WebSocket message. Returns a reason to close the connection after too many messages that
+    /// are not SIP.
+    fn handle_message(&mut self, bytes: &[u8]) -> Option<String> {
+        // Keep-alive of clients that follow RFC 5626 §3.5.1.
         if bytes == b"\r\n\r\n" || bytes == b"\r\n" {
             self.outbox.push(|out| encode(Opcode::Text, b"\r\n", None, out));
             return None;
@@ -340,8 +345,9 @@
                 self.core.input(Input::ClientMessage { client: self.client, message: Box::new(message) });
                 None
             }
-            // What is no SIP cannot be answered in SIP. It is dropped, as one bad message must not end the calls of
-            // the rest; a client that sends nothing else is told by the close.
+            // A message that is not SIP cannot be answered in SIP. It is dropped, because one bad message
+            // must not end the connection's calls. A client that sends nothing else learns the reason from
+            // the close frame.
             Err(error) => {
                 self.consecutive_invalid += 1;
                 tracing::debug!(client = self.client.0, "message dropped: {error}");
--- a/crates/fawnrouterd/src/connection_admission.rs
+++ b/crates/fawnrouterd/src/connection_admission.rs
@@ -1,4 +1,4 @@
-//! Who gets in: the decisions of `fawnrouter_admission` with the connections that they concern.
+//! Applies the admission decisions of `fawnrouter_admission` to the client connections.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::IpAddr;
@@ -16,7 +16,7 @@
 use crate::connections::Connections;
 use crate::outbox::Outbox;
 
-/// What lasts and is told in the log when it begins and ends.
+/// A condition that is logged when it begins, while it lasts, and when it ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum AlarmCause {
     Refused(Reason),
@@ -25,6 +25,7 @@
 }
 
 impl AlarmCause {
+    /// What happens, and why.
     const fn text(self) -> (&'static str, &'static str) {
         match self {
             Self::Refused(reason) => ("connections refused", reason.text()),
@@ -34,29 +35,30 @@
     }
 }
 
-/// Nothing of a kind for this long, and it is over.
+/// A condition has ended once it has not occurred for this long.
 const ALARM_CLEAR_TIME: Duration = Duration::from_secs(5);
-/// What goes on is told again after this time.
+/// A lasting condition is logged again after this time.
 const ALARM_REPEAT_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Whether a connection gets in, and on what terms.
+/// Whether a new connection is served or refused.
 pub enum AdmissionOutcome {
-    /// It is served.
+    /// It is served under this number.
     Accepted(Conn, Rc<Outbox>),
-    /// It is told why not and when to come back; the outbox ends it when another needs its descriptor.
+    /// It is refused with a reason and a Retry-After. Aborting the outbox ends it early, if another
+    /// connection needs its descriptor.
     Refused(Reason, Duration, Rc<Outbox>),
 }
 
-/// Why a connection does not get in, and how long it should stay away.
+/// Why a connection is refused, and its Retry-After.
 pub type Refusal = (Reason, Duration);
 
-/// The decisions and what they go by.
+/// Admission of client connections, and the state that it depends on.
 pub struct ConnectionAdmission {
     pub admission: Option<Admission>,
     pub descriptors: Descriptors,
-    /// Those that are being told that they do not get in, the first one first.
+    /// Connections being refused, the oldest first.
     being_refused: VecDeque<Rc<Outbox>>,
-    /// Without admission: connections in all, and the time to stay away.
+    /// Limit on all connections and their Retry-After, used without admission.
     connection_limit: usize,
     retry_after: Duration,
     spread: Spread,
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Refuses for a reason that admission did not give.
+    /// Refuses a connection for a reason that does not come from `admission`.
     fn refuse(&mut self, now: Time, reason: Reason) -> Refusal {
         let wait = match &mut self.admission {
             Some(admission) => admission.refuse_for(now.0, reason),
@@ -97,7 +99,7 @@
         (reason, wait)
     }
 
-    /// A connection has been accepted by the kernel: whether it gets in.
+    /// Decides on a connection that has just been accepted.
     pub fn admit(
         &mut self,
         now: Time,
@@ -138,17 +140,18 @@
         }
     }
 
-    /// One that was being refused has ended.
+    /// A refused connection has ended.
     pub fn refusal_finished(&mut self, outbox: &Rc<Outbox>) {
         self.being_refused.retain(|other| !Rc::ptr_eq(other, outbox));
     }
 
-    /// Whether what this peer says of where a connection comes from is believed.
+    /// Whether this peer is a trusted proxy, whose statement of a connection's origin is accepted.
     pub fn is_forwarder(&self, peer: IpAddr) -> bool {
         self.admission.as_ref().is_some_and(|a| a.is_forwarder(peer))
     }
 
-    /// A forwarder said through which hops a connection came: the address that is believed, and whether it gets in.
+    /// Applies the hops that a trusted proxy reported. Returns the client's address, or a refusal if that
+    /// address may not connect.
     pub fn apply_forwarded(
         &mut self,
         now: Time,
@@ -163,7 +166,7 @@
         }
     }
 
-    /// A handshake is done: whether the connection stays, and if so, whether it has to show who it is.
+    /// Decides on a connection whose handshake is done. `true` if it has to authenticate.
     pub fn handshake_done(
         &mut self,
         now: Time,
@@ -179,13 +182,13 @@
                 Ok(false)
             }
             Some(Verdict::Accept) => Ok(false),
-            // Without admission the limit on connections is all there is.
+            // Without admission only the limit on connections applies.
             None if full => Err(self.refuse(now, Reason::Full)),
             None => Ok(false),
         }
     }
 
-    /// A connection has shown that it is a known client's. An error is why it cannot stay.
+    /// A connection has authenticated as a known client. An error is the reason to close it.
     pub fn client_identified(
         &mut self,
         now: Time,
@@ -203,31 +206,32 @@
         }
     }
 
-    /// A connection does something, with so many calls.
+    /// Records activity of a connection, and its present number of calls.
     pub fn record_activity(&mut self, now: Time, conn: Conn, calls: usize) {
         if let Some(admission) = &mut self.admission {
             admission.active(now.0, conn, u32::try_from(calls).unwrap_or(u32::MAX));
         }
     }
 
-    /// A connection has sent so many messages: how long it is not to be read.
+    /// How long a connection is not to be read, after it has sent this many messages.
     pub fn read_pause(&mut self, now: Time, conn: Conn, messages: u32) -> Duration {
         self.admission.as_mut().map_or(Duration::ZERO, |a| a.pace(now.0, conn, messages))
     }
 
-    /// Bytes that a connection may have worked on in one turn.
+    /// Most bytes of a connection that are processed per turn.
     pub fn read_quota(&self, conn: Conn) -> usize {
         self.admission.as_ref().map_or(usize::MAX, |a| a.turn(conn))
     }
 
-    /// A connection is gone, at whatever stage.
+    /// A connection has closed, at any stage.
     pub fn connection_closed(&mut self, now: Time, conn: Conn) {
         if let Some(admission) = &mut self.admission {
             admission.closed(now.0, conn);
         }
     }
 
-    /// The kernel had no descriptor for a connection.
+    /// A connection could not be accepted for lack of descriptors. `spare`: whether the reserved descriptor
+    /// is held.
     pub fn descriptors_exhausted(&mut self, now: Time, spare: bool) -> Step {
         let (step, change) = self.descriptors.exhausted(now.0, spare);
         if change == Some(Change::Began) {
@@ -238,19 +242,19 @@
         step
     }
 
-    /// A newcomer that is refused with the spare descriptor: how long it should stay away.
+    /// Refuses a new connection that was accepted with the reserved descriptor.
     pub fn refuse_with_spare(&mut self, now: Time) -> Refusal {
         self.refuse(now, Reason::Descriptors)
     }
 
-    /// The kernel had a descriptor for a connection.
+    /// A connection was accepted, so descriptors are available.
     pub fn descriptor_available(&mut self, now: Time) {
         if let Some(Change::Ended(lasted)) = self.descriptors.accepted(now.0) {
             tracing::info!(lasted_ms = lasted.as_secs_f64() * 1e3, "descriptors are there again");
         }
     }
 
-    /// Closes those that are idle, do not read, or have not shown who they are.
+    /// Closes connections that are idle, do not read, or have not authenticated in time.
     pub fn close_evicted(&mut self, now: Time, connections: &mut Connections) {
         let Some(admission) = &mut self.admission else { return };
         for (conn, connection) in connections.iter() {
@@ -259,7 +263,7 @@
             }
         }
         for (conn, why) in admission.sweep(now.0) {
-            // One that does not read takes no goodbye either.
+            // A client that does not read would not receive a close frame either.
             if why == Eviction::Slow
                 && let Some((_, connection)) = connections.iter().find(|(c, _)| *c == conn)
             {
@@ -269,20 +273,20 @@
         }
     }
 
-    /// What is held and was refused.
-    pub fn snapshot(&self, most: usize) -> Snapshot {
-        let mut seen = self.admission.as_ref().map(|a| a.snapshot(most)).unwrap_or_default();
+    /// Present connections and counts of refusals, with at most `max_entries` per list.
+    pub fn snapshot(&self, max_entries: usize) -> Snapshot {
+        let mut snapshot = self.admission.as_ref().map(|a| a.snapshot(max_entries)).unwrap_or_default();
         for (reason, count) in &self.refused {
-            *seen.refused.entry(*reason).or_default() += count;
+            *snapshot.refused.entry(*reason).or_default() += count;
         }
-        seen
+        snapshot
     }
 
-    /// Writes a line for each change of state.
+    /// Logs the conditions that began, continue or ended.
     pub fn log_changes(&mut self, now: Time, set_ups: &BTreeMap<SetUpRefusal, u64>) {
-        let seen = self.snapshot(0);
-        let counts = (seen.refused.into_iter().map(|(r, n)| (AlarmCause::Refused(r), n)))
-            .chain(seen.evicted.into_iter().map(|(e, n)| (AlarmCause::Evicted(e), n)))
+        let snapshot = self.snapshot(0);
+        let counts = (snapshot.refused.into_iter().map(|(r, n)| (AlarmCause::Refused(r), n)))
+            .chain(snapshot.evicted.into_iter().map(|(e, n)| (AlarmCause::Evicted(e), n)))
             .chain(set_ups.iter().map(|(r, n)| (AlarmCause::SetUp(*r), *n)));
         let mut lines = Vec::new();
         for (cause, count) in counts {
@@ -320,8 +324,8 @@
              switches: {{ file: s.yaml }}\nclasses: [{{ name: a, aim_ms: 1, deadline_ms: 2 }}]\n\
              limits: {{ connections: {connection_limit} }}\nadmission: {{}}\n"
         );
-        let settings = fawnrouter_config::parse("t.yaml", &text).expect("sound settings");
-        let admission = settings.admission_settings(1).map(|a| Admission::new(a).expect("sound settings"));
+        let settings = fawnrouter_config::parse("t.yaml", &text).expect("valid settings");
+        let admission = settings.admission_settings(1).map(|a| Admission::new(a).expect("valid settings"));
         let descriptors = DescriptorSettings { limit, in_use: 0, trunks: 0, files: 0, control: 0 };
         let descriptors = Descriptors::new(descriptors).expect("room");
         ConnectionAdmission::new(admission, descriptors, connection_limit, Duration::from_secs(2))
@@ -341,7 +345,7 @@
     }
 
     #[test]
-    fn a_connection_that_makes_room_while_its_upgrade_is_written_is_told_why() {
+    fn connection_closed_to_make_room_during_its_handshake_gets_the_reason() {
         let (mut connection_admission, mut connections) =
             (connection_admission(1, 1000), Connections::default());
         let now = Time(Duration::from_secs(1));
@@ -362,7 +366,7 @@
     }
 
     #[test]
-    fn beyond_the_descriptors_newcomers_are_refused_and_the_first_refused_is_let_go() {
+    fn without_descriptors_new_connections_are_refused_and_the_oldest_refusal_is_ended() {
         let (mut connection_admission, mut connections) =
             (connection_admission(1000, 40), Connections::default());
         let mut refused = Vec::new();
@@ -374,7 +378,7 @@
                 refused.push(outbox);
             }
         }
-        // 40 less the spare, two to refuse with and eight for what was forgotten.
+        // 40, minus the reserved one, two to refuse with, and a margin of eight.
         assert_eq!((connections.open_count(), refused.len()), (29, 11));
         assert!(refused[..9].iter().all(|o| !o.is_open()) && refused[9..].iter().all(|o| o.is_open()));
         assert_eq!(connection_admission.snapshot(0).refused[&Reason::Descriptors], 11);
--- a/crates/fawnrouterd/src/connections.rs
+++ b/crates/fawnrouterd/src/connections.rs
@@ -1,4 +1,4 @@
-//! The connections that are open, and what waits to be written to each.
+//! The open connections with their outboxes.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -10,28 +10,28 @@
 
 use crate::outbox::Outbox;
 
-/// A client's connection from its arrival on.
+/// A client connection, from the moment it is accepted.
 pub struct ClientConnection {
     pub outbox: Rc<Outbox>,
-    /// Its client, from the end of the handshake on.
+    /// Its client, once the handshake is done.
     pub client: Option<ClientId>,
 }
 
-/// All connections.
+/// All open connections.
 #[derive(Default)]
 pub struct Connections {
-    /// Clients' connections from their arrival on.
+    /// Client connections, those in their handshake included.
     accepted: BTreeMap<Conn, ClientConnection>,
-    /// Of these, those whose handshake is done.
+    /// Client connections whose handshake is done.
     clients: BTreeMap<ClientId, (Conn, Rc<Outbox>)>,
-    /// Connections to switches.
+    /// Connections to core switches.
     trunks: BTreeMap<ServerId, Rc<Outbox>>,
     next_conn: u64,
     next_client: u64,
 }
 
 impl Connections {
-    /// A number for a connection, never used again.
+    /// Allocates a connection number. Numbers are never reused.
     pub fn allocate_conn(&mut self) -> Conn {
         self.next_conn += 1;
         Conn(self.next_conn)
@@ -41,7 +41,8 @@
         self.accepted.insert(conn, ClientConnection { outbox, client: None });
     }
 
-    /// Its handshake is done. A connection that had to make room meanwhile was told so already.
+    /// Registers the client of a connection whose handshake is done. The connection may already be gone from
+    /// the list, if it was closed meanwhile to make room.
     pub fn handshake_done(&mut self, conn: Conn, outbox: Rc<Outbox>) -> ClientId {
         self.next_client += 1;
         let id = ClientId(self.next_client);
@@ -56,12 +57,12 @@
         self.accepted.remove(&conn);
     }
 
-    /// Clients' connections, handshakes included.
+    /// Number of client connections, those in their handshake included.
     pub fn open_count(&self) -> usize {
         self.accepted.len()
     }
 
-    /// Clients' connections whose handshake is done.
+    /// Number of client connections whose handshake is done.
     pub fn client_count(&self) -> usize {
         self.clients.len()
     }
@@ -90,22 +91,22 @@
         self.trunks.remove(&server)
     }
 
-    /// Whether this is still the connection to that switch.
+    /// Whether `outbox` still belongs to the present connection to that switch.
     pub fn is_current(&self, server: ServerId, outbox: &Rc<Outbox>) -> bool {
         self.trunks.get(&server).is_some_and(|current| Rc::ptr_eq(current, outbox))
     }
 
-    /// Closes a connection at whatever stage; it is told why.
+    /// Closes a client connection at any stage, with a reason that is sent to the client.
     pub fn close(&mut self, conn: Conn, code: CloseCode, reason: &'static str) {
         let Some(connection) = self.accepted.remove(&conn) else { return };
         match connection.client {
             Some(_) => send_close(&connection.outbox, code, reason),
-            // Still in its handshake, which tells it by HTTP.
+            // During the handshake the reason is sent as an HTTP response.
             None => connection.outbox.finish_with_reason(reason),
         }
     }
 
-    /// Closes all connections of clients.
+    /// Closes all client connections.
     pub fn close_all_clients(&self, code: CloseCode, reason: &'static str) {
         for (_, outbox) in self.clients.values() {
             send_close(outbox, code, reason);
@@ -115,14 +116,14 @@
         }
     }
 
-    /// Whether something waits to be written, or a handshake to be told that it comes to nothing.
+    /// Whether bytes wait to be written, or a handshake is still to be refused.
     pub fn has_pending_work(&self) -> bool {
         let mut outboxes = self.clients.values().map(|(_, o)| o).chain(self.trunks.values());
         outboxes.any(|o| o.backlog() > 0) || self.accepted.values().any(|c| c.client.is_none())
     }
 }
 
-/// Says goodbye to a client, and takes nothing more for it.
+/// Sends a close frame to a client; its outbox then accepts nothing more.
 pub fn send_close(outbox: &Outbox, code: CloseCode, reason: &str) {
     let payload = close_payload(code, reason);
     outbox.push(|out| encode(Opcode::Close, &payload, None, out));
--- a/crates/fawnrouterd/src/control.rs
+++ b/crates/fawnrouterd/src/control.rs
@@ -1,4 +1,4 @@
-//! Operators' commands to the running gateway: a local socket, one line of JSON each way.
+//! Operators' commands to the running gateway, over a Unix socket: one line of JSON in each direction.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -17,93 +17,93 @@
 
 use crate::core::Core;
 
-/// Operators that are served at once; others wait in the kernel.
+/// Operators' connections served at once; others wait in the listen queue.
 pub const MAX_OPERATOR_CONNECTIONS: usize = 4;
-/// Bytes of a command.
+/// Longest command.
 const MAX_COMMAND_BYTES: usize = 4096;
-/// An operator's command takes no longer than this.
+/// Timeout of an operator's command.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(5);
-/// Holders that are listed.
+/// Most entries in each list of holders.
 const MAX_LISTED_HOLDERS: usize = 20;
 
-/// What an operator asks for.
+/// A command of an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "do", rename_all = "lowercase", deny_unknown_fields)]
 pub enum Command {
-    /// Who holds what, who is refused and why.
+    /// Report present connections and calls, and refusals by reason.
     Show,
-    /// How the own zone fares, and what is left of the budgets.
+    /// Report the state of the gateway's own zone and of the budgets.
     Zones,
-    /// No connections of an address for a time.
+    /// Refuse connections of an address for a time.
     Block {
-        /// The address.
+        /// The client address.
         address: IpAddr,
-        /// For how long, seconds.
+        /// How long, in seconds.
         for_s: u64,
     },
-    /// An address is no longer blocked, and owes nothing for its rate.
+    /// Unblock an address and reset its rate limit.
     Free {
-        /// The address.
+        /// The client address.
         address: IpAddr,
     },
 }
 
-/// Somebody who holds something.
+/// A client with its number of connections or calls.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ResourceHolder {
-    /// The address, or the client's name.
+    /// Address, or name of a known client.
     pub who: String,
-    /// Open connections, or calls.
+    /// Number of open connections or calls.
     pub count: usize,
 }
 
-/// Who holds what, who is refused and why.
+/// Present connections and calls, and refusals by reason.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct AdmissionStatus {
     /// Whether admission is on.
     pub admission: bool,
     /// Open connections.
     pub open: usize,
-    /// Of these, those that have yet to show what they are.
+    /// Of these, connections still in their handshake, or that have yet to authenticate.
     pub handshakes: usize,
-    /// Of these, known clients'.
+    /// Of these, connections of known clients.
     pub known: usize,
-    /// Places kept for known clients, those that they hold included.
+    /// Places reserved for known clients, including those in use.
     pub reserve: usize,
-    /// Connections for which there are descriptors.
+    /// Number of connections that the descriptors suffice for.
     pub room: usize,
-    /// Whether descriptors are missing.
+    /// Whether descriptors are exhausted.
     pub famine: bool,
-    /// Bytes that wait.
+    /// Bytes buffered over all connections.
     pub buffered_bytes: usize,
-    /// Connections ended as they held too many.
+    /// Connections closed because they buffered too many bytes.
     pub over_budget: u64,
     /// Connections refused, by reason.
     pub refused: BTreeMap<String, u64>,
     /// Connections closed, by reason.
     pub closed: BTreeMap<String, u64>,
-    /// Set-ups that wait for their turn, and that the decisions hold.
+    /// Set-ups that wait for their turn, and set-ups held by the routing decisions.
     pub set_ups: (usize, usize),
-    /// Set-ups that the decisions may hold now.
+    /// Set-ups that the routing decisions may hold at present.
     pub set_up_room: usize,
     /// Set-ups refused, by reason.
     pub set_ups_refused: BTreeMap<String, u64>,
-    /// Proofs taken, challenges sent, connections given up for wrong answers.
+    /// Successful authentications, challenges sent, and connections closed for failed authentications.
     pub proofs: (u64, u64, u64),
-    /// Strangers' addresses with most connections.
+    /// Addresses of unknown clients with the most connections.
     pub addresses: Vec<ResourceHolder>,
-    /// Known clients with most connections.
+    /// Known clients with the most connections.
     pub clients: Vec<ResourceHolder>,
-    /// Clients with most calls.
+    /// Clients with the most calls.
     pub callers: Vec<ResourceHolder>,
-    /// Blocked addresses, with the seconds that are left.
+    /// Blocked addresses, with the remaining seconds.
     pub blocked: Vec<(IpAddr, u64)>,
 }
 
-/// A budget as this gateway has it now.
+/// State of a budget on this gateway.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct BudgetStatus {
-    /// Where calls go; none: all other zones.
+    /// Zone that the calls go to; `None`: all other zones.
     pub to: Option<String>,
     /// `Minute`, `Hour` or `Day`.
     pub window: String,
@@ -113,38 +113,39 @@
     pub cost: (f64, Option<f64>),
 }
 
-/// Traffic across zones now.
+/// State of the traffic across zones.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ZoneStatus {
-    /// The own zone.
+    /// The gateway's own zone.
     pub own: String,
     /// `Calm`, `Pressed` or `Down`.
     pub state: String,
-    /// The budgets.
+    /// Budgets for calls from this zone.
     pub budgets: Vec<BudgetStatus>,
-    /// Calls since the start by zone and cause, with their cost.
+    /// Calls since the start: zone, cause, number of calls, cost.
     pub went: Vec<(String, String, u64, f64)>,
 }
 
-/// The gateway's answer.
+/// The gateway's reply to a command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Reply {
-    /// What was asked to be shown.
+    /// Connections, calls and refusals.
     #[serde(rename = "shown")]
     Admission(Box<AdmissionStatus>),
-    /// Traffic across zones.
+    /// State of the traffic across zones.
     Zones(Box<ZoneStatus>),
-    /// It is done.
+    /// The command was carried out.
     Done,
-    /// It cannot be done, and why.
+    /// The command failed, with the reason.
     Failed(String),
 }
 
-/// Makes the socket, for its own user only. One that is left over from a gateway that is gone is replaced.
+/// Creates the socket, accessible to its own user only. A socket left over from a gateway that has ended is
+/// replaced.
 ///
 /// # Errors
-/// Where another gateway listens there, or the system does not let this one listen.
+/// If another gateway listens on the path, or the socket cannot be created.
 pub fn listen(path: &Path) -> io::Result<Async<UnixListener>> {
     if UnixStream::connect(path).is_ok() {
         return Err(io::Error::other("another gateway listens there"));
@@ -157,26 +158,26 @@
     Async::new(listener)
 }
 
-/// Serves operators for ever.
+/// Serves operators until the task is dropped.
 pub async fn serve(core: Rc<Core>, listener: Async<UnixListener>) {
-    let served = Rc::new(Cell::new(0usize));
+    let connections = Rc::new(Cell::new(0usize));
     loop {
-        while served.get() >= MAX_OPERATOR_CONNECTIONS {
+        while connections.get() >= MAX_OPERATOR_CONNECTIONS {
             Timer::after(Duration::from_millis(20)).await;
         }
         let Ok((stream, _)) = listener.accept().await else {
             Timer::after(Duration::from_millis(100)).await;
             continue;
         };
-        served.set(served.get() + 1);
-        let (working, served) = (core.clone(), served.clone());
+        connections.set(connections.get() + 1);
+        let (own_core, connections) = (core.clone(), connections.clone());
         core.spawn(async move {
-            let too_long = async {
+            let timeout = async {
                 Timer::after(COMMAND_TIMEOUT).await;
                 Ok(())
             };
-            let _: io::Result<()> = future::or(answer_command(&working, stream), too_long).await;
-            served.set(served.get() - 1);
+            let _: io::Result<()> = future::or(answer_command(&own_core, stream), timeout).await;
+            connections.set(connections.get() - 1);
         });
     }
 }
@@ -233,7 +234,7 @@
 
 fn zone_status(core: &Core) -> Option<ZoneStatus> {
     let own = core.settings.zones.as_ref()?.own.clone();
-    let look = |z: &mut fawnrouter_engine::zones::Zones| {
+    let read_zones = |z: &mut fawnrouter_engine::zones::Zones| {
         let budgets = z.account().lines().into_iter().map(|(budget, state, (calls, money))| BudgetStatus {
             to: budget.to.as_deref().map(str::to_owned),
             window: format!("{:?}", budget.span),
@@ -254,7 +255,7 @@
             went: went.collect(),
         }
     };
-    core.with_engine(|engine| engine.zones().map(|zones| zones.with(look)))
+    core.with_engine(|engine| engine.zones().map(|zones| zones.with(read_zones)))
 }
 
 fn admission_status(core: &Core) -> AdmissionStatus {
@@ -298,10 +299,10 @@
     status
 }
 
-/// An operator's side: sends a command and waits for the answer.
+/// Sends a command to a running gateway and waits for its reply.
 ///
 /// # Errors
-/// Where no gateway answers.
+/// If no gateway replies.
 pub fn send_command(path: &Path, command: &Command) -> io::Result<Reply> {
     let mut stream = UnixStream::connect(path)?;
     stream.set_read_timeout(Some(COMMAND_TIMEOUT))?;
--- a/crates/fawnrouterd/src/core.rs
+++ b/crates/fawnrouterd/src/core.rs
@@ -1,4 +1,4 @@
-//! The event core: the engine with the connections that its outputs go to.
+//! The event core: the engine, and the connections that its outputs go to.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -23,18 +23,22 @@
 use crate::machine_driver::MachineDriver;
 use crate::outbox::Outbox;
 
-/// Opens a connection to a switch. The core is told at its start who does that, so that it knows no driver.
+/// Interval of [`Core::run_maintenance`].
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
+
+/// Opens a connection to a core switch. Passed to [`Core::new`], so that the core does not depend on a
+/// driver.
 pub type OpenTrunk = fn(Rc<Core>, ServerId, SocketAddr, Rc<Outbox>);
 
-/// What all tasks of the gateway share.
+/// State shared by all tasks of the gateway.
 pub struct Core {
     driver: MachineDriver<Engine>,
     spans: RefCell<CallSpans>,
     pub connections: RefCell<Connections>,
     pub connection_admission: RefCell<ConnectionAdmission>,
-    /// Memory for bytes that wait to be written or to be a whole message.
+    /// Budget for unwritten bytes and for bytes of incomplete messages.
     pub buffer_budget: BufferBudget,
-    /// Where reads go first: one buffer for all connections, as nothing awaits while it holds something.
+    /// Read buffer. One suffices for all connections, because no task awaits while it holds data.
     pub scratch: RefCell<Vec<u8>>,
     pub settings: Settings,
     open_trunk: OpenTrunk,
@@ -54,7 +58,7 @@
         let bytes = ByteSettings {
             total: limits.buffer_bytes,
             most: limits.write_backlog_bytes.max(limits.head_bytes + limits.body_bytes),
-            // A message of the usual size passes whatever the others hold.
+            // A message of usual size is always accepted, however much the others hold.
             floor: limits.head_bytes.min(4096),
         };
         Rc::new(Self {
@@ -71,21 +75,21 @@
         })
     }
 
-    /// Runs a task beside the others. The tasks hold the core and the executor holds the tasks, so the core holds
-    /// the executor weakly: all go when the gateway ends.
+    /// Spawns a task. The executor owns the tasks and the tasks own the core, so the core refers to the
+    /// executor weakly; otherwise nothing would be freed when the gateway ends.
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         if let Some(executor) = self.executor.upgrade() {
             executor.spawn(task).detach();
         }
     }
 
-    /// Limits of SIP messages.
+    /// Size limits of SIP messages.
     pub fn sip_limits(&self) -> Limits {
         let limits = &self.settings.limits;
         Limits { head: limits.head_bytes, fields: limits.fields, body: limits.body_bytes }
     }
 
-    /// A fresh outbox.
+    /// Creates an outbox for a connection.
     pub fn new_outbox(&self, owner: For) -> Outbox {
         Outbox::with_budget_share(
             self.settings.limits.write_backlog_bytes,
@@ -93,45 +97,45 @@
         )
     }
 
-    /// Gives the engine an input and carries out what it says.
+    /// Gives the engine an input and carries out its outputs.
     pub fn input(self: &Rc<Self>, input: Input) {
         let mut opened = Vec::new();
         let (mut connections, mut connection_admission) =
             (self.connections.borrow_mut(), self.connection_admission.borrow_mut());
-        let (connections_now, admission_now) = (&mut *connections, &mut *connection_admission);
+        let (connections_ref, admission_ref) = (&mut *connections, &mut *connection_admission);
         self.driver.input(input, |now, engine, output| match output {
             Output::ToClient { client, bytes } => {
-                if let Some((conn, outbox)) = connections_now.client(client) {
-                    // A message to a client means that one of its calls has changed.
-                    admission_now.record_activity(now, conn, engine.calls_of(client));
+                if let Some((conn, outbox)) = connections_ref.client(client) {
+                    // A message to a client means that the state of one of its calls has changed.
+                    admission_ref.record_activity(now, conn, engine.calls_of(client));
                     outbox.push(|out| encode(Opcode::Text, &bytes, None, out));
                 }
             }
             Output::ToTrunk { server, bytes } => {
-                if let Some(outbox) = connections_now.trunk(server) {
+                if let Some(outbox) = connections_ref.trunk(server) {
                     outbox.push(|out| out.extend_from_slice(&bytes));
                 }
             }
             Output::OpenTrunk { server, address } => {
                 let outbox = Rc::new(self.new_outbox(For::Trunk));
-                connections_now.insert_trunk(server, outbox.clone());
+                connections_ref.insert_trunk(server, outbox.clone());
                 opened.push((server, address, outbox));
             }
             Output::CloseTrunk { server } => {
-                if let Some(outbox) = connections_now.remove_trunk(server) {
+                if let Some(outbox) = connections_ref.remove_trunk(server) {
                     outbox.finish();
                 }
             }
             Output::Known { client, name } => {
-                let Some((conn, outbox)) = connections_now.client(client) else { return };
+                let Some((conn, outbox)) = connections_ref.client(client) else { return };
                 let outbox = outbox.clone();
                 tracing::debug!(client = client.0, name = &*name, "client known");
-                if let Err(reason) = admission_now.client_identified(now, connections_now, conn, &name) {
+                if let Err(reason) = admission_ref.client_identified(now, connections_ref, conn, &name) {
                     send_close(&outbox, CloseCode::LATER, reason.text());
                 }
             }
             Output::CloseClient { client, reason } => {
-                if let Some((_, outbox)) = connections_now.client(client) {
+                if let Some((_, outbox)) = connections_ref.client(client) {
                     tracing::warn!(client = client.0, "connection closed: {reason}");
                     send_close(outbox, CloseCode::POLICY, reason);
                 }
@@ -153,22 +157,23 @@
         self.driver.clock
     }
 
-    /// Wakes the engine when it asks for it, for ever.
+    /// Runs the engine's timer until the task is dropped.
     pub async fn run_engine_timer(self: &Rc<Self>) {
         self.driver.run_timer(|input| self.input(input)).await;
     }
 
-    /// Ends when the engine has no call left after a drain.
+    /// Waits until a draining engine has no call left.
     pub async fn drained(&self) {
         self.drained.wait().await;
     }
 
-    /// Looks at the engine.
+    /// Calls `read` with the engine.
     pub fn with_engine<T>(&self, read: impl FnOnce(&Engine) -> T) -> T {
         self.driver.with_machine(read)
     }
 
-    /// Closes who is to go, and writes what changed, for ever.
+    /// Closes idle, slow and unauthenticated connections and logs changes of state, until the task is
+    /// dropped.
     pub async fn run_maintenance(&self) {
         loop {
             Timer::after(MAINTENANCE_INTERVAL).await;
@@ -185,7 +190,7 @@
         }
     }
 
-    /// A line of counts for the log.
+    /// Logs the line of counts.
     pub fn log_counts(&self) {
         let (connections, buffer_budget) = (self.connections.borrow(), self.buffer_budget.borrow());
         let (c, live) = self.with_engine(|engine| (engine.counters(), engine.live_calls()));
@@ -206,6 +211,3 @@
         );
     }
 }
-
-/// Between two looks at who is to go.
-const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
--- a/crates/fawnrouterd/src/flag.rs
+++ b/crates/fawnrouterd/src/flag.rs
@@ -1,41 +1,41 @@
-//! A word that is said and waited for by one task.
+//! A flag that one task can wait for.
 
 use std::cell::Cell;
 use std::future::poll_fn;
 use std::task::{Poll, Waker};
 
-/// Not said at first.
+/// A flag, not set at first. At most one task waits for it.
 #[derive(Default)]
 pub struct Flag {
-    up: Cell<bool>,
-    waiting: Cell<Option<Waker>>,
+    is_set: Cell<bool>,
+    waker: Cell<Option<Waker>>,
 }
 
 impl Flag {
-    /// Says it; again changes nothing.
+    /// Sets the flag and wakes the waiting task.
     pub fn set(&self) {
-        self.up.set(true);
-        if let Some(waker) = self.waiting.take() {
+        self.is_set.set(true);
+        if let Some(waker) = self.waker.take() {
             waker.wake();
         }
     }
 
-    /// Takes it back: what it was said for has been done.
+    /// Clears the flag, once its cause has been handled.
     pub fn clear(&self) {
-        self.up.set(false);
+        self.is_set.set(false);
     }
 
     pub fn is_set(&self) -> bool {
-        self.up.get()
+        self.is_set.get()
     }
 
-    /// Ends when it has been said.
+    /// Waits until the flag is set.
     pub async fn wait(&self) {
         poll_fn(|cx| {
-            if self.up.get() {
+            if self.is_set.get() {
                 return Poll::Ready(());
             }
-            self.waiting.set(Some(cx.waker().clone()));
+            self.waker.set(Some(cx.waker().clone()));
             Poll::Pending
         })
         .await;
--- a/crates/fawnrouterd/src/ledger.rs
+++ b/crates/fawnrouterd/src/ledger.rs
@@ -1,4 +1,5 @@
-//! The account of traffic across zones, kept over a restart: one file, checked by a sum and replaced as a whole.
+//! The account of traffic across zones, kept across restarts in one file, which has a checksum and is
+//! replaced atomically.
 
 use std::fs;
 use std::io::{self, Write};
@@ -13,49 +14,49 @@
 
 use crate::core::Core;
 
-/// Between two looks whether there is something to save: a gateway that is killed forgets this much of its spending.
+/// Interval between two saves. A gateway that is killed loses the spending of this time.
 const SAVE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What the file holds.
+/// Content of the account file.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Ledger {
-    /// The zone that the gateway is in.
+    /// The gateway's own zone.
     pub own: String,
-    /// The classes' names, by their numbers.
+    /// Names of the classes, by class number.
     pub classes: Vec<String>,
-    /// The account.
+    /// What is spent of each budget.
     pub account: Saved,
-    /// What spilled, minute by minute.
+    /// Calls to other zones, minute by minute.
     pub minutes: Vec<Minute>,
 }
 
-/// Why a file cannot be used.
+/// Why an account file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum LedgerError {
-    /// It cannot be read or written.
+    /// Reading or writing failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// Its sum does not fit, or it is no account.
+    /// The checksum is wrong, or the content is not an account.
     #[error("it is damaged: {0}")]
     Damaged(String),
 }
 
-/// Reads a file.
+/// Reads and verifies an account file.
 ///
 /// # Errors
 /// See [`LedgerError`].
 pub fn read(file: &Path) -> Result<Ledger, LedgerError> {
     let text = fs::read_to_string(file)?;
     let (checksum, body) =
-        text.split_once('\n').ok_or_else(|| LedgerError::Damaged("it has one line".into()))?;
-    let wanted = u32::from_str_radix(checksum.trim(), 16).ok();
-    if wanted != Some(crc32fast::hash(body.as_bytes())) {
-        return Err(LedgerError::Damaged("its sum does not fit".into()));
+        text.split_once('\n').ok_or_else(|| LedgerError::Damaged("the checksum line is missing".into()))?;
+    let expected = u32::from_str_radix(checksum.trim(), 16).ok();
+    if expected != Some(crc32fast::hash(body.as_bytes())) {
+        return Err(LedgerError::Damaged("the checksum does not match".into()));
     }
     serde_json::from_str(body).map_err(|error| LedgerError::Damaged(error.to_string()))
 }
 
-/// Replaces a file: written beside it, brought to the disk, and put in its place.
+/// Replaces an account file atomically: writes a temporary file, syncs it to disk, and renames it.
 fn write(file: &Path, ledger: &Ledger) -> io::Result<()> {
     let body = serde_json::to_string(ledger).map_err(io::Error::other)?;
     let temporary = file.with_extension("new");
@@ -65,8 +66,8 @@
     fs::rename(temporary, file)
 }
 
-/// Takes up the account of before a restart. One that is not there means a first start; one that is damaged means that
-/// this window's share counts as spent.
+/// Restores the account from before a restart. If the file does not exist, this is the first start and
+/// nothing is spent. If it is damaged, this gateway's share of the present window counts as spent.
 pub async fn restore(core: &Rc<Core>, file: &Path) {
     let path = file.to_owned();
     match blocking::unblock(move || read(&path)).await {
@@ -110,15 +111,15 @@
     }
 }
 
-/// Saves the account whenever something was spent, for ever.
+/// Saves the account whenever it has changed, until the task is dropped.
 pub async fn save_periodically(core: Rc<Core>, file: PathBuf) {
-    let mut last = None;
+    let mut saved = None;
     loop {
         Timer::after(SAVE_INTERVAL).await;
         let now = core.with_engine(|e| e.zones().map(|z| z.with(|z| z.account().save().lines)));
-        if now != last {
+        if now != saved {
             save(&core, file.clone()).await;
-            last = now;
+            saved = now;
         }
     }
 }
@@ -128,14 +129,14 @@
     use super::*;
 
     #[test]
-    fn a_ledger_is_read_as_it_was_written_and_a_damaged_one_is_told() {
+    fn ledger_survives_a_round_trip_and_damage_is_detected() {
         let folder = std::env::temp_dir().join(format!("fawnrouter-ledger-{}", std::process::id()));
         fs::create_dir_all(&folder).expect("a folder");
         let file = folder.join("account");
         assert!(matches!(read(&file), Err(LedgerError::Io(e)) if e.kind() == io::ErrorKind::NotFound));
         let ledger = Ledger { own: "kochi".into(), classes: vec!["check".into()], ..Ledger::default() };
         write(&file, &ledger).expect("written");
-        assert_eq!(read(&file).expect("sound"), ledger);
+        assert_eq!(read(&file).expect("valid"), ledger);
         let text = fs::read_to_string(&file).expect("text");
         for damaged in [text.replacen("kochi", "kocha", 1), text[..text.len() - 3].to_owned(), String::new()]
         {
--- a/crates/fawnrouterd/src/lib.rs
+++ b/crates/fawnrouterd/src/lib.rs
@@ -1,8 +1,8 @@
 #![forbid(unsafe_code)]
-//! The daemon: thin drivers on async-io around the engine. One thread, one event core.
+//! The daemon: I/O drivers on async-io around the engine, on a single thread.
 //!
-//! Drivers decide how bytes move and nothing else: they read, feed a codec, call the engine, write what it says and
-//! wake it when it asks. Every buffer has a limit from the settings; beyond it a connection is closed.
+//! Drivers only move bytes: they read, feed a codec, pass messages to the engine, write its outputs and run
+//! its timer. Every buffer has a limit from the settings; a connection that exceeds it is closed.
 
 mod accept;
 mod buffer_share;
--- a/crates/fawnrouterd/src/log.rs
+++ b/crates/fawnrouterd/src/log.rs
@@ -1,4 +1,4 @@
-//! Structured logs on standard error, and a span for each call.
+//! Structured logging to standard error, with a span per call.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use fawnrouter_engine::fawnrouter::CallId;
 use tracing::Level;
 
-/// Starts logging; a second start in the same process changes nothing.
+/// Starts logging. Later calls in the same process have no effect.
 pub fn start(log: &Log) {
     let level = match log.level {
         LogLevel::Error => Level::ERROR,
@@ -25,14 +25,15 @@
     };
 }
 
-/// The spans of calls that are not over. Bounded by the engine's limit on calls: each ends with its call.
+/// Spans of the present calls. Their number is bounded by the engine's limit on calls, as each span ends with
+/// its call.
 #[derive(Debug, Default)]
 pub struct CallSpans {
     spans: BTreeMap<CallId, tracing::Span>,
 }
 
 impl CallSpans {
-    /// Logs a word about a call in its span.
+    /// Logs an event of a call in its span.
     pub fn record(&mut self, call: CallId, word: CallWord) {
         if let CallWord::Taken { call_id, class, number } = &word {
             let span = tracing::debug_span!("call", call_id = %call_id, class = %class, number = %number);
@@ -61,7 +62,7 @@
                 true
             }
         });
-        // An attempt's end may still be told after the answer; it then goes without its span.
+        // An attempt may end after the answer; that event is then not logged, as the span is gone.
         if over {
             self.spans.remove(&call);
         }
--- a/crates/fawnrouterd/src/machine_driver.rs
+++ b/crates/fawnrouterd/src/machine_driver.rs
@@ -1,4 +1,4 @@
-//! Feeds a state machine and wakes it when it asks for it. What its outputs mean is the front's affair.
+//! Feeds inputs to a state machine and runs its timer. The owner carries out the machine's outputs.
 
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
@@ -11,16 +11,17 @@
 
 use crate::clock::Clock;
 
-/// A wake-up that is this late says that the process stood still, or that much has come in.
+/// A wake-up later than this means that the process was suspended, or that much input has arrived.
 const LATE_WAKE_THRESHOLD: Duration = Duration::from_millis(3);
 
-/// A state machine with the clock and what wakes it.
+/// A state machine with its clock and timer.
 pub struct MachineDriver<M: Machine> {
     machine: RefCell<M>,
     outputs: RefCell<Vec<M::Output>>,
     pub clock: Clock,
-    /// For when the timer's task sleeps, and what wakes it for an earlier time.
+    /// Time until which the timer task sleeps.
     timer_due: Cell<Option<Time>>,
+    /// Wakes the timer task when an earlier time is due.
     timer_waker: Cell<Option<Waker>>,
 }
 
@@ -35,7 +36,8 @@
         }
     }
 
-    /// Gives the machine an input; `carry_out` does what it says, and gives it nothing meanwhile.
+    /// Gives the machine an input. `carry_out` is called with each output and must not give the machine
+    /// another input.
     pub fn input(&self, input: M::Input, mut carry_out: impl FnMut(Time, &M, M::Output)) {
         let now = self.clock.now();
         let mut machine = self.machine.borrow_mut();
@@ -52,12 +54,12 @@
         }
     }
 
-    /// Looks at the machine.
+    /// Calls `read` with the machine.
     pub fn with_machine<T>(&self, read: impl FnOnce(&M) -> T) -> T {
         read(&self.machine.borrow())
     }
 
-    /// Calls `wake` whenever the machine wants to be woken, for ever.
+    /// Calls `wake` whenever the machine's timer is due, until the task is dropped.
     pub async fn run_timer(&self, wake: impl Fn(M::Input)) {
         loop {
             let due = self.machine.borrow().next_wake();
@@ -83,8 +85,9 @@
             let Some(due) = self.machine.borrow().next_wake().filter(|due| *due <= self.clock.now()) else {
                 continue;
             };
-            // This process stood still: what lies in the sockets came before this time was due, or may have. One
-            // round through the reactor lets it be read first, so that no peer is blamed for our own stall.
+            // After a stall of this process, data waiting in the sockets may have arrived before the due
+            // time. One round through the reactor lets it be read first, so that no peer is taken for late
+            // because of the stall.
             if self.clock.now().since(due) > LATE_WAKE_THRESHOLD {
                 Timer::after(Duration::from_millis(1)).await;
                 futures_lite::future::yield_now().await;
--- a/crates/fawnrouterd/src/node/client.rs
+++ b/crates/fawnrouterd/src/node/client.rs
@@ -1,4 +1,4 @@
-//! One client's connection: lines in, lines out.
+//! A client connection, which carries JSON lines in both directions.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
@@ -11,21 +11,23 @@
 
 use super::gateway::{ClientConnection, Gateway};
 
-/// Lines of one connection that are handed on before the others have their turn.
+/// Most lines of one connection that are processed before other tasks run.
 const LINES_PER_TURN: usize = 8;
-/// What is still to be written at the end gets this long, and so does the client to end its side.
+/// How long remaining bytes may take to be written at the end, and then the client to close its side.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(300);
-/// Bytes that are read away at the end, so that the close does not turn into a reset that eats the last words.
+/// Most bytes read at the end, so that closing with unread data does not send a reset and lose the last
+/// lines.
 const MAX_DRAINED_BYTES: usize = 128 * 1024;
-/// What a connection beyond the gateway's share is told.
+/// Response to a connection beyond the gateway's share of descriptors.
 const NO_ROOM_RESPONSE: &[u8] =
     b"{\"verb\":\"FINISH\",\"opts\":{\"error\":\"no room for another connection\"},\"rc\":42}\n";
 
-/// Serves a connection that has been accepted. One beyond the gateway's share of descriptors is told so and ended: that
-/// share would be taken from the name server's, the configuration's or the core switches'.
+/// Serves an accepted connection. A connection beyond the share of descriptors for clients is refused,
+/// because it would take a descriptor reserved for the name server, the configuration or the core switches.
 pub fn serve(gateway: Rc<Gateway>, stream: Async<TcpStream>) {
     if !gateway.has_client_capacity() {
-        // Nothing has been written to it, so a short line fits; what it has sent is read, so that its close is no reset.
+        // Nothing has been written yet, so a short line fits into the socket's buffer. What the client has
+        // sent is read, so that closing does not send a reset.
         let mut socket = stream.get_ref();
         let _ = socket.write(NO_ROOM_RESPONSE);
         let _ = socket.read(&mut gateway.read_buffer.scratch.borrow_mut());
@@ -54,9 +56,10 @@
         outbox.aborted().await;
         false
     };
-    // Reading goes first: what is said to a caller that has ended is known to be unheard, and is not lost with it.
-    let in_order = future::or(future::or(reading, writing), future::or(late, aborted)).await;
-    if in_order && gateway.begin_closing() {
+    // Reading is polled first: once the caller has closed its side, lines to it are known to be undelivered,
+    // rather than lost in a write.
+    let written = future::or(future::or(reading, writing), future::or(late, aborted)).await;
+    if written && gateway.begin_closing() {
         let _ = stream.get_ref().shutdown(Shutdown::Write);
         future::or(drain_input(&gateway, client, &connection), async {
             Timer::after(CLOSE_TIMEOUT).await;
@@ -70,18 +73,20 @@
     gateway.count_client_task(false);
 }
 
-/// Takes what comes until the client's end. When the node lets go of the connection, what lies there is taken first: it
-/// was sent before the client could know.
+/// Processes input until the client closes its side. When the node closes the connection, input already
+/// received is processed first, as the client sent it before it could know.
 async fn serve_until_end(gateway: &Rc<Gateway>, client: ClientId, connection: &ClientConnection) {
     let mut final_read = false;
     loop {
         connection.input_pending.clear();
-        // At the end one look is the last, so that a client that goes on sending does not put it off.
+        // After a close request the socket is read only once more, so that a client that goes on sending does
+        // not delay the close.
         if !final_read {
             final_read = connection.close_requested.is_set();
             connection.reader.borrow_mut().fill(&gateway.read_buffer, connection.stream.get_ref());
         }
-        // Whoever has gone waits for nothing: that is known before the rest is looked at.
+        // A client that has closed its side waits for no answers; the node learns this before it processes
+        // the rest.
         if connection.reader.borrow_mut().take_end() {
             gateway.client_ended(client);
         }
@@ -107,7 +112,7 @@
     }
 }
 
-/// Hands some of what has been read on to the node; `false` if there was nothing.
+/// Passes some of the messages read to the node; `false` if there were none.
 fn forward_messages(gateway: &Rc<Gateway>, client: ClientId, connection: &ClientConnection) -> bool {
     let mut forwarded = false;
     for _ in 0..LINES_PER_TURN {
@@ -119,22 +124,23 @@
         });
     }
     if connection.reader.borrow().is_empty() {
-        let (fault, half) = {
+        let (fault, partial_line) = {
             let mut reader = connection.reader.borrow_mut();
             reader.release(&gateway.read_buffer);
             (reader.take_fault(), reader.take_partial_line_change())
         };
         if let Some(fault) = fault {
             gateway.input(Input::ClientFault { client, fault });
-        } else if let Some(half) = half {
+        } else if let Some(half) = partial_line {
             gateway.input(Input::ClientRead { client, half });
         }
     }
     forwarded
 }
 
-/// After this side's end, to the client's: releases that cross it still hold, all else has crossed a close and is sent again
-/// elsewhere. What cannot be read is read away all the same.
+/// After this side is closed, reads until the client closes its side. Releases that crossed the close still
+/// count; everything else is sent again elsewhere. Input that cannot be decoded is read and
+/// discarded.
 async fn drain_input(gateway: &Rc<Gateway>, client: ClientId, connection: &ClientConnection) {
     let mut left = MAX_DRAINED_BYTES;
     while left > 0 {
--- a/crates/fawnrouterd/src/node/config.rs
+++ b/crates/fawnrouterd/src/node/config.rs
@@ -1,4 +1,4 @@
-//! The configuration file and the variables that the platform sets.
+//! The configuration file and the environment variables set by the platform.
 
 use std::path::PathBuf;
 
@@ -7,39 +7,39 @@
 /// Why the configuration cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error(
         "{file}: cannot be read: {error}; set BALANCER_CONFIG or --config to the gateway's configuration"
     )]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         file: String,
-        /// Why.
+        /// The cause.
         error: std::io::Error,
     },
-    /// It is wrong.
+    /// The content is invalid.
     #[error("{file}: {error}")]
     Invalid {
-        /// The file.
+        /// Path of the file.
         file: String,
-        /// What is wrong.
+        /// The error in it.
         error: BootError,
     },
-    /// A variable disagrees with it.
+    /// An environment variable contradicts the file.
     #[error(
         "{variable} is {found}, and the configuration says {wanted}; make them agree or unset the variable"
     )]
     EnvironmentMismatch {
-        /// Which.
+        /// Name of the variable.
         variable: &'static str,
-        /// What it says.
+        /// Its value.
         found: String,
-        /// What the file says.
+        /// The value in the file.
         wanted: String,
     },
 }
 
-/// Where the configuration is read from, at the start and at each SIGHUP.
+/// The configuration file, which is read at the start and at each SIGHUP.
 pub struct ConfigSource {
     path: PathBuf,
 }
@@ -49,7 +49,7 @@
         Self { path }
     }
 
-    /// Reads and checks the whole file.
+    /// Reads and validates the file.
     pub fn read(&self) -> Result<Boot, ConfigError> {
         let file = || self.path.display().to_string();
         let text =
@@ -57,7 +57,8 @@
         Boot::read(&text).map_err(|error| ConfigError::Invalid { file: file(), error })
     }
 
-    /// The platform tells name and address twice; where they differ, something is set up wrongly.
+    /// Checks the name and address in the environment, where set, against the configuration. A difference is
+    /// a mistake in the deployment.
     pub fn check_environment(&self, boot: &Boot) -> Result<(), ConfigError> {
         let expected = [("BALANCER_NAME", boot.name.clone()), ("BALANCER_LISTEN", boot.listen.to_string())];
         for (variable, wanted) in expected {
--- a/crates/fawnrouterd/src/node/gateway.rs
+++ b/crates/fawnrouterd/src/node/gateway.rs
@@ -1,4 +1,4 @@
-//! What the drivers share: the state machine and the connections that its outputs go to.
+//! State shared by the drivers: the state machine, and the connections that its outputs go to.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -17,35 +17,38 @@
 use crate::machine_driver::MachineDriver;
 use crate::outbox::Outbox;
 
-/// Bytes that may wait for one connection; a connection that does not read is given up beyond it. Four lines of the
-/// longest kind, or some hundred answers.
+/// Most unwritten bytes per connection; a peer that reads too slowly is disconnected beyond this. Room for four lines of
+/// the greatest length, or some hundred answers.
 const MAX_BACKLOG_BYTES: usize = 64 * 1024;
-/// Lines in the log a second; what is beyond is counted.
+/// Further lines in the same second are only counted.
 const MAX_LOG_LINES_PER_SECOND: u32 = 40;
 
-/// Opens a connection to a core switch. The gateway is told at its start who does that, so that it knows no driver.
+/// Opens a connection to a core switch. Passed to [`Gateway::new`], so that the gateway does not depend on a
+/// driver.
 pub type OpenLink = fn(Rc<Gateway>, LinkId, SocketAddr, Duration, Rc<Outbox>);
 
-/// A client's connection, for its driver.
+/// A client connection, as its driver uses it.
 pub struct ClientConnection {
     pub stream: Async<TcpStream>,
     pub outbox: Outbox,
-    /// What has been read of it.
+    /// Input that has been read and not yet processed.
     pub reader: RefCell<Reader>,
-    /// Something has been read beside the driver, which is to hand it on: the socket will not tell it.
+    /// Set when input was read outside the driver. The driver must process it, as the socket will not become
+    /// readable for it again.
     pub input_pending: Flag,
-    /// The node lets go of it: what has come is to be taken, what is said to be written, and then it is closed.
+    /// Set when the node closes the connection: input already received is still processed and the outbox is
+    /// written, before the socket is closed.
     pub close_requested: Flag,
 }
 
-/// What the gateway does next.
+/// The next step in processing an input and its consequences.
 enum Step {
     Input(Input),
-    /// Look at what a client has sent.
+    /// Check what a client has sent.
     CheckClient(ClientId),
 }
 
-/// Lines that went to the log in this second, and those that did not.
+/// Counts of log lines in the present second.
 #[derive(Default)]
 struct LogRate {
     second: u64,
@@ -53,17 +56,18 @@
     dropped: u64,
 }
 
+/// State shared by all tasks of the gateway.
 pub struct Gateway {
     pub driver: MachineDriver<Node>,
     clients: RefCell<BTreeMap<ClientId, Rc<ClientConnection>>>,
     links: RefCell<BTreeMap<LinkId, Rc<Outbox>>>,
     next_client: Cell<u64>,
-    /// Where reads go.
+    /// Read buffer of all connections.
     pub read_buffer: ReadBuffer,
     pub nameserver: Cell<SocketAddr>,
-    /// Clients' connections that are being closed in order, and how many may be at once.
+    /// Client connections in a graceful close.
     closing: Cell<usize>,
-    /// Clients' connections that a task still serves or closes.
+    /// Client connections that a task still serves or closes.
     client_tasks: Cell<usize>,
     shares: Shares,
     open_link: OpenLink,
@@ -97,15 +101,15 @@
         })
     }
 
-    /// Runs a task beside the others. The tasks hold the gateway and the executor holds the tasks, so the gateway holds the
-    /// executor weakly: all go when the gateway ends.
+    /// Spawns a task. The executor owns the tasks and the tasks own the gateway, so the gateway refers to the executor
+    /// weakly; otherwise nothing would be freed when the gateway ends.
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         if let Some(executor) = self.executor.upgrade() {
             executor.spawn(task).detach();
         }
     }
 
-    /// A number and an outbox for a client that has connected.
+    /// Registers a client that has connected.
     pub fn add_client(&self, stream: Async<TcpStream>) -> (ClientId, Rc<ClientConnection>) {
         self.next_client.set(self.next_client.get() + 1);
         let client = ClientId(self.next_client.get());
@@ -120,16 +124,18 @@
         (client, connection)
     }
 
-    /// Whether there is room for one more connection of a client's, its way out included.
+    /// Whether one more client connection can be served, its graceful close included.
     pub fn has_client_capacity(&self) -> bool {
         self.client_tasks.get() < self.shares.callers()
     }
 
-    /// A client has ended its side, or its connection cannot be written to: what has not been said will not be heard.
+    /// A client has closed its side, or its connection cannot be written to: lines not yet written are
+    /// undeliverable.
     pub fn client_ended(self: &Rc<Self>, client: ClientId) {
         self.remove_client(client).into_iter().for_each(|input| self.input(input));
     }
 
+    /// Removes a client. Returns the inputs that report its end and its undelivered lines.
     fn remove_client(&self, client: ClientId) -> Vec<Input> {
         let connection = self.clients.borrow_mut().remove(&client);
         let undelivered = connection.into_iter().flat_map(|connection| connection.outbox.unwritten_marks());
@@ -137,18 +143,18 @@
         std::iter::once(Input::ClientEnded { client }).chain(undelivered).collect()
     }
 
-    /// A client's connection takes nothing more.
+    /// A client connection is closed in both directions.
     pub fn client_closed(self: &Rc<Self>, client: ClientId) {
         self.client_ended(client);
         self.input(Input::ClientDown { client });
     }
 
-    /// Whether this is still a connection of the gateway's.
+    /// Whether this connection to a core switch is still in use.
     pub fn has_link(&self, link: LinkId) -> bool {
         self.links.borrow().contains_key(&link)
     }
 
-    /// Gives the node an input and carries out what it says, and what follows from that.
+    /// Gives the node an input, carries out its outputs, and processes the inputs that result from them.
     pub fn input(self: &Rc<Self>, input: Input) {
         let mut next = VecDeque::from([Step::Input(input)]);
         while let Some(step) = next.pop_front() {
@@ -159,9 +165,9 @@
         }
     }
 
-    /// Looks whether a client has given something up, or has gone, before anything goes out that depends on it. Guards
-    /// against set-ups for callers, and answers to them, who had left while this process did other things: the order in
-    /// which sockets are found readable is not that in which their bytes came.
+    /// Checks whether a client has given up a call or closed its connection before a line that depends on it
+    /// goes out. Otherwise set-ups and answers could be sent for callers who left while this process did
+    /// other things, because sockets do not become readable in the order in which their data arrived.
     fn check_client(&self, client: ClientId, next: &mut VecDeque<Step>) {
         let Some(connection) = self.clients.borrow().get(&client).cloned() else { return };
         let mut reader = connection.reader.borrow_mut();
@@ -179,6 +185,7 @@
         }
     }
 
+    /// Gives the node an input and carries out its outputs. Resulting steps are appended to `next`.
     fn process_input(self: &Rc<Self>, input: Input, next: &mut VecDeque<Step>) {
         let mut opened = Vec::new();
         self.driver.input(input, |now, _, output| match output {
@@ -223,9 +230,9 @@
                 }
             }
             Output::Recall { link } => {
-                let back = self.links.borrow().get(&link).map(|outbox| outbox.remove_all_unwritten());
-                let back = back.into_iter().flatten();
-                next.extend(back.map(|mark| Step::Input(Input::Recalled { link, tag: Tag(mark) })));
+                let removed = self.links.borrow().get(&link).map(|outbox| outbox.remove_all_unwritten());
+                let marks = removed.into_iter().flatten();
+                next.extend(marks.map(|mark| Step::Input(Input::Recalled { link, tag: Tag(mark) })));
             }
             Output::CloseLink { link } => self.drop_link(link),
             Output::Log(line) => self.log_limited(now, &line),
@@ -238,8 +245,8 @@
         }
     }
 
-    /// Nothing new is written to this core switch's connection: set-ups that have not begun count as ended, and their
-    /// calls may go elsewhere. What gives up or releases others is written.
+    /// Closes the connection to a core switch. Set-ups of which nothing is written yet count as ended, so
+    /// that their calls may go elsewhere; cancels and releases of others are still written.
     pub fn drop_link(&self, link: LinkId) {
         if let Some(outbox) = self.links.borrow_mut().remove(&link) {
             outbox.remove_all_unwritten();
@@ -247,39 +254,40 @@
         }
     }
 
-    /// Wakes the node when it asks for it, for ever.
+    /// Runs the node's timer until the task is dropped.
     pub async fn run_node_timer(self: &Rc<Self>) {
         self.driver.run_timer(|input| self.input(input)).await;
     }
 
-    /// Ends when nothing is owed any more after a signal to end.
+    /// Waits until the node has answered everything after a signal to end.
     pub async fn done(&self) {
         self.done.wait().await;
     }
 
-    /// One more connection is being closed in order; `false` if too many are.
+    /// Starts a graceful close; `false` if too many are under way.
     pub fn begin_closing(&self) -> bool {
-        let room = self.closing.get() < self.shares.closing;
-        self.closing.set(self.closing.get() + usize::from(room));
-        room
+        let allowed = self.closing.get() < self.shares.closing;
+        self.closing.set(self.closing.get() + usize::from(allowed));
+        allowed
     }
 
+    /// A graceful close has ended.
     pub fn end_closing(&self) {
         self.closing.set(self.closing.get().saturating_sub(1));
     }
 
-    /// A task serves one more client's connection, or one less.
-    pub fn count_client_task(&self, more: bool) {
+    /// Counts a task that starts (`true`) or ends (`false`) serving a client connection.
+    pub fn count_client_task(&self, started: bool) {
         let client_tasks = self.client_tasks.get();
-        self.client_tasks.set(if more { client_tasks + 1 } else { client_tasks.saturating_sub(1) });
+        self.client_tasks.set(if started { client_tasks + 1 } else { client_tasks.saturating_sub(1) });
     }
 
-    /// Whether something waits to be written, or a client's connection is not closed yet.
+    /// Whether a client connection is not closed yet, or bytes wait to be written to a core switch.
     pub fn has_open_work(&self) -> bool {
         self.client_tasks.get() > 0 || self.links.borrow().values().any(|o| o.backlog() > 0)
     }
 
-    /// A line for the operators, unless there were too many in this second.
+    /// Logs a line, unless too many were logged in this second.
     pub fn log_limited(&self, now: Time, line: &str) {
         let rate = &mut *self.log.borrow_mut();
         let second = now.0.as_secs();
@@ -297,7 +305,7 @@
         }
     }
 
-    /// A line of counts for the log.
+    /// Logs the line of counts.
     pub fn log_counts(&self) {
         let (c, held) = self.driver.with_machine(|node| (node.counters(), node.held()));
         let [open, standing, clients, links, switches] = held;
--- a/crates/fawnrouterd/src/node/listener.rs
+++ b/crates/fawnrouterd/src/node/listener.rs
@@ -1,4 +1,4 @@
-//! Takes clients' connections from the kernel. Who keeps a seat is decided by the node.
+//! Accepts client connections. The node decides which of them are kept.
 
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
@@ -9,17 +9,19 @@
 
 use super::gateway::Gateway;
 
-/// Serves one connection. The listener is told at its start who does that.
+/// Serves one connection. Passed to the listener, so that it does not depend on a driver.
 pub type ServeConnection = fn(Rc<Gateway>, Async<TcpStream>);
 
-/// After an accept that failed for want of descriptors or memory: others must end first.
+/// Pause after an accept failed for lack of descriptors or memory, as others must end first.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Turns of the other tasks that a newcomer waits for room: being told, flushed and closed takes one each.
+/// How often a new connection yields to the other tasks while it waits for capacity. A connection that makes
+/// room takes one turn each to be notified, flushed and closed.
 const MAX_YIELDS_FOR_CAPACITY: usize = 8;
-/// Connections that are taken from the kernel's queue at the end at the most: more than it holds (`somaxconn`, 4096).
+/// Most connections accepted from the listen queue at shutdown; more than the queue holds (`somaxconn`,
+/// 4096).
 const MAX_FINAL_ACCEPTS: usize = 5000;
 
-/// Accepts for ever.
+/// Accepts connections until the task is dropped.
 pub async fn accept(gateway: Rc<Gateway>, listener: Rc<Async<TcpListener>>, serve: ServeConnection) {
     loop {
         match listener.accept().await {
@@ -27,8 +29,8 @@
                 wait_for_capacity(&gateway).await;
                 serve(gateway.clone(), stream);
             }
-            // What goes wrong with one connection before it is accepted concerns that one only (accept(2)); the
-            // pause is for the other errors and does no harm to this one.
+            // accept(2) also reports errors of the pending connection, which concern that connection only.
+            // The pause is meant for the other errors and does no harm here.
             Err(error) => {
                 gateway.log_limited(
                     gateway.driver.clock.now(),
@@ -41,7 +43,8 @@
     }
 }
 
-/// Connections that had to make room are gone within a few turns, unless they hold what they are told.
+/// Waits for capacity. Connections that make room are gone within a few turns, unless their clients do not
+/// read the notification.
 async fn wait_for_capacity(gateway: &Gateway) {
     for _ in 0..MAX_YIELDS_FOR_CAPACITY {
         if gateway.has_client_capacity() {
@@ -51,8 +54,9 @@
     }
 }
 
-/// Takes what lies in the kernel's queue, and closes the listener. Who connected before the end may have sent a set-up,
-/// which counts as taken; a listener closed over it would reset it.
+/// Accepts the connections in the listen queue, and closes the listener. Clients that connected before the
+/// shutdown may have sent a set-up, which counts as accepted; closing the listener first would reset their
+/// connections.
 pub async fn accept_remaining(
     gateway: &Rc<Gateway>,
     listener: Rc<Async<TcpListener>>,
--- a/crates/fawnrouterd/src/node/mod.rs
+++ b/crates/fawnrouterd/src/node/mod.rs
@@ -1,7 +1,7 @@
-//! The gateway on the users' platform: thin drivers around [`fawnrouter_node::Node`], one file each.
+//! The gateway on the platform: I/O drivers around [`fawnrouter_node::Node`], one module each.
 //!
-//! A byte of a set-up goes `client` → `Decoder` → `Message` → `Node::handle` → `Controller` → `gateway` → `Outbox` →
-//! `trunk`. Drivers know the [`gateway::Gate`] and never each other.
+//! A set-up passes through `client` → `Decoder` → `Message` → `Node::handle` → `Controller` → `gateway` → `Outbox` →
+//! `trunk`. Drivers depend on [`gateway::Gateway`] and not on each other.
 
 mod client;
 mod config;
@@ -28,37 +28,37 @@
 pub use config::{ConfigError, ConfigSource};
 use gateway::Gateway;
 
-/// Why the gateway cannot run. Each text names what is wrong and what to do.
+/// Why the gateway cannot run. Each message says what is wrong and how to correct it.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeError {
-    /// The configuration.
+    /// The configuration is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The address cannot be listened on.
+    /// Listening on the address failed.
     #[error(
         "listen: cannot listen on {address}: {error}; free the address or change it in the configuration"
     )]
     Listen {
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
-        /// Why.
+        /// The cause.
         error: io::Error,
     },
-    /// Signals cannot be caught.
+    /// Installing the signal handlers failed.
     #[error("cannot catch signals: {0}")]
     Signals(io::Error),
-    /// The decisions refuse the settings.
+    /// The decision module rejects the settings.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
 }
 
-/// Last bytes get this long to be written at the end, and callers to end their side.
+/// How long remaining bytes may take to be written at shutdown, and callers to close their side.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Runs a gateway until SIGTERM or SIGINT and the end of what it has taken.
+/// Runs a gateway until SIGTERM or SIGINT, and then until every accepted set-up has ended.
 ///
 /// # Errors
-/// Where it cannot start.
+/// If it cannot start.
 pub fn run(path: PathBuf) -> Result<(), NodeError> {
     let source = ConfigSource::new(path);
     let boot = source.read()?;
@@ -82,7 +82,8 @@
         let listening = executor.spawn(listener::accept(gateway.clone(), listener.clone(), client::serve));
         gateway.done().await;
         drop(listening);
-        // Who comes from now on is refused the connection, which proves that nothing was taken.
+        // Later connections are refused by the kernel, which tells clients that nothing of theirs was
+        // accepted.
         listener::accept_remaining(&gateway, listener, client::serve).await;
         let flushed = async {
             while gateway.has_open_work() {
--- a/crates/fawnrouterd/src/node/nameserver.rs
+++ b/crates/fawnrouterd/src/node/nameserver.rs
@@ -1,4 +1,4 @@
-//! Asks the name server for the list, for ever.
+//! Queries the name server for the list of core switches.
 
 use std::io;
 use std::net::{Ipv4Addr, Ipv6Addr, SocketAddr, UdpSocket};
@@ -11,23 +11,23 @@
 
 use super::gateway::Gateway;
 
-/// "Answers run to at most 8,000 bytes"; a longer datagram is cut and then does not read.
+/// Answers have at most 8,000 bytes by specification. A longer datagram is truncated and fails to parse.
 const MAX_ANSWER_BYTES: usize = 9000;
 
-/// After a socket that could not be had or used.
+/// Pause after a socket could not be opened or used.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Asks for ever. A new address is asked through a new socket, which is had before the old one is let go; a socket that
-/// fails is replaced.
+/// Queries the name server until the task is dropped. A new address of the server gets a new socket, opened
+/// before the old one is closed; a socket that fails is replaced.
 pub async fn poll_nameserver(gateway: Rc<Gateway>) {
     let mut current = None;
     loop {
         let server = gateway.nameserver.get();
-        let query = match open_socket(server) {
+        let polled = match open_socket(server) {
             Ok(socket) => poll_server(&gateway, server, current.insert(socket)).await,
             Err(error) => Err(error),
         };
-        if let Err(error) = query {
+        if let Err(error) = polled {
             gateway.log_limited(
                 gateway.driver.clock.now(),
                 &format!("the name server at {server} cannot be asked: {error}"),
@@ -37,7 +37,7 @@
     }
 }
 
-/// A socket for one name server: only its datagrams are received.
+/// Opens a socket connected to one name server, so that only datagrams of this server are received.
 fn open_socket(server: SocketAddr) -> io::Result<Async<UdpSocket>> {
     let any = match server {
         SocketAddr::V4(_) => SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)),
@@ -48,7 +48,7 @@
     Ok(socket)
 }
 
-/// Asks one name server until another is to be asked.
+/// Queries one name server until its address changes.
 async fn poll_server(gateway: &Rc<Gateway>, server: SocketAddr, socket: &Async<UdpSocket>) -> io::Result<()> {
     let mut ask = Ask::new();
     let mut buffer = vec![0; MAX_ANSWER_BYTES];
@@ -56,7 +56,7 @@
         let mut id = [0; 2];
         getrandom::fill(&mut id).map_err(|e| io::Error::other(e.to_string()))?;
         let query = ask.ask(gateway.driver.clock.now(), u16::from_ne_bytes(id));
-        // A refusal of the last datagram may be told here; the next question is asked all the same.
+        // Sending may report an ICMP error of the previous datagram, which does not prevent further queries.
         let _ = socket.send(&query.datagram).await;
         let next = gateway.driver.clock.instant(query.next);
         loop {
@@ -72,7 +72,7 @@
                     Err(error) => gateway
                         .log_limited(gateway.driver.clock.now(), &format!("a datagram is not used: {error}")),
                 },
-                // Nobody listens there just now (ICMP): wait for the next question's time.
+                // Nothing listens at the address at present (ICMP): wait until the next query is due.
                 Some(Err(_)) => {
                     Timer::at(next).await;
                     break;
--- a/crates/fawnrouterd/src/node/reader.rs
+++ b/crates/fawnrouterd/src/node/reader.rs
@@ -1,4 +1,4 @@
-//! What has been read of a client's connection and not looked at yet.
+//! Input of a client connection that has been read and not yet processed.
 
 use std::cell::{Cell, RefCell};
 use std::io::{ErrorKind, Read};
@@ -7,12 +7,15 @@
 use fawnrouter_node::jsonl::{Decoder, Fault, Message};
 use fawnrouter_node::{Intake, Next};
 
-/// Bytes of one connection that are read before any of them is handed on: five hundred set-ups and what gives them up.
+/// Most bytes of one connection that are read before they are processed; room for five hundred set-ups and
+/// their cancels.
 const MAX_READ_AHEAD_BYTES: usize = 256 * 1024;
-/// The same over all connections; beyond it a connection reads on once its own have been handed on.
+/// The same over all connections. Beyond this, a connection reads again once its own bytes have been
+/// processed.
 const MAX_TOTAL_READ_AHEAD_BYTES: usize = 1024 * 1024;
 
-/// One buffer for all connections, as nothing awaits while it holds something, and how much lies read.
+/// Read buffer of all connections, with the number of bytes read ahead. One buffer suffices, because no task
+/// awaits while it holds data.
 pub struct ReadBuffer {
     pub scratch: RefCell<Vec<u8>>,
     read_ahead_bytes: Cell<usize>,
@@ -24,25 +27,26 @@
     }
 }
 
-/// What has been read of a connection.
+/// Reads and decodes the input of one connection.
 #[derive(Default)]
 pub struct Reader {
     decoder: Decoder,
     intake: Intake,
-    /// Bytes behind what the intake holds.
+    /// Bytes read and not yet released.
     read_ahead_bytes: usize,
-    /// The client's end, or a reset.
+    /// The client has closed its side, or the connection was reset.
     ended: bool,
     end_reported: bool,
     fault: Option<Fault>,
     fault_reported: bool,
-    /// Something was read since the node last heard whether part of a line lies there, and whether one did then.
+    /// Something was read since a change of `partial_line` was last determined.
     read: bool,
+    /// Whether part of a line was buffered then.
     partial_line: bool,
 }
 
 impl Reader {
-    /// Reads what lies in the socket, within limits.
+    /// Reads what the socket has received, within limits.
     pub fn fill(&mut self, buffer: &ReadBuffer, mut socket: &TcpStream) {
         while !self.ended
             && self.fault.is_none()
@@ -67,7 +71,7 @@
         }
     }
 
-    /// Adds bytes that have been read.
+    /// Decodes bytes that have been read.
     pub fn push(&mut self, bytes: &[u8]) {
         if self.fault.is_some() {
             return;
@@ -78,13 +82,13 @@
             match self.decoder.next_message() {
                 Ok(Some(message)) => self.intake.push(message),
                 Ok(None) => return,
-                // Nothing behind it can be trusted.
+                // Bytes after an invalid line cannot be interpreted.
                 Err(fault) => return self.fault = Some(fault),
             }
         }
     }
 
-    /// The client's end, told once.
+    /// Whether the client has closed its side; `true` only once.
     pub fn take_end(&mut self) -> bool {
         self.ended && !std::mem::replace(&mut self.end_reported, true)
     }
@@ -93,12 +97,12 @@
         self.ended
     }
 
-    /// The next message that ends a call set up before.
+    /// Takes the next message that ends a call set up earlier, ahead of the others.
     pub fn next_call_end(&mut self) -> Option<Message> {
         self.intake.take_end()
     }
 
-    /// The next of all.
+    /// Takes the next message.
     pub fn next(&mut self) -> Option<Next> {
         self.intake.take()
     }
@@ -107,12 +111,12 @@
         self.intake.is_empty()
     }
 
-    /// Whether something has been read that is to be handed on or told.
+    /// Whether input has been read that is still to be processed or reported.
     pub fn has_unprocessed_input(&self) -> bool {
         self.read || self.ended || !self.intake.is_empty()
     }
 
-    /// Once all messages have been handed on: a fault, told once.
+    /// Takes a decoding error, once all messages before it have been processed. Reported only once.
     pub fn take_fault(&mut self) -> Option<Fault> {
         if std::mem::replace(&mut self.fault_reported, self.fault.is_some()) {
             None
@@ -125,15 +129,16 @@
         self.fault_reported
     }
 
-    /// Once all messages have been handed on: whether part of a line lies there, if that is news.
+    /// Once all messages have been processed: whether part of a line is buffered, if more was read since the
+    /// last call and a part is or was buffered.
     pub fn take_partial_line_change(&mut self) -> Option<bool> {
-        let lies = self.decoder.held() > 0;
-        let before = std::mem::replace(&mut self.partial_line, lies);
-        let news = std::mem::take(&mut self.read) && !self.ended && self.fault.is_none();
-        (news && (lies || before)).then_some(lies)
+        let partial_line = self.decoder.held() > 0;
+        let before = std::mem::replace(&mut self.partial_line, partial_line);
+        let has_read = std::mem::take(&mut self.read) && !self.ended && self.fault.is_none();
+        (has_read && (partial_line || before)).then_some(partial_line)
     }
 
-    /// What was read has been handed on, or will not be.
+    /// Gives up the read-ahead budget: what was read has been processed, or never will be.
     pub fn release(&mut self, buffer: &ReadBuffer) {
         buffer
             .read_ahead_bytes
--- a/crates/fawnrouterd/src/node/signals.rs
+++ b/crates/fawnrouterd/src/node/signals.rs
@@ -1,4 +1,4 @@
-//! Signals: SIGHUP has the configuration read anew, SIGTERM and SIGINT end the gateway.
+//! Signals: SIGHUP reloads the configuration, SIGTERM and SIGINT end the gateway.
 
 use std::rc::Rc;
 
@@ -9,14 +9,14 @@
 use super::config::ConfigSource;
 use super::gateway::Gateway;
 
-/// Heeds signals for ever.
+/// Handles signals until the task is dropped.
 pub async fn handle_signals(gateway: Rc<Gateway>, mut signals: Signals, source: ConfigSource) {
     while let Some(signal) = signals.next().await {
         match signal {
             Ok(Signal::Hup) => reload(&gateway, &source),
             Ok(_) => {
                 gateway
-                    .log_limited(gateway.driver.clock.now(), "ending: what was taken gets its answer first");
+                    .log_limited(gateway.driver.clock.now(), "ending: accepted set-ups are answered first");
                 gateway.input(Input::Stop);
             }
             Err(error) => tracing::warn!("a signal was lost: {error}"),
@@ -24,8 +24,8 @@
     }
 }
 
-/// Takes a new configuration whole, or keeps the old one. The name server's address and the list can change while
-/// the gateway runs; calls and connections stay as they are.
+/// Applies a new configuration as a whole, or keeps the old one. Only the name server's address and the list
+/// of switches can change while the gateway runs; calls and connections are not affected.
 fn reload(gateway: &Rc<Gateway>, source: &ConfigSource) {
     match source.read() {
         Ok(boot) => {
--- a/crates/fawnrouterd/src/node/trunk.rs
+++ b/crates/fawnrouterd/src/node/trunk.rs
@@ -1,4 +1,4 @@
-//! One connection to a core switch: lines out, lines in.
+//! A connection to a core switch, which carries JSON lines in both directions.
 
 use std::io::{ErrorKind, Read};
 use std::net::{SocketAddr, TcpStream};
@@ -13,10 +13,10 @@
 use super::gateway::Gateway;
 use crate::outbox::Outbox;
 
-/// What is still to be written to a connection that is closed gets this long.
+/// How long remaining bytes may take to be written when a connection is closed.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Begins a connection.
+/// Starts opening a connection.
 pub fn open(gateway: Rc<Gateway>, link: LinkId, address: SocketAddr, within: Duration, outbox: Rc<Outbox>) {
     gateway.spawn(connect_and_serve(gateway.clone(), link, address, within, outbox));
 }
@@ -33,7 +33,7 @@
         Timer::after(within).await;
         Err(ErrorKind::TimedOut)
     };
-    // The node may drop it before it is up.
+    // The node may drop the connection before it is established.
     let dropped = async {
         outbox.finished().await;
         Err(ErrorKind::Interrupted)
@@ -66,7 +66,7 @@
     future::or(future::or(writing, read(gateway, link, stream)), ends).await;
 }
 
-/// Reads until the core switch's end, or until what it sends is no message.
+/// Reads until the core switch closes the connection or sends an invalid message.
 async fn read(gateway: &Rc<Gateway>, link: LinkId, stream: &Async<TcpStream>) {
     let mut decoder = Decoder::new();
     loop {
--- a/crates/fawnrouterd/src/outbox.rs
+++ b/crates/fawnrouterd/src/outbox.rs
@@ -1,4 +1,4 @@
-//! Bytes that wait to be written to one connection, with a limit.
+//! The bounded write queue of one connection.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -11,16 +11,20 @@
 
 use crate::buffer_share::BufferShare;
 
+/// Capacity in bytes that an empty buffer keeps for reuse.
+const MAX_RETAINED_CAPACITY: usize = 64 * 1024;
+
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Open,
-    /// Nothing more is taken; what waits is written.
+    /// Accepts nothing more; queued bytes are still written.
     Finishing,
-    /// Nothing more is written.
+    /// Writes nothing more.
     Aborted,
 }
 
-/// A part of what waits, by its place in all that has been pushed and not taken back.
+/// A removable part of the queue. `start` counts all bytes pushed and not removed since the connection was
+/// opened.
 #[derive(Clone, Copy, Debug)]
 struct MarkedRange {
     mark: u64,
@@ -28,20 +32,21 @@
     len: u64,
 }
 
-/// The queue of one connection. The writer may be dropped at any await and begun again.
+/// The write queue of one connection. The future of [`Outbox::write_to`] may be dropped at any await and
+/// started anew.
 pub struct Outbox {
     queued: RefCell<Vec<u8>>,
-    /// What is being written, and from where on.
+    /// The bytes being written, of which those before `write_offset` are written.
     writing: RefCell<Vec<u8>>,
     write_offset: Cell<usize>,
     limit: usize,
     share: BufferShare,
-    /// Bytes written since the start.
+    /// Bytes written since the connection was opened.
     total_written: Cell<u64>,
-    /// What may be taken back while not a byte of it is written, in order.
+    /// Parts that can be removed as long as none of their bytes is written, in order.
     marked_ranges: RefCell<VecDeque<MarkedRange>>,
     state: Cell<State>,
-    /// Why it was ended, if somebody gave a reason.
+    /// Why the queue was finished, if a reason was given.
     reason: Cell<Option<&'static str>>,
     writer_waker: Cell<Option<Waker>>,
     abort_waker: Cell<Option<Waker>>,
@@ -49,12 +54,12 @@
 }
 
 impl Outbox {
-    /// An empty one that holds `limit` bytes.
+    /// Creates an empty queue for up to `limit` bytes.
     pub fn new(limit: usize) -> Self {
         Self::with_budget_share(limit, BufferShare::unlimited())
     }
 
-    /// One whose bytes count against a budget.
+    /// Creates an empty queue whose bytes also count against a budget.
     pub fn with_budget_share(limit: usize, share: BufferShare) -> Self {
         Self {
             queued: RefCell::default(),
@@ -72,8 +77,8 @@
         }
     }
 
-    /// Adds what `write` appends. Beyond the limit the connection is given up: a peer that does not read must not
-    /// take the memory of all others.
+    /// Adds the bytes that `write` appends. If that exceeds the limit, the connection is aborted: a peer that
+    /// does not read must not use up the memory of the others.
     pub fn push(&self, write: impl FnOnce(&mut Vec<u8>)) {
         if self.state.get() != State::Open {
             return;
@@ -88,7 +93,7 @@
         }
     }
 
-    /// As [`Outbox::push`]; what is added can be taken back by its mark while not a byte of it is written.
+    /// As [`Outbox::push`], but the bytes can be removed by their mark as long as none of them is written.
     pub fn push_marked(&self, mark: u64, bytes: &[u8]) {
         let (start, len) = (self.total_written.get() + self.backlog() as u64, bytes.len() as u64);
         let mut marked_ranges = self.marked_ranges.borrow_mut();
@@ -102,60 +107,60 @@
         self.push(|out| out.extend_from_slice(bytes));
     }
 
-    /// Takes back what was added last under this mark; `false` if a byte of it is written, or it is not there.
+    /// Removes the bytes last added under this mark; `false` if one of them is written, or the mark is
+    /// unknown.
     pub fn remove_unwritten(&self, mark: u64) -> bool {
         if self.state.get() == State::Aborted {
             return false;
         }
         let mut marked_ranges = self.marked_ranges.borrow_mut();
         let unwritten = |m: &MarkedRange| m.mark == mark && m.start >= self.total_written.get();
-        let Some(place) = marked_ranges.iter().rposition(unwritten) else { return false };
-        let Some(part) = marked_ranges.remove(place) else { return false };
-        marked_ranges.iter_mut().skip(place).for_each(|m| m.start -= part.len);
-        // Counted from the first byte that is not written; what is being written comes before what waits, and no part
-        // lies in both.
-        let start = (part.start - self.total_written.get()) as usize;
+        let Some(index) = marked_ranges.iter().rposition(unwritten) else { return false };
+        let Some(range) = marked_ranges.remove(index) else { return false };
+        marked_ranges.iter_mut().skip(index).for_each(|m| m.start -= range.len);
+        // Counted from the first unwritten byte. `writing` precedes `queued`, and no range lies in both.
+        let start = (range.start - self.total_written.get()) as usize;
         let (mut writing, mut queued) = (self.writing.borrow_mut(), self.queued.borrow_mut());
-        let ahead = writing.len() - self.write_offset.get();
-        let (queue, start) = if start < ahead {
+        let unwritten_len = writing.len() - self.write_offset.get();
+        let (buffer, start) = if start < unwritten_len {
             (&mut *writing, start + self.write_offset.get())
         } else {
-            (&mut *queued, start - ahead)
+            (&mut *queued, start - unwritten_len)
         };
-        queue.drain(start..start + part.len as usize);
+        buffer.drain(start..start + range.len as usize);
         drop((writing, queued));
         self.share.resize(self.backlog());
         true
     }
 
-    /// Takes back all that has a mark and of which not a byte is written; the marks, in order.
+    /// Removes all marked parts of which no byte is written. Returns their marks, in order.
     pub fn remove_all_unwritten(&self) -> Vec<u64> {
         let marks: Vec<u64> = self.marked_ranges.borrow().iter().map(|m| m.mark).collect();
         marks.into_iter().filter(|mark| self.remove_unwritten(*mark)).collect()
     }
 
-    /// The marks of which not a byte is written, in order; those of a connection that was given up among them.
+    /// Marks of the parts of which no byte is written, in order, even if the connection was aborted.
     pub fn unwritten_marks(&self) -> Vec<u64> {
         let total_written = self.total_written.get();
         self.marked_ranges.borrow().iter().filter(|m| m.start >= total_written).map(|m| m.mark).collect()
     }
 
-    /// Bytes that wait.
+    /// Number of bytes not yet written.
     pub fn backlog(&self) -> usize {
         self.queued.borrow().len() + self.writing.borrow().len() - self.write_offset.get()
     }
 
-    /// Bytes written since the start.
+    /// Number of bytes written since the connection was opened.
     pub fn written_bytes(&self) -> u64 {
         self.total_written.get()
     }
 
-    /// Whether it still takes bytes.
+    /// Whether the queue still accepts bytes.
     pub fn is_open(&self) -> bool {
         self.state.get() == State::Open
     }
 
-    /// Takes no more; the writer ends when all is written.
+    /// Accepts nothing more; the writer ends once all queued bytes are written.
     pub fn finish(&self) {
         if self.state.get() == State::Open {
             self.state.set(State::Finishing);
@@ -165,13 +170,13 @@
         }
     }
 
-    /// As [`Outbox::finish`], for a reason.
+    /// As [`Outbox::finish`], with a reason that [`Outbox::finished`] returns.
     pub fn finish_with_reason(&self, reason: &'static str) {
         self.reason.set(Some(reason));
         self.finish();
     }
 
-    /// Ends when nothing more is taken; with the reason, if there was one.
+    /// Waits until nothing more is accepted. Returns the reason, if one was given.
     pub async fn finished(&self) -> Option<&'static str> {
         poll_fn(|cx| {
             if self.state.get() != State::Open {
@@ -184,7 +189,7 @@
         self.reason.get()
     }
 
-    /// Drops what waits and ends the connection.
+    /// Discards the queue and ends the connection.
     pub fn abort(&self) {
         self.state.set(State::Aborted);
         self.queued.borrow_mut().clear();
@@ -197,7 +202,7 @@
         }
     }
 
-    /// Ends when the connection is given up.
+    /// Waits until the connection is aborted.
     pub async fn aborted(&self) {
         poll_fn(|cx| {
             if self.state.get() == State::Aborted {
@@ -209,7 +214,7 @@
         .await;
     }
 
-    /// Writes until there is nothing more to come.
+    /// Writes to the stream until the queue is finished and empty.
     pub async fn write_to(&self, stream: &Async<TcpStream>) -> io::Result<()> {
         loop {
             if self.write_offset.get() == self.writing.borrow().len() {
@@ -230,14 +235,14 @@
                     return Ok(());
                 }
                 std::mem::swap(&mut *self.queued.borrow_mut(), &mut *self.writing.borrow_mut());
-                // A connection that was busy once does not keep its memory for ever.
-                if self.queued.borrow().capacity() > 64 * 1024 {
+                // Releases the memory of a burst once it is written.
+                if self.queued.borrow().capacity() > MAX_RETAINED_CAPACITY {
                     *self.queued.borrow_mut() = Vec::new();
                 }
             }
             let wrote = stream
                 .write_with(|mut s| match &self.writing.borrow()[self.write_offset.get()..] {
-                    // All of it has been taken back meanwhile.
+                    // Everything was removed in the meantime.
                     [] => Ok(0),
                     rest => s.write(rest),
                 })
--- a/crates/fawnrouterd/src/report.rs
+++ b/crates/fawnrouterd/src/report.rs
@@ -1,4 +1,4 @@
-//! `fawnrouter report spill`: what went to other zones, as a table, as CSV, or drawn.
+//! `fawnrouter report spill`: calls to other zones, as a table, as CSV, or as an SVG chart.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -8,7 +8,7 @@
 
 use crate::ledger::Ledger;
 
-/// A cause in words.
+/// Text of a cause in reports.
 pub const fn cause_text(cause: Cause) -> &'static str {
     match cause {
         Cause::Pressed => "own zone pressed",
@@ -24,7 +24,8 @@
     ledger.classes.get(class as usize).map_or("(none)", String::as_str)
 }
 
-/// A line a class, pair of zones and cause, over the last minutes that are kept.
+/// A table of the last `minutes`: one line per class, pair of zones, trunk group and cause. Below it, the
+/// budgets.
 pub fn table(ledger: &Ledger, minutes: u64) -> String {
     let last = ledger.minutes.last().map_or(0, |m| m.minute);
     let mut sums: BTreeMap<(&str, &str, u32, &str), (u64, f64)> = BTreeMap::new();
@@ -63,7 +64,7 @@
     out
 }
 
-/// A field of CSV (RFC 4180).
+/// Quotes a CSV field if necessary (RFC 4180).
 fn csv_field(text: &str) -> String {
     if text.contains([',', '"', '\n', '\r']) {
         format!("\"{}\"", text.replace('"', "\"\""))
@@ -72,7 +73,7 @@
     }
 }
 
-/// A record a minute, class, zone and cause.
+/// CSV with one record per minute, class, zone, trunk group and cause.
 pub fn csv(ledger: &Ledger) -> String {
     let mut out = String::from("unix_s,class,from,to,trunk_group,cause,calls,cost\r\n");
     for minute in &ledger.minutes {
@@ -94,10 +95,10 @@
     out
 }
 
-/// Calls a minute to each zone over the minutes that are kept, as SVG.
+/// An SVG chart of the calls per minute to each zone.
 ///
 /// # Errors
-/// Where the library cannot draw it.
+/// If the drawing library fails.
 pub fn svg(ledger: &Ledger) -> Result<String, String> {
     let mut zones: BTreeMap<&str, BTreeMap<u64, u64>> = BTreeMap::new();
     for minute in &ledger.minutes {
@@ -166,7 +167,7 @@
     }
 
     #[test]
-    fn the_table_sums_the_minutes_asked_for() {
+    fn table_sums_the_requested_minutes() {
         let words = |text: &str| text.split_whitespace().collect::<Vec<_>>().join(" ");
         let all = words(&table(&ledger(), 60));
         assert!(all.contains("check kochi to north, far 5 own zone down 10 15.00"), "{all}");
@@ -174,14 +175,14 @@
     }
 
     #[test]
-    fn csv_has_a_record_a_kind_and_quotes_what_must_be() {
+    fn csv_has_one_record_per_kind_and_quotes_where_needed() {
         let text = csv(&ledger());
         assert_eq!(text.lines().count(), 5);
         assert!(text.contains("6000,check,kochi,\"north, far\",5,own zone down,4,6.000000\r\n"), "{text}");
     }
 
     #[test]
-    fn the_drawing_shows_each_zone_that_calls_went_to_and_an_empty_day_too() {
+    fn chart_shows_each_zone_that_received_calls_and_works_without_data() {
         let drawn = svg(&ledger()).expect("drawn");
         assert!(
             drawn.starts_with("<svg") && drawn.contains("north, far") && !drawn.contains("east"),
--- a/crates/fawnrouterd/src/run_error.rs
+++ b/crates/fawnrouterd/src/run_error.rs
@@ -1,4 +1,4 @@
-//! Why a gateway cannot start or run.
+//! Errors that keep the gateway from running.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,38 +7,38 @@
 use fawnrouter_admission::TooFew;
 use fawnrouter_engine::EngineError;
 
-/// Why the gateway cannot run.
+/// Why the gateway cannot start or run.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// The address cannot be listened on.
+    /// Listening on the address failed.
     #[error("cannot listen on {address}: {error}; free the port or change listen.address")]
     Listen {
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
-        /// Why.
+        /// The cause.
         error: io::Error,
     },
-    /// Signals cannot be caught.
+    /// Installing the signal handlers failed.
     #[error("cannot catch signals: {0}")]
     Signals(io::Error),
-    /// The limit of descriptors is too low.
+    /// The process's limit of file descriptors is too low.
     #[error(transparent)]
     Descriptors(#[from] TooFew),
-    /// The system has no random bytes.
-    #[error("the system gives no random bytes: {0}")]
+    /// The system's random number generator failed.
+    #[error("the system's random number generator failed: {0}")]
     Random(String),
-    /// The socket for operators cannot be made.
+    /// Creating the operators' control socket failed.
     #[error("{path}: cannot listen for operators: {error}; remove the file or change control.socket")]
     Control {
-        /// Where.
+        /// Path of the socket.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         error: io::Error,
     },
-    /// The admission of connections refuses the settings.
+    /// The settings of connection admission are invalid.
     #[error("admission: {0}")]
     Admission(#[from] fawnrouter_admission::SettingsError),
-    /// The decisions refuse the settings.
+    /// The engine rejects the settings.
     #[error(transparent)]
     Settings(#[from] EngineError),
 }
--- a/crates/fawnrouterd/src/serve.rs
+++ b/crates/fawnrouterd/src/serve.rs
@@ -1,4 +1,4 @@
-//! The gateway from start to end.
+//! Runs the gateway from start to shutdown.
 
 use std::net::{SocketAddr, TcpListener};
 use std::os::unix::net::UnixListener;
@@ -22,16 +22,17 @@
 use crate::run_error::RunError;
 use crate::{accept, control, ledger, trunk, watched_files};
 
-/// Last bytes get this long to be written at the end.
+/// How long remaining bytes may take to be written at shutdown.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
-/// Between two lines of counts in the log.
+/// Interval of the line of counts in the log.
 const COUNTS_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Runs a gateway until a signal; `folder` is where relative paths count from, `ready` is told where clients connect.
-/// `true` if it drained, `false` if it was cut short.
+/// Runs a gateway until a signal. Relative paths are resolved from `folder`; `ready` is called with the
+/// address and path that clients connect to. `true` if it drained, `false` if a second signal interrupted the
+/// drain.
 ///
 /// # Errors
-/// Where it cannot start.
+/// If it cannot start.
 pub fn run(
     settings: Settings,
     folder: PathBuf,
@@ -40,7 +41,7 @@
     run_with_engine(settings, folder, ready, Engine::new)
 }
 
-/// As [`run`], with an engine of the caller's making.
+/// As [`run`], with an engine created by the caller.
 ///
 /// # Errors
 /// As [`run`].
@@ -55,10 +56,10 @@
     let listener = Async::<TcpListener>::bind(address).map_err(listen)?;
     let bound = listener.get_ref().local_addr().map_err(listen)?;
     let mut signals = Signals::new([Signal::Term, Signal::Int]).map_err(RunError::Signals)?;
-    let words = settings.log.level >= fawnrouter_config::LogLevel::Debug;
+    let report_calls = settings.log.level >= fawnrouter_config::LogLevel::Debug;
     let key = random_key()?;
     let seed = u64::from_le_bytes(key[..8].try_into().unwrap_or_default());
-    let mut engine_settings = settings.engine_settings(seed, words);
+    let mut engine_settings = settings.engine_settings(seed, report_calls);
     engine_settings.auth = settings.auth_settings(key);
     let engine = engine(engine_settings)?;
     let descriptors = plan_descriptors(&settings)?;
@@ -85,7 +86,7 @@
     let executor = Rc::new(LocalExecutor::new());
     let core = Core::new(settings, engine, connection_admission, trunk::open, &executor);
     let all = async {
-        // One line a driver.
+        // The drivers.
         let mut tasks = vec![
             executor.spawn(watched_files::watch_switches(core.clone(), file)),
             executor.spawn(run_engine_timer(core.clone())),
@@ -112,23 +113,23 @@
                 true
             },
             async {
-                let cut = future::or(
+                let interrupted = future::or(
                     async {
                         Timer::after(time).await;
-                        "time for the drain is over"
+                        "drain timeout"
                     },
                     async {
                         signals.next().await;
                         "second signal"
                     },
                 );
-                let why = cut.await;
+                let reason = interrupted.await;
                 tracing::warn!(
                     left = core.with_engine(Engine::live_calls),
-                    "{why}: calls that are left are ended"
+                    "{reason}: remaining calls are ended"
                 );
                 core.input(Input::Stop);
-                why != "second signal"
+                reason != "second signal"
             },
         );
         let clean = clean.await;
@@ -152,7 +153,7 @@
     Ok(async_io::block_on(executor.run(all)))
 }
 
-/// Makes the socket for operators.
+/// Creates the control socket.
 fn listen_for_operators(path: PathBuf) -> Result<Async<UnixListener>, RunError> {
     control::listen(&path).map_err(|error| RunError::Control { path, error })
 }
@@ -172,18 +173,18 @@
     }
 }
 
-/// What may go wrong at the start, with the descriptors that are there.
+/// Divides the process's file descriptors between clients, switches, files and operators.
 fn plan_descriptors(settings: &Settings) -> Result<Descriptors, TooFew> {
     let limit = rustix::process::getrlimit(Resource::Nofile).current;
     let limit = limit.and_then(|n| usize::try_from(n).ok()).unwrap_or(usize::MAX / 2);
-    // Without a proc file system the usual number: the standard streams, the reactor's, the listener.
+    // Without /proc, assume the usual number: standard streams, the reactor's descriptors and the listener.
     let in_use = std::fs::read_dir("/proc/self/fd").map_or(16, Iterator::count);
     let control = if settings.control.is_some() { control::MAX_OPERATOR_CONNECTIONS + 1 } else { 0 };
     let files = 4;
     Descriptors::new(DescriptorSettings { limit, in_use, trunks: settings.trunk.descriptors, files, control })
 }
 
-/// Bytes that nobody can guess.
+/// Unpredictable bytes from the system's random number generator.
 fn random_key() -> Result<[u8; 32], RunError> {
     let mut key = [0; 32];
     getrandom::fill(&mut key).map_err(|error| RunError::Random(error.to_string()))?;
--- a/crates/fawnrouterd/src/trunk.rs
+++ b/crates/fawnrouterd/src/trunk.rs
@@ -1,4 +1,4 @@
-//! A connection to a switch: SIP over TCP (RFC 3261 §18).
+//! A connection to a core switch: SIP over TCP (RFC 3261 §18).
 
 use std::io::Read;
 use std::net::{SocketAddr, TcpStream};
@@ -16,12 +16,12 @@
 use crate::core::Core;
 use crate::outbox::Outbox;
 
-/// Begins a connection.
+/// Starts opening a connection.
 pub fn open(core: Rc<Core>, server: ServerId, address: SocketAddr, outbox: Rc<Outbox>) {
     core.spawn(connect_and_serve(core.clone(), server, address, outbox));
 }
 
-/// Opens the connection and serves it to its end.
+/// Opens a connection and serves it until it ends.
 async fn connect_and_serve(core: Rc<Core>, server: ServerId, address: SocketAddr, outbox: Rc<Outbox>) {
     let limit = Duration::from_millis(core.settings.trunk.connect_ms);
     let connecting = async { Async::<TcpStream>::connect(address).await.ok() };
@@ -57,11 +57,14 @@
             match decoder.next_chunk() {
                 Ok(None) if held.resize(decoder.held()) => break,
                 Ok(None) => {
-                    return tracing::warn!(switch = server.0, "connection closed: no memory for its message");
+                    return tracing::warn!(
+                        switch = server.0,
+                        "connection closed: no memory left for its message"
+                    );
                 }
                 Ok(Some(Chunk::Ping)) => outbox.push(|out| out.extend_from_slice(b"\r\n")),
                 Ok(Some(Chunk::Message(message))) => {
-                    // The list may have dropped this connection while its bytes were on the way.
+                    // The switch may have left the list while these bytes were in transit.
                     if core.connections.borrow().is_current(server, outbox) {
                         core.input(Input::TrunkMessage { server, message });
                     }
--- a/crates/fawnrouterd/src/watched_files.rs
+++ b/crates/fawnrouterd/src/watched_files.rs
@@ -1,4 +1,5 @@
-//! The watched files that list the switches and the known clients. The catalogue subsystem will feed the same input.
+//! Watches the files that list the core switches and the known clients.
+//! Another source of these lists would feed the same inputs of the engine.
 
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -11,10 +12,12 @@
 
 use crate::core::Core;
 
-/// What tells one state of a file from another. Files are replaced by renaming, so the length and time suffice
-/// but for two writes of the same length within the file system's tick; the text itself is compared too.
+/// Modification time and length of a file. Files are replaced by renaming, so these tell versions apart,
+/// except for two writes of the same length within one tick of the file system's clock; the content is
+/// compared too.
 type FileStamp = (SystemTime, u64);
 
+/// Reads a file unless its stamp is the known one. Returns the new stamp with the content or an error text.
 fn read_if_changed(
     path: &Path,
     known: Option<FileStamp>,
@@ -25,15 +28,15 @@
         Err(e) => return Some((None, Err(format!("cannot be read: {e}")))),
     };
     let age = SystemTime::now().duration_since(stamp.0).unwrap_or_default();
-    // A file of the last two seconds may have changed within the tick of its time stamp.
+    // A file modified in the last two seconds may have changed again within the same tick of its time stamp.
     if known == Some(stamp) && age > Duration::from_secs(2) {
         return None;
     }
     Some((Some(stamp), std::fs::read_to_string(path).map_err(|e| format!("cannot be read: {e}"))))
 }
 
-/// Looks at a file for ever, and hands on what `read` makes of it. A file that is missing or wrong is told once and
-/// changes nothing.
+/// Polls a file until the task is dropped, and passes each new list to `apply`. A missing or invalid file is
+/// logged once and changes nothing.
 async fn watch<T>(
     core: Rc<Core>,
     what: &'static str,
@@ -45,12 +48,12 @@
     let name = path.display().to_string();
     let (mut known, mut last): (Option<FileStamp>, Option<Result<String, String>>) = (None, None);
     loop {
-        // Reading may block on a slow disk; the calls must not wait for it.
-        let seen = {
+        // Reading may block on a slow disk, which must not delay calls.
+        let changed = {
             let path = path.clone();
             blocking::unblock(move || read_if_changed(&path, known)).await
         };
-        if let Some((stamp, text)) = seen {
+        if let Some((stamp, text)) = changed {
             known = stamp;
             if last.as_ref() != Some(&text) {
                 let list = text.as_ref().map_err(Clone::clone);
@@ -68,13 +71,13 @@
     }
 }
 
-/// The list of switches.
+/// Watches the list of switches.
 pub async fn watch_switches(core: Rc<Core>, path: PathBuf) {
     let apply = |core: &Rc<Core>, switches| core.input(Input::List { kind: ListKind::Whole, switches });
     watch(core, "list of switches", path, read_switches, apply).await;
 }
 
-/// The list of known clients, with their limits.
+/// Watches the list of known clients, with their limits.
 pub async fn watch_clients(core: Rc<Core>, path: PathBuf) {
     let apply = |core: &Rc<Core>, clients: Vec<ClientEntry>| {
         if let Some(admission) = &mut core.connection_admission.borrow_mut().admission {
