--- a/crates/fawnrouter-config/src/settings/admission.rs
+++ b/crates/fawnrouter-config/src/settings/admission.rs
@@ -3,7 +3,9 @@
 use std::net::IpAddr;
 use std::sync::Arc;
 
-use fawnrouter_admission::{AdmissionSettings, ClientLimits, Prefixes, Rate, ReserveSettings, SetUpSettings};
+use fawnrouter_admission::{
+    AdmissionSettings, ClientLimits, PrefixLengths, Rate, ReserveSettings, SetUpSettings,
+};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
@@ -288,7 +290,7 @@
             add("/admission/reserve/least_share".into(), "is beyond most_share; lower it");
         }
         let reserve = self.reserve_settings(limits, clients);
-        if reserve.most.max(reserve.least) >= limits.connections {
+        if reserve.max.max(reserve.min) >= limits.connections {
             add("/admission/reserve".into(), "takes all of limits.connections; lower its shares");
         }
     }
@@ -301,8 +303,8 @@
             None => (0, 0),
         };
         ReserveSettings {
-            least,
-            most,
+            min: least,
+            max: most,
             headroom: self.reserve.headroom,
             half_life: milliseconds(self.reserve.half_life_ms),
         }
@@ -318,18 +320,18 @@
             total: self.limits.connections,
             per_address: admission.per_address,
             per_prefix: admission.per_network,
-            prefixes: Prefixes { v4: admission.network_bits_v4, v6: admission.network_bits_v6 },
+            prefixes: PrefixLengths { v4: admission.network_bits_v4, v6: admission.network_bits_v6 },
             exceptions: admission.exceptions.iter().map(|e| (e.address, e.bits, e.connections)).collect(),
             rate: Rate::per_second(admission.rate_per_s, admission.burst),
-            addresses: admission.addresses,
+            tracked_addresses: admission.addresses,
             handshakes: admission.handshakes,
             handshakes_per_address: admission.handshakes_per_address,
             forwarders: admission.forwarders.iter().map(|n| (n.address, n.prefix_length())).collect(),
-            prove: milliseconds(self.clients.as_ref().map_or(0, |c| c.prove_ms)),
-            idle: milliseconds(admission.idle_ms),
-            slow: milliseconds(admission.slow_reader_ms),
+            probation_time: milliseconds(self.clients.as_ref().map_or(0, |c| c.prove_ms)),
+            idle_timeout: milliseconds(admission.idle_ms),
+            slow_reader_timeout: milliseconds(admission.slow_reader_ms),
             // The burst is one second's worth.
-            pace: (
+            message_rates: (
                 Rate::per_second(admission.messages_per_s, admission.messages_per_s as u32),
                 Rate::per_second(admission.known_messages_per_s, admission.known_messages_per_s as u32),
             ),
@@ -347,22 +349,22 @@
         let (plan, strangers) = (&admission.set_ups, &admission.set_ups.strangers);
         Some(SetUpSettings {
             known: plan.known.limits(None),
-            stranger: ClientLimits {
+            unknown: ClientLimits {
                 weight: 1,
                 rate: Rate::per_second(strangers.rate_per_s, strangers.burst),
                 pending: strangers.pending,
                 calls: strangers.calls,
             },
-            strangers_weight: strangers.weight,
+            unknown_weight: strangers.weight,
             // The burst is one second's worth.
-            strangers_rate: strangers.all_per_s.map(|rate| Rate::per_second(rate, rate as u32)),
+            unknown_rate: strangers.all_per_s.map(|rate| Rate::per_second(rate, rate as u32)),
             // Without known clients, unknown ones may use everything.
-            strangers_share: if self.clients.is_some() { strangers.held_share } else { 1.0 },
-            held_least: plan.held_least,
-            held_span: milliseconds(plan.held_ms),
-            waiting: plan.waiting,
-            wait: milliseconds(plan.wait_ms),
-            addresses: admission.addresses,
+            unknown_share: if self.clients.is_some() { strangers.held_share } else { 1.0 },
+            min_routing: plan.held_least,
+            routing_span: milliseconds(plan.held_ms),
+            max_waiting: plan.waiting,
+            max_wait: milliseconds(plan.wait_ms),
+            tracked_addresses: admission.addresses,
             retry_after: milliseconds(self.limits.retry_after_ms),
             seed,
         })
--- a/crates/fawnrouter-config/src/settings/clients.rs
+++ b/crates/fawnrouter-config/src/settings/clients.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 
-use fawnrouter_engine::digest::{Algorithm, GuardSettings, Ha1, Secret};
-use fawnrouter_engine::{AuthSettings, KnownClient, Strangers};
+use fawnrouter_engine::digest::{Algorithm, AuthenticatorSettings, Ha1, Secret};
+use fawnrouter_engine::{AuthSettings, KnownClient, UnknownClients};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
@@ -172,17 +172,17 @@
     #[must_use]
     pub fn auth_settings(&self, key: [u8; 32]) -> Option<AuthSettings> {
         let clients = self.clients.as_ref()?;
-        let guard = GuardSettings {
+        let guard = AuthenticatorSettings {
             realm: clients.realm.clone(),
             md5: clients.md5,
-            nonce_life: milliseconds(clients.nonce_life_ms),
-            attempts: clients.attempts,
+            nonce_lifetime: milliseconds(clients.nonce_life_ms),
+            max_failures: clients.attempts,
         };
-        let strangers = match clients.strangers {
-            UnknownClientPolicy::Call => Strangers::Allowed,
-            UnknownClientPolicy::Nothing => Strangers::Asked,
+        let unknown_clients = match clients.strangers {
+            UnknownClientPolicy::Call => UnknownClients::Allowed,
+            UnknownClientPolicy::Nothing => UnknownClients::Challenged,
         };
-        Some(AuthSettings { guard, key, strangers })
+        Some(AuthSettings { guard, key, unknown_clients })
     }
 
     /// Converts the known clients of a file for the engine.
--- a/crates/fawnrouter-config/src/settings/mod.rs
+++ b/crates/fawnrouter-config/src/settings/mod.rs
@@ -11,7 +11,9 @@
 use std::time::Duration;
 
 use fawnrouter_engine::fawnrouter as module;
-use fawnrouter_engine::{BackoffSettings, CallRules, Destination, EngineSettings, IntakeLimits, Match, Rule};
+use fawnrouter_engine::{
+    BackoffSettings, CallMatch, CallRule, CallRules, EngineSettings, IntakeLimits, PoolChoice,
+};
 use module::{Cell, ClassId, PeerId, TenantId};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -555,26 +557,26 @@
         errors
     }
 
-    /// Settings of the engine. `seed` is used if the settings give none; `words` turns on reports of each
-    /// step of each call.
+    /// Settings of the engine. `seed` is used if the settings give none; `call_events` turns on reports of
+    /// each step of each call.
     #[must_use]
-    pub fn engine_settings(&self, seed: u64, words: bool) -> EngineSettings {
+    pub fn engine_settings(&self, seed: u64, call_events: bool) -> EngineSettings {
         let class_id = |name: &str| self.classes.iter().position(|c| c.name == name).map(ClassId);
         let tenant_id = |name: &str| self.tenants.iter().position(|t| t.name == name).map(TenantId);
-        let mut class: Vec<Rule<ClassId>> = (self.calls.class.iter())
-            .filter_map(|r| class_id(&r.class).map(|gets| Rule { when: r.when.to_match(), gets }))
+        let mut class: Vec<CallRule<ClassId>> = (self.calls.class.iter())
+            .filter_map(|r| class_id(&r.class).map(|value| CallRule { when: r.when.to_match(), value }))
             .collect();
-        class.push(Rule { when: Match::default(), gets: ClassId(0) });
+        class.push(CallRule { when: CallMatch::default(), value: ClassId(0) });
         let tenant = (self.calls.tenant.iter())
-            .filter_map(|r| tenant_id(&r.tenant).map(|gets| Rule { when: r.when.to_match(), gets }))
+            .filter_map(|r| tenant_id(&r.tenant).map(|value| CallRule { when: r.when.to_match(), value }))
             .collect();
-        let mut destination: Vec<Rule<Destination>> = (self.calls.pool.iter())
-            .map(|r| Rule { when: r.when.to_match(), gets: Destination::Pool(Cell(r.pool)) })
+        let mut destination: Vec<CallRule<PoolChoice>> = (self.calls.pool.iter())
+            .map(|r| CallRule { when: r.when.to_match(), value: PoolChoice::Pool(Cell(r.pool)) })
             .collect();
-        let spread = Destination::Spread(self.calls.spread.iter().copied().map(Cell).collect());
-        destination.push(Rule { when: Match::default(), gets: spread });
+        let spread = PoolChoice::Spread(self.calls.spread.iter().copied().map(Cell).collect());
+        destination.push(CallRule { when: CallMatch::default(), value: spread });
         EngineSettings {
-            decisions: self.decision_settings(),
+            controller: self.decision_settings(),
             seed: self.gateway.seed.unwrap_or(seed),
             host: self.gateway.host.clone(),
             rules: CallRules { class, tenant, destination },
@@ -585,15 +587,15 @@
                 retry_after: milliseconds(self.limits.retry_after_ms),
             },
             backoff: BackoffSettings {
-                first: milliseconds(self.trunk.backoff_first_ms),
-                most: milliseconds(self.trunk.backoff_most_ms),
+                initial: milliseconds(self.trunk.backoff_first_ms),
+                max: milliseconds(self.trunk.backoff_most_ms),
             },
             cut_after: milliseconds(self.trunk.cut_after_ms),
-            longest_try: milliseconds(self.limits.longest_try_ms),
+            max_expires: milliseconds(self.limits.longest_try_ms),
             auth: None,
             zones: self.zone_settings(),
             set_ups: self.set_up_settings(seed),
-            words,
+            call_events,
         }
     }
 
@@ -615,7 +617,7 @@
         let rules = &self.rules;
         module::Settings {
             gateways: self.gateway.count,
-            me: PeerId(self.gateway.number),
+            own_id: PeerId(self.gateway.number),
             classes: classes.collect(),
             tenants: tenants.collect(),
             over_share_worth: self.over_share_worth,
@@ -626,7 +628,7 @@
                 fall_multiple: rules.fall_multiple,
                 fall_time: milliseconds(rules.fall_ms),
                 release_guard: milliseconds(rules.release_guard_ms),
-                ask_within: milliseconds(10_000),
+                subscribe_within: milliseconds(10_000),
             },
             limits: module::Limits {
                 max_attempts: rules.max_attempts,
@@ -645,9 +647,9 @@
 }
 
 impl CallCondition {
-    fn to_match(&self) -> Match {
+    fn to_match(&self) -> CallMatch {
         let name_value = |p: &Option<NameValue>| p.as_ref().map(|p| (p.name.clone(), p.value.clone()));
-        Match {
+        CallMatch {
             number_prefix: self.number_prefix.clone(),
             host: self.host.clone(),
             from_host: self.from_host.clone(),
--- a/crates/fawnrouter-engine/src/table.rs
+++ b/crates/fawnrouter-engine/src/table.rs
@@ -4,14 +4,14 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use fawnrouter::{AttemptNo, CallId, NewCall, Note, ServerId, Time};
+use fawnrouter::{AttemptNo, CallId, NewCall, OutcomeDetail, ServerId, Time};
 use fawnrouter_sip::transaction::{InviteClient, InviteServer};
 use fawnrouter_sip::{Dialog, Message};
 
 use crate::due::{Key, LegId};
 use crate::identity::Identity;
 use crate::interface::{ClientId, Switch};
-use fawnrouter_machine::{Backoff, Due};
+use fawnrouter_machine::{Backoff, TimerQueue};
 
 /// Where a call stands.
 #[derive(Debug)]
@@ -54,7 +54,7 @@
     pub out: Option<LegId>,
     pub attempts: u32,
     /// The last final response of a switch.
-    pub last: Option<(u16, Note)>,
+    pub last: Option<(u16, OutcomeDetail)>,
 }
 
 /// Where an attempt's leg stands.
@@ -132,7 +132,7 @@
     pub ended: VecDeque<CallId>,
     /// Calls that are ended, of those in `calls`.
     pub ended_count: usize,
-    pub due: Due<Key>,
+    pub due: TimerQueue<Key>,
 }
 
 impl Table {
--- a/crates/fawnrouter-engine/src/trunk.rs
+++ b/crates/fawnrouter-engine/src/trunk.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use fawnrouter::{AttemptNo, CallId, Event, Note, Outcome, Report, ServerId};
-use fawnrouter_admission::Stay;
+use fawnrouter::{AttemptNo, CallId, Event, LoadReport, Outcome, OutcomeDetail, ServerId};
+use fawnrouter_admission::CallState;
 use fawnrouter_sip::transaction::{ACK_WAIT, ClientStep, InviteClient};
 use fawnrouter_sip::{Address, Dialog, Draft, Message, Method, Name, Uri};
 use rand_core::RngCore;
@@ -11,8 +11,8 @@
 use crate::caller::{ALLOW, to_tag};
 use crate::due::{Key, LegId};
 use crate::engine::Engine;
-use crate::interface::{CallWord, Output};
-use crate::status::{self, Finality, Told};
+use crate::interface::{CallEvent, Output};
+use crate::status::{self, ResponseDetails, Retryability};
 use crate::table::{Leg, LegState, Stage};
 
 /// Fields of the caller's INVITE that the gateway writes itself or that concern one hop only. All others pass.
@@ -57,15 +57,15 @@
             .filter(|_| up)
         else {
             // No connection: the set-up certainly never ran.
-            let (outcome, note, took) = (Outcome::ConnectFailed, Note::None, Duration::ZERO);
-            let (done, report) = (false, Report::default());
+            let (outcome, note, took) = (Outcome::ConnectFailed, OutcomeDetail::None, Duration::ZERO);
+            let (done, report) = (false, LoadReport::default());
             self.events.push_back(Event::Closed {
                 call: id,
                 attempt,
                 server,
                 done,
                 outcome,
-                note,
+                detail: note,
                 took,
                 report,
             });
@@ -120,7 +120,7 @@
         }
         let bytes = draft.finish_with_body_of(invite);
         call.out = Some(leg_id);
-        self.set_up_moved(id, Stay::Out);
+        self.set_up_moved(id, CallState::AttemptSent);
         let leg = Leg {
             call: id,
             attempt,
@@ -141,7 +141,7 @@
         }
         self.table.due.set(Key::Leg(leg_id), self.now.plus(within));
         self.counters.attempts += 1;
-        self.word(id, || CallWord::Sent { attempt, server });
+        self.word(id, || CallEvent::AttemptSent { attempt, server });
         self.send_to_trunk(server, bytes);
     }
 
@@ -227,7 +227,7 @@
             _ => return,
         }
         let Ok(via) = response.via() else { return };
-        let report = status::overload_words(&via, self.settings.decisions.gateways);
+        let report = status::overload_report(&via, self.settings.controller.gateways);
         let branch = via.branch().unwrap_or("");
         let id = branch.strip_prefix("z9hG4bK").and_then(|b| b.split('.').next());
         let id = id.and_then(|hex| u64::from_str_radix(hex, 16).ok()).map(LegId);
@@ -274,7 +274,7 @@
         };
         leg.state = LegState::Standing { dialog: Box::new(dialog), orphan: false, revived: false };
         self.table.due.clear(Key::Leg(id));
-        self.events.push_back(Event::Standing { call, attempt, server, took });
+        self.events.push_back(Event::Established { call, attempt, server, took });
         if !self.stand(call, id, response, attempt.0) {
             self.ack_leg(id, None);
             self.release_leg(id);
@@ -306,7 +306,7 @@
         }
     }
 
-    fn on_failed(&mut self, id: LegId, status: u16, response: &Message, report: Option<Report>) {
+    fn on_failed(&mut self, id: LegId, status: u16, response: &Message, report: Option<LoadReport>) {
         let Some(leg) = self.table.legs.get(&id) else { return };
         let ack = Self::same_transaction(leg, Method::Ack, response.get(Name::To).unwrap_or(&leg.to));
         let (call, attempt, server) = (leg.call, leg.attempt, leg.server);
@@ -314,14 +314,24 @@
         self.send_to_trunk(server, ack);
         self.table.drop_leg(id);
         if out {
-            let status::Meaning { outcome, note, finality } = status::meaning(status, Told::of(response));
-            let done = finality == Finality::Ends;
+            let status::ResponseMeaning { outcome, note, retryability: finality } =
+                status::response_meaning(status, ResponseDetails::from_response(response));
+            let done = finality == Retryability::Final;
             if let Some(call) = self.table.calls.get_mut(&call) {
                 call.last = Some((status, note));
             }
             let report = report.unwrap_or_default();
-            self.events.push_back(Event::Closed { call, attempt, server, done, outcome, note, took, report });
-            self.word(call, || CallWord::Closed { attempt, outcome });
+            self.events.push_back(Event::Closed {
+                call,
+                attempt,
+                server,
+                done,
+                outcome,
+                detail: note,
+                took,
+                report,
+            });
+            self.word(call, || CallEvent::AttemptClosed { attempt, outcome });
             if done {
                 self.pass_final(call, status);
             }
--- a/crates/fawnrouter-lab/src/baseline.rs
+++ b/crates/fawnrouter-lab/src/baseline.rs
@@ -54,12 +54,14 @@
                 self.ready = entries.iter().filter(|e| e.state == ServerState::Ready).map(|e| e.id).collect();
                 actions.push(Action::SetTimer { after: Duration::from_secs(3600), timer: TimerId(0) });
             }
-            Event::Call(NewCall { id, left, .. }) => {
+            Event::Call(NewCall { id, time_left: left, .. }) => {
                 let until = now.plus(left.saturating_sub(MARGIN));
                 self.calls.insert(id, Held { until, attempts: 0 });
                 self.send(now, id, actions);
             }
-            Event::Standing { call, .. } | Event::Lapsed(call) | Event::Closed { call, done: true, .. } => {
+            Event::Established { call, .. }
+            | Event::Abandoned(call)
+            | Event::Closed { call, done: true, .. } => {
                 self.calls.remove(&call);
             }
             Event::Closed { call, outcome, .. } if outcome != Outcome::Ended => self.send(now, call, actions),
--- a/crates/fawnrouter-node/src/node/attempts.rs
+++ b/crates/fawnrouter-node/src/node/attempts.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fawnrouter::{AttemptNo, CallId, Event, Note, Outcome, Report, ServerId};
+use fawnrouter::{AttemptNo, CallId, Event, LoadReport, Outcome, OutcomeDetail, ServerId};
 use fawnrouter_jsonl::{Message, Tag, Verb};
 
 use super::{Key, Node, Output};
@@ -19,7 +19,9 @@
         let until = if within.is_zero() { open.deadline } else { open.deadline.min(now.plus(within)) };
         open.out = Some(Attempt { no, server, issued: now, sent: None, until });
         let address = self.servers.get(&server).and_then(|s| s.listed.as_ref()).map(|l| l.address);
-        let Some(address) = address else { return self.attempt_ended(tag, Outcome::Moot, Note::None) };
+        let Some(address) = address else {
+            return self.attempt_ended(tag, Outcome::Moot, OutcomeDetail::None);
+        };
         self.links.site(server, address);
         match self.links.pick(server, tag) {
             Pick::On(link) => self.send(tag, link),
@@ -39,10 +41,10 @@
         attempt.sent = Some((link, now));
         let left = attempt.until.since(now).as_millis().max(1);
         let start = Message::new(Verb::Start, tag)
-            .option("class", &open.class)
-            .option("key", &open.key)
-            .option("left", left)
-            .description(open.blob.clone());
+            .with_option("class", &open.class)
+            .with_option("key", &open.key)
+            .with_option("left", left)
+            .with_description(open.blob.clone());
         let (server, until, client) = (attempt.server, attempt.until, open.client);
         self.due.set(Key::Attempt(tag), until);
         self.links.forgive(server, tag);
@@ -62,8 +64,8 @@
             Some((link, _)) => {
                 if let Some(l) = self.links.links.get_mut(&link) {
                     l.spend(self.now, tag, false, true);
-                    let line = written(&Message::new(Verb::Finish, tag).cause(cause::CLEARING));
-                    self.out.push(Output::GiveUp { link, tag, line });
+                    let line = written(&Message::new(Verb::Finish, tag).with_cause(cause::CLEARING));
+                    self.out.push(Output::CancelSetUp { link, tag, line });
                 } else {
                     self.release(attempt.server, tag, cause::CLEARING);
                 }
@@ -73,8 +75,8 @@
     }
 
     /// The attempt that was out ended without the core switch's word.
-    pub(super) fn attempt_ended(&mut self, tag: Tag, outcome: Outcome, note: Note) {
-        self.attempt_over(tag, outcome, note, Report::default(), false);
+    pub(super) fn attempt_ended(&mut self, tag: Tag, outcome: Outcome, detail: OutcomeDetail) {
+        self.attempt_over(tag, outcome, detail, LoadReport::default(), false);
     }
 
     /// Tells the controller how the attempt that was out ended; `told`: by the core switch's word, so that nothing more
@@ -83,8 +85,8 @@
         &mut self,
         tag: Tag,
         outcome: Outcome,
-        note: Note,
-        report: Report,
+        detail: OutcomeDetail,
+        report: LoadReport,
         told: bool,
     ) {
         let now = self.now;
@@ -106,7 +108,7 @@
             server: attempt.server,
             done: false,
             outcome,
-            note,
+            detail,
             took: now.since(since),
             report,
         });
@@ -116,14 +118,14 @@
     pub(super) fn recalled(&mut self, link: LinkId, tag: Tag) {
         let out = self.calls.open.get(&tag).and_then(|c| c.out);
         if out.and_then(|a| a.sent).is_some_and(|(at, _)| at == link) {
-            self.attempt_over(tag, Outcome::Moot, Note::None, Report::default(), true);
+            self.attempt_over(tag, Outcome::Moot, OutcomeDetail::None, LoadReport::default(), true);
         }
     }
 
     /// Releases a call at a core switch, now or on the next connection.
     pub(super) fn release(&mut self, server: ServerId, tag: Tag, rc: i64) {
         match self.links.for_release(server) {
-            Some(link) => self.tell_switch(link, &Message::new(Verb::Finish, tag).cause(rc)),
+            Some(link) => self.tell_switch(link, &Message::new(Verb::Finish, tag).with_cause(rc)),
             None => {
                 self.links.owe(server, tag, rc);
                 self.tend(server);
@@ -138,6 +140,6 @@
 
 pub(super) fn written(message: &Message) -> Vec<u8> {
     let mut line = Vec::with_capacity(256);
-    message.write(&mut line);
+    message.encode(&mut line);
     line
 }
--- a/crates/fawnrouter-zones/src/zones.rs
+++ b/crates/fawnrouter-zones/src/policy.rs
@@ -8,16 +8,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, PoisonError};
 
-use fawnrouter::{CallId, Seen, ServerEntry, Time, Voice, Wanted};
+use fawnrouter::{CallId, RoutingPolicy, RoutingRequest, ServerEntry, ServerView, Time};
 
-use crate::account::{Account, Charge, Saved};
+use crate::account::{Account, Charge, SavedAccount};
 use crate::budget::{Budget, BudgetError, Money};
-use crate::health::{Health, HealthSettings, State};
-use crate::record::{Cause, Kind, Minute, Record};
+use crate::health::{Health, HealthSettings, ZoneState};
+use crate::record::{SpillCause, SpillKey, SpillMinute, SpillRecord};
 
 /// What a call to another zone costs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cost {
+pub enum ZoneCost {
     /// So much; nothing makes the zone as good as the own one, but its calls are counted.
     Money(Money),
     /// It must not go there.
@@ -28,17 +28,17 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ZoneSettings {
     /// This gateway's zone; empty: it has none, and every server is its own.
-    pub own: Arc<str>,
+    pub own_zone: Arc<str>,
     /// Costs from the own zone.
-    pub costs: BTreeMap<Arc<str>, Cost>,
+    pub costs: BTreeMap<Arc<str>, ZoneCost>,
     /// The cost of zones that are not named there.
-    pub other: Cost,
+    pub default_cost: ZoneCost,
     /// Budgets.
     pub budgets: Vec<Budget>,
     /// This gateway's number among those that share them.
-    pub me: u32,
+    pub gateway_index: u32,
     /// Points of worth that a unit of money is worth while budget is ample.
-    pub points_a_unit: f64,
+    pub points_per_unit: f64,
     /// When the own zone is pressed or down.
     pub health: HealthSettings,
     /// Sets this gateway apart from the others, 0 to 1.
@@ -51,18 +51,18 @@
 
 #[derive(Debug)]
 struct Out {
-    kind: Kind,
+    kind: SpillKey,
     charge: Charge,
     at: Time,
 }
 
 /// The voice of zones for one gateway.
 #[derive(Debug)]
-pub struct Zones {
+pub struct ZonePolicy {
     settings: ZoneSettings,
     account: Account,
     health: Health,
-    record: Record,
+    record: SpillRecord,
     out: BTreeMap<CallId, Out>,
     /// Calls that the budget had nothing left for.
     passed_over: BTreeSet<CallId>,
@@ -71,19 +71,20 @@
     wanting: BTreeSet<CallId>,
 }
 
-impl Zones {
+impl ZonePolicy {
     /// A voice that has spent nothing.
     ///
     /// # Errors
     /// See [`BudgetError`].
     pub fn new(settings: ZoneSettings) -> Result<Self, BudgetError> {
-        let account = Account::new(settings.own.clone(), settings.me, settings.budgets.clone())?;
+        let account =
+            Account::new(settings.own_zone.clone(), settings.gateway_index, settings.budgets.clone())?;
         let health = Health::new(settings.health, settings.phase);
         Ok(Self {
             settings,
             account,
             health,
-            record: Record::default(),
+            record: SpillRecord::default(),
             out: BTreeMap::new(),
             passed_over: BTreeSet::new(),
             now: Time::default(),
@@ -92,12 +93,12 @@
     }
 
     /// Takes up the account of before a restart; without one, this window's shares count as spent.
-    pub fn restore(&mut self, now: Time, saved: Option<&Saved>) {
+    pub fn restore(&mut self, now: Time, saved: Option<&SavedAccount>) {
         self.account.restore(now.0, saved);
     }
 
     /// Takes up the record of before a restart.
-    pub fn restore_record(&mut self, minutes: Vec<Minute>) {
+    pub fn restore_record(&mut self, minutes: Vec<SpillMinute>) {
         self.record.restore(minutes);
     }
 
@@ -114,38 +115,38 @@
 
     /// What spilled.
     #[must_use]
-    pub const fn record(&self) -> &Record {
+    pub const fn record(&self) -> &SpillRecord {
         &self.record
     }
 
     /// How the own zone fares.
     #[must_use]
-    pub const fn state(&self) -> State {
+    pub const fn state(&self) -> ZoneState {
         self.health.state()
     }
 
     /// Whether a server's zone is this gateway's. A server that names none is everybody's.
     fn is_own(&self, zone: &str) -> bool {
-        self.settings.own.is_empty() || zone.is_empty() || *zone == *self.settings.own
+        self.settings.own_zone.is_empty() || zone.is_empty() || *zone == *self.settings.own_zone
     }
 
-    fn cost(&self, zone: &str) -> Cost {
-        self.settings.costs.get(zone).copied().unwrap_or(self.settings.other)
+    fn cost(&self, zone: &str) -> ZoneCost {
+        self.settings.costs.get(zone).copied().unwrap_or(self.settings.default_cost)
     }
 
-    fn cause(&self) -> Cause {
+    fn cause(&self) -> SpillCause {
         match self.health.state() {
-            _ if !self.health.has_switches() => Cause::NoSwitch,
-            State::Down => Cause::Down,
-            State::Pressed if self.health.level() > 0.0 => Cause::Cold,
-            State::Pressed | State::Calm => Cause::Pressed,
+            _ if !self.health.has_switches() => SpillCause::NoSwitch,
+            ZoneState::Down => SpillCause::Down,
+            ZoneState::Pressed if self.health.emergency_level() > 0.0 => SpillCause::Cold,
+            ZoneState::Pressed | ZoneState::Calm => SpillCause::Pressed,
         }
     }
 
     /// Worth that holding on would lose, in points.
-    fn at_stake(&self, wanted: &Wanted) -> f64 {
+    fn at_stake(&self, wanted: &RoutingRequest) -> f64 {
         let state = self.health.state();
-        if state == State::Down || !self.health.has_switches() {
+        if state == ZoneState::Down || !self.health.has_switches() {
             return wanted.worth;
         }
         // In a pressed zone the chance to be passed over again grows with the pressure, and what it costs with the part
@@ -155,117 +156,117 @@
     }
 }
 
-fn kind(wanted: &Wanted, server: &ServerEntry, cause: Cause) -> Kind {
+fn kind(wanted: &RoutingRequest, server: &ServerEntry, cause: SpillCause) -> SpillKey {
     let class = wanted.class.and_then(|c| u32::try_from(c.0).ok()).unwrap_or(u32::MAX);
-    Kind { class, to: server.zone.clone(), trunk_group: server.cell.0, cause }
+    SpillKey { class, to: server.zone.clone(), trunk_group: server.cell.0, cause }
 }
 
-impl Voice for Zones {
-    fn observe(&mut self, now: Time, servers: &mut dyn Iterator<Item = Seen<'_>>) {
+impl RoutingPolicy for ZonePolicy {
+    fn observe(&mut self, now: Time, servers: &mut dyn Iterator<Item = ServerView<'_>>) {
         self.now = self.now.max(now);
-        let own = self.settings.own.clone();
-        let ours = |s: &Seen<'_>| own.is_empty() || s.entry.zone.is_empty() || s.entry.zone == own;
+        let own = self.settings.own_zone.clone();
+        let ours = |s: &ServerView<'_>| own.is_empty() || s.entry.zone.is_empty() || s.entry.zone == own;
         self.health.observe(now.0, servers.filter(ours));
     }
 
-    fn weigh(&mut self, now: Time, wanted: &Wanted, server: &ServerEntry) -> f64 {
+    fn server_weight(&mut self, now: Time, wanted: &RoutingRequest, server: &ServerEntry) -> f64 {
         if self.is_own(&server.zone) {
             return 1.0;
         }
         let cost = match self.cost(&server.zone) {
-            Cost::Forbidden => return 0.0,
-            Cost::Money(Money(0)) => return 1.0,
-            Cost::Money(cost) => cost,
+            ZoneCost::Forbidden => return 0.0,
+            ZoneCost::Money(Money(0)) => return 1.0,
+            ZoneCost::Money(cost) => cost,
         };
         // Calm hours invite nobody over, however quick a neighbour is.
-        if self.health.state() == State::Calm && self.health.has_switches() {
+        if self.health.state() == ZoneState::Calm && self.health.has_switches() {
             return 0.0;
         }
-        let level = self.health.level();
+        let level = self.health.emergency_level();
         let price = self.account.price(now.0, &server.zone, level);
-        let pays = self.at_stake(wanted) >= cost.in_units() * self.settings.points_a_unit * price;
+        let pays = self.at_stake(wanted) >= cost.to_units() * self.settings.points_per_unit * price;
         if !pays {
             return 0.0;
         }
         // What could pay its price is wanted, whether or not there is budget: the price goes by that. Once a call,
         // however often it draws.
         if self.wanting.len() < MOST_OUT && self.wanting.insert(wanted.call) {
-            self.account.wants(now.0, &server.zone);
+            self.account.record_demand(now.0, &server.zone);
         }
-        if !self.account.affords(now.0, &server.zone, cost, level) {
+        if !self.account.can_afford(now.0, &server.zone, cost, level) {
             // Once a call, however often it draws.
             if self.passed_over.len() < MOST_OUT && self.passed_over.insert(wanted.call) {
-                self.record.count(now.0, &kind(wanted, server, Cause::BudgetOut), Money(0));
+                self.record.add_call(now.0, &kind(wanted, server, SpillCause::BudgetOut), Money(0));
             }
             return 0.0;
         }
         // Among several zones the cheaper and the less spent one is drawn more often.
-        let left = self.account.left(now.0, &server.zone, level).max(0.05);
-        left / (1.0 + cost.in_units() * price)
+        let left = self.account.remaining_share(now.0, &server.zone, level).max(0.05);
+        left / (1.0 + cost.to_units() * price)
     }
 
-    fn sent(&mut self, now: Time, wanted: &Wanted, server: &ServerEntry) {
+    fn attempt_sent(&mut self, now: Time, wanted: &RoutingRequest, server: &ServerEntry) {
         self.now = self.now.max(now);
         if self.is_own(&server.zone) {
             return;
         }
         let (cost, cause) = match self.cost(&server.zone) {
-            Cost::Money(Money(0)) => (Money(0), Cause::Free),
-            Cost::Money(cost) => (cost, self.cause()),
-            Cost::Forbidden => return,
+            ZoneCost::Money(Money(0)) => (Money(0), SpillCause::Free),
+            ZoneCost::Money(cost) => (cost, self.cause()),
+            ZoneCost::Forbidden => return,
         };
         // Weighed in the same instant, so that it still fits; a charge that does not is a breach of the budget and
         // would show in the record against the account.
-        if let Ok(charge) = self.account.charge(now.0, &server.zone, cost, self.health.level()) {
+        if let Ok(charge) = self.account.charge(now.0, &server.zone, cost, self.health.emergency_level()) {
             let kind = kind(wanted, server, cause);
-            self.record.count(now.0, &kind, cost);
+            self.record.add_call(now.0, &kind, cost);
             if self.out.len() < MOST_OUT {
                 self.out.insert(wanted.call, Out { kind, charge, at: now });
             }
         }
     }
 
-    fn ended(&mut self, call: CallId, stood: bool) {
+    fn attempt_resolved(&mut self, call: CallId, stood: bool) {
         self.passed_over.remove(&call);
         self.wanting.remove(&call);
         let now = self.now;
         let Some(out) = self.out.remove(&call).filter(|_| !stood) else { return };
         self.account.refund(now.0, &out.charge);
-        self.record.take_back(out.at.0, &out.kind, out.charge.cost());
+        self.record.subtract_call(out.at.0, &out.kind, out.charge.cost());
     }
 }
 
 /// A voice that its embedder can look at while a controller holds it.
 #[derive(Clone, Debug)]
-pub struct Shared(Arc<Mutex<Zones>>);
+pub struct SharedZonePolicy(Arc<Mutex<ZonePolicy>>);
 
-impl Shared {
+impl SharedZonePolicy {
     /// Shares it.
     #[must_use]
-    pub fn new(zones: Zones) -> Self {
+    pub fn new(zones: ZonePolicy) -> Self {
         Self(Arc::new(Mutex::new(zones)))
     }
 
     /// Looks at it, or changes it. One thread at a time; another one waits.
-    pub fn with<T>(&self, look: impl FnOnce(&mut Zones) -> T) -> T {
+    pub fn with<T>(&self, look: impl FnOnce(&mut ZonePolicy) -> T) -> T {
         look(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
-impl Voice for Shared {
-    fn observe(&mut self, now: Time, servers: &mut dyn Iterator<Item = Seen<'_>>) {
+impl RoutingPolicy for SharedZonePolicy {
+    fn observe(&mut self, now: Time, servers: &mut dyn Iterator<Item = ServerView<'_>>) {
         self.with(|z| z.observe(now, servers));
     }
 
-    fn weigh(&mut self, now: Time, wanted: &Wanted, server: &ServerEntry) -> f64 {
-        self.with(|z| z.weigh(now, wanted, server))
+    fn server_weight(&mut self, now: Time, wanted: &RoutingRequest, server: &ServerEntry) -> f64 {
+        self.with(|z| z.server_weight(now, wanted, server))
     }
 
-    fn sent(&mut self, now: Time, wanted: &Wanted, server: &ServerEntry) {
-        self.with(|z| z.sent(now, wanted, server));
+    fn attempt_sent(&mut self, now: Time, wanted: &RoutingRequest, server: &ServerEntry) {
+        self.with(|z| z.attempt_sent(now, wanted, server));
     }
 
-    fn ended(&mut self, call: CallId, stood: bool) {
-        self.with(|z| z.ended(call, stood));
+    fn attempt_resolved(&mut self, call: CallId, stood: bool) {
+        self.with(|z| z.attempt_resolved(call, stood));
     }
 }
--- a/crates/fawnrouter/tests/fleet.rs
+++ b/crates/fawnrouter/tests/fleet.rs
@@ -19,7 +19,7 @@
     let mut sends = Vec::new();
     for me in 0..GATEWAYS {
         let mut s = settings();
-        (s.gateways, s.me, s.limits.peers) = (GATEWAYS, PeerId(me), false);
+        (s.gateways, s.own_id, s.limits.peers) = (GATEWAYS, PeerId(me), false);
         let mut g = Gateway::with_servers(s.clone(), 0);
         g.controller = Controller::new(s.clone(), u64::from(me) + 1).unwrap();
         let entries = (0..SERVERS).map(|n| entry(70 + n, ServerState::Ready)).collect();
@@ -97,7 +97,7 @@
 
 fn told(actions: &[(Time, Action)]) -> Vec<String> {
     let texts = actions.iter().filter_map(|(_, a)| match a {
-        Action::Tell { to: Some(to), text } => {
+        Action::SendToPeer { to: Some(to), text } => {
             assert!(to.0 != 0 && to.0 < GATEWAYS && text.len() <= 256);
             Some(text.clone())
         }
@@ -124,7 +124,7 @@
     assert!(g.runs(1, 70, ms(40)));
     for _ in 0..40 {
         for text in texts {
-            assert_eq!(g.tell(Event::Mail { from: PeerId(from), text: (*text).into() }), []);
+            assert_eq!(g.tell(Event::PeerMessage { from: PeerId(from), text: (*text).into() }), []);
         }
         g.pass(ms(200));
     }
--- a/crates/fawnrouterd/src/accept.rs
+++ b/crates/fawnrouterd/src/accept.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use async_io::{Async, Timer};
-use fawnrouter_admission::Step;
+use fawnrouter_admission::ExhaustionAction;
 use rustix::io::Errno;
 
 use crate::client;
@@ -52,7 +52,7 @@
                 let entry = {
                     let mut connection_admission = core.connection_admission.borrow_mut();
                     connection_admission.descriptor_available(now);
-                    let outbox = || core.new_outbox(fawnrouter_admission::For::Client);
+                    let outbox = || core.new_outbox(fawnrouter_admission::BufferOwner::Client);
                     connection_admission.admit(now, &mut core.connections.borrow_mut(), peer.ip(), outbox)
                 };
                 match entry {
@@ -77,8 +77,10 @@
                     .borrow_mut()
                     .descriptors_exhausted(core.clock().now(), !matches!(spare, SpareDescriptor::Missing));
                 match step {
-                    Step::UseSpare => spare = refuse_next_connection(&core, spare, listener.get_ref()),
-                    Step::Pause(pause) => {
+                    ExhaustionAction::UseSpare => {
+                        spare = refuse_next_connection(&core, spare, listener.get_ref())
+                    }
+                    ExhaustionAction::Pause(pause) => {
                         Timer::after(pause).await;
                         spare = SpareDescriptor::reserve();
                     }
--- a/crates/fawnrouterd/src/client.rs
+++ b/crates/fawnrouterd/src/client.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use async_io::{Async, Timer};
-use fawnrouter_admission::{Conn, For, Reason};
-use fawnrouter_engine::{Input, whole_seconds};
+use fawnrouter_admission::{BufferOwner, ConnectionId, RefusalReason};
+use fawnrouter_engine::{Input, retry_after_seconds};
 use fawnrouter_sip::Message;
 use fawnrouter_ws::{
     CloseCode, Decoder, Event, HttpLimits, Opcode, Origins, Role, Terms, accept, close_payload, encode,
@@ -67,7 +67,7 @@
 /// Serves one connection until it ends.
 pub async fn serve_connection(
     core: Rc<Core>,
-    (conn, outbox): (Conn, Rc<Outbox>),
+    (conn, outbox): (ConnectionId, Rc<Outbox>),
     stream: Async<TcpStream>,
     peer: SocketAddr,
     terms: Rc<Terms>,
@@ -78,8 +78,8 @@
 }
 
 /// The HTTP response to a refused connection.
-pub fn refusal_response(reason: Reason, wait: Duration) -> Vec<u8> {
-    refuse(503, reason.text(), Some(whole_seconds(wait)))
+pub fn refusal_response(reason: RefusalReason, wait: Duration) -> Vec<u8> {
+    refuse(503, reason.text(), Some(retry_after_seconds(wait)))
 }
 
 /// Refuses a connection with a Retry-After. The response is sent before the request is read. Then the
@@ -89,7 +89,7 @@
     core: Rc<Core>,
     outbox: Rc<Outbox>,
     stream: Async<TcpStream>,
-    reason: Reason,
+    reason: RefusalReason,
     wait: Duration,
 ) {
     let answer = refusal_response(reason, wait);
@@ -110,7 +110,7 @@
 
 async fn serve(
     core: &Rc<Core>,
-    conn: Conn,
+    conn: ConnectionId,
     outbox: &Rc<Outbox>,
     stream: Async<TcpStream>,
     peer: SocketAddr,
@@ -125,7 +125,11 @@
     // The connection may be closed during the handshake to make room for another.
     let evicted = async {
         let why = outbox.finished().await.unwrap_or("the gateway ends");
-        Err(refuse(503, why, Some(whole_seconds(Duration::from_millis(core.settings.limits.retry_after_ms)))))
+        Err(refuse(
+            503,
+            why,
+            Some(retry_after_seconds(Duration::from_millis(core.settings.limits.retry_after_ms))),
+        ))
     };
     let handshake_result =
         future::or(handshake(core, conn, &stream, peer, terms), future::or(evicted, timed_out)).await;
@@ -139,7 +143,7 @@
             .await;
         }
     };
-    let CompletedHandshake { rest, origin, must_prove } = completed;
+    let CompletedHandshake { rest, origin, must_authenticate } = completed;
     // The connection was closed to make room while its 101 response was being written. Its place is given
     // away and it is no longer counted, so only the reason is still sent.
     if !outbox.is_open() {
@@ -151,13 +155,13 @@
         .await;
     }
     let client = core.connections.borrow_mut().handshake_done(conn, outbox.clone());
-    core.input(Input::ClientUp { client, peer, origin, must_prove });
+    core.input(Input::ClientUp { client, peer, origin, must_authenticate });
     tracing::debug!(client = client.0, %peer, "client connected");
     let last_received = Cell::new(Instant::now());
     let reading = async {
         let limits = &core.settings.limits;
         let mut decoder = Decoder::new(Role::Server, limits.head_bytes + limits.body_bytes);
-        let held = BufferShare::of_budget(&core.buffer_budget, For::Client);
+        let held = BufferShare::of_budget(&core.buffer_budget, BufferOwner::Client);
         let mut session = Session { core, client, outbox, held: &held, consecutive_invalid: 0, messages: 0 };
         let mut stays_open = session.process_input(&mut decoder, &rest);
         drop(rest);
@@ -205,20 +209,20 @@
     /// Address of the client, behind trusted proxies if any.
     origin: IpAddr,
     /// The client has to authenticate before it is served.
-    must_prove: bool,
+    must_authenticate: bool,
 }
 
 /// Performs the handshake. `Ok(None)` if the client closed the connection; an error is the HTTP response that
 /// refuses it.
 async fn handshake(
     core: &Core,
-    conn: Conn,
+    conn: ConnectionId,
     stream: &Async<TcpStream>,
     peer: SocketAddr,
     terms: &Terms,
 ) -> Result<Option<CompletedHandshake>, Vec<u8>> {
     let mut bytes = Vec::new();
-    let held = BufferShare::of_budget(&core.buffer_budget, For::Client);
+    let held = BufferShare::of_budget(&core.buffer_budget, BufferOwner::Client);
     let accepted = loop {
         let more = read_some(core, stream, |b| bytes.extend_from_slice(b)).await;
         if !matches!(more, Ok(Some(()))) {
@@ -243,7 +247,7 @@
             core.connection_admission.borrow_mut().apply_forwarded(now, conn, &hops).map_err(refused)?;
         origin = believed.unwrap_or(origin);
     }
-    let must_prove = core
+    let must_authenticate = core
         .connection_admission
         .borrow_mut()
         .handshake_done(now, &mut core.connections.borrow_mut(), conn)
@@ -252,7 +256,7 @@
     if stream.write_all(&accepted.response).await.is_err() {
         return Ok(None);
     }
-    Ok(Some(CompletedHandshake { rest: bytes.split_off(accepted.consumed), origin, must_prove }))
+    Ok(Some(CompletedHandshake { rest: bytes.split_off(accepted.consumed), origin, must_authenticate }))
 }
 
 /// Pings a silent client, and aborts the connection if it stays silent.
--- a/crates/fawnrouterd/src/connection_admission.rs
+++ b/crates/fawnrouterd/src/connection_admission.rs
@@ -7,8 +7,9 @@
 use std::time::Duration;
 
 use fawnrouter_admission::{
-    Admission, Alarms, Arrival, Change, Conn, Descriptors, Eviction, Line, Place, Reason, SetUpRefusal,
-    Snapshot, Spread, Step, Verdict,
+    AcceptDecision, Admission, AlarmEvent, Alarms, Arrival, ConnectionDecision, ConnectionId, Descriptors,
+    EvictionReason, ExhaustionAction, ExhaustionEvent, RefusalReason, RetryAfterSpread, SetUpRefusal,
+    Snapshot,
 };
 use fawnrouter_engine::fawnrouter::Time;
 use fawnrouter_ws::CloseCode;
@@ -19,8 +20,8 @@
 /// A condition that is logged when it begins, while it lasts, and when it ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum AlarmCause {
-    Refused(Reason),
-    Evicted(Eviction),
+    Refused(RefusalReason),
+    Evicted(EvictionReason),
     SetUp(SetUpRefusal),
 }
 
@@ -43,14 +44,14 @@
 /// Whether a new connection is served or refused.
 pub enum AdmissionOutcome {
     /// It is served under this number.
-    Accepted(Conn, Rc<Outbox>),
+    Accepted(ConnectionId, Rc<Outbox>),
     /// It is refused with a reason and a Retry-After. Aborting the outbox ends it early, if another
     /// connection needs its descriptor.
-    Refused(Reason, Duration, Rc<Outbox>),
+    Refused(RefusalReason, Duration, Rc<Outbox>),
 }
 
 /// Why a connection is refused, and its Retry-After.
-pub type Refusal = (Reason, Duration);
+pub type Refusal = (RefusalReason, Duration);
 
 /// Admission of client connections, and the state that it depends on.
 pub struct ConnectionAdmission {
@@ -61,8 +62,8 @@
     /// Limit on all connections and their Retry-After, used without admission.
     connection_limit: usize,
     retry_after: Duration,
-    spread: Spread,
-    refused: BTreeMap<Reason, u64>,
+    spread: RetryAfterSpread,
+    refused: BTreeMap<RefusalReason, u64>,
     alarms: Alarms<AlarmCause>,
     logged: BTreeMap<AlarmCause, u64>,
 }
@@ -80,7 +81,7 @@
             descriptors,
             being_refused: VecDeque::new(),
             retry_after,
-            spread: Spread::new(0),
+            spread: RetryAfterSpread::new(0),
             refused: BTreeMap::new(),
             alarms: Alarms::new(ALARM_CLEAR_TIME, ALARM_REPEAT_INTERVAL),
             logged: BTreeMap::new(),
@@ -88,9 +89,9 @@
     }
 
     /// Refuses a connection for a reason that does not come from `admission`.
-    fn refuse(&mut self, now: Time, reason: Reason) -> Refusal {
+    fn refuse(&mut self, now: Time, reason: RefusalReason) -> Refusal {
         let wait = match &mut self.admission {
-            Some(admission) => admission.refuse_for(now.0, reason),
+            Some(admission) => admission.count_refusal(now.0, reason),
             None => {
                 *self.refused.entry(reason).or_default() += 1;
                 self.spread.next(Duration::ZERO, self.retry_after)
@@ -109,15 +110,15 @@
     ) -> AdmissionOutcome {
         let outbox = Rc::new(outbox());
         let place = self.descriptors.arrive(connections.open_count(), self.being_refused.len());
-        let verdict = if place != Place::Serve {
-            Err(self.refuse(now, Reason::Descriptors))
+        let verdict = if place != AcceptDecision::Serve {
+            Err(self.refuse(now, RefusalReason::Descriptors))
         } else {
             let conn = connections.allocate_conn();
             let verdict = self.admission.as_mut().map(|a| a.arrive(now.0, Arrival { conn, address }));
             match verdict {
-                Some(Verdict::Refuse { reason, retry_after }) => Err((reason, retry_after)),
-                Some(Verdict::Replace(victim)) => {
-                    connections.close(victim, CloseCode::LATER, Eviction::MadeRoom.text());
+                Some(ConnectionDecision::Refuse { reason, retry_after }) => Err((reason, retry_after)),
+                Some(ConnectionDecision::Replace(victim)) => {
+                    connections.close(victim, CloseCode::LATER, EvictionReason::PlaceNeeded.text());
                     Ok(conn)
                 }
                 _ => Ok(conn),
@@ -129,7 +130,7 @@
                 AdmissionOutcome::Accepted(conn, outbox)
             }
             Err((reason, wait)) => {
-                if self.descriptors.refuse(self.being_refused.len()) == Place::RefuseAfterOldest
+                if self.descriptors.refuse(self.being_refused.len()) == AcceptDecision::RefuseClosingOldest
                     && let Some(oldest) = self.being_refused.pop_front()
                 {
                     oldest.abort();
@@ -155,13 +156,13 @@
     pub fn apply_forwarded(
         &mut self,
         now: Time,
-        conn: Conn,
+        conn: ConnectionId,
         hops: &[Option<IpAddr>],
     ) -> Result<Option<IpAddr>, Refusal> {
         let Some(admission) = &mut self.admission else { return Ok(None) };
-        let Some(address) = admission.believed(hops) else { return Ok(None) };
-        match admission.forwarded(now.0, conn, address) {
-            Verdict::Refuse { reason, retry_after } => Err((reason, retry_after)),
+        let Some(address) = admission.source_address(hops) else { return Ok(None) };
+        match admission.set_forwarded_source(now.0, conn, address) {
+            ConnectionDecision::Refuse { reason, retry_after } => Err((reason, retry_after)),
             _ => Ok(Some(address)),
         }
     }
@@ -171,19 +172,19 @@
         &mut self,
         now: Time,
         connections: &mut Connections,
-        conn: Conn,
+        conn: ConnectionId,
     ) -> Result<bool, Refusal> {
         let full = connections.client_count() >= self.connection_limit;
-        match self.admission.as_mut().map(|a| a.shaken(now.0, conn)) {
-            Some(Verdict::Refuse { reason, retry_after }) => Err((reason, retry_after)),
-            Some(Verdict::Probation) => Ok(true),
-            Some(Verdict::Replace(victim)) => {
-                connections.close(victim, CloseCode::LATER, Eviction::MadeRoom.text());
+        match self.admission.as_mut().map(|a| a.handshake_done(now.0, conn)) {
+            Some(ConnectionDecision::Refuse { reason, retry_after }) => Err((reason, retry_after)),
+            Some(ConnectionDecision::Probation) => Ok(true),
+            Some(ConnectionDecision::Replace(victim)) => {
+                connections.close(victim, CloseCode::LATER, EvictionReason::PlaceNeeded.text());
                 Ok(false)
             }
-            Some(Verdict::Accept) => Ok(false),
+            Some(ConnectionDecision::Accept) => Ok(false),
             // Without admission only the limit on connections applies.
-            None if full => Err(self.refuse(now, Reason::Full)),
+            None if full => Err(self.refuse(now, RefusalReason::Full)),
             None => Ok(false),
         }
     }
@@ -193,13 +194,13 @@
         &mut self,
         now: Time,
         connections: &mut Connections,
-        conn: Conn,
+        conn: ConnectionId,
         client: &Arc<str>,
-    ) -> Result<(), Reason> {
-        match self.admission.as_mut().map(|a| a.known(now.0, conn, client)) {
-            Some(Verdict::Refuse { reason, .. }) => Err(reason),
-            Some(Verdict::Replace(victim)) => {
-                connections.close(victim, CloseCode::LATER, Eviction::MadeRoom.text());
+    ) -> Result<(), RefusalReason> {
+        match self.admission.as_mut().map(|a| a.authenticated(now.0, conn, client)) {
+            Some(ConnectionDecision::Refuse { reason, .. }) => Err(reason),
+            Some(ConnectionDecision::Replace(victim)) => {
+                connections.close(victim, CloseCode::LATER, EvictionReason::PlaceNeeded.text());
                 Ok(())
             }
             _ => Ok(()),
@@ -207,34 +208,34 @@
     }
 
     /// Records activity of a connection, and its present number of calls.
-    pub fn record_activity(&mut self, now: Time, conn: Conn, calls: usize) {
+    pub fn record_activity(&mut self, now: Time, conn: ConnectionId, calls: usize) {
         if let Some(admission) = &mut self.admission {
-            admission.active(now.0, conn, u32::try_from(calls).unwrap_or(u32::MAX));
+            admission.record_activity(now.0, conn, u32::try_from(calls).unwrap_or(u32::MAX));
         }
     }
 
     /// How long a connection is not to be read, after it has sent this many messages.
-    pub fn read_pause(&mut self, now: Time, conn: Conn, messages: u32) -> Duration {
-        self.admission.as_mut().map_or(Duration::ZERO, |a| a.pace(now.0, conn, messages))
+    pub fn read_pause(&mut self, now: Time, conn: ConnectionId, messages: u32) -> Duration {
+        self.admission.as_mut().map_or(Duration::ZERO, |a| a.charge_messages(now.0, conn, messages))
     }
 
     /// Most bytes of a connection that are processed per turn.
-    pub fn read_quota(&self, conn: Conn) -> usize {
-        self.admission.as_ref().map_or(usize::MAX, |a| a.turn(conn))
+    pub fn read_quota(&self, conn: ConnectionId) -> usize {
+        self.admission.as_ref().map_or(usize::MAX, |a| a.read_budget(conn))
     }
 
     /// A connection has closed, at any stage.
-    pub fn connection_closed(&mut self, now: Time, conn: Conn) {
+    pub fn connection_closed(&mut self, now: Time, conn: ConnectionId) {
         if let Some(admission) = &mut self.admission {
-            admission.closed(now.0, conn);
+            admission.connection_closed(now.0, conn);
         }
     }
 
     /// A connection could not be accepted for lack of descriptors. `spare`: whether the reserved descriptor
     /// is held.
-    pub fn descriptors_exhausted(&mut self, now: Time, spare: bool) -> Step {
-        let (step, change) = self.descriptors.exhausted(now.0, spare);
-        if change == Some(Change::Began) {
+    pub fn descriptors_exhausted(&mut self, now: Time, spare: bool) -> ExhaustionAction {
+        let (step, change) = self.descriptors.descriptor_missing(now.0, spare);
+        if change == Some(ExhaustionEvent::Began) {
             tracing::warn!(
                 "no descriptor is left: newcomers are refused one by one, those that are in go on"
             );
@@ -244,12 +245,12 @@
 
     /// Refuses a new connection that was accepted with the reserved descriptor.
     pub fn refuse_with_spare(&mut self, now: Time) -> Refusal {
-        self.refuse(now, Reason::Descriptors)
+        self.refuse(now, RefusalReason::Descriptors)
     }
 
     /// A connection was accepted, so descriptors are available.
     pub fn descriptor_available(&mut self, now: Time) {
-        if let Some(Change::Ended(lasted)) = self.descriptors.accepted(now.0) {
+        if let Some(ExhaustionEvent::Ended(lasted)) = self.descriptors.accepted(now.0) {
             tracing::info!(lasted_ms = lasted.as_secs_f64() * 1e3, "descriptors are there again");
         }
     }
@@ -259,12 +260,17 @@
         let Some(admission) = &mut self.admission else { return };
         for (conn, connection) in connections.iter() {
             if connection.client.is_some() {
-                admission.reads(now.0, conn, connection.outbox.backlog(), connection.outbox.written_bytes());
+                admission.record_write_progress(
+                    now.0,
+                    conn,
+                    connection.outbox.backlog(),
+                    connection.outbox.written_bytes(),
+                );
             }
         }
-        for (conn, why) in admission.sweep(now.0) {
+        for (conn, why) in admission.evict_overdue(now.0) {
             // A client that does not read would not receive a close frame either.
-            if why == Eviction::Slow
+            if why == EvictionReason::SlowReader
                 && let Some((_, connection)) = connections.iter().find(|(c, _)| *c == conn)
             {
                 connection.outbox.abort();
@@ -293,17 +299,17 @@
             let logged = self.logged.entry(cause).or_default();
             let more = count - std::mem::replace(logged, count);
             if more > 0 {
-                lines.extend(self.alarms.note(now.0, cause, more));
+                lines.extend(self.alarms.record(now.0, cause, more));
             }
         }
-        lines.extend(self.alarms.pass(now.0));
+        lines.extend(self.alarms.poll(now.0));
         for line in lines {
             match line {
-                Line::Began(cause) => tracing::warn!("{}: {}", cause.text().0, cause.text().1),
-                Line::GoesOn(cause, count) => {
+                AlarmEvent::Raised(cause) => tracing::warn!("{}: {}", cause.text().0, cause.text().1),
+                AlarmEvent::Ongoing(cause, count) => {
                     tracing::warn!(count, "still {}: {}", cause.text().0, cause.text().1);
                 }
-                Line::Over(cause, lasted, count) => {
+                AlarmEvent::Cleared(cause, lasted, count) => {
                     let lasted_s = lasted.as_secs_f64();
                     tracing::info!(count, lasted_s, "no more {}: {}", cause.text().0, cause.text().1);
                 }
@@ -361,7 +367,7 @@
             panic!("room")
         };
         assert_eq!(connection_admission.handshake_done(now, &mut connections, second).ok(), Some(false));
-        assert_eq!(future::block_on(outbox.finished()), Some(Eviction::MadeRoom.text()));
+        assert_eq!(future::block_on(outbox.finished()), Some(EvictionReason::PlaceNeeded.text()));
         assert!(other.is_open() && connections.open_count() == 1);
     }
 
@@ -374,13 +380,13 @@
             if let AdmissionOutcome::Refused(reason, wait, outbox) =
                 arrive(&mut connection_admission, &mut connections, n)
             {
-                assert!(reason == Reason::Descriptors && wait >= Duration::from_secs(2));
+                assert!(reason == RefusalReason::Descriptors && wait >= Duration::from_secs(2));
                 refused.push(outbox);
             }
         }
         // 40, minus the reserved one, two to refuse with, and a margin of eight.
         assert_eq!((connections.open_count(), refused.len()), (29, 11));
         assert!(refused[..9].iter().all(|o| !o.is_open()) && refused[9..].iter().all(|o| o.is_open()));
-        assert_eq!(connection_admission.snapshot(0).refused[&Reason::Descriptors], 11);
+        assert_eq!(connection_admission.snapshot(0).refused[&RefusalReason::Descriptors], 11);
     }
 }
--- a/crates/fawnrouterd/src/connections.rs
+++ b/crates/fawnrouterd/src/connections.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use fawnrouter_admission::Conn;
+use fawnrouter_admission::ConnectionId;
 use fawnrouter_engine::ClientId;
 use fawnrouter_engine::fawnrouter::ServerId;
 use fawnrouter_ws::{CloseCode, Opcode, close_payload, encode};
@@ -21,9 +21,9 @@
 #[derive(Default)]
 pub struct Connections {
     /// Client connections, those in their handshake included.
-    accepted: BTreeMap<Conn, ClientConnection>,
+    accepted: BTreeMap<ConnectionId, ClientConnection>,
     /// Client connections whose handshake is done.
-    clients: BTreeMap<ClientId, (Conn, Rc<Outbox>)>,
+    clients: BTreeMap<ClientId, (ConnectionId, Rc<Outbox>)>,
     /// Connections to core switches.
     trunks: BTreeMap<ServerId, Rc<Outbox>>,
     next_conn: u64,
@@ -32,18 +32,18 @@
 
 impl Connections {
     /// Allocates a connection number. Numbers are never reused.
-    pub fn allocate_conn(&mut self) -> Conn {
+    pub fn allocate_conn(&mut self) -> ConnectionId {
         self.next_conn += 1;
-        Conn(self.next_conn)
+        ConnectionId(self.next_conn)
     }
 
-    pub fn insert(&mut self, conn: Conn, outbox: Rc<Outbox>) {
+    pub fn insert(&mut self, conn: ConnectionId, outbox: Rc<Outbox>) {
         self.accepted.insert(conn, ClientConnection { outbox, client: None });
     }
 
     /// Registers the client of a connection whose handshake is done. The connection may already be gone from
     /// the list, if it was closed meanwhile to make room.
-    pub fn handshake_done(&mut self, conn: Conn, outbox: Rc<Outbox>) -> ClientId {
+    pub fn handshake_done(&mut self, conn: ConnectionId, outbox: Rc<Outbox>) -> ClientId {
         self.next_client += 1;
         let id = ClientId(self.next_client);
         if let Some(connection) = self.accepted.get_mut(&conn) {
@@ -53,7 +53,7 @@
         id
     }
 
-    pub fn remove(&mut self, conn: Conn) {
+    pub fn remove(&mut self, conn: ConnectionId) {
         self.accepted.remove(&conn);
     }
 
@@ -67,11 +67,11 @@
         self.clients.len()
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (Conn, &ClientConnection)> {
+    pub fn iter(&self) -> impl Iterator<Item = (ConnectionId, &ClientConnection)> {
         self.accepted.iter().map(|(conn, connection)| (*conn, connection))
     }
 
-    pub fn client(&self, client: ClientId) -> Option<(Conn, &Rc<Outbox>)> {
+    pub fn client(&self, client: ClientId) -> Option<(ConnectionId, &Rc<Outbox>)> {
         self.clients.get(&client).map(|(conn, outbox)| (*conn, outbox))
     }
 
@@ -97,7 +97,7 @@
     }
 
     /// Closes a client connection at any stage, with a reason that is sent to the client.
-    pub fn close(&mut self, conn: Conn, code: CloseCode, reason: &'static str) {
+    pub fn close(&mut self, conn: ConnectionId, code: CloseCode, reason: &'static str) {
         let Some(connection) = self.accepted.remove(&conn) else { return };
         match connection.client {
             Some(_) => send_close(&connection.outbox, code, reason),
--- a/crates/fawnrouterd/src/control.rs
+++ b/crates/fawnrouterd/src/control.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use async_io::{Async, Timer};
-use fawnrouter_admission::{Snapshot, Who};
+use fawnrouter_admission::{ClientIdentity, Snapshot};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use serde::{Deserialize, Serialize};
 
@@ -224,7 +224,7 @@
             tracing::warn!(%address, for_s, "address blocked by an operator");
         }
         Command::Free { address } => {
-            admission.free(*address);
+            admission.unblock(*address);
             tracing::warn!(%address, "address freed by an operator");
         }
         Command::Show | Command::Zones => {}
@@ -234,18 +234,19 @@
 
 fn zone_status(core: &Core) -> Option<ZoneStatus> {
     let own = core.settings.zones.as_ref()?.own.clone();
-    let read_zones = |z: &mut fawnrouter_engine::zones::Zones| {
-        let budgets = z.account().lines().into_iter().map(|(budget, state, (calls, money))| BudgetStatus {
-            to: budget.to.as_deref().map(str::to_owned),
-            window: format!("{:?}", budget.span),
-            calls: (state.spent.0, calls),
-            cost: (state.spent.1.in_units(), money.map(|m| m.in_units())),
-        });
+    let read_zones = |z: &mut fawnrouter_engine::zones::ZonePolicy| {
+        let budgets =
+            z.account().budget_views().into_iter().map(|(budget, state, (calls, money))| BudgetStatus {
+                to: budget.to.as_deref().map(str::to_owned),
+                window: format!("{:?}", budget.period),
+                calls: (state.spent.0, calls),
+                cost: (state.spent.1.to_units(), money.map(|m| m.to_units())),
+            });
         let mut went: BTreeMap<(String, String), (u64, f64)> = BTreeMap::new();
         for (kind, cell) in z.record().total() {
             let key = (kind.to.to_string(), crate::report::cause_text(kind.cause).to_owned());
             let sum = went.entry(key).or_default();
-            *sum = (sum.0 + cell.calls, sum.1 + cell.money.in_units());
+            *sum = (sum.0 + cell.calls, sum.1 + cell.money.to_units());
         }
         let went = went.into_iter().map(|((to, cause), (calls, cost))| (to, cause, calls, cost));
         ZoneStatus {
@@ -263,7 +264,8 @@
         (core.connection_admission.borrow(), core.buffer_budget.borrow());
     let Snapshot { open, handshakes, known, reserve, refused, evicted, addresses, clients, blocked } =
         connection_admission.snapshot(MAX_LISTED_HOLDERS);
-    let holder = |h: fawnrouter_admission::Holding| ResourceHolder { who: h.who, count: h.open };
+    let holder =
+        |h: fawnrouter_admission::HolderCount| ResourceHolder { who: h.holder, count: h.connections };
     let mut status = AdmissionStatus {
         admission: connection_admission.admission.is_some(),
         open: open.max(core.connections.borrow().open_count()),
@@ -271,7 +273,7 @@
         known,
         reserve,
         room: connection_admission.descriptors.clients(),
-        famine: connection_admission.descriptors.in_famine(),
+        famine: connection_admission.descriptors.is_exhausted(),
         buffered_bytes: buffer_budget.used(),
         over_budget: buffer_budget.refused(),
         refused: refused.into_iter().map(|(r, n)| (r.text().to_owned(), n)).collect(),
@@ -283,14 +285,14 @@
     };
     core.with_engine(|engine| {
         let c = engine.counters();
-        status.proofs = (c.proofs, c.challenged, c.impostors);
-        let Some(set_ups) = engine.set_ups() else { return };
-        status.set_ups = (set_ups.waiting(), set_ups.held());
-        status.set_up_room = set_ups.room();
+        status.proofs = (c.authenticated, c.challenged, c.auth_failures);
+        let Some(set_ups) = engine.set_up_admission() else { return };
+        status.set_ups = (set_ups.waiting(), set_ups.routing());
+        status.set_up_room = set_ups.routing_limit();
         status.set_ups_refused = set_ups.refused().iter().map(|(r, n)| (r.text().to_owned(), *n)).collect();
-        let name = |who: Who| match who {
-            Who::Known(name) => name.to_string(),
-            Who::Stranger(address) => address.to_string(),
+        let name = |who: ClientIdentity| match who {
+            ClientIdentity::Known(name) => name.to_string(),
+            ClientIdentity::Unknown(address) => address.to_string(),
         };
         let largest = set_ups.largest(MAX_LISTED_HOLDERS).into_iter();
         status.callers =
--- a/crates/fawnrouterd/src/core.rs
+++ b/crates/fawnrouterd/src/core.rs
@@ -7,7 +7,7 @@
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use fawnrouter_admission::{ByteSettings, For};
+use fawnrouter_admission::{BufferLimits, BufferOwner};
 use fawnrouter_config::Settings;
 use fawnrouter_engine::fawnrouter::ServerId;
 use fawnrouter_engine::{Engine, Input, Output};
@@ -55,11 +55,11 @@
         executor: &Rc<LocalExecutor<'static>>,
     ) -> Rc<Self> {
         let limits = &settings.limits;
-        let bytes = ByteSettings {
+        let bytes = BufferLimits {
             total: limits.buffer_bytes,
-            most: limits.write_backlog_bytes.max(limits.head_bytes + limits.body_bytes),
+            max_per_connection: limits.write_backlog_bytes.max(limits.head_bytes + limits.body_bytes),
             // A message of usual size is always accepted, however much the others hold.
-            floor: limits.head_bytes.min(4096),
+            min_per_connection: limits.head_bytes.min(4096),
         };
         Rc::new(Self {
             driver: MachineDriver::new(engine),
@@ -90,7 +90,7 @@
     }
 
     /// Creates an outbox for a connection.
-    pub fn new_outbox(&self, owner: For) -> Outbox {
+    pub fn new_outbox(&self, owner: BufferOwner) -> Outbox {
         Outbox::with_budget_share(
             self.settings.limits.write_backlog_bytes,
             BufferShare::of_budget(&self.buffer_budget, owner),
@@ -107,7 +107,7 @@
             Output::ToClient { client, bytes } => {
                 if let Some((conn, outbox)) = connections_ref.client(client) {
                     // A message to a client means that the state of one of its calls has changed.
-                    admission_ref.record_activity(now, conn, engine.calls_of(client));
+                    admission_ref.record_activity(now, conn, engine.client_call_count(client));
                     outbox.push(|out| encode(Opcode::Text, &bytes, None, out));
                 }
             }
@@ -117,7 +117,7 @@
                 }
             }
             Output::OpenTrunk { server, address } => {
-                let outbox = Rc::new(self.new_outbox(For::Trunk));
+                let outbox = Rc::new(self.new_outbox(BufferOwner::Trunk));
                 connections_ref.insert_trunk(server, outbox.clone());
                 opened.push((server, address, outbox));
             }
@@ -126,7 +126,7 @@
                     outbox.finish();
                 }
             }
-            Output::Known { client, name } => {
+            Output::ClientIdentified { client, name } => {
                 let Some((conn, outbox)) = connections_ref.client(client) else { return };
                 let outbox = outbox.clone();
                 tracing::debug!(client = client.0, name = &*name, "client known");
@@ -141,7 +141,7 @@
                 }
             }
             Output::Log(line) => tracing::info!("{line}"),
-            Output::Word { call, word } => self.spans.borrow_mut().record(call, word),
+            Output::CallEvent { call, event } => self.spans.borrow_mut().record(call, event),
             Output::Drained => {
                 self.drained.set();
             }
@@ -181,7 +181,7 @@
             let mut connection_admission = self.connection_admission.borrow_mut();
             connection_admission.close_evicted(now, &mut self.connections.borrow_mut());
             self.with_engine(|engine| {
-                if let Some(set_ups) = engine.set_ups() {
+                if let Some(set_ups) = engine.set_up_admission() {
                     connection_admission.log_changes(now, set_ups.refused());
                 } else {
                     connection_admission.log_changes(now, &Default::default());
@@ -195,9 +195,9 @@
         let (connections, buffer_budget) = (self.connections.borrow(), self.buffer_budget.borrow());
         let (c, live) = self.with_engine(|engine| (engine.counters(), engine.live_calls()));
         tracing::info!(
-            taken = c.taken,
-            not_taken = c.not_taken,
-            stood = c.stood,
+            taken = c.accepted,
+            not_taken = c.rejected,
+            stood = c.established,
             refused = c.refused,
             failed = c.failed,
             abandoned = c.abandoned,
--- a/crates/fawnrouterd/src/ledger.rs
+++ b/crates/fawnrouterd/src/ledger.rs
@@ -9,7 +9,7 @@
 
 use async_io::Timer;
 use fawnrouter_engine::Input;
-use fawnrouter_engine::zones::{Minute, Saved};
+use fawnrouter_engine::zones::{SavedAccount, SpillMinute};
 use serde::{Deserialize, Serialize};
 
 use crate::core::Core;
@@ -25,9 +25,9 @@
     /// Names of the classes, by class number.
     pub classes: Vec<String>,
     /// What is spent of each budget.
-    pub account: Saved,
+    pub account: SavedAccount,
     /// Calls to other zones, minute by minute.
-    pub minutes: Vec<Minute>,
+    pub minutes: Vec<SpillMinute>,
 }
 
 /// Why an account file cannot be used.
@@ -73,7 +73,7 @@
     match blocking::unblock(move || read(&path)).await {
         Ok(ledger) => {
             let minutes = ledger.minutes;
-            core.input(Input::Account(Some(Box::new(ledger.account))));
+            core.input(Input::ZoneAccount(Some(Box::new(ledger.account))));
             core.with_engine(|engine| engine.zones().map(|z| z.with(|z| z.restore_record(minutes))));
         }
         Err(LedgerError::Io(error)) if error.kind() == io::ErrorKind::NotFound => {
@@ -82,7 +82,7 @@
         Err(error) => {
             let name = file.display();
             tracing::warn!("{name}: {error}; the budgets across zones count as spent in this window");
-            core.input(Input::Account(None));
+            core.input(Input::ZoneAccount(None));
         }
     }
 }
@@ -116,7 +116,7 @@
     let mut saved = None;
     loop {
         Timer::after(SAVE_INTERVAL).await;
-        let now = core.with_engine(|e| e.zones().map(|z| z.with(|z| z.account().save().lines)));
+        let now = core.with_engine(|e| e.zones().map(|z| z.with(|z| z.account().save().states)));
         if now != saved {
             save(&core, file.clone()).await;
             saved = now;
--- a/crates/fawnrouterd/src/machine_driver.rs
+++ b/crates/fawnrouterd/src/machine_driver.rs
@@ -7,7 +7,7 @@
 
 use async_io::Timer;
 use fawnrouter_engine::fawnrouter::Time;
-use fawnrouter_machine::Machine;
+use fawnrouter_machine::StateMachine;
 
 use crate::clock::Clock;
 
@@ -15,7 +15,7 @@
 const LATE_WAKE_THRESHOLD: Duration = Duration::from_millis(3);
 
 /// A state machine with its clock and timer.
-pub struct MachineDriver<M: Machine> {
+pub struct MachineDriver<M: StateMachine> {
     machine: RefCell<M>,
     outputs: RefCell<Vec<M::Output>>,
     pub clock: Clock,
@@ -25,7 +25,7 @@
     timer_waker: Cell<Option<Waker>>,
 }
 
-impl<M: Machine> MachineDriver<M> {
+impl<M: StateMachine> MachineDriver<M> {
     pub fn new(machine: M) -> Self {
         Self {
             machine: RefCell::new(machine),
--- a/crates/fawnrouterd/src/node/client.rs
+++ b/crates/fawnrouterd/src/node/client.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use async_io::{Async, Timer};
-use fawnrouter_node::{ClientId, Input, Next};
+use fawnrouter_node::{ClientId, Input, QueuedMessage};
 use futures_lite::future;
 
 use super::gateway::{ClientConnection, Gateway};
@@ -36,7 +36,7 @@
     let _ = stream.get_ref().set_nodelay(true);
     let (client, connection) = gateway.add_client(stream);
     gateway.count_client_task(true);
-    gateway.input(Input::ClientUp { client });
+    gateway.input(Input::ClientConnected { client });
     gateway.spawn(serve_connection(gateway.clone(), client, connection));
 }
 
@@ -97,7 +97,7 @@
         if forwarded {
             future::yield_now().await;
         } else if final_read {
-            gateway.input(Input::ClientReadOut { client });
+            gateway.input(Input::ClientFullyRead { client });
             connection.outbox.finish();
             return future::pending().await;
         } else if connection.reader.borrow().is_fault_reported() {
@@ -119,8 +119,8 @@
         let Some(next) = connection.reader.borrow_mut().next() else { break };
         forwarded = true;
         gateway.input(match next {
-            Next::Message(message) => Input::ClientMessage { client, message },
-            Next::Withdrawn(message) => Input::Withdrawn { client, message },
+            QueuedMessage::Live(message) => Input::ClientMessage { client, message },
+            QueuedMessage::Withdrawn(message) => Input::SetUpWithdrawn { client, message },
         });
     }
     if connection.reader.borrow().is_empty() {
@@ -130,9 +130,9 @@
             (reader.take_fault(), reader.take_partial_line_change())
         };
         if let Some(fault) = fault {
-            gateway.input(Input::ClientFault { client, fault });
-        } else if let Some(half) = partial_line {
-            gateway.input(Input::ClientRead { client, half });
+            gateway.input(Input::ClientDecodeError { client, fault });
+        } else if let Some(partial_line) = partial_line {
+            gateway.input(Input::ClientBytesRead { client, partial_line });
         }
     }
     forwarded
--- a/crates/fawnrouterd/src/node/gateway.rs
+++ b/crates/fawnrouterd/src/node/gateway.rs
@@ -10,15 +10,15 @@
 use async_io::Async;
 use fawnrouter_node::fawnrouter::Time;
 use fawnrouter_node::jsonl::Tag;
-use fawnrouter_node::{ClientId, Input, LinkId, Node, Output, Shares};
+use fawnrouter_node::{ClientId, DescriptorShares, Input, LinkId, Node, Output};
 
 use super::reader::{ReadBuffer, Reader};
 use crate::flag::Flag;
 use crate::machine_driver::MachineDriver;
 use crate::outbox::Outbox;
 
-/// Most unwritten bytes per connection; a peer that reads too slowly is disconnected beyond this. Room for four lines of
-/// the greatest length, or some hundred answers.
+/// Most unwritten bytes per connection; a peer that reads too slowly is disconnected beyond this. Room for
+/// four lines of the greatest length, or some hundred answers.
 const MAX_BACKLOG_BYTES: usize = 64 * 1024;
 /// Further lines in the same second are only counted.
 const MAX_LOG_LINES_PER_SECOND: u32 = 40;
@@ -69,7 +69,7 @@
     closing: Cell<usize>,
     /// Client connections that a task still serves or closes.
     client_tasks: Cell<usize>,
-    shares: Shares,
+    shares: DescriptorShares,
     open_link: OpenLink,
     executor: Weak<LocalExecutor<'static>>,
     log: RefCell<LogRate>,
@@ -79,7 +79,7 @@
 impl Gateway {
     pub fn new(
         node: Node,
-        shares: Shares,
+        shares: DescriptorShares,
         nameserver: SocketAddr,
         open_link: OpenLink,
         executor: &Rc<LocalExecutor<'static>>,
@@ -101,8 +101,8 @@
         })
     }
 
-    /// Spawns a task. The executor owns the tasks and the tasks own the gateway, so the gateway refers to the executor
-    /// weakly; otherwise nothing would be freed when the gateway ends.
+    /// Spawns a task. The executor owns the tasks and the tasks own the gateway, so the gateway refers to the
+    /// executor weakly; otherwise nothing would be freed when the gateway ends.
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         if let Some(executor) = self.executor.upgrade() {
             executor.spawn(task).detach();
@@ -126,7 +126,7 @@
 
     /// Whether one more client connection can be served, its graceful close included.
     pub fn has_client_capacity(&self) -> bool {
-        self.client_tasks.get() < self.shares.callers()
+        self.client_tasks.get() < self.shares.max_client_connections()
     }
 
     /// A client has closed its side, or its connection cannot be written to: lines not yet written are
@@ -139,14 +139,14 @@
     fn remove_client(&self, client: ClientId) -> Vec<Input> {
         let connection = self.clients.borrow_mut().remove(&client);
         let undelivered = connection.into_iter().flat_map(|connection| connection.outbox.unwritten_marks());
-        let undelivered = undelivered.map(|tag| Input::Unheard { tag: Tag(tag) });
-        std::iter::once(Input::ClientEnded { client }).chain(undelivered).collect()
+        let undelivered = undelivered.map(|tag| Input::NotDelivered { tag: Tag(tag) });
+        std::iter::once(Input::ClientHalfClosed { client }).chain(undelivered).collect()
     }
 
     /// A client connection is closed in both directions.
     pub fn client_closed(self: &Rc<Self>, client: ClientId) {
         self.client_ended(client);
-        self.input(Input::ClientDown { client });
+        self.input(Input::ClientDisconnected { client });
     }
 
     /// Whether this connection to a core switch is still in use.
@@ -194,12 +194,12 @@
                     connection.outbox.push(|out| out.extend_from_slice(&line));
                 }
             }
-            Output::Tell { client, tag, line } => match self.clients.borrow().get(&client) {
+            Output::NotifyCaller { client, tag, line } => match self.clients.borrow().get(&client) {
                 Some(connection) => {
                     connection.outbox.push_marked(tag.0, &line);
                     next.push_back(Step::CheckClient(client));
                 }
-                None => next.push_back(Step::Input(Input::Unheard { tag })),
+                None => next.push_back(Step::Input(Input::NotDelivered { tag })),
             },
             Output::CloseClient { client } => {
                 if let Some(connection) = self.clients.borrow().get(&client) {
@@ -222,17 +222,17 @@
                     next.push_back(Step::CheckClient(client));
                 }
             }
-            Output::GiveUp { link, tag, line } => {
+            Output::CancelSetUp { link, tag, line } => {
                 if let Some(outbox) = self.links.borrow().get(&link)
                     && !outbox.remove_unwritten(tag.0)
                 {
                     outbox.push(|out| out.extend_from_slice(&line));
                 }
             }
-            Output::Recall { link } => {
+            Output::RecallSetUps { link } => {
                 let removed = self.links.borrow().get(&link).map(|outbox| outbox.remove_all_unwritten());
                 let marks = removed.into_iter().flatten();
-                next.extend(marks.map(|mark| Step::Input(Input::Recalled { link, tag: Tag(mark) })));
+                next.extend(marks.map(|mark| Step::Input(Input::SetUpRecalled { link, tag: Tag(mark) })));
             }
             Output::CloseLink { link } => self.drop_link(link),
             Output::Log(line) => self.log_limited(now, &line),
@@ -310,16 +310,16 @@
         let (c, held) = self.driver.with_machine(|node| (node.counters(), node.held()));
         let [open, standing, clients, links, switches] = held;
         tracing::info!(
-            taken = c.taken,
-            stood = c.stood,
+            taken = c.accepted,
+            stood = c.established,
             refused = c.refused,
             failed = c.failed,
-            lapsed = c.lapsed,
+            lapsed = c.abandoned,
             invalid = c.invalid,
             attempts = c.attempts,
-            cut = c.cut,
-            spoilt = c.spoilt,
-            unseated = c.unseated,
+            cut = c.calls_lost,
+            spoilt = c.invalid_responses,
+            unseated = c.evicted_clients,
             open,
             standing,
             clients,
--- a/crates/fawnrouterd/src/node/mod.rs
+++ b/crates/fawnrouterd/src/node/mod.rs
@@ -1,7 +1,7 @@
 //! The gateway on the platform: I/O drivers around [`fawnrouter_node::Node`], one module each.
 //!
-//! A set-up passes through `client` → `Decoder` → `Message` → `Node::handle` → `Controller` → `gateway` → `Outbox` →
-//! `trunk`. Drivers depend on [`gateway::Gateway`] and not on each other.
+//! A set-up passes through `client` → `Decoder` → `Message` → `Node::handle` → `Controller` → `gateway` →
+//! `Outbox` → `trunk`. Drivers depend on [`gateway::Gateway`] and not on each other.
 
 mod client;
 mod config;
@@ -22,7 +22,7 @@
 use async_io::{Async, Timer};
 use async_signal::{Signal, Signals};
 use fawnrouter_node::fawnrouter::SettingsError;
-use fawnrouter_node::{Input, Node, NodeSettings, Shares};
+use fawnrouter_node::{DescriptorShares, Input, Node, NodeSettings};
 use futures_lite::future;
 
 pub use config::{ConfigError, ConfigSource};
@@ -69,9 +69,9 @@
     let signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map_err(NodeError::Signals)?;
     let node = Node::new(NodeSettings::new(&boot))?;
     let executor = Rc::new(LocalExecutor::new());
-    let shares = Shares::of(boot.descriptors);
+    let shares = DescriptorShares::divide(boot.descriptors);
     let gateway = Gateway::new(node, shares, boot.nameserver, trunk::open, &executor);
-    gateway.input(Input::Known(boot.known));
+    gateway.input(Input::ConfiguredList(boot.known));
     tracing::info!(name = boot.name, %address, "gateway ready");
     let all = async {
         let tasks = [
--- a/crates/fawnrouterd/src/node/nameserver.rs
+++ b/crates/fawnrouterd/src/node/nameserver.rs
@@ -55,10 +55,10 @@
     while gateway.nameserver.get() == server {
         let mut id = [0; 2];
         getrandom::fill(&mut id).map_err(|e| io::Error::other(e.to_string()))?;
-        let query = ask.ask(gateway.driver.clock.now(), u16::from_ne_bytes(id));
+        let query = ask.next_query(gateway.driver.clock.now(), u16::from_ne_bytes(id));
         // Sending may report an ICMP error of the previous datagram, which does not prevent further queries.
         let _ = socket.send(&query.datagram).await;
-        let next = gateway.driver.clock.instant(query.next);
+        let next = gateway.driver.clock.instant(query.next_at);
         loop {
             let received = async { Some(socket.recv(&mut buffer).await) };
             let due = async {
@@ -67,8 +67,8 @@
             };
             match future::or(received, due).await {
                 None => break,
-                Some(Ok(n)) => match ask.answer(&buffer[..n]) {
-                    Ok(answer) => gateway.input(Input::Answer(answer)),
+                Some(Ok(n)) => match ask.accept_response(&buffer[..n]) {
+                    Ok(answer) => gateway.input(Input::ListResponse(answer)),
                     Err(error) => gateway
                         .log_limited(gateway.driver.clock.now(), &format!("a datagram is not used: {error}")),
                 },
--- a/crates/fawnrouterd/src/node/reader.rs
+++ b/crates/fawnrouterd/src/node/reader.rs
@@ -4,8 +4,8 @@
 use std::io::{ErrorKind, Read};
 use std::net::TcpStream;
 
-use fawnrouter_node::jsonl::{Decoder, Fault, Message};
-use fawnrouter_node::{Intake, Next};
+use fawnrouter_node::jsonl::{DecodeError, Decoder, Message};
+use fawnrouter_node::{Inbox, QueuedMessage};
 
 /// Most bytes of one connection that are read before they are processed; room for five hundred set-ups and
 /// their cancels.
@@ -31,13 +31,13 @@
 #[derive(Default)]
 pub struct Reader {
     decoder: Decoder,
-    intake: Intake,
+    inbox: Inbox,
     /// Bytes read and not yet released.
     read_ahead_bytes: usize,
     /// The client has closed its side, or the connection was reset.
     ended: bool,
     end_reported: bool,
-    fault: Option<Fault>,
+    fault: Option<DecodeError>,
     fault_reported: bool,
     /// Something was read since a change of `partial_line` was last determined.
     read: bool,
@@ -65,7 +65,7 @@
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Ok(_) | Err(_) => {
                     self.ended = true;
-                    self.intake.end();
+                    self.inbox.withdraw_all();
                 }
             }
         }
@@ -80,7 +80,7 @@
         self.decoder.push(bytes);
         loop {
             match self.decoder.next_message() {
-                Ok(Some(message)) => self.intake.push(message),
+                Ok(Some(message)) => self.inbox.push(message),
                 Ok(None) => return,
                 // Bytes after an invalid line cannot be interpreted.
                 Err(fault) => return self.fault = Some(fault),
@@ -99,25 +99,25 @@
 
     /// Takes the next message that ends a call set up earlier, ahead of the others.
     pub fn next_call_end(&mut self) -> Option<Message> {
-        self.intake.take_end()
+        self.inbox.pop_finish()
     }
 
     /// Takes the next message.
-    pub fn next(&mut self) -> Option<Next> {
-        self.intake.take()
+    pub fn next(&mut self) -> Option<QueuedMessage> {
+        self.inbox.pop()
     }
 
     pub fn is_empty(&self) -> bool {
-        self.intake.is_empty()
+        self.inbox.is_empty()
     }
 
     /// Whether input has been read that is still to be processed or reported.
     pub fn has_unprocessed_input(&self) -> bool {
-        self.read || self.ended || !self.intake.is_empty()
+        self.read || self.ended || !self.inbox.is_empty()
     }
 
     /// Takes a decoding error, once all messages before it have been processed. Reported only once.
-    pub fn take_fault(&mut self) -> Option<Fault> {
+    pub fn take_fault(&mut self) -> Option<DecodeError> {
         if std::mem::replace(&mut self.fault_reported, self.fault.is_some()) {
             None
         } else {
@@ -132,7 +132,7 @@
     /// Once all messages have been processed: whether part of a line is buffered, if more was read since the
     /// last call and a part is or was buffered.
     pub fn take_partial_line_change(&mut self) -> Option<bool> {
-        let partial_line = self.decoder.held() > 0;
+        let partial_line = self.decoder.buffered_bytes() > 0;
         let before = std::mem::replace(&mut self.partial_line, partial_line);
         let has_read = std::mem::take(&mut self.read) && !self.ended && self.fault.is_none();
         (has_read && (partial_line || before)).then_some(partial_line)
--- a/crates/fawnrouterd/src/node/signals.rs
+++ b/crates/fawnrouterd/src/node/signals.rs
@@ -31,7 +31,7 @@
         Ok(boot) => {
             tracing::info!(nameserver = %boot.nameserver, serial = boot.known.serial, "new configuration");
             gateway.nameserver.set(boot.nameserver);
-            gateway.input(Input::Known(boot.known));
+            gateway.input(Input::ConfiguredList(boot.known));
         }
         Err(error) => tracing::warn!("the configuration stays as it was: {error}"),
     }
--- a/crates/fawnrouterd/src/node/trunk.rs
+++ b/crates/fawnrouterd/src/node/trunk.rs
@@ -44,7 +44,7 @@
             LinkEnd::Broken
         }
         Err(ErrorKind::ConnectionRefused) => LinkEnd::Refused,
-        Err(_) => LinkEnd::Unreached,
+        Err(_) => LinkEnd::Unreachable,
     };
     if gateway.has_link(link) {
         gateway.drop_link(link);
@@ -77,7 +77,7 @@
             match decoder.next_message() {
                 Ok(Some(message)) => gateway.input(Input::LinkMessage { link, message }),
                 Ok(None) => break,
-                Err(fault) => return gateway.input(Input::LinkFault { link, fault }),
+                Err(fault) => return gateway.input(Input::LinkDecodeError { link, fault }),
             }
         }
         future::yield_now().await;
--- a/crates/fawnrouterd/src/serve.rs
+++ b/crates/fawnrouterd/src/serve.rs
@@ -9,7 +9,7 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use async_signal::{Signal, Signals};
-use fawnrouter_admission::{Admission, DescriptorSettings, Descriptors, TooFew};
+use fawnrouter_admission::{Admission, DescriptorSettings, Descriptors, TooFewDescriptors};
 use fawnrouter_config::Settings;
 use fawnrouter_engine::{Engine, EngineError, EngineSettings, Input};
 use fawnrouter_ws::CloseCode;
@@ -174,7 +174,7 @@
 }
 
 /// Divides the process's file descriptors between clients, switches, files and operators.
-fn plan_descriptors(settings: &Settings) -> Result<Descriptors, TooFew> {
+fn plan_descriptors(settings: &Settings) -> Result<Descriptors, TooFewDescriptors> {
     let limit = rustix::process::getrlimit(Resource::Nofile).current;
     let limit = limit.and_then(|n| usize::try_from(n).ok()).unwrap_or(usize::MAX / 2);
     // Without /proc, assume the usual number: standard streams, the reactor's descriptors and the listener.
--- a/crates/fawnrouterd/src/watched_files.rs
+++ b/crates/fawnrouterd/src/watched_files.rs
@@ -73,7 +73,7 @@
 
 /// Watches the list of switches.
 pub async fn watch_switches(core: Rc<Core>, path: PathBuf) {
-    let apply = |core: &Rc<Core>, switches| core.input(Input::List { kind: ListKind::Whole, switches });
+    let apply = |core: &Rc<Core>, switches| core.input(Input::List { kind: ListKind::Snapshot, switches });
     watch(core, "list of switches", path, read_switches, apply).await;
 }
 
@@ -83,7 +83,7 @@
         if let Some(admission) = &mut core.connection_admission.borrow_mut().admission {
             admission.set_client_limits(core.settings.client_connection_limits(&clients));
         }
-        core.input(Input::Clients(core.settings.known_clients(&clients)));
+        core.input(Input::KnownClients(core.settings.known_clients(&clients)));
     };
     watch(core, "list of known clients", path, read_clients, apply).await;
 }
