--- a/crates/fawnrouter-config/src/settings/zones.rs
+++ b/crates/fawnrouter-config/src/settings/zones.rs
@@ -97,7 +97,7 @@
     /// Most calls per window.
     #[serde(default)]
     pub calls: Option<u64>,
-    /// Most cost per window.
+    /// Highest total cost per window.
     #[serde(default)]
     #[schemars(range(min = 0.0, max = 1e12))]
     pub money: Option<f64>,
