--- a/crates/fawnrouterd/tests/deploy.rs
+++ b/crates/fawnrouterd/tests/deploy.rs
@@ -43,11 +43,11 @@
     });
     let config = config(free_address(), names.address, &[("s-1", switch.address)]);
     let gateway = Gateway::start("deploy", &config);
-    let mut caller = gateway.caller();
-    caller.calls("9b1f03aa5c7e2d41", 3000);
-    let (link, start) = switch.next("START");
-    say(&link, &json!({"verb": "STARTED", "tag": start["tag"], "opts": {}, "blob": "answer"}));
-    assert_eq!(caller.hears().unwrap()["verb"], "STARTED");
+    let mut caller = gateway.connect_caller();
+    caller.start_call("9b1f03aa5c7e2d41", 3000);
+    let (link, start) = switch.next_message("START");
+    send_line(&link, &json!({"verb": "STARTED", "tag": start["tag"], "opts": {}, "blob": "answer"}));
+    assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
 
     let process = std::path::PathBuf::from(format!("/proc/{}", gateway.id()));
     for task in std::fs::read_dir(process.join("task")).unwrap() {
--- a/crates/fawnrouterd/tests/famine.rs
+++ b/crates/fawnrouterd/tests/famine.rs
@@ -301,7 +301,7 @@
     let mut changed = config.clone();
     changed["nameserver"] = json!(names.address.to_string());
     gateway.reloads(&changed);
-    names.asked(3);
+    names.wait_for_queries(3);
     a_new_caller_is_served(&gateway, 1);
     assert!(new.has_had() > 0, "at the new one");
     gateway.was_never_out_of_descriptors(limit);
--- a/crates/fawnrouterd/tests/platform/mod.rs
+++ b/crates/fawnrouterd/tests/platform/mod.rs
@@ -44,7 +44,7 @@
     }
 
     /// The next message of this type.
-    pub fn next(&self, verb: &str) -> (TcpStream, Value) {
+    pub fn next_message(&self, verb: &str) -> (TcpStream, Value) {
         loop {
             let (stream, line) =
                 self.lines.recv_timeout(PATIENCE).unwrap_or_else(|_| panic!("no {verb} came"));
@@ -55,7 +55,7 @@
     }
 }
 
-pub fn say(mut stream: &TcpStream, line: &Value) {
+pub fn send_line(mut stream: &TcpStream, line: &Value) {
     stream.write_all(format!("{line}\n").as_bytes()).unwrap();
 }
 
@@ -66,24 +66,24 @@
 }
 
 impl Caller {
-    pub fn says(&self, line: &Value) {
-        say(&self.stream, line);
+    pub fn send(&self, line: &Value) {
+        send_line(&self.stream, line);
     }
 
-    pub fn calls(&self, tag: &str, left_ms: u64) {
-        self.says(&json!({"verb": "START", "tag": tag, "blob": format!("offer\r\n{tag}"),
+    pub fn start_call(&self, tag: &str, left_ms: u64) {
+        self.send(&json!({"verb": "START", "tag": tag, "blob": format!("offer\r\n{tag}"),
             "opts": {"class": "voice", "left": left_ms.to_string(), "key": "7f3a", "extras": "dest:0;width:1;via:-1"}}));
     }
 
     /// The next line; `None` at the end.
-    pub fn hears(&mut self) -> Option<Value> {
+    pub fn receive(&mut self) -> Option<Value> {
         let mut line = String::new();
         let n = self.reader.read_line(&mut line).expect("a line or an orderly end");
         (n > 0).then(|| serde_json::from_str(&line).expect("the gateway writes JSON"))
     }
 
     /// Whether nothing more comes but the end.
-    pub fn ends(&mut self) -> bool {
+    pub fn is_at_end(&mut self) -> bool {
         let mut rest = Vec::new();
         self.reader.read_to_end(&mut rest).is_ok() && rest.is_empty()
     }
@@ -96,9 +96,9 @@
     /// Id and address.
     pub switches: Vec<(String, SocketAddr)>,
     /// RCODE.
-    pub code: u8,
+    pub rcode: u8,
     /// Answers under another id.
-    pub other_id: bool,
+    pub wrong_id: bool,
 }
 
 pub struct NameServer {
@@ -125,7 +125,7 @@
 
 /// A core switch as the list has it.
 #[derive(Clone)]
-pub struct Row {
+pub struct SwitchRecord {
     pub id: String,
     pub address: SocketAddr,
     pub draining: bool,
@@ -134,7 +134,7 @@
 }
 
 /// The answer to this question (RFC 1035 §4.1).
-pub fn answer(question: &[u8], code: u8, serial: u32, rows: &[Row]) -> Vec<u8> {
+pub fn answer(question: &[u8], code: u8, serial: u32, rows: &[SwitchRecord]) -> Vec<u8> {
     let count = rows.len() as u8;
     let mut out = question.to_vec();
     (out[2], out[3], out[7], out[9], out[11]) = (0x84, code, count, 1, 2 * count);
@@ -162,15 +162,15 @@
 
 impl Zone {
     fn answer(&self, question: &[u8]) -> Vec<u8> {
-        let row = |(id, address): &(String, SocketAddr)| Row {
+        let row = |(id, address): &(String, SocketAddr)| SwitchRecord {
             id: id.clone(),
             address: *address,
             draining: false,
             started: 0,
         };
-        let rows: Vec<Row> = self.switches.iter().map(row).collect();
-        let mut out = answer(question, self.code, self.serial, &rows);
-        if self.other_id {
+        let rows: Vec<SwitchRecord> = self.switches.iter().map(row).collect();
+        let mut out = answer(question, self.rcode, self.serial, &rows);
+        if self.wrong_id {
             out[0] ^= 0xff;
         }
         out
@@ -203,7 +203,7 @@
     }
 
     /// Waits for questions that are asked from now on.
-    pub fn asked(&self, times: usize) {
+    pub fn wait_for_queries(&self, times: usize) {
         while self.asked.try_recv().is_ok() {}
         for _ in 0..times {
             self.asked.recv_timeout(PATIENCE).expect("the gateway asks");
@@ -273,7 +273,7 @@
             }
         });
         let gateway = Self { child, address, file, log };
-        gateway.logs("gateway ready");
+        gateway.wait_for_log("gateway ready");
         gateway
     }
 
@@ -282,14 +282,14 @@
     }
 
     /// The same gateway once more, after its end.
-    pub fn again(mut self) -> Self {
+    pub fn restart(mut self) -> Self {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
         Self::start_with(self.file.clone(), self.address)
     }
 
     /// Waits for a line of the log.
-    pub fn logs(&self, part: &str) -> String {
+    pub fn wait_for_log(&self, part: &str) -> String {
         loop {
             let line = self.log.recv_timeout(PATIENCE).unwrap_or_else(|_| panic!("no line with {part:?}"));
             if line.contains(part) {
@@ -298,7 +298,7 @@
         }
     }
 
-    pub fn caller(&self) -> Caller {
+    pub fn connect_caller(&self) -> Caller {
         let stream = TcpStream::connect(self.address).unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
         Caller { reader: BufReader::new(stream.try_clone().unwrap()), stream }
@@ -309,7 +309,7 @@
         rustix::process::kill_process(id, signal).unwrap();
     }
 
-    pub fn end(mut self) -> ExitStatus {
+    pub fn wait_for_exit(mut self) -> ExitStatus {
         self.child.wait().unwrap()
     }
 }
--- a/crates/fawnrouterd/tests/shutdown.rs
+++ b/crates/fawnrouterd/tests/shutdown.rs
@@ -150,7 +150,7 @@
 impl House {
     /// A caller's connection that the gateway has read from.
     fn caller(&self) -> Caller {
-        let mut caller = self.gateway.caller();
+        let mut caller = self.gateway.connect_caller();
         caller.stream.set_nodelay(true).unwrap();
         assert_eq!(passes_test(&mut caller), 1);
         caller
@@ -159,8 +159,8 @@
     /// A call that stands, and its caller.
     fn standing(&self, tag: &str) -> Caller {
         let mut caller = self.caller();
-        caller.calls(tag, 5000);
-        assert_eq!(caller.hears().unwrap()["verb"], "STARTED");
+        caller.start_call(tag, 5000);
+        assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
         self.core.next("START");
         caller
     }
@@ -169,7 +169,7 @@
     fn is_told_to_end(&self) -> Caller {
         let mut asks = self.caller();
         self.gateway.signal(Signal::TERM);
-        self.gateway.logs("ending");
+        self.gateway.wait_for_log("ending");
         while passes_test(&mut asks) == 1 {}
         asks
     }
@@ -179,7 +179,7 @@
     fn crosses_the_end(&self, meanwhile: impl FnOnce()) {
         let asks = self.is_told_to_end();
         self.stands_still(|| {
-            asks.says(&echo());
+            asks.send(&echo());
             meanwhile();
             sleep(SERVING_TIME);
         });
@@ -204,7 +204,7 @@
             assert!(began.elapsed() < limit, "the gateway still runs after {limit:?}");
             sleep(Duration::from_millis(5));
         }
-        assert!(self.gateway.end().success());
+        assert!(self.gateway.wait_for_exit().success());
     }
 }
 
@@ -214,8 +214,8 @@
 
 /// The cause that a test is answered with.
 fn passes_test(caller: &mut Caller) -> i64 {
-    caller.says(&echo());
-    let line = caller.hears().unwrap();
+    caller.send(&echo());
+    let line = caller.receive().unwrap();
     assert_eq!(line["verb"], "ECHOED");
     line["rc"].as_i64().unwrap()
 }
@@ -317,7 +317,7 @@
     let (half, rest) = line.split_at(line.len() / 2);
     // The answer to the test says that the half line behind it has been read too.
     write(&caller.stream, &format!("{}\n{half}", json!({"verb": "ECHO", "tag": tag, "opts": {}, "rc": 0})));
-    assert_eq!(caller.hears().unwrap()["verb"], "ECHOED");
+    assert_eq!(caller.receive().unwrap()["verb"], "ECHOED");
     house.crosses_the_end(|| write(&caller.stream, rest));
     hear_each_once([&caller], [&tag]);
     house.exits_within(PATIENCE);
@@ -330,7 +330,7 @@
     let tags: Vec<_> = (0..callers.len()).map(tag).collect();
     house.crosses_the_end(|| {
         for (caller, tag) in callers.iter().zip(&tags) {
-            caller.calls(tag, 3000);
+            caller.start_call(tag, 3000);
         }
     });
     hear_each_once(&callers, &tags);
@@ -345,7 +345,7 @@
     house.stands_still(|| {
         house.gateway.signal(Signal::TERM);
         for (caller, tag) in callers.iter().zip(&tags) {
-            caller.calls(tag, 3000);
+            caller.start_call(tag, 3000);
         }
         sleep(SERVING_TIME);
     });
@@ -369,12 +369,12 @@
     let house = house("behind-lines", 256, keep_silent);
     let (caller, other) = (house.caller(), house.caller());
     let (first, behind) = (tag(1), tag(2));
-    caller.calls(&first, 5000);
+    caller.start_call(&first, 5000);
     let attempt = house.core.next("START");
     let heard = format!("{}\n", json!({"verb": "FINISHED", "tag": tag(3), "opts": {}}));
     house.crosses_the_end(|| {
         write(&other.stream, &(heard.repeat(300) + &set_up(&behind, 3000)));
-        say(&attempt.link, &started(&first));
+        send_line(&attempt.link, &started(&first));
     });
     hear_each_once([&caller], [&first]);
     hear_each_once([&other], [&behind]);
@@ -386,11 +386,11 @@
     let house = house("accepted", 256, answer);
     let asks = house.is_told_to_end();
     let before = descriptors(&house.gateway);
-    let caller = house.gateway.caller();
+    let caller = house.gateway.connect_caller();
     wait_until("the connection is accepted", || descriptors(&house.gateway) > before);
     house.stands_still(|| {
-        asks.says(&echo());
-        caller.calls(&tag(1), 3000);
+        asks.send(&echo());
+        caller.start_call(&tag(1), 3000);
         sleep(SERVING_TIME);
     });
     hear_each_once([&caller], [&tag(1)]);
@@ -405,8 +405,8 @@
     let mut callers = Vec::new();
     house.crosses_the_end(|| {
         for tag in &tags {
-            callers.push(house.gateway.caller());
-            callers.last().unwrap().calls(tag, 3000);
+            callers.push(house.gateway.connect_caller());
+            callers.last().unwrap().start_call(tag, 3000);
         }
     });
     hear_each_once(&callers, &tags);
@@ -421,8 +421,8 @@
     house.stands_still(|| {
         house.gateway.signal(Signal::TERM);
         for tag in &tags {
-            callers.push(house.gateway.caller());
-            callers.last().unwrap().calls(tag, 3000);
+            callers.push(house.gateway.connect_caller());
+            callers.last().unwrap().start_call(tag, 3000);
         }
         sleep(SERVING_TIME);
     });
@@ -438,7 +438,7 @@
     let tags: Vec<_> = (0..callers.len()).map(tag).collect();
     house.crosses_the_end(|| {
         for (caller, tag) in callers.iter().zip(&tags) {
-            caller.calls(tag, 3000);
+            caller.start_call(tag, 3000);
         }
     });
     hear_each_once(&callers, &tags);
@@ -450,13 +450,13 @@
     let house = house("out", 256, keep_silent);
     let (caller, other) = (house.caller(), house.caller());
     let [out, same, on_other] = [tag(1), tag(2), tag(3)];
-    caller.calls(&out, 5000);
+    caller.start_call(&out, 5000);
     let attempt = house.core.next("START");
     house.crosses_the_end(|| {
         // Its answer lies unread as well, so that nothing may be owed at the first look.
-        say(&attempt.link, &started(&out));
-        caller.calls(&same, 3000);
-        other.calls(&on_other, 3000);
+        send_line(&attempt.link, &started(&out));
+        caller.start_call(&same, 3000);
+        other.start_call(&on_other, 3000);
     });
     hear_each_once([&caller], [&out, &same]);
     hear_each_once([&other], [&on_other]);
@@ -472,7 +472,7 @@
         }
     });
     let caller = house.caller();
-    caller.calls(&tag(1), 5000);
+    caller.start_call(&tag(1), 5000);
     let attempt = house.core.next("START");
     let mut broke = Instant::now();
     house.crosses_the_end(|| {
@@ -490,15 +490,15 @@
 fn a_call_whose_core_switch_never_answers_is_failed_in_its_time_and_the_gateway_ends() {
     let house = house("mute", 256, keep_silent);
     let mut caller = house.caller();
-    caller.calls(&tag(1), 1500);
+    caller.start_call(&tag(1), 1500);
     house.core.next("START");
     let asked = Instant::now();
     house.is_told_to_end();
-    let line = caller.hears().expect("an answer");
+    let line = caller.receive().expect("an answer");
     assert_eq!((&line["verb"], &line["tag"]), (&json!("FINISH"), &json!(tag(1))));
     // Its time and the half second in which an answer only earns nothing.
     assert!(asked.elapsed() < Duration::from_millis(2000));
-    assert!(caller.ends());
+    assert!(caller.is_at_end());
     house.exits_within(PATIENCE);
 }
 
@@ -508,16 +508,16 @@
         if line["verb"] == "START" {
             let mut full = finish(line["tag"].as_str().unwrap(), 34);
             full["opts"] = json!({"note": "group_full"});
-            say(link, &full);
+            send_line(link, &full);
         }
     });
     let caller = house.caller();
     let tags: Vec<_> = (0..3).map(tag).collect();
     for tag in &tags[..2] {
-        caller.calls(tag, 4000);
+        caller.start_call(tag, 4000);
     }
     house.core.next("START");
-    house.crosses_the_end(|| caller.calls(&tags[2], 4000));
+    house.crosses_the_end(|| caller.start_call(&tags[2], 4000));
     hear_each_once([&caller], &tags);
     house.exits_within(PATIENCE);
 }
@@ -555,7 +555,7 @@
     let mut caller = house.caller();
     let mut tags = fill(&house, &mut caller);
     tags.push(tag(tags.len()));
-    house.crosses_the_end(|| caller.calls(&tags[tags.len() - 1], 3000));
+    house.crosses_the_end(|| caller.start_call(&tags[tags.len() - 1], 3000));
     hear_each_once([&caller], &tags[1..]);
     house.exits_within(PATIENCE);
 }
@@ -566,16 +566,16 @@
     let local = caller.stream.local_addr().unwrap();
     let mut marks = house.caller();
     let mut tags = vec![tag(0)];
-    caller.calls(&tags[0], 5000);
-    let length = caller.hears().unwrap().to_string().len() + 1;
+    caller.start_call(&tags[0], 5000);
+    let length = caller.receive().unwrap().to_string().len() + 1;
     let mut written = 0;
     while queued(house.gateway.address, local) >= written {
         let next = tag(tags.len());
-        marks.calls(&marker(&next), 5000);
-        assert_eq!(marks.hears().unwrap()["verb"], "STARTED");
-        caller.calls(&next, 5000);
+        marks.start_call(&marker(&next), 5000);
+        assert_eq!(marks.receive().unwrap()["verb"], "STARTED");
+        caller.start_call(&next, 5000);
         // What was answered before this has been given to the kernel as far as that took it.
-        assert_eq!(marks.hears().unwrap(), finish(&marker(&next), 16));
+        assert_eq!(marks.receive().unwrap(), finish(&marker(&next), 16));
         tags.push(next);
         written += length;
     }
@@ -588,7 +588,7 @@
 fn a_callers_release_unread_at_the_end_reaches_the_core_switch() {
     let house = house("release", 256, answer);
     let caller = house.standing(&tag(1));
-    house.crosses_the_end(|| caller.says(&finish(&tag(1), 16)));
+    house.crosses_the_end(|| caller.send(&finish(&tag(1), 16)));
     assert_eq!(house.core.next("FINISH").line, finish(&tag(1), 16));
     drop(caller);
     house.exits_within(PATIENCE);
@@ -600,8 +600,8 @@
     let tags: BTreeSet<_> = (0..40).map(tag).collect();
     let mut caller = house.caller();
     for tag in &tags {
-        caller.calls(tag, 5000);
-        assert_eq!(caller.hears().unwrap()["verb"], "STARTED");
+        caller.start_call(tag, 5000);
+        assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
     }
     let (last, others) = (tag(39), &tags);
     let mut late = None;
@@ -609,8 +609,8 @@
         let lines = others.iter().filter(|tag| **tag != last).map(|tag| format!("{}\n", finish(tag, 16)));
         write(&caller.stream, &lines.collect::<String>());
         // A standing call is bound to no connection.
-        late = Some(house.gateway.caller());
-        late.as_ref().unwrap().says(&finish(&last, 16));
+        late = Some(house.gateway.connect_caller());
+        late.as_ref().unwrap().send(&finish(&last, 16));
     });
     let mut missing = tags.clone();
     let until = Instant::now() + PATIENCE;
@@ -630,13 +630,13 @@
 fn a_callers_release_at_the_end_reaches_a_core_switch_that_has_closed_its_connection() {
     let house = house("release-closed", 256, answer);
     let mut caller = house.caller();
-    caller.calls(&tag(1), 5000);
-    assert_eq!(caller.hears().unwrap()["verb"], "STARTED");
+    caller.start_call(&tag(1), 5000);
+    assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
     let link = house.core.next("START").link;
     house.crosses_the_end(|| {
         // It reads on: whether the release goes there before the close is seen or on a new one, it is heard.
         link.shutdown(Shutdown::Write).unwrap();
-        caller.says(&finish(&tag(1), 16));
+        caller.send(&finish(&tag(1), 16));
     });
     assert_eq!(house.core.next("FINISH").line, finish(&tag(1), 16));
     drop(caller);
@@ -648,14 +648,14 @@
     let core = Core::at(SocketAddr::from(([127, 0, 0, 1], 0)), 1, answer);
     let house = house_of(test, 256, core);
     let mut caller = house.caller();
-    caller.calls(&tag(1), 5000);
-    assert_eq!(caller.hears().unwrap()["verb"], "STARTED");
+    caller.start_call(&tag(1), 5000);
+    assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
     let link = house.core.next("START").link;
     let before = descriptors(&house.gateway);
     link.shutdown(Shutdown::Both).unwrap();
     wait_until("the gateway has seen the close", || descriptors(&house.gateway) < before);
-    caller.says(&finish(&tag(1), 16));
-    assert_eq!(caller.hears().unwrap()["verb"], "FINISHED");
+    caller.send(&finish(&tag(1), 16));
+    assert_eq!(caller.receive().unwrap()["verb"], "FINISHED");
     house
 }
 
@@ -691,12 +691,12 @@
 fn a_core_switchs_release_unread_at_the_end_is_told_to_the_caller() {
     let house = house("released", 256, answer);
     let mut caller = house.caller();
-    caller.calls(&tag(1), 5000);
-    assert_eq!(caller.hears().unwrap()["verb"], "STARTED");
+    caller.start_call(&tag(1), 5000);
+    assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
     let link = house.core.next("START").link;
-    house.crosses_the_end(|| say(&link, &finish(&tag(1), 16)));
-    assert_eq!(caller.hears(), Some(finish(&tag(1), 16)));
-    assert_eq!(caller.hears(), None);
+    house.crosses_the_end(|| send_line(&link, &finish(&tag(1), 16)));
+    assert_eq!(caller.receive(), Some(finish(&tag(1), 16)));
+    assert_eq!(caller.receive(), None);
     drop(caller);
     house.exits_within(PATIENCE);
 }
@@ -708,16 +708,16 @@
     let house = house("twice", 256, keep_silent);
     let (caller, other) = (house.caller(), house.caller());
     let (out, late) = (tag(1), tag(2));
-    caller.calls(&out, 5000);
+    caller.start_call(&out, 5000);
     let attempt = house.core.next("START");
     house.crosses_the_end(|| {
         house.gateway.signal(Signal::TERM);
-        other.calls(&late, 3000);
+        other.start_call(&late, 3000);
     });
     // Refused or served: no matter, but once.
     house.gateway.signal(Signal::TERM);
     house.gateway.signal(Signal::INT);
-    say(&attempt.link, &started(&out));
+    send_line(&attempt.link, &started(&out));
     hear_each_once([&caller], [&out]);
     hear_each_once([&other], [&late]);
     house.exits_within(PATIENCE);
@@ -728,7 +728,7 @@
     let house = house("hup", 256, keep_silent);
     let mut caller = house.caller();
     let [out, between, late] = [tag(1), tag(2), tag(3)];
-    caller.calls(&out, 5000);
+    caller.start_call(&out, 5000);
     let attempt = house.core.next("START");
     let zone = house.names.zone.lock().unwrap().clone();
     let other = NameServer::new(Zone { serial: 2, ..zone });
@@ -738,21 +738,21 @@
     house.stands_still(|| {
         house.gateway.signal(Signal::HUP);
         house.gateway.signal(Signal::TERM);
-        caller.calls(&between, 3000);
+        caller.start_call(&between, 3000);
     });
-    house.gateway.logs("ending");
-    other.asked(1);
+    house.gateway.wait_for_log("ending");
+    other.wait_for_queries(1);
     while passes_test(&mut caller) == 1 {}
     // And again while the serving time passes, half a configuration this time.
     std::fs::write(&house.gateway.file, "{\"name\":").unwrap();
     house.stands_still(|| {
         house.gateway.signal(Signal::HUP);
-        caller.calls(&late, 3000);
+        caller.start_call(&late, 3000);
         sleep(SERVING_TIME);
     });
-    house.gateway.logs("the configuration stays as it was");
+    house.gateway.wait_for_log("the configuration stays as it was");
     for tag in [&out, &between] {
-        say(&attempt.link, &finish(tag, 17));
+        send_line(&attempt.link, &finish(tag, 17));
     }
     hear_each_once([&caller], [&out, &between, &late]);
     house.exits_within(PATIENCE);
@@ -907,14 +907,14 @@
 
 /// Newcomers that have said something: none of them is pushed out by the next.
 fn come(house: &House, number: usize) -> Vec<Caller> {
-    let callers: Vec<_> = (0..number).map(|_| house.gateway.caller()).collect();
-    callers.iter().for_each(|caller| caller.says(&echo()));
+    let callers: Vec<_> = (0..number).map(|_| house.gateway.connect_caller()).collect();
+    callers.iter().for_each(|caller| caller.send(&echo()));
     callers
 }
 
 /// The answer to a set-up on a connection that may be closed for room afterwards.
 fn one_answer(caller: &mut Caller, tag: &str) {
-    let line = caller.hears().expect("an answer before the end");
+    let line = caller.receive().expect("an answer before the end");
     assert!(line["verb"] == "STARTED" || line["verb"] == "FINISH", "{line}");
     assert_eq!(line["tag"], tag);
 }
@@ -924,7 +924,7 @@
     let (house, mut idle) = full_house("room-before");
     let mut newcomers = Vec::new();
     house.stands_still(|| {
-        idle[0].calls(&tag(1), 3000);
+        idle[0].start_call(&tag(1), 3000);
         newcomers = come(&house, 4);
         sleep(2 * CROSSING);
     });
@@ -937,7 +937,7 @@
     let mut newcomers = Vec::new();
     house.stands_still(|| {
         newcomers = come(&house, 4);
-        (0..4).for_each(|n| idle[n].calls(&tag(n), 3000));
+        (0..4).for_each(|n| idle[n].start_call(&tag(n), 3000));
         sleep(2 * CROSSING);
     });
     (0..4).for_each(|n| one_answer(&mut idle[n], &tag(n)));
@@ -950,7 +950,7 @@
     let (half, rest) = line.split_at(line.len() / 2);
     let ping = json!({"verb": "ECHO", "tag": tag(2), "opts": {}, "rc": 0});
     write(&idle[0].stream, &format!("{ping}\n{half}"));
-    assert_eq!(idle[0].hears().unwrap()["verb"], "ECHOED");
+    assert_eq!(idle[0].receive().unwrap()["verb"], "ECHOED");
     // The others spoke later.
     assert!(idle[1..].iter_mut().all(|caller| passes_test(caller) == 1));
     let mut newcomers = Vec::new();
@@ -968,14 +968,14 @@
     let mut crowd = Vec::new();
     house.stands_still(|| {
         for n in 0..2 * SEATS {
-            crowd.push(house.gateway.caller());
-            crowd[n].calls(&tag(n), 3000);
+            crowd.push(house.gateway.connect_caller());
+            crowd[n].start_call(&tag(n), 3000);
         }
         sleep(2 * CROSSING);
     });
     for (n, caller) in crowd.iter_mut().enumerate() {
         // Beyond the seats: told so without the id, or refused under it.
-        let line = caller.hears().unwrap_or_else(|| panic!("newcomer {n} got an end and no word"));
+        let line = caller.receive().unwrap_or_else(|| panic!("newcomer {n} got an end and no word"));
         assert!(line["verb"] == "STARTED" || line["verb"] == "FINISH", "{line}");
     }
 }
@@ -984,7 +984,7 @@
 fn a_set_up_completed_in_time_and_unread_is_answered_though_its_connection_is_overdue() {
     let house = house("overdue", 256, answer);
     // One has said nothing whole yet, the other has.
-    let (mut silent, mut half) = (house.gateway.caller(), house.caller());
+    let (mut silent, mut half) = (house.gateway.connect_caller(), house.caller());
     let lines = [set_up(&tag(1), 3000), set_up(&tag(2), 3000)];
     let (begin, rest) = lines[1].split_at(30);
     write(&half.stream, begin);
@@ -1025,12 +1025,12 @@
         }
     });
     let mut caller = house.caller();
-    caller.calls(&tag(1), 5000);
-    assert_eq!(caller.hears().unwrap()["verb"], "STARTED");
+    caller.start_call(&tag(1), 5000);
+    assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
     let attempts: Vec<_> = house.core.attempts(&tag(1)).iter().map(|t| t.at).collect();
     one_at_a_time(&attempts, &closes.lock().unwrap());
     house.is_told_to_end();
-    assert_eq!(caller.hears(), None, "one answer");
+    assert_eq!(caller.receive(), None, "one answer");
     drop(caller);
     house.exits_within(PATIENCE);
 }
@@ -1069,13 +1069,13 @@
     });
     let house = house_of("link-reset", 256, Core { address, told });
     let mut caller = house.caller();
-    caller.calls(&tag(1), 5000);
-    let line = caller.hears().unwrap();
+    caller.start_call(&tag(1), 5000);
+    let line = caller.receive().unwrap();
     assert_eq!((&line["verb"], &line["tag"]), (&json!("STARTED"), &json!(tag(1))));
     let (attempts, closes) = &*attempts.lock().unwrap();
     one_at_a_time(attempts, closes);
     house.is_told_to_end();
-    assert_eq!(caller.hears(), None, "one answer");
+    assert_eq!(caller.receive(), None, "one answer");
     drop(caller);
     house.exits_within(PATIENCE);
 }
@@ -1084,18 +1084,18 @@
 fn a_set_up_that_crosses_the_core_switchs_close_of_an_idle_connection_is_served_once() {
     let house = house("link-idle", 256, answer);
     let mut caller = house.caller();
-    caller.calls(&tag(1), 5000);
-    assert_eq!(caller.hears().unwrap()["tag"], tag(1));
+    caller.start_call(&tag(1), 5000);
+    assert_eq!(caller.receive().unwrap()["tag"], tag(1));
     let idle = house.core.next("START").link;
     house.stands_still(|| {
         idle.shutdown(Shutdown::Both).unwrap();
-        caller.calls(&tag(2), 5000);
+        caller.start_call(&tag(2), 5000);
     });
-    let line = caller.hears().unwrap();
+    let line = caller.receive().unwrap();
     assert_eq!((&line["verb"], &line["tag"]), (&json!("STARTED"), &json!(tag(2))));
     assert_eq!(house.core.attempts(&tag(2)).len(), 1);
     house.is_told_to_end();
-    assert_eq!(caller.hears(), None, "one answer");
+    assert_eq!(caller.receive(), None, "one answer");
     drop(caller);
     house.exits_within(PATIENCE);
 }
