--- a/crates/fawnrouterd/tests/cli.rs
+++ b/crates/fawnrouterd/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: exit codes and what is said.
+//! The command line: exit codes and messages.
 
 use std::process::{Command, Output};
 
@@ -11,14 +11,14 @@
 }
 
 #[test]
-fn check_finds_the_example_sound() {
+fn check_accepts_the_example() {
     let out = fawnrouter(&["check", "--config", &example("gateway.yaml")]);
     assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
     assert!(String::from_utf8_lossy(&out.stdout).contains("2 switches listed"));
 }
 
 #[test]
-fn check_tells_file_line_field_and_remedy_and_exits_with_2() {
+fn check_reports_file_line_field_and_correction_and_exits_with_2() {
     let out = fawnrouter(&["check", "--config", &example("switches.yaml")]);
     let text = String::from_utf8_lossy(&out.stderr).into_owned();
     assert_eq!(out.status.code(), Some(2));
@@ -29,14 +29,14 @@
 }
 
 #[test]
-fn schema_prints_a_schema() {
+fn schema_prints_a_json_schema() {
     let out = fawnrouter(&["schema"]);
     let schema: serde_json::Value = serde_json::from_slice(&out.stdout).expect("JSON");
     assert!(schema["properties"]["listen"].is_object());
 }
 
 #[test]
-fn a_secret_is_hashed_into_a_line_that_the_file_of_clients_takes() {
+fn secret_prints_a_hashed_entry_that_the_list_of_clients_accepts() {
     use std::io::Write;
     let mut child = Command::new(env!("CARGO_BIN_EXE_fawnrouter"))
         .args(["secret", "Mufasa", "--realm", "http-auth@example.org", "--md5"])
@@ -47,13 +47,13 @@
     child.stdin.take().expect("piped").write_all(b"Circle of Life\n").expect("a line");
     let out = child.wait_with_output().expect("it ends");
     let text = format!("clients:\n{}", String::from_utf8_lossy(&out.stdout));
-    let clients = fawnrouterd::config::read_clients("c.yaml", &text).expect("a sound line");
+    let clients = fawnrouterd::config::read_clients("c.yaml", &text).expect("a valid entry");
     assert_eq!(clients[0].md5.as_deref(), Some("3d78807defe7de2157e2b0b6573a855f"), "RFC 7616 §3.9.1");
     assert!(!text.contains("Circle"));
 }
 
 #[test]
-fn admission_needs_a_socket_in_the_settings_and_a_gateway_behind_it() {
+fn admission_requires_a_control_socket_in_the_settings() {
     let out = fawnrouter(&["admission", "--config", &example("gateway.yaml")]);
     assert!(String::from_utf8_lossy(&out.stderr).contains("control: is missing; add"));
     assert_eq!(out.status.code(), Some(2));
--- a/crates/fawnrouterd/tests/crossings.rs
+++ b/crates/fawnrouterd/tests/crossings.rs
@@ -1,6 +1,7 @@
-//! Events that cross, in the bad order, on real connections: what a caller does against what a core switch does, and
-//! both against time. The order is forced: the gateway is stopped (SIGSTOP) while both lie in its sockets, or a peer does
-//! not read. Pauses only let a time limit pass while the gateway is held; no verdict depends on their length.
+//! Events that cross, in the bad order, on real connections: what a caller does against what a core switch
+//! does, and both against time. The order is forced: the gateway is stopped (SIGSTOP) while both lie in its
+//! sockets, or a peer does not read. Pauses only let a time limit pass while the gateway is held; no verdict
+//! depends on their length.
 
 mod platform;
 
@@ -198,8 +199,8 @@
             caller.send(&finish(tag, 16));
             return Some(caller);
         }
-        // A child that is being started beside holds a copy of each descriptor until it is on its way, so that a close
-        // alone may come some milliseconds late.
+        // A child that is being started beside holds a copy of each descriptor until it is on its way, so
+        // that a close alone may come some milliseconds late.
         Leave::Close => caller.stream.shutdown(std::net::Shutdown::Both).unwrap(),
         Leave::Reset => {
             rustix::net::sockopt::set_socket_linger(&caller.stream, Some(Duration::ZERO)).unwrap();
@@ -219,8 +220,8 @@
     lines(std::iter::repeat_n(&json!({"verb": "ECHO", "tag": fresh(), "opts": {}, "rc": 0}), count))
 }
 
-/// Says much that means little. What the caller says or does next lies behind it: a gateway that takes some lines of each
-/// connection in turn comes to the others first.
+/// Says much that means little. What the caller says or does next lies behind it: a gateway that takes some
+/// lines of each connection in turn comes to the others first.
 fn talk(caller: &Caller) {
     (&caller.stream).write_all(tests(400).as_bytes()).unwrap();
 }
@@ -264,8 +265,8 @@
         self.gateway.signal(Signal::CONT);
     }
 
-    /// Further calls are set up, now and when the decisions have looked at what they hold; all that the core switch
-    /// hears meanwhile.
+    /// Further calls are set up, now and when the decisions have looked at what they hold; all that the core
+    /// switch hears meanwhile.
     fn serves_on(&self, peer: &Peer) -> Vec<Heard> {
         let mut all = Vec::new();
         for pause in [PAST_GUARD, Duration::ZERO] {
@@ -290,9 +291,10 @@
     none_set_up(&peer.up_to("FINISHED", &unknown));
 }
 
-/// Bytes that the kernel holds of what was written from one address to another: sent off and not read. What has been
-/// received and not yet acknowledged is counted twice for some milliseconds. Connections that come and go while the
-/// table is read can hide others from it, so that it is looked at again where one is missing.
+/// Bytes that the kernel holds of what was written from one address to another: sent off and not read. What
+/// has been received and not yet acknowledged is counted twice for some milliseconds. Connections that come
+/// and go while the table is read can hide others from it, so that it is looked at again where one is
+/// missing.
 fn in_flight(from: SocketAddr, to: SocketAddr) -> usize {
     let begun = Instant::now();
     while begun.elapsed() < PATIENCE {
@@ -320,8 +322,8 @@
     usize::from_str_radix(row[4].split(':').nth(which)?, 16).ok()
 }
 
-/// Says this over and over where the gateway's answers, of this length, are not read: until the kernel takes no more of
-/// them and some wait in the gateway. Returns the bytes of all answers.
+/// Says this over and over where the gateway's answers, of this length, are not read: until the kernel takes
+/// no more of them and some wait in the gateway. Returns the bytes of all answers.
 fn fill(gateway: &Gateway, mut link: &TcpStream, line: &Value, answer: &Value) -> usize {
     let (line, answer) = (lines([line]).repeat(500), 500 * lines([answer]).len());
     let mut other = caller(gateway);
@@ -340,7 +342,8 @@
     panic!("the connection takes all that is written");
 }
 
-/// Fills the connection of a core switch that does not read with answers to releases of a call that nobody knows.
+/// Fills the connection of a core switch that does not read with answers to releases of a call that nobody
+/// knows.
 fn fill_switch(gateway: &Gateway, link: &TcpStream) {
     let tag = fresh();
     let answer = json!({"verb": "FINISHED", "tag": tag, "opts": {}});
@@ -354,8 +357,8 @@
     fill(gateway, &caller.stream, &test, &answer)
 }
 
-/// A connection on loopback takes this much, though nobody reads at its other end (tcp(7): tcp_wmem, 4 MB). It is looked
-/// at closely beyond.
+/// A connection on loopback takes this much, though nobody reads at its other end (tcp(7): tcp_wmem, 4 MB).
+/// It is looked at closely beyond.
 const SURELY_TAKEN: usize = 2 * 1024 * 1024;
 
 /// Whether some of these bytes wait in the gateway once it has read all that was said to it.
@@ -529,7 +532,8 @@
 fn an_answer_that_could_not_be_written_before_its_caller_left_leaves_nothing_standing() {
     each(&[Leave::Close, Leave::Reset], |how| {
         let (house, peer) = house_with_peer("queued");
-        // The kernel may find room for more as a call is set up: then the answer has been written, and another is tried.
+        // The kernel may find room for more as a call is set up: then the answer has been written, and
+        // another is tried.
         let held = (0..10).find_map(|_| {
             let (caller, tag) = (caller(&house.gateway), fresh());
             let filled = fill_caller(&house.gateway, &caller);
--- a/crates/fawnrouterd/tests/deploy.rs
+++ b/crates/fawnrouterd/tests/deploy.rs
@@ -1,4 +1,4 @@
-//! The deploy file, and what it starts, as the users' page on the full fleet asks.
+//! The deploy file and the program that it starts, against the requirements of the platform.
 
 mod platform;
 
@@ -11,10 +11,10 @@
 }
 
 #[test]
-fn run_ends_by_exec_in_one_program_that_the_build_makes() {
+fn run_command_executes_the_built_program_directly() {
     let deploy = deploy();
     let run: Vec<&str> = deploy["run"].as_str().unwrap().split(' ').collect();
-    assert_eq!(run, ["exec", "target/adapter/fawnrouter", "node"], "one program, no shell around it");
+    assert_eq!(run, ["exec", "target/adapter/fawnrouter", "node"], "the program replaces the shell");
     let build = deploy["build"].as_str().unwrap();
     assert!(build.contains("--profile adapter") && build.contains("-p fawnrouterd"), "{build}");
     for path in deploy["node"].as_array().unwrap().iter().chain(deploy["policy"].as_array().unwrap()) {
@@ -24,24 +24,24 @@
 }
 
 #[test]
-fn the_program_is_linked_dynamically_against_the_c_library() {
+fn program_is_linked_dynamically_against_the_c_library() {
     let data = std::fs::read(env!("CARGO_BIN_EXE_fawnrouter")).unwrap();
     let elf = goblin::elf::Elf::parse(&data).unwrap();
-    assert!(elf.interpreter.is_some(), "no loader: a static program");
+    assert!(elf.interpreter.is_some(), "no interpreter: the program is linked statically");
     assert!(elf.libraries.contains(&"libc.so.6"), "{:?}", elf.libraries);
 }
 
-/// Other programs, fork and io_uring are refused there, and nothing of another part of the product is on.
+/// The platform forbids starting programs, fork and io_uring, and no other part of the product may be active.
 #[cfg(target_os = "linux")]
 #[test]
-fn the_gateway_at_work_has_no_child_no_ring_and_listens_on_its_address_alone() {
+fn running_gateway_has_no_child_process_no_io_uring_and_one_listener() {
     let switch = Switch::new();
-    let names = NameServer::new(Zone {
+    let name_server = NameServer::new(Zone {
         serial: 1,
         switches: vec![("s-1".into(), switch.address)],
         ..Zone::default()
     });
-    let config = config(free_address(), names.address, &[("s-1", switch.address)]);
+    let config = config(free_address(), name_server.address, &[("s-1", switch.address)]);
     let gateway = Gateway::start("deploy", &config);
     let mut caller = gateway.connect_caller();
     caller.start_call("9b1f03aa5c7e2d41", 3000);
--- a/crates/fawnrouterd/tests/famine.rs
+++ b/crates/fawnrouterd/tests/famine.rs
@@ -1,6 +1,6 @@
-//! Descriptors that run short: crowds of clients' connections fill what the gateway may hold, on a process that has no
-//! more than its configuration says, while the name server is down. The gateway must go on asking, take lists, connect
-//! to core switches and read its file.
+//! Shortage of file descriptors: client connections use up the descriptors of a gateway process, which is
+//! limited to the number in its configuration, while the name server is down. The gateway must still query
+//! the name server, apply lists, connect to core switches and reload its configuration.
 
 mod platform;
 
@@ -16,25 +16,25 @@
 use rustix::process::{Pid, Resource, Signal, getrlimit, kill_process, setrlimit};
 use serde_json::{Value, json};
 
-/// Ends a test that would hang.
-const PATIENCE: Duration = Duration::from_secs(15);
-/// The page owes those that are turned away an end within 3 s; the rest is for a machine that is busy.
-const SOON: Duration = Duration::from_secs(6);
+/// Timeout that ends a hanging test.
+const TIMEOUT: Duration = Duration::from_secs(15);
+/// Refused clients must be closed within 3 s; the rest allows for a busy machine.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// A gateway process that may hold no more descriptors than its configuration says.
+/// A gateway process whose descriptor limit is the one in its configuration.
 struct Gateway {
     child: Child,
     address: SocketAddr,
     file: PathBuf,
     log: Arc<Mutex<Vec<String>>>,
-    /// The most descriptors that it has been seen to hold.
+    /// Largest number of open descriptors observed.
     most: Arc<AtomicUsize>,
     over: Arc<AtomicBool>,
 }
 
 impl Gateway {
     fn start(test: &str, config: &Value) -> Self {
-        // The crowd is this process's own.
+        // The clients' sockets belong to this process.
         let mut own = getrlimit(Resource::Nofile);
         own.current = own.maximum;
         setrlimit(Resource::Nofile, own).unwrap();
@@ -69,54 +69,55 @@
             most: Arc::default(),
             over: Arc::default(),
         };
-        gateway.logs("gateway ready");
+        gateway.wait_for_log("gateway ready");
         let folder = format!("/proc/{}/fd", gateway.child.id());
         let (most, over) = (gateway.most.clone(), gateway.over.clone());
         std::thread::spawn(move || {
             while !over.load(Ordering::Relaxed) {
-                most.fetch_max(descriptors(&folder), Ordering::Relaxed);
+                most.fetch_max(count_descriptors(&folder), Ordering::Relaxed);
                 std::thread::sleep(Duration::from_millis(2));
             }
         });
         gateway
     }
 
-    /// Waits for a line of the log.
-    fn logs(&self, part: &str) {
-        eventually(&format!("a line with {part:?}"), || self.said(part).is_some());
+    /// Waits for a log line that contains `part`.
+    fn wait_for_log(&self, part: &str) {
+        wait_until(&format!("a line with {part:?}"), || self.find_log(part).is_some());
     }
 
-    fn said(&self, part: &str) -> Option<String> {
+    fn find_log(&self, part: &str) -> Option<String> {
         self.log.lock().unwrap().iter().find(|line| line.contains(part)).cloned()
     }
 
-    fn has_connections(&self) -> usize {
-        descriptors(&format!("/proc/{}/fd", self.child.id()))
+    fn descriptor_count(&self) -> usize {
+        count_descriptors(&format!("/proc/{}/fd", self.child.id()))
     }
 
-    /// It was never refused a descriptor. (How many it held can't be counted exactly while they change.)
-    fn was_never_out_of_descriptors(&self, limit: usize) {
-        let lack = self.said("os error 24").or_else(|| self.said("Too many open files"));
+    /// Asserts that the gateway was never refused a descriptor. (The number of open descriptors cannot be
+    /// counted exactly while it changes.)
+    fn assert_descriptors_sufficed(&self, limit: usize) {
+        let shortage = self.find_log("os error 24").or_else(|| self.find_log("Too many open files"));
         let most = self.most.load(Ordering::Relaxed);
-        assert!(lack.is_none(), "about {most} of {limit} descriptors: {lack:?}");
+        assert!(shortage.is_none(), "about {most} of {limit} descriptors: {shortage:?}");
     }
 
-    /// Processor time since its start (proc_pid_stat(5): utime and stime, in ticks of 10 ms).
-    fn ticks(&self) -> u64 {
+    /// Processor time since the start (proc_pid_stat(5): utime and stime, in ticks of 10 ms).
+    fn cpu_ticks(&self) -> u64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
         let fields = stat.rsplit_once(')').unwrap().1.split_whitespace();
         fields.skip(11).take(2).map(|n| n.parse::<u64>().unwrap()).sum()
     }
 
-    fn reloads(&self, config: &Value) {
+    fn reload(&self, config: &Value) {
         std::fs::write(&self.file, config.to_string()).unwrap();
         kill_process(Pid::from_child(&self.child), Signal::HUP).unwrap();
-        self.logs("new configuration");
+        self.wait_for_log("new configuration");
     }
 
-    fn client(&self) -> TcpStream {
-        let stream = TcpStream::connect_timeout(&self.address, PATIENCE).unwrap();
-        stream.set_read_timeout(Some(SOON)).unwrap();
+    fn connect(&self) -> TcpStream {
+        let stream = TcpStream::connect_timeout(&self.address, TIMEOUT).unwrap();
+        stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).unwrap();
         stream
     }
 }
@@ -129,12 +130,12 @@
     }
 }
 
-fn descriptors(folder: &str) -> usize {
+fn count_descriptors(folder: &str) -> usize {
     std::fs::read_dir(folder).map_or(0, Iterator::count)
 }
 
-fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
+    let end = Instant::now() + TIMEOUT;
     while !holds() {
         assert!(Instant::now() < end, "never: {what}");
         std::thread::sleep(Duration::from_millis(2));
@@ -149,98 +150,99 @@
     format!("{line}\n")
 }
 
-/// How a client fared.
+/// What a client experienced.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Fate {
-    /// Its call stands, or its test is passed.
+enum Outcome {
+    /// Its call is established, or its health check succeeded.
     Served,
-    /// It was told that there is no room; then came the end.
-    TurnedAway,
-    /// An end without a word.
-    Ended,
-    /// A reset.
+    /// It was refused for lack of room, and then the connection was closed.
+    Refused,
+    /// The connection was closed without a message.
+    ClosedSilently,
+    /// The connection was reset.
     Reset,
-    /// Nothing came in time.
-    Nothing,
+    /// Nothing was received in time.
+    NoResponse,
 }
 
-/// The fate of one that has said something and now listens.
-fn fate(stream: &TcpStream) -> Fate {
+/// Reads the outcome of a client that has sent its line.
+fn read_outcome(stream: &TcpStream) -> Outcome {
     let mut reader = BufReader::new(stream);
     let mut line = String::new();
     match reader.read_line(&mut line) {
-        Ok(0) => return Fate::Ended,
+        Ok(0) => return Outcome::ClosedSilently,
         Ok(_) => {}
-        Err(error) => return fault(&error),
+        Err(error) => return outcome_of_error(&error),
     }
-    let told: Value = serde_json::from_str(&line).expect("the gateway writes JSON");
-    if told["verb"] != "FINISH" {
-        return Fate::Served;
+    let reply: Value = serde_json::from_str(&line).expect("the gateway writes JSON");
+    if reply["verb"] != "FINISH" {
+        return Outcome::Served;
     }
-    // A refusal of the call alone leaves the connection as it is.
-    if told["tag"].is_string() {
-        return Fate::TurnedAway;
+    // A refusal of the call only leaves the connection open.
+    if reply["tag"].is_string() {
+        return Outcome::Refused;
     }
     match reader.read_to_end(&mut Vec::new()) {
-        Ok(_) => Fate::TurnedAway,
-        Err(error) => fault(&error),
+        Ok(_) => Outcome::Refused,
+        Err(error) => outcome_of_error(&error),
     }
 }
 
-fn fault(error: &std::io::Error) -> Fate {
+fn outcome_of_error(error: &std::io::Error) -> Outcome {
     match error.kind() {
-        ErrorKind::WouldBlock | ErrorKind::TimedOut => Fate::Nothing,
-        _ => Fate::Reset,
+        ErrorKind::WouldBlock | ErrorKind::TimedOut => Outcome::NoResponse,
+        _ => Outcome::Reset,
     }
 }
 
-/// Core switches that take connections and say nothing, as many as the gateway may have connections to them.
-fn quiet_switches(limit: usize) -> Vec<(String, TcpListener)> {
+/// Core switches that accept connections and send nothing, as many as the gateway may connect to.
+fn silent_switches(limit: usize) -> Vec<(String, TcpListener)> {
     (0..limit / 4).map(|n| (format!("q-{n}"), TcpListener::bind("127.0.0.1:0").unwrap())).collect()
 }
 
-fn famine_config(limit: usize, names: SocketAddr, switches: &[(String, TcpListener)]) -> Value {
+fn limited_config(limit: usize, name_server: SocketAddr, switches: &[(String, TcpListener)]) -> Value {
     let known: Vec<(&str, SocketAddr)> =
         switches.iter().map(|(id, l)| (id.as_str(), l.local_addr().unwrap())).collect();
-    let mut config = config(free_address(), names, &known);
+    let mut config = config(free_address(), name_server, &known);
     config["limits"]["sockets"] = json!(limit);
     config
 }
 
-/// More connections than there are descriptors: some silent, some that passed the test, some with half a line.
-fn crowd(gateway: &Gateway, size: usize) -> Vec<TcpStream> {
+/// Opens more connections than there are descriptors: some silent, some with a passed health check, some with
+/// half a line.
+fn connect_crowd(gateway: &Gateway, size: usize) -> Vec<TcpStream> {
     let kinds = ["", ECHO, "{\"verb\":\"START\",\"tag\""];
     (0..size)
         .map(|n| {
-            let mut stream = gateway.client();
+            let mut stream = gateway.connect();
             let _ = stream.write_all(kinds[n % 3].as_bytes());
             stream
         })
         .collect()
 }
 
-/// A core switch on which every call stands at once.
-struct Ready {
+/// A core switch that answers every set-up at once.
+struct AnsweringSwitch {
     address: SocketAddr,
     starts: Arc<AtomicUsize>,
 }
 
-impl Ready {
+impl AnsweringSwitch {
     fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let starts = Arc::new(AtomicUsize::new(0));
-        let counts = starts.clone();
+        let count_outcomes = starts.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let counts = counts.clone();
+                let count_outcomes = count_outcomes.clone();
                 std::thread::spawn(move || {
                     let reader = BufReader::new(stream.try_clone().unwrap());
                     for line in reader.lines().map_while(Result::ok) {
                         let line: Value = serde_json::from_str(&line).expect("the gateway writes JSON");
                         if line["verb"] == "START" {
-                            counts.fetch_add(1, Ordering::Relaxed);
-                            stands(&stream, &line["tag"]);
+                            count_outcomes.fetch_add(1, Ordering::Relaxed);
+                            send_started(&stream, &line["tag"]);
                         }
                     }
                 });
@@ -249,94 +251,101 @@
         Self { address, starts }
     }
 
-    fn has_had(&self) -> usize {
+    fn start_count(&self) -> usize {
         self.starts.load(Ordering::Relaxed)
     }
 }
 
-fn stands(mut link: &TcpStream, tag: &Value) {
+fn send_started(mut link: &TcpStream, tag: &Value) {
     let line = json!({"verb": "STARTED", "tag": tag, "opts": {}, "blob": "answer"});
     let _ = link.write_all(format!("{line}\n").as_bytes());
 }
 
-/// A new caller's call stands; one that is turned away plainly comes again, a few times.
-fn a_new_caller_is_served(gateway: &Gateway, tag: u64) -> TcpStream {
-    for again in 0..3 {
-        let mut caller = gateway.client();
-        caller.write_all(call(tag + (again << 32), 3000).as_bytes()).unwrap();
-        match fate(&caller) {
-            Fate::Served => return caller,
-            Fate::TurnedAway => std::thread::sleep(Duration::from_millis(200)),
-            fate => panic!("{fate:?} after {again} times: a caller is served or told that there is no room"),
+/// Asserts that a new caller's call is established. A refused caller retries a few times.
+fn assert_new_caller_is_served(gateway: &Gateway, tag: u64) -> TcpStream {
+    for attempt in 0..3 {
+        let mut caller = gateway.connect();
+        caller.write_all(call(tag + (attempt << 32), 3000).as_bytes()).unwrap();
+        match read_outcome(&caller) {
+            Outcome::Served => return caller,
+            Outcome::Refused => std::thread::sleep(Duration::from_millis(200)),
+            outcome => {
+                panic!("{outcome:?} in attempt {attempt}: a caller must be served or refused")
+            }
         }
     }
-    panic!("three callers have been turned away");
+    panic!("three callers have been refused");
 }
 
-/// Nothing happens, and next to no time is used for it.
-fn is_at_rest(gateway: &Gateway) {
-    let before = gateway.ticks();
+/// Asserts that the idle gateway uses almost no processor time.
+fn assert_idle(gateway: &Gateway) {
+    let before = gateway.cpu_ticks();
     std::thread::sleep(Duration::from_secs(1));
-    let used = gateway.ticks() - before;
+    let used = gateway.cpu_ticks() - before;
     assert!(used <= 15, "{used} ticks of 10 ms in a quiet second");
 }
 
-/// A crowd larger than the limit while nobody answers at the name server's address, then a new name server and a new
-/// core switch, then the crowd's end.
+/// Opens more connections than the limit while nothing listens at the name server's address; then switches to
+/// a new name server with a new core switch, and finally closes the connections.
 fn crowd_while_discovery_is_down(limit: usize) {
-    let switches = quiet_switches(limit);
-    let nobody = free_address();
-    let config = famine_config(limit, nobody, &switches);
+    let switches = silent_switches(limit);
+    let unused_address = free_address();
+    let config = limited_config(limit, unused_address, &switches);
     let gateway = Gateway::start(&format!("crowd-{limit}"), &config);
-    let crowd = crowd(&gateway, limit + 40);
-    // A word of the last says that all before it have been accepted.
-    let mut last = gateway.client();
+    let crowd = connect_crowd(&gateway, limit + 40);
+    // A response to the last connection shows that all before it have been accepted.
+    let mut last = gateway.connect();
     last.write_all(ECHO.as_bytes()).unwrap();
-    let fared = fate(&last);
-    assert!(matches!(fared, Fate::Served | Fate::TurnedAway), "{fared:?}: a newcomer hears a word");
-    gateway.was_never_out_of_descriptors(limit);
-    let new = Ready::new();
+    let last_outcome = read_outcome(&last);
+    assert!(
+        matches!(last_outcome, Outcome::Served | Outcome::Refused),
+        "{last_outcome:?}: a new client gets a response"
+    );
+    gateway.assert_descriptors_sufficed(limit);
+    let new = AnsweringSwitch::new();
     let zone = Zone { serial: 2, switches: vec![("s-new".to_owned(), new.address)], ..Zone::default() };
-    let names = NameServer::new(zone);
+    let name_server = NameServer::new(zone);
     let mut changed = config.clone();
-    changed["nameserver"] = json!(names.address.to_string());
-    gateway.reloads(&changed);
-    names.wait_for_queries(3);
-    a_new_caller_is_served(&gateway, 1);
-    assert!(new.has_had() > 0, "at the new one");
-    gateway.was_never_out_of_descriptors(limit);
+    changed["nameserver"] = json!(name_server.address.to_string());
+    gateway.reload(&changed);
+    name_server.wait_for_queries(3);
+    assert_new_caller_is_served(&gateway, 1);
+    assert!(new.start_count() > 0, "the new switch is used");
+    gateway.assert_descriptors_sufficed(limit);
     drop(crowd);
     drop(last);
-    let callers: Vec<TcpStream> = (0..10).map(|n| a_new_caller_is_served(&gateway, 100 + n)).collect();
-    eventually("all that the crowd held is freed", || gateway.has_connections() < callers.len() + 24);
-    is_at_rest(&gateway);
-    a_new_caller_is_served(&gateway, 200);
-    gateway.was_never_out_of_descriptors(limit);
+    let callers: Vec<TcpStream> = (0..10).map(|n| assert_new_caller_is_served(&gateway, 100 + n)).collect();
+    wait_until("the descriptors of the closed connections are freed", || {
+        gateway.descriptor_count() < callers.len() + 24
+    });
+    assert_idle(&gateway);
+    assert_new_caller_is_served(&gateway, 200);
+    gateway.assert_descriptors_sufficed(limit);
 }
 
 #[test]
-fn a_crowd_that_fills_64_descriptors_keeps_no_list_no_file_and_no_new_switch_from_the_gateway() {
+fn with_64_descriptors_taken_by_clients_lists_files_and_new_switches_still_work() {
     crowd_while_discovery_is_down(64);
 }
 
 #[test]
-fn a_crowd_that_fills_96_descriptors_keeps_no_list_no_file_and_no_new_switch_from_the_gateway() {
+fn with_96_descriptors_taken_by_clients_lists_files_and_new_switches_still_work() {
     crowd_while_discovery_is_down(96);
 }
 
 #[test]
-fn a_crowd_that_fills_256_descriptors_keeps_no_list_no_file_and_no_new_switch_from_the_gateway() {
+fn with_256_descriptors_taken_by_clients_lists_files_and_new_switches_still_work() {
     crowd_while_discovery_is_down(256);
 }
 
 #[test]
-fn idle_connections_to_switches_that_drain_make_room_for_one_to_a_new_switch() {
-    let switches = quiet_switches(64);
-    let config = famine_config(64, free_address(), &switches);
+fn idle_connections_to_draining_switches_make_room_for_a_new_switch() {
+    let switches = silent_switches(64);
+    let config = limited_config(64, free_address(), &switches);
     let gateway = Gateway::start("drain", &config);
-    // Each has its one connection, and that is all there may be.
+    // Each switch has one connection, which is all that the limit allows.
     let links: Vec<_> = switches.iter().map(|(_, switch)| switch.accept().unwrap()).collect();
-    let new = Ready::new();
+    let new = AnsweringSwitch::new();
     let mut changed = config.clone();
     changed["known"]["seq"] = json!(2);
     let instances = changed["known"]["results"][0]["fleet"]["instances"].as_array_mut().unwrap();
@@ -347,29 +356,29 @@
     added["instanceId"] = json!("s-new");
     added["hostPort"] = json!(new.address.to_string());
     instances.push(added);
-    gateway.reloads(&changed);
-    a_new_caller_is_served(&gateway, 1);
-    assert_eq!(new.has_had(), 1);
+    gateway.reload(&changed);
+    assert_new_caller_is_served(&gateway, 1);
+    assert_eq!(new.start_count(), 1);
     drop(links);
-    gateway.was_never_out_of_descriptors(64);
+    gateway.assert_descriptors_sufficed(64);
 }
 
-/// So many at once, from some threads; what each of them says, and how it fared.
-fn burst(gateway: &Gateway, size: u64, says: impl Fn(u64) -> String + Sync) -> Vec<Fate> {
+/// Connects `size` clients at once from several threads. Each sends its line; returns their outcomes.
+fn burst(gateway: &Gateway, size: u64, says: impl Fn(u64) -> String + Sync) -> Vec<Outcome> {
     let (says, threads) = (&says, 10);
     std::thread::scope(|scope| {
         let some = |first: u64| {
             scope.spawn(move || {
                 let mine = (first..size).step_by(threads);
                 let streams = mine.map(|n| {
-                    let mut stream = gateway.client();
+                    let mut stream = gateway.connect();
                     let said = stream.write_all(says(n).as_bytes());
                     (stream, said)
                 });
                 let streams: Vec<_> = streams.collect();
                 streams
                     .iter()
-                    .map(|(s, said)| said.as_ref().map_or_else(fault, |()| fate(s)))
+                    .map(|(s, said)| said.as_ref().map_or_else(outcome_of_error, |()| read_outcome(s)))
                     .collect::<Vec<_>>()
             })
         };
@@ -378,63 +387,71 @@
     })
 }
 
-/// How many fared how.
-fn counts(fates: &[Fate]) -> [(Fate, usize); 5] {
-    let all = [Fate::Served, Fate::TurnedAway, Fate::Ended, Fate::Reset, Fate::Nothing];
-    all.map(|fate| {
-        let count = fates.iter().filter(|f| **f == fate).count();
-        (fate, count)
+/// Number of clients per outcome.
+fn count_outcomes(outcomes: &[Outcome]) -> [(Outcome, usize); 5] {
+    let all =
+        [Outcome::Served, Outcome::Refused, Outcome::ClosedSilently, Outcome::Reset, Outcome::NoResponse];
+    all.map(|outcome| {
+        let count = outcomes.iter().filter(|f| **f == outcome).count();
+        (outcome, count)
     })
 }
 
-/// A gateway with 64 descriptors, one core switch and a caller whose call stands, while discovery is down.
-fn small_gateway(test: &str) -> (Gateway, Ready, TcpStream) {
-    let switch = Ready::new();
+/// A gateway with 64 descriptors, one core switch and a caller with an established call, while discovery is
+/// down.
+fn start_small_gateway(test: &str) -> (Gateway, AnsweringSwitch, TcpStream) {
+    let switch = AnsweringSwitch::new();
     let mut config = config(free_address(), free_address(), &[("s-1", switch.address)]);
     config["limits"]["sockets"] = json!(64);
     let gateway = Gateway::start(test, &config);
-    let caller = a_new_caller_is_served(&gateway, 0xffff);
+    let caller = assert_new_caller_is_served(&gateway, 0xffff);
     (gateway, switch, caller)
 }
 
-fn goes_on(gateway: &Gateway, mut caller: &TcpStream) {
+fn assert_still_serving(gateway: &Gateway, mut caller: &TcpStream) {
     caller.write_all(ECHO.as_bytes()).unwrap();
-    assert_eq!(fate(caller), Fate::Served, "the caller with a standing call keeps its connection");
-    a_new_caller_is_served(gateway, 0xeeee);
-    is_at_rest(gateway);
-    gateway.was_never_out_of_descriptors(64);
+    assert_eq!(
+        read_outcome(caller),
+        Outcome::Served,
+        "the caller with an established call keeps its connection"
+    );
+    assert_new_caller_is_served(gateway, 0xeeee);
+    assert_idle(gateway);
+    gateway.assert_descriptors_sufficed(64);
 }
 
 #[test]
-fn of_500_callers_at_once_on_64_descriptors_each_is_served_or_turned_away_in_order() {
-    let (gateway, _switch, caller) = small_gateway("burst-calls");
-    let fates = burst(&gateway, 500, |n| call(n + 1, 3000));
-    let counts = counts(&fates);
-    // An end without a word is a close that the set-up crossed: its connection had said nothing yet.
-    let bad = fates.iter().any(|f| matches!(f, Fate::Reset | Fate::Nothing));
-    let ended = fates.iter().filter(|f| **f == Fate::Ended).count();
+fn each_of_500_simultaneous_callers_on_64_descriptors_is_served_or_refused_without_reset() {
+    let (gateway, _switch, caller) = start_small_gateway("burst-calls");
+    let outcomes = burst(&gateway, 500, |n| call(n + 1, 3000));
+    let counts = count_outcomes(&outcomes);
+    // A close without a message crossed the set-up: the gateway had not received anything on the connection
+    // yet.
+    let bad = outcomes.iter().any(|f| matches!(f, Outcome::Reset | Outcome::NoResponse));
+    let ended = outcomes.iter().filter(|f| **f == Outcome::ClosedSilently).count();
     assert!(!bad && ended <= 50, "{counts:?}");
-    // All seats hold calls that stand, and the longest idle of them has made room: it comes again.
+    // All places are taken by established calls, and the longest idle connection was closed to make room, so
+    // that caller reconnects.
     drop(caller);
-    goes_on(&gateway, &a_new_caller_is_served(&gateway, 0xdddd));
+    assert_still_serving(&gateway, &assert_new_caller_is_served(&gateway, 0xdddd));
 }
 
 #[test]
-fn of_500_that_pass_the_test_at_once_on_64_descriptors_none_meets_a_reset() {
-    let (gateway, _switch, caller) = small_gateway("burst-tests");
-    let fates = burst(&gateway, 500, |_| ECHO.to_owned());
-    let counts = counts(&fates);
-    let bad = fates.iter().any(|f| matches!(f, Fate::Reset | Fate::Nothing));
+fn none_of_500_simultaneous_health_checks_on_64_descriptors_meets_a_reset() {
+    let (gateway, _switch, caller) = start_small_gateway("burst-tests");
+    let outcomes = burst(&gateway, 500, |_| ECHO.to_owned());
+    let counts = count_outcomes(&outcomes);
+    let bad = outcomes.iter().any(|f| matches!(f, Outcome::Reset | Outcome::NoResponse));
     assert!(!bad, "{counts:?}");
-    goes_on(&gateway, &caller);
+    assert_still_serving(&gateway, &caller);
 }
 
 #[test]
-fn of_500_silent_ones_at_once_on_64_descriptors_each_comes_to_an_orderly_end() {
-    let (gateway, _switch, caller) = small_gateway("burst-silent");
-    let fates = burst(&gateway, 500, |_| String::new());
-    let counts = counts(&fates);
-    let bad = fates.iter().any(|f| matches!(f, Fate::Reset | Fate::Nothing));
+fn each_of_500_simultaneous_silent_clients_on_64_descriptors_is_closed_without_reset() {
+    let (gateway, _switch, caller) = start_small_gateway("burst-silent");
+    let outcomes = burst(&gateway, 500, |_| String::new());
+    let counts = count_outcomes(&outcomes);
+    let bad = outcomes.iter().any(|f| matches!(f, Outcome::Reset | Outcome::NoResponse));
     assert!(!bad, "{counts:?}");
-    goes_on(&gateway, &caller);
+    assert_still_serving(&gateway, &caller);
 }
--- a/crates/fawnrouterd/tests/list.rs
+++ b/crates/fawnrouterd/tests/list.rs
@@ -1,6 +1,7 @@
 //! Changes of the list of core switches that cross with set-ups on their way, with each other and with a new
-//! configuration: the real program, its name server and its core switches on loopback. The order is forced by what the
-//! stand-ins hold back; a pause is only ever taken to let the grace of a drain pass while something is held.
+//! configuration: the real program, its name server and its core switches on loopback. The order is forced by
+//! what the stand-ins hold back; a pause is only ever taken to let the grace of a drain pass while something
+//! is held.
 
 mod platform;
 
@@ -20,7 +21,8 @@
 const PATIENCE: Duration = Duration::from_secs(15);
 /// The grace of a drain in these tests.
 const GRACE: Duration = Duration::from_millis(250);
-/// The gateway asks four times a second; a second and a half without a question is a pause whatever the machine does.
+/// The gateway asks four times a second; a second and a half without a question is a pause whatever the
+/// machine does.
 const ASKS_WITHIN: Duration = Duration::from_millis(1500);
 /// Descriptors of which the gateway gives a quarter to core switches: one to each of sixteen.
 const FEW_DESCRIPTORS: usize = 64;
@@ -112,14 +114,14 @@
         (0..times).map(|_| self.asked.recv_timeout(PATIENCE).expect("the gateway asks")).collect()
     }
 
-    /// Waits until the gateway has read whatever was sent to it before this call: it looks for datagrams before it
-    /// sends the next question, and one more question may have been under way.
+    /// Waits until the gateway has read whatever was sent to it before this call: it looks for datagrams
+    /// before it sends the next question, and one more question may have been under way.
     fn is_heard(&self) {
         self.questions(3);
     }
 
-    /// Stops the gateway after some more questions. They, and those that it asked meanwhile: the last four may still be
-    /// answered.
+    /// Stops the gateway after some more questions. They, and those that it asked meanwhile: the last four
+    /// may still be answered.
     fn stops(&self, gateway: &Gateway, after: usize) -> Vec<Question> {
         let mut asked = self.questions(after);
         gateway.signal(Signal::STOP);
@@ -331,8 +333,8 @@
     new.had_no_start("each was sent once");
 }
 
-/// Bytes that the kernel holds of what was written to a connection to this address and has not been read there: those
-/// at the writer's and those at the reader's end (the columns of proc_net_tcp(5)).
+/// Bytes that the kernel holds of what was written to a connection to this address and has not been read
+/// there: those at the writer's and those at the reader's end (the columns of proc_net_tcp(5)).
 fn in_the_kernel(address: SocketAddr) -> usize {
     let port = format!("{:04X}", address.port());
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
@@ -355,8 +357,8 @@
         .sum()
 }
 
-/// Waits until the kernel takes nothing more of what is written there. What has arrived counts at both ends until it is
-/// acknowledged, some 40 ms later.
+/// Waits until the kernel takes nothing more of what is written there. What has arrived counts at both ends
+/// until it is acknowledged, some 40 ms later.
 fn settled(address: SocketAddr) -> usize {
     let end = Instant::now() + PATIENCE;
     let (mut before, mut same) = (in_the_kernel(address), 0);
@@ -370,8 +372,8 @@
     before
 }
 
-/// Set-ups that lie in the gateway when their switch, which doesn't read, is told to be on its way out; `after` is what
-/// the list says of it then.
+/// Set-ups that lie in the gateway when their switch, which doesn't read, is told to be on its way out;
+/// `after` is what the list says of it then.
 fn unwritten_set_ups(test: &str, after: fn(SocketAddr) -> Option<SwitchRecord>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     sockopt::set_socket_recv_buffer_size(&listener, 4096).unwrap();
@@ -592,8 +594,9 @@
     });
 }
 
-/// A gateway with a call that stands at `s-1`, which leaves the list and is listed again, `anew` with a start of that
-/// moment, before the time is over after which one that has left is given up. It passes tests all the while.
+/// A gateway with a call that stands at `s-1`, which leaves the list and is listed again, `anew` with a start
+/// of that moment, before the time is over after which one that has left is given up. It passes tests all the
+/// while.
 fn leaves_the_list_and_is_back(test: &str, anew: bool) -> (Gateway, Names, Caller) {
     let (one, two) = (Switch::new(), Switch::new());
     let (first, second) = (one.address, two.address);
--- a/crates/fawnrouterd/tests/node.rs
+++ b/crates/fawnrouterd/tests/node.rs
@@ -1,4 +1,4 @@
-//! The real program on the platform's protocol, between stand-ins on loopback.
+//! The gateway program on the platform's protocol, with stand-ins for its peers on loopback.
 
 mod platform;
 
@@ -15,12 +15,12 @@
     Zone { serial, switches, ..Zone::default() }
 }
 
-/// A gateway in front of one core switch that its configuration knows.
-fn house(test: &str) -> (Gateway, Switch, NameServer) {
+/// Starts a gateway with one core switch, which is in its configuration.
+fn start_gateway(test: &str) -> (Gateway, Switch, NameServer) {
     let switch = Switch::new();
-    let names = NameServer::new(zone(1, &[("s-1", &switch)]));
-    let config = config(free_address(), names.address, &[("s-1", switch.address)]);
-    (Gateway::start(test, &config), switch, names)
+    let name_server = NameServer::new(zone(1, &[("s-1", &switch)]));
+    let config = config(free_address(), name_server.address, &[("s-1", switch.address)]);
+    (Gateway::start(test, &config), switch, name_server)
 }
 
 const TAG: &str = "9b1f03aa5c7e2d41";
@@ -34,8 +34,8 @@
 }
 
 #[test]
-fn a_call_is_set_up_and_released_through_the_program() {
-    let (gateway, switch, _names) = house("call");
+fn call_is_set_up_and_released() {
+    let (gateway, switch, _name_server) = start_gateway("call");
     let mut caller = gateway.connect_caller();
     caller.send(&json!({"verb": "ECHO", "tag": "00000000000000aa", "opts": {}, "rc": 0}));
     assert_eq!(caller.receive().unwrap()["rc"], 1);
@@ -43,15 +43,18 @@
     let (link, start) = switch.next_message("START");
     assert_eq!((&start["tag"], &start["blob"]), (&json!(TAG), &json!(format!("offer\r\n{TAG}"))));
     send_line(&link, &started(TAG));
-    let heard = caller.receive().unwrap();
-    assert_eq!((&heard["verb"], &heard["blob"]), (&json!("STARTED"), &json!(format!("answer\r\n{TAG}"))));
+    let received = caller.receive().unwrap();
+    assert_eq!(
+        (&received["verb"], &received["blob"]),
+        (&json!("STARTED"), &json!(format!("answer\r\n{TAG}")))
+    );
     send_line(&link, &finish(TAG, 16));
     assert_eq!(caller.receive().unwrap(), finish(TAG, 16));
 }
 
 #[test]
-fn spoilt_answers_and_resets_are_tried_again_on_another_connection() {
-    let (gateway, switch, _names) = house("spoilt");
+fn invalid_answers_and_resets_are_retried_on_another_connection() {
+    let (gateway, switch, _name_server) = start_gateway("spoilt");
     let mut caller = gateway.connect_caller();
     caller.start_call(TAG, 5000);
     let (mut link, _) = switch.next_message("START");
@@ -68,8 +71,8 @@
 }
 
 #[test]
-fn a_failing_name_server_changes_nothing_and_a_good_answer_is_heard() {
-    let (gateway, _old, names) = house("names");
+fn failed_dns_answers_change_nothing_and_a_good_one_is_applied() {
+    let (gateway, _old, name_server) = start_gateway("names");
     let new = Switch::new();
     let changed = zone(2, &[("s-2", &new)]);
     for bad in [
@@ -78,10 +81,10 @@
         Zone { serial: 0, ..changed.clone() },
         Zone { switches: Vec::new(), ..changed.clone() },
     ] {
-        *names.zone.lock().unwrap() = bad;
-        names.wait_for_queries(2);
+        *name_server.zone.lock().unwrap() = bad;
+        name_server.wait_for_queries(2);
     }
-    *names.zone.lock().unwrap() = changed;
+    *name_server.zone.lock().unwrap() = changed;
     gateway.wait_for_log("starts cold");
     let mut caller = gateway.connect_caller();
     caller.start_call(TAG, 8000);
@@ -91,11 +94,11 @@
 }
 
 #[test]
-fn a_gateway_is_ready_and_serves_from_its_configuration_while_the_name_server_is_down() {
+fn gateway_serves_from_its_configuration_while_the_name_server_is_down() {
     let switch = Switch::new();
-    // Nobody listens there; later somebody does, and is asked.
-    let names = free_address();
-    let gateway = Gateway::start("down", &config(free_address(), names, &[("s-1", switch.address)]));
+    // Nothing listens at this address until later.
+    let name_server = free_address();
+    let gateway = Gateway::start("down", &config(free_address(), name_server, &[("s-1", switch.address)]));
     let mut caller = gateway.connect_caller();
     caller.send(&json!({"verb": "ECHO", "tag": "00000000000000aa", "opts": {}, "rc": 0}));
     assert_eq!(caller.receive().unwrap()["rc"], 1, "ready");
@@ -104,14 +107,14 @@
     send_line(&link, &started(TAG));
     assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
     let new = Switch::new();
-    let back = NameServer::at(names, zone(2, &[("s-1", &switch), ("s-2", &new)]));
+    let back = NameServer::at(name_server, zone(2, &[("s-1", &switch), ("s-2", &new)]));
     back.wait_for_queries(1);
     gateway.wait_for_log("starts cold");
 }
 
 #[test]
-fn sighup_takes_a_whole_configuration_or_keeps_the_old_one_and_disturbs_no_call() {
-    let (gateway, switch, names) = house("sighup");
+fn sighup_applies_a_valid_configuration_or_keeps_the_old_one_without_affecting_calls() {
+    let (gateway, switch, name_server) = start_gateway("sighup");
     let mut caller = gateway.connect_caller();
     caller.start_call(TAG, 8000);
     let (link, _) = switch.next_message("START");
@@ -120,20 +123,20 @@
     gateway.wait_for_log("the configuration stays as it was");
     let new = Switch::new();
     let other = NameServer::new(zone(7, &[("s-1", &switch), ("s-9", &new)]));
-    let told = config(gateway.address, other.address, &[("s-1", switch.address)]);
-    std::fs::write(&gateway.file, told.to_string()).unwrap();
+    let output = config(gateway.address, other.address, &[("s-1", switch.address)]);
+    std::fs::write(&gateway.file, output.to_string()).unwrap();
     gateway.signal(Signal::HUP);
     gateway.wait_for_log("new configuration");
     other.wait_for_queries(1);
     gateway.wait_for_log("starts cold");
-    drop(names);
+    drop(name_server);
     send_line(&link, &started(TAG));
     assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
 }
 
 #[test]
-fn sigterm_fails_the_test_answers_what_was_taken_and_exits_0() {
-    let (gateway, switch, _names) = house("sigterm");
+fn after_sigterm_the_health_check_fails_accepted_set_ups_are_answered_and_the_exit_code_is_0() {
+    let (gateway, switch, _name_server) = start_gateway("sigterm");
     let mut caller = gateway.connect_caller();
     caller.start_call(TAG, 5000);
     let (link, _) = switch.next_message("START");
@@ -147,14 +150,14 @@
     send_line(&second, &started("9b1f03aa5c7e2d42"));
     assert_eq!(caller.receive().unwrap()["tag"], "9b1f03aa5c7e2d42");
     send_line(&link, &finish(TAG, 17));
-    let heard = caller.receive().unwrap();
-    assert_eq!(heard["tag"], TAG);
+    let received = caller.receive().unwrap();
+    assert_eq!(received["tag"], TAG);
     assert!(gateway.wait_for_exit().success());
 }
 
 #[test]
-fn what_crosses_the_end_of_a_gateway_meets_an_orderly_close_and_no_reset() {
-    let (gateway, switch, _names) = house("crossing");
+fn input_that_crosses_the_shutdown_meets_an_orderly_close_and_no_reset() {
+    let (gateway, switch, _name_server) = start_gateway("crossing");
     let (mut caller, mut other) = (gateway.connect_caller(), gateway.connect_caller());
     other.send(&json!({"verb": "ECHO", "tag": "00000000000000aa", "opts": {}, "rc": 0}));
     assert_eq!(other.receive().unwrap()["rc"], 1);
@@ -162,8 +165,8 @@
     let (link, _) = switch.next_message("START");
     gateway.signal(Signal::TERM);
     gateway.wait_for_log("ending");
-    // The last call that is owed an answer gets it while lines lie unread on another connection, and the time in which
-    // set-ups are served passes.
+    // The last open call is answered while lines are unread on another connection and the time for serving
+    // set-ups passes.
     gateway.signal(Signal::STOP);
     let released = json!({"verb": "FINISHED", "tag": TAG, "opts": {}}).to_string() + "\n";
     other.stream.write_all(released.repeat(1900).as_bytes()).unwrap();
@@ -172,28 +175,28 @@
     gateway.signal(Signal::CONT);
     assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
     for at_end in [&mut caller, &mut other] {
-        assert!(matches!(at_end.stream.read(&mut [0; 16]), Ok(0)), "an end, not a reset");
+        assert!(matches!(at_end.stream.read(&mut [0; 16]), Ok(0)), "a close, not a reset");
     }
     assert!(gateway.wait_for_exit().success());
 }
 
 #[test]
-fn bad_clients_get_an_error_or_an_end_and_others_go_on() {
-    let (gateway, switch, _names) = house("bad");
+fn invalid_clients_get_an_error_or_a_close_and_others_are_served() {
+    let (gateway, switch, _name_server) = start_gateway("bad");
     let (mut silent, mut half) = (gateway.connect_caller(), gateway.connect_caller());
     half.stream.write_all(b"{\"verb\":\"START\",\"tag\"").unwrap();
-    let mut noise = gateway.connect_caller();
-    noise.stream.write_all(b"\x00\x01\x02 GET / HTTP/1.1\n").unwrap();
-    assert_eq!(noise.receive().unwrap()["verb"], "FINISH");
-    assert!(noise.is_at_end());
-    // A line without end: the error comes although most of it was never read.
+    let mut garbage = gateway.connect_caller();
+    garbage.stream.write_all(b"\x00\x01\x02 GET / HTTP/1.1\n").unwrap();
+    assert_eq!(garbage.receive().unwrap()["verb"], "FINISH");
+    assert!(garbage.is_at_end());
+    // An endless line: the client gets an error although most of the line is never read.
     let mut endless = gateway.connect_caller();
     let mut writer = endless.stream.try_clone().unwrap();
-    let pouring = std::thread::spawn(move || {
+    let writing = std::thread::spawn(move || {
         let chunk = [b'x'; 65_536];
         (0..960).try_for_each(|_| writer.write_all(&chunk)).is_err()
     });
-    assert!(endless.stream.read(&mut [0; 16]).is_ok_and(|n| n > 0) && pouring.join().unwrap());
+    assert!(endless.stream.read(&mut [0; 16]).is_ok_and(|n| n > 0) && writing.join().unwrap());
     let mut caller = gateway.connect_caller();
     caller.start_call("0000000000000bad", 99_000);
     assert_eq!(caller.receive().unwrap()["rc"], 100);
@@ -201,15 +204,15 @@
     let (link, _) = switch.next_message("START");
     send_line(&link, &started(TAG));
     assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
-    for lazy in [&mut silent, &mut half] {
-        assert_eq!(lazy.receive().unwrap()["rc"], 96);
-        assert!(lazy.is_at_end());
+    for idle in [&mut silent, &mut half] {
+        assert_eq!(idle.receive().unwrap()["rc"], 96);
+        assert!(idle.is_at_end());
     }
 }
 
 #[test]
-fn a_gateway_that_was_killed_is_told_what_stands_and_passes_its_release_on() {
-    let (gateway, switch, _names) = house("restart");
+fn restarted_gateway_learns_established_calls_and_forwards_their_release() {
+    let (gateway, switch, _name_server) = start_gateway("restart");
     let mut caller = gateway.connect_caller();
     caller.start_call(TAG, 3000);
     let (link, _) = switch.next_message("START");
@@ -225,7 +228,7 @@
 }
 
 #[test]
-fn what_is_wrong_at_the_start_is_told_in_one_line_with_its_remedy() {
+fn startup_error_names_the_field_and_the_correction() {
     let folder = std::path::PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("node-start");
     std::fs::create_dir_all(&folder).unwrap();
     let file = folder.join("config.json");
@@ -264,7 +267,7 @@
         (Some(good.to_string()), &[("BALANCER_NAME", "n9")], &["BALANCER_NAME", "n9", "n0"]),
         (Some(good.to_string()), &[], &["listen", "cannot listen"]),
     ] {
-        let told = run(text, variables);
-        assert!(parts.iter().all(|part| told.contains(part)), "{told}");
+        let output = run(text, variables);
+        assert!(parts.iter().all(|part| output.contains(part)), "{output}");
     }
 }
--- a/crates/fawnrouterd/tests/platform/mod.rs
+++ b/crates/fawnrouterd/tests/platform/mod.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for what surrounds the gateway on the users' platform, one of each, on loopback: callers, core switches, a
-//! name server. Events are waited for; the time limits only end a test that would hang.
-#![allow(dead_code, reason = "each test file uses its part")]
+//! Stand-ins for the gateway's peers on the platform, on loopback: callers, core switches and a name server.
+//! Tests wait for events; the timeouts only end a hanging test.
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -13,9 +13,9 @@
 
 use serde_json::{Value, json};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A core switch: what is said to it, with the connection it was said on.
+/// A core switch that records the lines it receives, with their connections.
 pub struct Switch {
     pub address: SocketAddr,
     lines: Receiver<(TcpStream, Value)>,
@@ -43,11 +43,11 @@
         Self { address, lines }
     }
 
-    /// The next message of this type.
+    /// Waits for the next message with this verb.
     pub fn next_message(&self, verb: &str) -> (TcpStream, Value) {
         loop {
             let (stream, line) =
-                self.lines.recv_timeout(PATIENCE).unwrap_or_else(|_| panic!("no {verb} came"));
+                self.lines.recv_timeout(TIMEOUT).unwrap_or_else(|_| panic!("no {verb} came"));
             if line["verb"] == verb {
                 return (stream, line);
             }
@@ -55,6 +55,7 @@
     }
 }
 
+/// Writes one line of JSON.
 pub fn send_line(mut stream: &TcpStream, line: &Value) {
     stream.write_all(format!("{line}\n").as_bytes()).unwrap();
 }
@@ -75,39 +76,39 @@
             "opts": {"class": "voice", "left": left_ms.to_string(), "key": "7f3a", "extras": "dest:0;width:1;via:-1"}}));
     }
 
-    /// The next line; `None` at the end.
+    /// The next line; `None` once the connection is closed.
     pub fn receive(&mut self) -> Option<Value> {
         let mut line = String::new();
         let n = self.reader.read_line(&mut line).expect("a line or an orderly end");
         (n > 0).then(|| serde_json::from_str(&line).expect("the gateway writes JSON"))
     }
 
-    /// Whether nothing more comes but the end.
+    /// Whether the connection is closed without further lines.
     pub fn is_at_end(&mut self) -> bool {
         let mut rest = Vec::new();
         self.reader.read_to_end(&mut rest).is_ok() && rest.is_empty()
     }
 }
 
-/// What the name server says.
+/// Content of the name server's answers.
 #[derive(Clone, Default)]
 pub struct Zone {
     pub serial: u32,
-    /// Id and address.
+    /// Id and address of each core switch.
     pub switches: Vec<(String, SocketAddr)>,
-    /// RCODE.
+    /// Response code (RCODE).
     pub rcode: u8,
-    /// Answers under another id.
+    /// Answers with an id that does not match the query.
     pub wrong_id: bool,
 }
 
 pub struct NameServer {
     pub address: SocketAddr,
     pub zone: Arc<Mutex<Zone>>,
-    asked: Receiver<()>,
+    queries: Receiver<()>,
 }
 
-fn name(out: &mut Vec<u8>, text: &str) {
+fn push_name(out: &mut Vec<u8>, text: &str) {
     for label in text.split('.') {
         out.push(label.len() as u8);
         out.extend(label.as_bytes());
@@ -115,47 +116,47 @@
     out.push(0);
 }
 
-fn record(out: &mut Vec<u8>, owner: &str, kind: u16, data: &[u8]) {
-    name(out, owner);
+fn push_record(out: &mut Vec<u8>, owner: &str, kind: u16, data: &[u8]) {
+    push_name(out, owner);
     out.extend(kind.to_be_bytes());
     out.extend([0, 1, 0, 0, 0, 5]);
     out.extend((data.len() as u16).to_be_bytes());
     out.extend(data);
 }
 
-/// A core switch as the list has it.
+/// A core switch in the list.
 #[derive(Clone)]
 pub struct SwitchRecord {
     pub id: String,
     pub address: SocketAddr,
     pub draining: bool,
-    /// When it last started, in Unix milliseconds; 0: long ago.
+    /// Time of its last start, in Unix milliseconds; 0 stands for long ago.
     pub started: u64,
 }
 
-/// The answer to this question (RFC 1035 §4.1).
+/// The answer to a query (RFC 1035 §4.1).
 pub fn answer(question: &[u8], code: u8, serial: u32, rows: &[SwitchRecord]) -> Vec<u8> {
     let count = rows.len() as u8;
     let mut out = question.to_vec();
     (out[2], out[3], out[7], out[9], out[11]) = (0x84, code, count, 1, 2 * count);
     for row in rows {
         let mut data = [[0, u8::from(row.draining)], [0, 10], row.address.port().to_be_bytes()].concat();
-        name(&mut data, &format!("{}.kochi.hosts", row.id));
-        record(&mut out, "_app._tcp.cluster.lan", 33, &data);
+        push_name(&mut data, &format!("{}.kochi.hosts", row.id));
+        push_record(&mut out, "_app._tcp.cluster.lan", 33, &data);
     }
     let mut soa = Vec::new();
-    name(&mut soa, "ns.cluster.lan");
-    name(&mut soa, "admin.cluster.lan");
+    push_name(&mut soa, "ns.cluster.lan");
+    push_name(&mut soa, "admin.cluster.lan");
     soa.extend(serial.to_be_bytes());
     soa.extend([0; 16]);
-    record(&mut out, "cluster.lan", 6, &soa);
+    push_record(&mut out, "cluster.lan", 6, &soa);
     for row in rows {
         let host = format!("{}.kochi.hosts", row.id);
-        record(&mut out, &host, 1, &[127, 0, 0, 1]);
+        push_record(&mut out, &host, 1, &[127, 0, 0, 1]);
         let started = format!("started={}", row.started);
         let texts = ["kind=std", "cell=0", &started];
         let data: Vec<u8> = texts.iter().flat_map(|t| [&[t.len() as u8], t.as_bytes()].concat()).collect();
-        record(&mut out, &host, 16, &data);
+        push_record(&mut out, &host, 16, &data);
     }
     out
 }
@@ -182,12 +183,12 @@
         Self::at(SocketAddr::from(([127, 0, 0, 1], 0)), zone)
     }
 
-    /// One at this address.
+    /// A name server at this address.
     pub fn at(address: SocketAddr, zone: Zone) -> Self {
         let socket = UdpSocket::bind(address).unwrap();
         let address = socket.local_addr().unwrap();
         let zone = Arc::new(Mutex::new(zone));
-        let (send, asked) = channel();
+        let (send, queries) = channel();
         let answers = zone.clone();
         std::thread::spawn(move || {
             let mut buffer = [0; 1500];
@@ -199,19 +200,19 @@
                 }
             }
         });
-        Self { address, zone, asked }
+        Self { address, zone, queries }
     }
 
-    /// Waits for questions that are asked from now on.
+    /// Waits for this many queries, sent from now on.
     pub fn wait_for_queries(&self, times: usize) {
-        while self.asked.try_recv().is_ok() {}
+        while self.queries.try_recv().is_ok() {}
         for _ in 0..times {
-            self.asked.recv_timeout(PATIENCE).expect("the gateway asks");
+            self.queries.recv_timeout(TIMEOUT).expect("the gateway sends queries");
         }
     }
 }
 
-/// A gateway process and its configuration.
+/// A gateway process with its configuration file.
 pub struct Gateway {
     child: Child,
     pub address: SocketAddr,
@@ -219,6 +220,7 @@
     log: Receiver<String>,
 }
 
+/// A valid configuration.
 pub fn config(listen: SocketAddr, names: SocketAddr, switches: &[(&str, SocketAddr)]) -> Value {
     let instances: Vec<Value> = switches
         .iter()
@@ -241,8 +243,9 @@
                              "multiplex": 100, "retryAfter": true}}})
 }
 
-/// An address where nothing listens: each is on a host of its own on loopback. A port that was found free by taking it
-/// may still be held as it is needed: a child that is started beside holds a copy of each descriptor for a moment.
+/// An address where nothing listens, each on its own loopback host. Probing for a free port would not be
+/// reliable: a child process started by another test holds copies of all descriptors for a moment, including
+/// the probing socket.
 pub fn free_address() -> SocketAddr {
     static HOSTS: AtomicU32 = AtomicU32::new(0);
     let host = HOSTS.fetch_add(1, Ordering::Relaxed) + 256 * (std::process::id() % 60_000) + 0x7f01_0000;
@@ -281,17 +284,17 @@
         self.child.id()
     }
 
-    /// The same gateway once more, after its end.
+    /// Kills the process and starts it again with the same configuration.
     pub fn restart(mut self) -> Self {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
         Self::start_with(self.file.clone(), self.address)
     }
 
-    /// Waits for a line of the log.
+    /// Waits for a log line that contains `part`.
     pub fn wait_for_log(&self, part: &str) -> String {
         loop {
-            let line = self.log.recv_timeout(PATIENCE).unwrap_or_else(|_| panic!("no line with {part:?}"));
+            let line = self.log.recv_timeout(TIMEOUT).unwrap_or_else(|_| panic!("no line with {part:?}"));
             if line.contains(part) {
                 return line;
             }
@@ -300,7 +303,7 @@
 
     pub fn connect_caller(&self) -> Caller {
         let stream = TcpStream::connect(self.address).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         Caller { reader: BufReader::new(stream.try_clone().unwrap()), stream }
     }
 
--- a/crates/fawnrouterd/tests/settings.rs
+++ b/crates/fawnrouterd/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The program and settings that are wrong: at the start it ends with one line, on SIGHUP it goes on with the old ones.
+//! Invalid settings: at the start the program exits with one line, on SIGHUP it keeps the old settings.
 
 mod platform;
 
@@ -9,8 +9,9 @@
 use rustix::process::Signal;
 use serde_json::{Value, json};
 
-/// Settings that are missing, of the wrong kind, out of range and at odds, each with what must be said of them.
-fn wrong() -> Vec<(&'static str, Value, &'static str)> {
+/// Settings that are missing, of the wrong type, out of range or contradictory, each with the expected
+/// message.
+fn invalid_settings() -> Vec<(&'static str, Value, &'static str)> {
     vec![
         (
             "/settings/classes/0/hardLimitNs",
@@ -40,7 +41,7 @@
     ]
 }
 
-fn with(good: &Value, place: &str, value: Value) -> Value {
+fn with_setting(good: &Value, place: &str, value: Value) -> Value {
     let mut config = good.clone();
     *config.pointer_mut(place).unwrap() = value;
     config
@@ -53,37 +54,37 @@
 }
 
 #[test]
-fn a_start_with_wrong_settings_ends_with_one_line_that_names_file_field_fault_and_remedy() {
+fn start_with_invalid_settings_fails_with_one_line_naming_file_field_error_and_correction() {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("settings-start");
     std::fs::create_dir_all(&folder).unwrap();
     let file = folder.join("config.json");
     let good = config(free_address(), free_address(), &[("s-1", free_address())]);
-    for (place, value, told) in wrong() {
-        std::fs::write(&file, with(&good, place, value).to_string()).unwrap();
+    for (place, value, message) in invalid_settings() {
+        std::fs::write(&file, with_setting(&good, place, value).to_string()).unwrap();
         let output = start(&file);
-        assert_eq!(output.status.code(), Some(2), "{told}");
-        let wanted = format!("fawnrouter node: {}: {told}\n", file.display());
+        assert_eq!(output.status.code(), Some(2), "{message}");
+        let wanted = format!("fawnrouter node: {}: {message}\n", file.display());
         assert_eq!(String::from_utf8(output.stderr).unwrap(), wanted);
     }
 }
 
 #[test]
-fn sighup_with_wrong_settings_leaves_the_old_ones_in_force_and_says_why() {
+fn sighup_with_invalid_settings_keeps_the_old_ones_and_logs_the_reason() {
     let switch = Switch::new();
     let zone = Zone { serial: 1, switches: vec![("s-1".into(), switch.address)], ..Zone::default() };
-    let (names, other) = (NameServer::new(zone.clone()), NameServer::new(Zone { serial: 9, ..zone }));
-    let good = config(free_address(), names.address, &[("s-1", switch.address)]);
+    let (name_server, other) = (NameServer::new(zone.clone()), NameServer::new(Zone { serial: 9, ..zone }));
+    let good = config(free_address(), name_server.address, &[("s-1", switch.address)]);
     let gateway = Gateway::start("settings-sighup", &good);
     let mut caller = gateway.connect_caller();
-    for (n, (place, value, told)) in wrong().into_iter().enumerate() {
-        // Another name server in the same file: nothing of a wrong configuration may be taken.
-        let moved = with(&good, "/nameserver", json!(other.address.to_string()));
-        std::fs::write(&gateway.file, with(&moved, place, value).to_string()).unwrap();
+    for (n, (place, value, message)) in invalid_settings().into_iter().enumerate() {
+        // The file also names another name server: nothing of an invalid configuration may be applied.
+        let moved = with_setting(&good, "/nameserver", json!(other.address.to_string()));
+        std::fs::write(&gateway.file, with_setting(&moved, place, value).to_string()).unwrap();
         gateway.signal(Signal::HUP);
         let line = gateway.wait_for_log("the configuration stays as it was");
-        // The log escapes quotes or not, as its form is.
-        assert!(line.replace('\\', "").contains(told), "{line}");
-        names.wait_for_queries(2);
+        // Whether the log escapes quotes depends on its format.
+        assert!(line.replace('\\', "").contains(message), "{line}");
+        name_server.wait_for_queries(2);
         let tag = format!("9b1f03aa5c7e2d4{n}");
         caller.start_call(&tag, 8000);
         let (link, start) = switch.next_message("START");
@@ -91,8 +92,11 @@
         send_line(&link, &json!({"verb": "STARTED", "tag": tag, "opts": {}, "blob": "answer"}));
         assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
     }
-    std::fs::write(&gateway.file, with(&good, "/nameserver", json!(other.address.to_string())).to_string())
-        .unwrap();
+    std::fs::write(
+        &gateway.file,
+        with_setting(&good, "/nameserver", json!(other.address.to_string())).to_string(),
+    )
+    .unwrap();
     gateway.signal(Signal::HUP);
     gateway.wait_for_log("new configuration");
     other.wait_for_queries(1);
--- a/crates/fawnrouterd/tests/shutdown.rs
+++ b/crates/fawnrouterd/tests/shutdown.rs
@@ -1,8 +1,9 @@
-//! What crosses the end of a gateway, the close of an idle connection and the loss of a connection to a core switch.
+//! What crosses the end of a gateway, the close of an idle connection and the loss of a connection to a core
+//! switch.
 //!
-//! Order is forced by events: while the gateway is stopped (SIGSTOP), bytes are put into its sockets and its time limits
-//! pass, so that it finds both at once when it goes on. What is written to loopback lies in the other socket when the
-//! write returns.
+//! Order is forced by events: while the gateway is stopped (SIGSTOP), bytes are put into its sockets and its
+//! time limits pass, so that it finds both at once when it goes on. What is written to loopback lies in the
+//! other socket when the write returns.
 
 mod platform;
 
@@ -174,8 +175,9 @@
         asks
     }
 
-    /// The gateway is told to end and then stands still while `meanwhile` happens and its serving time passes. What it
-    /// finds first when it goes on is a test by somebody else: the earliest occasion to see that the time is over.
+    /// The gateway is told to end and then stands still while `meanwhile` happens and its serving time
+    /// passes. What it finds first when it goes on is a test by somebody else: the earliest occasion to see
+    /// that the time is over.
     fn crosses_the_end(&self, meanwhile: impl FnOnce()) {
         let asks = self.is_told_to_end();
         self.stands_still(|| {
@@ -560,8 +562,8 @@
     house.exits_within(PATIENCE);
 }
 
-/// Has calls answered that the caller does not read until the kernel takes no more: an answer is half written. The
-/// first of the calls has been heard.
+/// Has calls answered that the caller does not read until the kernel takes no more: an answer is half
+/// written. The first of the calls has been heard.
 fn fill(house: &House, caller: &mut Caller) -> Vec<String> {
     let local = caller.stream.local_addr().unwrap();
     let mut marks = house.caller();
@@ -643,7 +645,8 @@
     house.exits_within(PATIENCE);
 }
 
-/// A call stood and was released by its caller while its core switch was away: the release waits for a connection.
+/// A call stood and was released by its caller while its core switch was away: the release waits for a
+/// connection.
 fn release_that_waits(test: &str) -> House {
     let core = Core::at(SocketAddr::from(([127, 0, 0, 1], 0)), 1, answer);
     let house = house_of(test, 256, core);
@@ -789,8 +792,9 @@
         }
     }
 
-    /// Whether what was written then can have crossed the close. A caller that was kept waiting for its processor does
-    /// not know since when the end was there, so that the time counts up to where it was certainly not.
+    /// Whether what was written then can have crossed the close. A caller that was kept waiting for its
+    /// processor does not know since when the end was there, so that the time counts up to where it was
+    /// certainly not.
     fn may_have_crossed(&self, written: Instant) -> bool {
         self.looked.saturating_duration_since(written) < CROSSING
     }
@@ -893,8 +897,8 @@
 
 // ---- Idle connections that make room --------------------------------------------------------------------------
 
-/// Descriptors of a small gateway, and those of them that are seats of callers: a quarter is the core switches', an eighth
-/// that of connections on their way out, 16 are kept back.
+/// Descriptors of a small gateway, and those of them that are seats of callers: a quarter is the core
+/// switches', an eighth that of connections on their way out, 16 are kept back.
 const SMALL: usize = 64;
 const SEATS: usize = SMALL - SMALL / 4 - SMALL / 8 - 16;
 
