--- a/crates/fawnrouterd/src/connection_admission.rs
+++ b/crates/fawnrouterd/src/connection_admission.rs
@@ -1,4 +1,4 @@
-//! Who gets in: the decisions of `fawnrouter_admission` with the connections that they concern.
+//! Applies the admission decisions of `fawnrouter_admission` to the client connections.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::IpAddr;
@@ -17,15 +17,16 @@
 use crate::connections::Connections;
 use crate::outbox::Outbox;
 
-/// What lasts and is told in the log when it begins and ends.
+/// A condition that is logged when it begins, while it lasts, and when it ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Cause {
+enum AlarmCause {
     Refused(RefusalReason),
     Evicted(EvictionReason),
     SetUp(SetUpRefusal),
 }
 
-impl Cause {
+impl AlarmCause {
+    /// What happens, and why.
     const fn text(self) -> (&'static str, &'static str) {
         match self {
             Self::Refused(reason) => ("connections refused", reason.text()),
@@ -35,35 +36,36 @@
     }
 }
 
-/// Nothing of a kind for this long, and it is over.
-const CALM: Duration = Duration::from_secs(5);
-/// What goes on is told again after this time.
-const AGAIN: Duration = Duration::from_secs(60);
-
-/// Whether a connection gets in, and on what terms.
-pub enum Entry {
-    /// It is served.
-    In(ConnectionId, Rc<Outbox>),
-    /// It is told why not and when to come back; the outbox ends it when another needs its descriptor.
-    Out(RefusalReason, Duration, Rc<Outbox>),
+/// A condition has ended once it has not occurred for this long.
+const ALARM_CLEAR_TIME: Duration = Duration::from_secs(5);
+/// A lasting condition is logged again after this time.
+const ALARM_REPEAT_INTERVAL: Duration = Duration::from_secs(60);
+
+/// Whether a new connection is served or refused.
+pub enum AdmissionOutcome {
+    /// It is served under this number.
+    Accepted(ConnectionId, Rc<Outbox>),
+    /// It is refused with a reason and a Retry-After. Aborting the outbox ends it early, if another
+    /// connection needs its descriptor.
+    Refused(RefusalReason, Duration, Rc<Outbox>),
 }
 
-/// Why a connection does not get in, and how long it should stay away.
+/// Why a connection is refused, and its Retry-After.
 pub type Refusal = (RefusalReason, Duration);
 
-/// The decisions and what they go by.
+/// Admission of client connections, and the state that it depends on.
 pub struct ConnectionAdmission {
     pub admission: Option<Admission>,
     pub descriptors: Descriptors,
-    /// Those that are being told that they do not get in, the first one first.
-    refusing: VecDeque<Rc<Outbox>>,
-    /// Without admission: connections in all, and the time to stay away.
+    /// Connections being refused, the oldest first.
+    being_refused: VecDeque<Rc<Outbox>>,
+    /// Limit on all connections and their Retry-After, used without admission.
     connection_limit: usize,
     retry_after: Duration,
     spread: RetryAfterSpread,
     refused: BTreeMap<RefusalReason, u64>,
-    alarms: Alarms<Cause>,
-    told: BTreeMap<Cause, u64>,
+    alarms: Alarms<AlarmCause>,
+    logged: BTreeMap<AlarmCause, u64>,
 }
 
 impl ConnectionAdmission {
@@ -77,16 +79,16 @@
             admission,
             connection_limit: descriptors.divide(connection_limit, connection_limit / 4 + 16).0,
             descriptors,
-            refusing: VecDeque::new(),
+            being_refused: VecDeque::new(),
             retry_after,
             spread: RetryAfterSpread::new(0),
             refused: BTreeMap::new(),
-            alarms: Alarms::new(CALM, AGAIN),
-            told: BTreeMap::new(),
+            alarms: Alarms::new(ALARM_CLEAR_TIME, ALARM_REPEAT_INTERVAL),
+            logged: BTreeMap::new(),
         }
     }
 
-    /// Refuses for a reason that admission did not give.
+    /// Refuses a connection for a reason that does not come from `admission`.
     fn refuse(&mut self, now: Time, reason: RefusalReason) -> Refusal {
         let wait = match &mut self.admission {
             Some(admission) => admission.count_refusal(now.0, reason),
@@ -98,20 +100,20 @@
         (reason, wait)
     }
 
-    /// A connection has been accepted by the kernel: whether it gets in.
-    pub fn arrive(
+    /// Decides on a connection that has just been accepted.
+    pub fn admit(
         &mut self,
         now: Time,
         connections: &mut Connections,
         address: IpAddr,
         outbox: impl FnOnce() -> Outbox,
-    ) -> Entry {
+    ) -> AdmissionOutcome {
         let outbox = Rc::new(outbox());
-        let place = self.descriptors.arrive(connections.open(), self.refusing.len());
+        let place = self.descriptors.arrive(connections.open_count(), self.being_refused.len());
         let verdict = if place != AcceptDecision::Serve {
             Err(self.refuse(now, RefusalReason::Descriptors))
         } else {
-            let conn = connections.number();
+            let conn = connections.allocate_conn();
             let verdict = self.admission.as_mut().map(|a| a.arrive(now.0, Arrival { conn, address }));
             match verdict {
                 Some(ConnectionDecision::Refuse { reason, retry_after }) => Err((reason, retry_after)),
@@ -124,33 +126,34 @@
         };
         match verdict {
             Ok(conn) => {
-                connections.arrived(conn, outbox.clone());
-                Entry::In(conn, outbox)
+                connections.insert(conn, outbox.clone());
+                AdmissionOutcome::Accepted(conn, outbox)
             }
             Err((reason, wait)) => {
-                if self.descriptors.refuse(self.refusing.len()) == AcceptDecision::RefuseClosingOldest
-                    && let Some(oldest) = self.refusing.pop_front()
+                if self.descriptors.refuse(self.being_refused.len()) == AcceptDecision::RefuseClosingOldest
+                    && let Some(oldest) = self.being_refused.pop_front()
                 {
                     oldest.abort();
                 }
-                self.refusing.push_back(outbox.clone());
-                Entry::Out(reason, wait, outbox)
+                self.being_refused.push_back(outbox.clone());
+                AdmissionOutcome::Refused(reason, wait, outbox)
             }
         }
     }
 
-    /// One that was being refused has ended.
-    pub fn refused(&mut self, outbox: &Rc<Outbox>) {
-        self.refusing.retain(|other| !Rc::ptr_eq(other, outbox));
+    /// A refused connection has ended.
+    pub fn refusal_finished(&mut self, outbox: &Rc<Outbox>) {
+        self.being_refused.retain(|other| !Rc::ptr_eq(other, outbox));
     }
 
-    /// Whether what this peer says of where a connection comes from is believed.
+    /// Whether this peer is a trusted proxy, whose statement of a connection's origin is accepted.
     pub fn is_forwarder(&self, peer: IpAddr) -> bool {
         self.admission.as_ref().is_some_and(|a| a.is_forwarder(peer))
     }
 
-    /// A forwarder said through which hops a connection came: the address that is believed, and whether it gets in.
-    pub fn forwarded(
+    /// Applies the hops that a trusted proxy reported. Returns the client's address, or a refusal if that
+    /// address may not connect.
+    pub fn apply_forwarded(
         &mut self,
         now: Time,
         conn: ConnectionId,
@@ -164,14 +167,14 @@
         }
     }
 
-    /// A handshake is done: whether the connection stays, and if so, whether it has to show who it is.
-    pub fn shaken(
+    /// Decides on a connection whose handshake is done. `true` if it has to authenticate.
+    pub fn handshake_done(
         &mut self,
         now: Time,
         connections: &mut Connections,
         conn: ConnectionId,
     ) -> Result<bool, Refusal> {
-        let full = connections.clients() >= self.connection_limit;
+        let full = connections.client_count() >= self.connection_limit;
         match self.admission.as_mut().map(|a| a.handshake_done(now.0, conn)) {
             Some(ConnectionDecision::Refuse { reason, retry_after }) => Err((reason, retry_after)),
             Some(ConnectionDecision::Probation) => Ok(true),
@@ -180,14 +183,14 @@
                 Ok(false)
             }
             Some(ConnectionDecision::Accept) => Ok(false),
-            // Without admission the limit on connections is all there is.
+            // Without admission only the limit on connections applies.
             None if full => Err(self.refuse(now, RefusalReason::Full)),
             None => Ok(false),
         }
     }
 
-    /// A connection has shown that it is a known client's. An error is why it cannot stay.
-    pub fn known(
+    /// A connection has authenticated as a known client. An error is the reason to close it.
+    pub fn client_identified(
         &mut self,
         now: Time,
         connections: &mut Connections,
@@ -204,32 +207,33 @@
         }
     }
 
-    /// A connection does something, with so many calls.
-    pub fn active(&mut self, now: Time, conn: ConnectionId, calls: usize) {
+    /// Records activity of a connection, and its present number of calls.
+    pub fn record_activity(&mut self, now: Time, conn: ConnectionId, calls: usize) {
         if let Some(admission) = &mut self.admission {
             admission.record_activity(now.0, conn, u32::try_from(calls).unwrap_or(u32::MAX));
         }
     }
 
-    /// A connection has sent so many messages: how long it is not to be read.
-    pub fn pace(&mut self, now: Time, conn: ConnectionId, messages: u32) -> Duration {
+    /// How long a connection is not to be read, after it has sent this many messages.
+    pub fn read_pause(&mut self, now: Time, conn: ConnectionId, messages: u32) -> Duration {
         self.admission.as_mut().map_or(Duration::ZERO, |a| a.charge_messages(now.0, conn, messages))
     }
 
-    /// Bytes that a connection may have worked on in one turn.
-    pub fn turn(&self, conn: ConnectionId) -> usize {
+    /// Most bytes of a connection that are processed per turn.
+    pub fn read_quota(&self, conn: ConnectionId) -> usize {
         self.admission.as_ref().map_or(usize::MAX, |a| a.read_budget(conn))
     }
 
-    /// A connection is gone, at whatever stage.
-    pub fn gone(&mut self, now: Time, conn: ConnectionId) {
+    /// A connection has closed, at any stage.
+    pub fn connection_closed(&mut self, now: Time, conn: ConnectionId) {
         if let Some(admission) = &mut self.admission {
             admission.connection_closed(now.0, conn);
         }
     }
 
-    /// The kernel had no descriptor for a connection.
-    pub fn exhausted(&mut self, now: Time, spare: bool) -> ExhaustionAction {
+    /// A connection could not be accepted for lack of descriptors. `spare`: whether the reserved descriptor
+    /// is held.
+    pub fn descriptors_exhausted(&mut self, now: Time, spare: bool) -> ExhaustionAction {
         let (step, change) = self.descriptors.descriptor_missing(now.0, spare);
         if change == Some(ExhaustionEvent::Began) {
             tracing::warn!(
@@ -239,20 +243,20 @@
         step
     }
 
-    /// A newcomer that is refused with the spare descriptor: how long it should stay away.
+    /// Refuses a new connection that was accepted with the reserved descriptor.
     pub fn refuse_with_spare(&mut self, now: Time) -> Refusal {
         self.refuse(now, RefusalReason::Descriptors)
     }
 
-    /// The kernel had a descriptor for a connection.
-    pub fn accepted(&mut self, now: Time) {
+    /// A connection was accepted, so descriptors are available.
+    pub fn descriptor_available(&mut self, now: Time) {
         if let Some(ExhaustionEvent::Ended(lasted)) = self.descriptors.accepted(now.0) {
             tracing::info!(lasted_ms = lasted.as_secs_f64() * 1e3, "descriptors are there again");
         }
     }
 
-    /// Closes those that are idle, do not read, or have not shown who they are.
-    pub fn sweep(&mut self, now: Time, connections: &mut Connections) {
+    /// Closes connections that are idle, do not read, or have not authenticated in time.
+    pub fn close_evicted(&mut self, now: Time, connections: &mut Connections) {
         let Some(admission) = &mut self.admission else { return };
         for (conn, connection) in connections.iter() {
             if connection.client.is_some() {
@@ -265,7 +269,7 @@
             }
         }
         for (conn, why) in admission.evict_overdue(now.0) {
-            // One that does not read takes no goodbye either.
+            // A client that does not read would not receive a close frame either.
             if why == EvictionReason::SlowReader
                 && let Some((_, connection)) = connections.iter().find(|(c, _)| *c == conn)
             {
@@ -275,25 +279,25 @@
         }
     }
 
-    /// What is held and was refused.
-    pub fn snapshot(&self, most: usize) -> Snapshot {
-        let mut seen = self.admission.as_ref().map(|a| a.snapshot(most)).unwrap_or_default();
+    /// Present connections and counts of refusals, with at most `max_entries` per list.
+    pub fn snapshot(&self, max_entries: usize) -> Snapshot {
+        let mut snapshot = self.admission.as_ref().map(|a| a.snapshot(max_entries)).unwrap_or_default();
         for (reason, count) in &self.refused {
-            *seen.refused.entry(*reason).or_default() += count;
+            *snapshot.refused.entry(*reason).or_default() += count;
         }
-        seen
+        snapshot
     }
 
-    /// Writes a line for each change of state.
-    pub fn tell(&mut self, now: Time, set_ups: &BTreeMap<SetUpRefusal, u64>) {
-        let seen = self.snapshot(0);
-        let counts = (seen.refused.into_iter().map(|(r, n)| (Cause::Refused(r), n)))
-            .chain(seen.evicted.into_iter().map(|(e, n)| (Cause::Evicted(e), n)))
-            .chain(set_ups.iter().map(|(r, n)| (Cause::SetUp(*r), *n)));
+    /// Logs the conditions that began, continue or ended.
+    pub fn log_changes(&mut self, now: Time, set_ups: &BTreeMap<SetUpRefusal, u64>) {
+        let snapshot = self.snapshot(0);
+        let counts = (snapshot.refused.into_iter().map(|(r, n)| (AlarmCause::Refused(r), n)))
+            .chain(snapshot.evicted.into_iter().map(|(e, n)| (AlarmCause::Evicted(e), n)))
+            .chain(set_ups.iter().map(|(r, n)| (AlarmCause::SetUp(*r), *n)));
         let mut lines = Vec::new();
         for (cause, count) in counts {
-            let told = self.told.entry(cause).or_default();
-            let more = count - std::mem::replace(told, count);
+            let logged = self.logged.entry(cause).or_default();
+            let more = count - std::mem::replace(logged, count);
             if more > 0 {
                 lines.extend(self.alarms.record(now.0, cause, more));
             }
@@ -326,15 +330,19 @@
              switches: {{ file: s.yaml }}\nclasses: [{{ name: a, aim_ms: 1, deadline_ms: 2 }}]\n\
              limits: {{ connections: {connection_limit} }}\nadmission: {{}}\n"
         );
-        let settings = fawnrouter_config::parse("t.yaml", &text).expect("sound settings");
-        let admission = settings.admission_settings(1).map(|a| Admission::new(a).expect("sound settings"));
+        let settings = fawnrouter_config::parse("t.yaml", &text).expect("valid settings");
+        let admission = settings.admission_settings(1).map(|a| Admission::new(a).expect("valid settings"));
         let descriptors = DescriptorSettings { limit, in_use: 0, trunks: 0, files: 0, control: 0 };
         let descriptors = Descriptors::new(descriptors).expect("room");
         ConnectionAdmission::new(admission, descriptors, connection_limit, Duration::from_secs(2))
     }
 
-    fn arrive(connection_admission: &mut ConnectionAdmission, connections: &mut Connections, n: u8) -> Entry {
-        connection_admission.arrive(
+    fn arrive(
+        connection_admission: &mut ConnectionAdmission,
+        connections: &mut Connections,
+        n: u8,
+    ) -> AdmissionOutcome {
+        connection_admission.admit(
             Time(Duration::from_secs(1)),
             connections,
             IpAddr::from([127, 0, 0, n]),
@@ -343,35 +351,41 @@
     }
 
     #[test]
-    fn a_connection_that_makes_room_while_its_upgrade_is_written_is_told_why() {
+    fn connection_closed_to_make_room_during_its_handshake_gets_the_reason() {
         let (mut connection_admission, mut connections) =
             (connection_admission(1, 1000), Connections::default());
         let now = Time(Duration::from_secs(1));
-        let Entry::In(first, outbox) = arrive(&mut connection_admission, &mut connections, 1) else {
+        let AdmissionOutcome::Accepted(first, outbox) =
+            arrive(&mut connection_admission, &mut connections, 1)
+        else {
             panic!("room")
         };
-        assert_eq!(connection_admission.shaken(now, &mut connections, first).ok(), Some(false));
-        let Entry::In(second, other) = arrive(&mut connection_admission, &mut connections, 1) else {
+        assert_eq!(connection_admission.handshake_done(now, &mut connections, first).ok(), Some(false));
+        let AdmissionOutcome::Accepted(second, other) =
+            arrive(&mut connection_admission, &mut connections, 1)
+        else {
             panic!("room")
         };
-        assert_eq!(connection_admission.shaken(now, &mut connections, second).ok(), Some(false));
+        assert_eq!(connection_admission.handshake_done(now, &mut connections, second).ok(), Some(false));
         assert_eq!(future::block_on(outbox.finished()), Some(EvictionReason::PlaceNeeded.text()));
-        assert!(other.is_open() && connections.open() == 1);
+        assert!(other.is_open() && connections.open_count() == 1);
     }
 
     #[test]
-    fn beyond_the_descriptors_newcomers_are_refused_and_the_first_refused_is_let_go() {
+    fn without_descriptors_new_connections_are_refused_and_the_oldest_refusal_is_ended() {
         let (mut connection_admission, mut connections) =
             (connection_admission(1000, 40), Connections::default());
         let mut refused = Vec::new();
         for n in 0..40 {
-            if let Entry::Out(reason, wait, outbox) = arrive(&mut connection_admission, &mut connections, n) {
+            if let AdmissionOutcome::Refused(reason, wait, outbox) =
+                arrive(&mut connection_admission, &mut connections, n)
+            {
                 assert!(reason == RefusalReason::Descriptors && wait >= Duration::from_secs(2));
                 refused.push(outbox);
             }
         }
-        // 40 less the spare, two to refuse with and eight for what was forgotten.
-        assert_eq!((connections.open(), refused.len()), (29, 11));
+        // 40, minus the reserved one, two to refuse with, and a margin of eight.
+        assert_eq!((connections.open_count(), refused.len()), (29, 11));
         assert!(refused[..9].iter().all(|o| !o.is_open()) && refused[9..].iter().all(|o| o.is_open()));
         assert_eq!(connection_admission.snapshot(0).refused[&RefusalReason::Descriptors], 11);
     }
--- a/crates/fawnrouterd/src/control.rs
+++ b/crates/fawnrouterd/src/control.rs
@@ -1,4 +1,4 @@
-//! Operators' commands to the running gateway: a local socket, one line of JSON each way.
+//! Operators' commands to the running gateway, over a Unix socket: one line of JSON in each direction.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -17,93 +17,93 @@
 
 use crate::core::Core;
 
-/// Operators that are served at once; others wait in the kernel.
+/// Operators' connections served at once; others wait in the listen queue.
 pub const MAX_OPERATOR_CONNECTIONS: usize = 4;
-/// Bytes of a command.
-const LONGEST: usize = 4096;
-/// An operator's command takes no longer than this.
-const PATIENCE: Duration = Duration::from_secs(5);
-/// Holders that are listed.
-const MOST_LISTED: usize = 20;
+/// Longest command.
+const MAX_COMMAND_BYTES: usize = 4096;
+/// Timeout of an operator's command.
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(5);
+/// Most entries in each list of holders.
+const MAX_LISTED_HOLDERS: usize = 20;
 
-/// What an operator asks for.
+/// A command of an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "do", rename_all = "lowercase", deny_unknown_fields)]
 pub enum Command {
-    /// Who holds what, who is refused and why.
+    /// Report present connections and calls, and refusals by reason.
     Show,
-    /// How the own zone fares, and what is left of the budgets.
+    /// Report the state of the gateway's own zone and of the budgets.
     Zones,
-    /// No connections of an address for a time.
+    /// Refuse connections of an address for a time.
     Block {
-        /// The address.
+        /// The client address.
         address: IpAddr,
-        /// For how long, seconds.
+        /// How long, in seconds.
         for_s: u64,
     },
-    /// An address is no longer blocked, and owes nothing for its rate.
+    /// Unblock an address and reset its rate limit.
     Free {
-        /// The address.
+        /// The client address.
         address: IpAddr,
     },
 }
 
-/// Somebody who holds something.
+/// A client with its number of connections or calls.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ResourceHolder {
-    /// The address, or the client's name.
+    /// Address, or name of a known client.
     pub who: String,
-    /// Open connections, or calls.
+    /// Number of open connections or calls.
     pub count: usize,
 }
 
-/// Who holds what, who is refused and why.
+/// Present connections and calls, and refusals by reason.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct AdmissionStatus {
     /// Whether admission is on.
     pub admission: bool,
     /// Open connections.
     pub open: usize,
-    /// Of these, those that have yet to show what they are.
+    /// Of these, connections still in their handshake, or that have yet to authenticate.
     pub handshakes: usize,
-    /// Of these, known clients'.
+    /// Of these, connections of known clients.
     pub known: usize,
-    /// Places kept for known clients, those that they hold included.
+    /// Places reserved for known clients, including those in use.
     pub reserve: usize,
-    /// Connections for which there are descriptors.
+    /// Number of connections that the descriptors suffice for.
     pub room: usize,
-    /// Whether descriptors are missing.
+    /// Whether descriptors are exhausted.
     pub famine: bool,
-    /// Bytes that wait.
+    /// Bytes buffered over all connections.
     pub buffered_bytes: usize,
-    /// Connections ended as they held too many.
+    /// Connections closed because they buffered too many bytes.
     pub over_budget: u64,
     /// Connections refused, by reason.
     pub refused: BTreeMap<String, u64>,
     /// Connections closed, by reason.
     pub closed: BTreeMap<String, u64>,
-    /// Set-ups that wait for their turn, and that the decisions hold.
+    /// Set-ups that wait for their turn, and set-ups held by the routing decisions.
     pub set_ups: (usize, usize),
-    /// Set-ups that the decisions may hold now.
+    /// Set-ups that the routing decisions may hold at present.
     pub set_up_room: usize,
     /// Set-ups refused, by reason.
     pub set_ups_refused: BTreeMap<String, u64>,
-    /// Proofs taken, challenges sent, connections given up for wrong answers.
+    /// Successful authentications, challenges sent, and connections closed for failed authentications.
     pub proofs: (u64, u64, u64),
-    /// Strangers' addresses with most connections.
+    /// Addresses of unknown clients with the most connections.
     pub addresses: Vec<ResourceHolder>,
-    /// Known clients with most connections.
+    /// Known clients with the most connections.
     pub clients: Vec<ResourceHolder>,
-    /// Clients with most calls.
+    /// Clients with the most calls.
     pub callers: Vec<ResourceHolder>,
-    /// Blocked addresses, with the seconds that are left.
+    /// Blocked addresses, with the remaining seconds.
     pub blocked: Vec<(IpAddr, u64)>,
 }
 
-/// A budget as this gateway has it now.
+/// State of a budget on this gateway.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct BudgetStatus {
-    /// Where calls go; none: all other zones.
+    /// Zone that the calls go to; `None`: all other zones.
     pub to: Option<String>,
     /// `Minute`, `Hour` or `Day`.
     pub window: String,
@@ -113,38 +113,39 @@
     pub cost: (f64, Option<f64>),
 }
 
-/// Traffic across zones now.
+/// State of the traffic across zones.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ZoneStatus {
-    /// The own zone.
+    /// The gateway's own zone.
     pub own: String,
     /// `Calm`, `Pressed` or `Down`.
     pub state: String,
-    /// The budgets.
+    /// Budgets for calls from this zone.
     pub budgets: Vec<BudgetStatus>,
-    /// Calls since the start by zone and cause, with their cost.
+    /// Calls since the start: zone, cause, number of calls, cost.
     pub went: Vec<(String, String, u64, f64)>,
 }
 
-/// The gateway's answer.
+/// The gateway's reply to a command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Reply {
-    /// What was asked to be shown.
+    /// Connections, calls and refusals.
     #[serde(rename = "shown")]
     Admission(Box<AdmissionStatus>),
-    /// Traffic across zones.
+    /// State of the traffic across zones.
     Zones(Box<ZoneStatus>),
-    /// It is done.
+    /// The command was carried out.
     Done,
-    /// It cannot be done, and why.
+    /// The command failed, with the reason.
     Failed(String),
 }
 
-/// Makes the socket, for its own user only. One that is left over from a gateway that is gone is replaced.
+/// Creates the socket, accessible to its own user only. A socket left over from a gateway that has ended is
+/// replaced.
 ///
 /// # Errors
-/// Where another gateway listens there, or the system does not let this one listen.
+/// If another gateway listens on the path, or the socket cannot be created.
 pub fn listen(path: &Path) -> io::Result<Async<UnixListener>> {
     if UnixStream::connect(path).is_ok() {
         return Err(io::Error::other("another gateway listens there"));
@@ -157,33 +158,33 @@
     Async::new(listener)
 }
 
-/// Serves operators for ever.
+/// Serves operators until the task is dropped.
 pub async fn serve(core: Rc<Core>, listener: Async<UnixListener>) {
-    let served = Rc::new(Cell::new(0usize));
+    let connections = Rc::new(Cell::new(0usize));
     loop {
-        while served.get() >= MAX_OPERATOR_CONNECTIONS {
+        while connections.get() >= MAX_OPERATOR_CONNECTIONS {
             Timer::after(Duration::from_millis(20)).await;
         }
         let Ok((stream, _)) = listener.accept().await else {
             Timer::after(Duration::from_millis(100)).await;
             continue;
         };
-        served.set(served.get() + 1);
-        let (working, served) = (core.clone(), served.clone());
+        connections.set(connections.get() + 1);
+        let (own_core, connections) = (core.clone(), connections.clone());
         core.spawn(async move {
-            let too_long = async {
-                Timer::after(PATIENCE).await;
+            let timeout = async {
+                Timer::after(COMMAND_TIMEOUT).await;
                 Ok(())
             };
-            let _: io::Result<()> = future::or(answer(&working, stream), too_long).await;
-            served.set(served.get() - 1);
+            let _: io::Result<()> = future::or(answer_command(&own_core, stream), timeout).await;
+            connections.set(connections.get() - 1);
         });
     }
 }
 
-async fn answer(core: &Core, mut stream: Async<UnixStream>) -> io::Result<()> {
+async fn answer_command(core: &Core, mut stream: Async<UnixStream>) -> io::Result<()> {
     let mut bytes = Vec::new();
-    while !bytes.contains(&b'\n') && bytes.len() < LONGEST {
+    while !bytes.contains(&b'\n') && bytes.len() < MAX_COMMAND_BYTES {
         let mut buffer = [0; 512];
         let n = stream.read(&mut buffer).await?;
         if n == 0 {
@@ -192,7 +193,7 @@
         bytes.extend_from_slice(&buffer[..n]);
     }
     let reply = match serde_json::from_slice(&bytes) {
-        Ok(command) => carry_out(core, &command),
+        Ok(command) => execute(core, &command),
         Err(error) => Reply::Failed(format!("the command cannot be read: {error}")),
     };
     let mut text = serde_json::to_vec(&reply).map_err(io::Error::other)?;
@@ -200,14 +201,14 @@
     stream.write_all(&text).await
 }
 
-fn carry_out(core: &Core, command: &Command) -> Reply {
+fn execute(core: &Core, command: &Command) -> Reply {
     let now = core.clock().now().0;
     if matches!(command, Command::Show) {
-        return Reply::Admission(Box::new(show(core)));
+        return Reply::Admission(Box::new(admission_status(core)));
     }
     if matches!(command, Command::Zones) {
-        return match zones(core) {
-            Some(shown) => Reply::Zones(Box::new(shown)),
+        return match zone_status(core) {
+            Some(status) => Reply::Zones(Box::new(status)),
             None => Reply::Failed("zones are off; add a section `zones` to the settings".into()),
         };
     }
@@ -231,9 +232,9 @@
     Reply::Done
 }
 
-fn zones(core: &Core) -> Option<ZoneStatus> {
+fn zone_status(core: &Core) -> Option<ZoneStatus> {
     let own = core.settings.zones.as_ref()?.own.clone();
-    let look = |z: &mut fawnrouter_engine::zones::ZonePolicy| {
+    let read_zones = |z: &mut fawnrouter_engine::zones::ZonePolicy| {
         let budgets =
             z.account().budget_views().into_iter().map(|(budget, state, (calls, money))| BudgetStatus {
                 to: budget.to.as_deref().map(str::to_owned),
@@ -243,7 +244,7 @@
             });
         let mut went: BTreeMap<(String, String), (u64, f64)> = BTreeMap::new();
         for (kind, cell) in z.record().total() {
-            let key = (kind.to.to_string(), crate::report::text(kind.cause).to_owned());
+            let key = (kind.to.to_string(), crate::report::cause_text(kind.cause).to_owned());
             let sum = went.entry(key).or_default();
             *sum = (sum.0 + cell.calls, sum.1 + cell.money.to_units());
         }
@@ -255,19 +256,19 @@
             went: went.collect(),
         }
     };
-    core.with_engine(|engine| engine.zones().map(|zones| zones.with(look)))
+    core.with_engine(|engine| engine.zones().map(|zones| zones.with(read_zones)))
 }
 
-fn show(core: &Core) -> AdmissionStatus {
+fn admission_status(core: &Core) -> AdmissionStatus {
     let (connection_admission, buffer_budget) =
         (core.connection_admission.borrow(), core.buffer_budget.borrow());
     let Snapshot { open, handshakes, known, reserve, refused, evicted, addresses, clients, blocked } =
-        connection_admission.snapshot(MOST_LISTED);
+        connection_admission.snapshot(MAX_LISTED_HOLDERS);
     let holder =
         |h: fawnrouter_admission::HolderCount| ResourceHolder { who: h.holder, count: h.connections };
-    let mut shown = AdmissionStatus {
+    let mut status = AdmissionStatus {
         admission: connection_admission.admission.is_some(),
-        open: open.max(core.connections.borrow().open()),
+        open: open.max(core.connections.borrow().open_count()),
         handshakes,
         known,
         reserve,
@@ -284,29 +285,29 @@
     };
     core.with_engine(|engine| {
         let c = engine.counters();
-        shown.proofs = (c.authenticated, c.challenged, c.auth_failures);
+        status.proofs = (c.authenticated, c.challenged, c.auth_failures);
         let Some(set_ups) = engine.set_up_admission() else { return };
-        shown.set_ups = (set_ups.waiting(), set_ups.routing());
-        shown.set_up_room = set_ups.routing_limit();
-        shown.set_ups_refused = set_ups.refused().iter().map(|(r, n)| (r.text().to_owned(), *n)).collect();
+        status.set_ups = (set_ups.waiting(), set_ups.routing());
+        status.set_up_room = set_ups.routing_limit();
+        status.set_ups_refused = set_ups.refused().iter().map(|(r, n)| (r.text().to_owned(), *n)).collect();
         let name = |who: ClientIdentity| match who {
             ClientIdentity::Known(name) => name.to_string(),
             ClientIdentity::Unknown(address) => address.to_string(),
         };
-        let largest = set_ups.largest(MOST_LISTED).into_iter();
-        shown.callers =
+        let largest = set_ups.largest(MAX_LISTED_HOLDERS).into_iter();
+        status.callers =
             largest.map(|(who, _, calls)| ResourceHolder { who: name(who), count: calls }).collect();
     });
-    shown
+    status
 }
 
-/// An operator's side: sends a command and waits for the answer.
+/// Sends a command to a running gateway and waits for its reply.
 ///
 /// # Errors
-/// Where no gateway answers.
+/// If no gateway replies.
 pub fn send_command(path: &Path, command: &Command) -> io::Result<Reply> {
     let mut stream = UnixStream::connect(path)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
+    stream.set_read_timeout(Some(COMMAND_TIMEOUT))?;
     let mut text = serde_json::to_vec(command).map_err(io::Error::other)?;
     text.push(b'\n');
     stream.write_all(&text)?;
--- a/crates/fawnrouterd/src/lib.rs
+++ b/crates/fawnrouterd/src/lib.rs
@@ -1,10 +1,11 @@
 #![forbid(unsafe_code)]
-//! The daemon: thin drivers on async-io around the engine. One thread, one event core.
+//! The daemon: I/O drivers on async-io around the engine, on a single thread.
 //!
-//! Drivers decide how bytes move and nothing else: they read, feed a codec, call the engine, write what it says and
-//! wake it when it asks. Every buffer has a limit from the settings; beyond it a connection is closed.
+//! Drivers only move bytes: they read, feed a codec, pass messages to the engine, write its outputs and run
+//! its timer. Every buffer has a limit from the settings; a connection that exceeds it is closed.
 
 mod accept;
+mod buffer_share;
 mod cli;
 mod client;
 mod clock;
@@ -14,16 +15,15 @@
 mod core;
 mod flag;
 pub mod ledger;
-mod list;
 mod log;
+mod machine_driver;
 mod node;
 mod outbox;
-mod pump;
 mod report;
 mod run_error;
 mod serve;
-mod share;
 mod trunk;
+mod watched_files;
 
 pub use cli::{Cli, Command, run_command};
 pub use fawnrouter_config as config;
--- a/crates/fawnrouterd/src/log.rs
+++ b/crates/fawnrouterd/src/log.rs
@@ -1,4 +1,4 @@
-//! Structured logs on standard error, and a span for each call.
+//! Structured logging to standard error, with a span per call.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use fawnrouter_engine::fawnrouter::CallId;
 use tracing::Level;
 
-/// Starts logging; a second start in the same process changes nothing.
+/// Starts logging. Later calls in the same process have no effect.
 pub fn start(log: &Log) {
     let level = match log.level {
         LogLevel::Error => Level::ERROR,
@@ -25,21 +25,22 @@
     };
 }
 
-/// The spans of calls that are not over. Bounded by the engine's limit on calls: each ends with its call.
+/// Spans of the present calls. Their number is bounded by the engine's limit on calls, as each span ends with
+/// its call.
 #[derive(Debug, Default)]
-pub struct Spans {
+pub struct CallSpans {
     spans: BTreeMap<CallId, tracing::Span>,
 }
 
-impl Spans {
-    /// Logs a word about a call in its span.
-    pub fn word(&mut self, call: CallId, word: CallEvent) {
-        if let CallEvent::Accepted { call_id, class, number } = &word {
+impl CallSpans {
+    /// Logs an event of a call in its span.
+    pub fn record(&mut self, call: CallId, event: CallEvent) {
+        if let CallEvent::Accepted { call_id, class, number } = &event {
             let span = tracing::debug_span!("call", call_id = %call_id, class = %class, number = %number);
             self.spans.insert(call, span);
         }
         let Some(span) = self.spans.get(&call) else { return };
-        let over = span.in_scope(|| match word {
+        let over = span.in_scope(|| match event {
             CallEvent::Accepted { .. } => {
                 tracing::debug!("taken");
                 false
@@ -56,12 +57,12 @@
                 tracing::debug!(status, after_ms = after.as_secs_f64() * 1e3, "answered");
                 status >= 300
             }
-            CallEvent::Released { outcome, established_for: stood } => {
-                tracing::debug!(?outcome, stood_ms = stood.as_secs_f64() * 1e3, "released");
+            CallEvent::Released { outcome, established_for } => {
+                tracing::debug!(?outcome, stood_ms = established_for.as_secs_f64() * 1e3, "released");
                 true
             }
         });
-        // An attempt's end may still be told after the answer; it then goes without its span.
+        // An attempt may end after the answer; that event is then not logged, as the span is gone.
         if over {
             self.spans.remove(&call);
         }
--- a/crates/fawnrouterd/src/node/mod.rs
+++ b/crates/fawnrouterd/src/node/mod.rs
@@ -1,13 +1,13 @@
-//! The gateway on the users' platform: thin drivers around [`fawnrouter_node::Node`], one file each.
+//! The gateway on the platform: I/O drivers around [`fawnrouter_node::Node`], one module each.
 //!
-//! A byte of a set-up goes `client` → `Decoder` → `Message` → `Node::handle` → `Controller` → `gate` → `Outbox` →
-//! `trunk`. Drivers know the [`gate::Gate`] and never each other.
+//! A set-up passes through `client` → `Decoder` → `Message` → `Node::handle` → `Controller` → `gateway` →
+//! `Outbox` → `trunk`. Drivers depend on [`gateway::Gateway`] and not on each other.
 
 mod client;
 mod config;
-mod gate;
+mod gateway;
 mod listener;
-mod names;
+mod nameserver;
 mod reader;
 mod signals;
 mod trunk;
@@ -25,42 +25,42 @@
 use fawnrouter_node::{DescriptorShares, Input, Node, NodeSettings};
 use futures_lite::future;
 
-pub use config::{ConfigError, Source};
-use gate::Gate;
+pub use config::{ConfigError, ConfigSource};
+use gateway::Gateway;
 
-/// Why the gateway cannot run. Each text names what is wrong and what to do.
+/// Why the gateway cannot run. Each message says what is wrong and how to correct it.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeError {
-    /// The configuration.
+    /// The configuration is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The address cannot be listened on.
+    /// Listening on the address failed.
     #[error(
         "listen: cannot listen on {address}: {error}; free the address or change it in the configuration"
     )]
     Listen {
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
-        /// Why.
+        /// The cause.
         error: io::Error,
     },
-    /// Signals cannot be caught.
+    /// Installing the signal handlers failed.
     #[error("cannot catch signals: {0}")]
     Signals(io::Error),
-    /// The decisions refuse the settings.
+    /// The decision module rejects the settings.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
 }
 
-/// Last bytes get this long to be written at the end, and callers to end their side.
-const LAST_WORDS: Duration = Duration::from_millis(500);
+/// How long remaining bytes may take to be written at shutdown, and callers to close their side.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Runs a gateway until SIGTERM or SIGINT and the end of what it has taken.
+/// Runs a gateway until SIGTERM or SIGINT, and then until every accepted set-up has ended.
 ///
 /// # Errors
-/// Where it cannot start.
+/// If it cannot start.
 pub fn run(path: PathBuf) -> Result<(), NodeError> {
-    let source = Source::new(path);
+    let source = ConfigSource::new(path);
     let boot = source.read()?;
     source.check_environment(&boot)?;
     let address = boot.listen;
@@ -70,36 +70,37 @@
     let node = Node::new(NodeSettings::new(&boot))?;
     let executor = Rc::new(LocalExecutor::new());
     let shares = DescriptorShares::divide(boot.descriptors);
-    let gate = Gate::new(node, shares, boot.nameserver, trunk::open, &executor);
-    gate.input(Input::ConfiguredList(boot.known));
+    let gateway = Gateway::new(node, shares, boot.nameserver, trunk::open, &executor);
+    gateway.input(Input::ConfiguredList(boot.known));
     tracing::info!(name = boot.name, %address, "gateway ready");
     let all = async {
         let tasks = [
-            executor.spawn(wake(gate.clone())),
-            executor.spawn(names::poll_nameserver(gate.clone())),
-            executor.spawn(signals::heed(gate.clone(), signals, source)),
+            executor.spawn(run_node_timer(gateway.clone())),
+            executor.spawn(nameserver::poll_nameserver(gateway.clone())),
+            executor.spawn(signals::handle_signals(gateway.clone(), signals, source)),
         ];
-        let listening = executor.spawn(listener::accept(gate.clone(), listener.clone(), client::serve));
-        gate.done().await;
+        let listening = executor.spawn(listener::accept(gateway.clone(), listener.clone(), client::serve));
+        gateway.done().await;
         drop(listening);
-        // Who comes from now on is refused the connection, which proves that nothing was taken.
-        listener::close(&gate, listener, client::serve).await;
+        // Later connections are refused by the kernel, which tells clients that nothing of theirs was
+        // accepted.
+        listener::accept_remaining(&gateway, listener, client::serve).await;
         let flushed = async {
-            while gate.is_winding_up() {
+            while gateway.has_open_work() {
                 Timer::after(Duration::from_millis(5)).await;
             }
         };
         future::or(flushed, async {
-            Timer::after(LAST_WORDS).await;
+            Timer::after(FLUSH_TIMEOUT).await;
         })
         .await;
-        gate.log_counts();
+        gateway.log_counts();
         drop(tasks);
     };
     async_io::block_on(executor.run(all));
     Ok(())
 }
 
-async fn wake(gate: Rc<Gate>) {
-    gate.wake().await;
+async fn run_node_timer(gateway: Rc<Gateway>) {
+    gateway.run_node_timer().await;
 }
--- a/crates/fawnrouterd/src/node/reader.rs
+++ b/crates/fawnrouterd/src/node/reader.rs
@@ -1,4 +1,4 @@
-//! What has been read of a client's connection and not looked at yet.
+//! Input of a client connection that has been read and not yet processed.
 
 use std::cell::{Cell, RefCell};
 use std::io::{ErrorKind, Read};
@@ -7,65 +7,71 @@
 use fawnrouter_node::jsonl::{DecodeError, Decoder, Message};
 use fawnrouter_node::{Inbox, QueuedMessage};
 
-/// Bytes of one connection that are read before any of them is handed on: five hundred set-ups and what gives them up.
-const LOOK_AHEAD: usize = 256 * 1024;
-/// The same over all connections; beyond it a connection reads on once its own have been handed on.
-const LOOK_AHEAD_ALL: usize = 1024 * 1024;
+/// Most bytes of one connection that are read before they are processed; room for five hundred set-ups and
+/// their cancels.
+const MAX_READ_AHEAD_BYTES: usize = 256 * 1024;
+/// The same over all connections. Beyond this, a connection reads again once its own bytes have been
+/// processed.
+const MAX_TOTAL_READ_AHEAD_BYTES: usize = 1024 * 1024;
 
-/// One buffer for all connections, as nothing awaits while it holds something, and how much lies read.
-pub struct Room {
+/// Read buffer of all connections, with the number of bytes read ahead. One buffer suffices, because no task
+/// awaits while it holds data.
+pub struct ReadBuffer {
     pub scratch: RefCell<Vec<u8>>,
-    ahead: Cell<usize>,
+    read_ahead_bytes: Cell<usize>,
 }
 
-impl Room {
+impl ReadBuffer {
     pub fn new(size: usize) -> Self {
-        Self { scratch: RefCell::new(vec![0; size]), ahead: Cell::new(0) }
+        Self { scratch: RefCell::new(vec![0; size]), read_ahead_bytes: Cell::new(0) }
     }
 }
 
-/// What has been read of a connection.
+/// Reads and decodes the input of one connection.
 #[derive(Default)]
 pub struct Reader {
     decoder: Decoder,
-    intake: Inbox,
-    /// Bytes behind what the intake holds.
-    ahead: usize,
-    /// The client's end, or a reset.
+    inbox: Inbox,
+    /// Bytes read and not yet released.
+    read_ahead_bytes: usize,
+    /// The client has closed its side, or the connection was reset.
     ended: bool,
-    end_told: bool,
+    end_reported: bool,
     fault: Option<DecodeError>,
-    fault_told: bool,
-    /// Something was read since the node last heard whether part of a line lies there, and whether one did then.
+    fault_reported: bool,
+    /// Something was read since a change of `partial_line` was last determined.
     read: bool,
-    half: bool,
+    /// Whether part of a line was buffered then.
+    partial_line: bool,
 }
 
 impl Reader {
-    /// Reads what lies in the socket, within limits.
-    pub fn fill(&mut self, room: &Room, mut socket: &TcpStream) {
+    /// Reads what the socket has received, within limits.
+    pub fn fill(&mut self, buffer: &ReadBuffer, mut socket: &TcpStream) {
         while !self.ended
             && self.fault.is_none()
-            && (self.ahead == 0 || self.ahead < LOOK_AHEAD && room.ahead.get() < LOOK_AHEAD_ALL)
+            && (self.read_ahead_bytes == 0
+                || self.read_ahead_bytes < MAX_READ_AHEAD_BYTES
+                    && buffer.read_ahead_bytes.get() < MAX_TOTAL_READ_AHEAD_BYTES)
         {
-            let scratch = &mut *room.scratch.borrow_mut();
+            let scratch = &mut *buffer.scratch.borrow_mut();
             match socket.read(scratch) {
                 Ok(n) if n > 0 => {
-                    self.ahead += n;
-                    room.ahead.set(room.ahead.get() + n);
+                    self.read_ahead_bytes += n;
+                    buffer.read_ahead_bytes.set(buffer.read_ahead_bytes.get() + n);
                     self.push(&scratch[..n]);
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Ok(_) | Err(_) => {
                     self.ended = true;
-                    self.intake.withdraw_all();
+                    self.inbox.withdraw_all();
                 }
             }
         }
     }
 
-    /// Adds bytes that have been read.
+    /// Decodes bytes that have been read.
     pub fn push(&mut self, bytes: &[u8]) {
         if self.fault.is_some() {
             return;
@@ -74,61 +80,68 @@
         self.decoder.push(bytes);
         loop {
             match self.decoder.next_message() {
-                Ok(Some(message)) => self.intake.push(message),
+                Ok(Some(message)) => self.inbox.push(message),
                 Ok(None) => return,
-                // Nothing behind it can be trusted.
+                // Bytes after an invalid line cannot be interpreted.
                 Err(fault) => return self.fault = Some(fault),
             }
         }
     }
 
-    /// The client's end, told once.
-    pub fn end(&mut self) -> bool {
-        self.ended && !std::mem::replace(&mut self.end_told, true)
+    /// Whether the client has closed its side; `true` only once.
+    pub fn take_end(&mut self) -> bool {
+        self.ended && !std::mem::replace(&mut self.end_reported, true)
     }
 
     pub fn has_ended(&self) -> bool {
         self.ended
     }
 
-    /// The next message that ends a call set up before.
-    pub fn next_end(&mut self) -> Option<Message> {
-        self.intake.pop_finish()
+    /// Takes the next message that ends a call set up earlier, ahead of the others.
+    pub fn next_call_end(&mut self) -> Option<Message> {
+        self.inbox.pop_finish()
     }
 
-    /// The next of all.
+    /// Takes the next message.
     pub fn next(&mut self) -> Option<QueuedMessage> {
-        self.intake.pop()
+        self.inbox.pop()
     }
 
     pub fn is_empty(&self) -> bool {
-        self.intake.is_empty()
+        self.inbox.is_empty()
     }
 
-    /// Whether something has been read that is to be handed on or told.
-    pub fn has_news(&self) -> bool {
-        self.read || self.ended || !self.intake.is_empty()
+    /// Whether input has been read that is still to be processed or reported.
+    pub fn has_unprocessed_input(&self) -> bool {
+        self.read || self.ended || !self.inbox.is_empty()
     }
 
-    /// Once all messages have been handed on: a fault, told once.
-    pub fn fault(&mut self) -> Option<DecodeError> {
-        if std::mem::replace(&mut self.fault_told, self.fault.is_some()) { None } else { self.fault.clone() }
+    /// Takes a decoding error, once all messages before it have been processed. Reported only once.
+    pub fn take_fault(&mut self) -> Option<DecodeError> {
+        if std::mem::replace(&mut self.fault_reported, self.fault.is_some()) {
+            None
+        } else {
+            self.fault.clone()
+        }
     }
 
-    pub fn has_told_fault(&self) -> bool {
-        self.fault_told
+    pub fn is_fault_reported(&self) -> bool {
+        self.fault_reported
     }
 
-    /// Once all messages have been handed on: whether part of a line lies there, if that is news.
-    pub fn half(&mut self) -> Option<bool> {
-        let lies = self.decoder.buffered_bytes() > 0;
-        let before = std::mem::replace(&mut self.half, lies);
-        let news = std::mem::take(&mut self.read) && !self.ended && self.fault.is_none();
-        (news && (lies || before)).then_some(lies)
+    /// Once all messages have been processed: whether part of a line is buffered, if more was read since the
+    /// last call and a part is or was buffered.
+    pub fn take_partial_line_change(&mut self) -> Option<bool> {
+        let partial_line = self.decoder.buffered_bytes() > 0;
+        let before = std::mem::replace(&mut self.partial_line, partial_line);
+        let has_read = std::mem::take(&mut self.read) && !self.ended && self.fault.is_none();
+        (has_read && (partial_line || before)).then_some(partial_line)
     }
 
-    /// What was read has been handed on, or will not be.
-    pub fn clear(&mut self, room: &Room) {
-        room.ahead.set(room.ahead.get().saturating_sub(std::mem::take(&mut self.ahead)));
+    /// Gives up the read-ahead budget: what was read has been processed, or never will be.
+    pub fn release(&mut self, buffer: &ReadBuffer) {
+        buffer
+            .read_ahead_bytes
+            .set(buffer.read_ahead_bytes.get().saturating_sub(std::mem::take(&mut self.read_ahead_bytes)));
     }
 }
--- a/crates/fawnrouterd/src/serve.rs
+++ b/crates/fawnrouterd/src/serve.rs
@@ -1,4 +1,4 @@
-//! The gateway from start to end.
+//! Runs the gateway from start to shutdown.
 
 use std::net::{SocketAddr, TcpListener};
 use std::os::unix::net::UnixListener;
@@ -20,18 +20,19 @@
 use crate::connection_admission::ConnectionAdmission;
 use crate::core::Core;
 use crate::run_error::RunError;
-use crate::{accept, control, ledger, list, trunk};
+use crate::{accept, control, ledger, trunk, watched_files};
 
-/// Last bytes get this long to be written at the end.
-const LAST_WORDS: Duration = Duration::from_millis(500);
-/// Between two lines of counts in the log.
-const COUNTS: Duration = Duration::from_secs(60);
+/// How long remaining bytes may take to be written at shutdown.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
+/// Interval of the line of counts in the log.
+const COUNTS_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Runs a gateway until a signal; `folder` is where relative paths count from, `ready` is told where clients connect.
-/// `true` if it drained, `false` if it was cut short.
+/// Runs a gateway until a signal. Relative paths are resolved from `folder`; `ready` is called with the
+/// address and path that clients connect to. `true` if it drained, `false` if a second signal interrupted the
+/// drain.
 ///
 /// # Errors
-/// Where it cannot start.
+/// If it cannot start.
 pub fn run(
     settings: Settings,
     folder: PathBuf,
@@ -40,7 +41,7 @@
     run_with_engine(settings, folder, ready, Engine::new)
 }
 
-/// As [`run`], with an engine of the caller's making.
+/// As [`run`], with an engine created by the caller.
 ///
 /// # Errors
 /// As [`run`].
@@ -55,13 +56,13 @@
     let listener = Async::<TcpListener>::bind(address).map_err(listen)?;
     let bound = listener.get_ref().local_addr().map_err(listen)?;
     let mut signals = Signals::new([Signal::Term, Signal::Int]).map_err(RunError::Signals)?;
-    let words = settings.log.level >= fawnrouter_config::LogLevel::Debug;
-    let key = secret()?;
+    let report_calls = settings.log.level >= fawnrouter_config::LogLevel::Debug;
+    let key = random_key()?;
     let seed = u64::from_le_bytes(key[..8].try_into().unwrap_or_default());
-    let mut engine_settings = settings.engine_settings(seed, words);
+    let mut engine_settings = settings.engine_settings(seed, report_calls);
     engine_settings.auth = settings.auth_settings(key);
     let engine = engine(engine_settings)?;
-    let descriptors = descriptors(&settings)?;
+    let descriptors = plan_descriptors(&settings)?;
     let admission =
         settings.admission_settings(seed).map(|a| Admission::new(a.within(&descriptors))).transpose()?;
     let limits = &settings.limits;
@@ -85,14 +86,14 @@
     let executor = Rc::new(LocalExecutor::new());
     let core = Core::new(settings, engine, connection_admission, trunk::open, &executor);
     let all = async {
-        // One line a driver.
+        // The drivers.
         let mut tasks = vec![
-            executor.spawn(list::switches(core.clone(), file)),
-            executor.spawn(wake(core.clone())),
-            executor.spawn(house(core.clone())),
-            executor.spawn(counts(core.clone())),
+            executor.spawn(watched_files::watch_switches(core.clone(), file)),
+            executor.spawn(run_engine_timer(core.clone())),
+            executor.spawn(run_maintenance(core.clone())),
+            executor.spawn(log_counts_periodically(core.clone())),
         ];
-        tasks.extend(clients.map(|file| executor.spawn(list::clients(core.clone(), file))));
+        tasks.extend(clients.map(|file| executor.spawn(watched_files::watch_clients(core.clone(), file))));
         tasks.extend(operators.map(|socket| executor.spawn(control::serve(core.clone(), socket))));
         if let Some(file) = &account {
             ledger::restore(&core, file).await;
@@ -112,34 +113,34 @@
                 true
             },
             async {
-                let cut = future::or(
+                let interrupted = future::or(
                     async {
                         Timer::after(time).await;
-                        "time for the drain is over"
+                        "drain timeout"
                     },
                     async {
                         signals.next().await;
                         "second signal"
                     },
                 );
-                let why = cut.await;
+                let reason = interrupted.await;
                 tracing::warn!(
                     left = core.with_engine(Engine::live_calls),
-                    "{why}: calls that are left are ended"
+                    "{reason}: remaining calls are ended"
                 );
                 core.input(Input::Stop);
-                why != "second signal"
+                reason != "second signal"
             },
         );
         let clean = clean.await;
-        core.connections.borrow().close_all(CloseCode::AWAY, "gateway ends");
+        core.connections.borrow().close_all_clients(CloseCode::AWAY, "gateway ends");
         let flushed = async {
-            while core.connections.borrow().busy() {
+            while core.connections.borrow().has_pending_work() {
                 Timer::after(Duration::from_millis(5)).await;
             }
         };
         future::or(flushed, async {
-            Timer::after(LAST_WORDS).await;
+            Timer::after(FLUSH_TIMEOUT).await;
         })
         .await;
         if let Some(file) = account {
@@ -152,39 +153,39 @@
     Ok(async_io::block_on(executor.run(all)))
 }
 
-/// Makes the socket for operators.
+/// Creates the control socket.
 fn listen_for_operators(path: PathBuf) -> Result<Async<UnixListener>, RunError> {
     control::listen(&path).map_err(|error| RunError::Control { path, error })
 }
 
-async fn house(core: Rc<Core>) {
-    core.keep_house().await;
+async fn run_maintenance(core: Rc<Core>) {
+    core.run_maintenance().await;
 }
 
-async fn wake(core: Rc<Core>) {
-    core.wake_engine().await;
+async fn run_engine_timer(core: Rc<Core>) {
+    core.run_engine_timer().await;
 }
 
-async fn counts(core: Rc<Core>) {
+async fn log_counts_periodically(core: Rc<Core>) {
     loop {
-        Timer::after(COUNTS).await;
+        Timer::after(COUNTS_INTERVAL).await;
         core.log_counts();
     }
 }
 
-/// What may go wrong at the start, with the descriptors that are there.
-fn descriptors(settings: &Settings) -> Result<Descriptors, TooFewDescriptors> {
+/// Divides the process's file descriptors between clients, switches, files and operators.
+fn plan_descriptors(settings: &Settings) -> Result<Descriptors, TooFewDescriptors> {
     let limit = rustix::process::getrlimit(Resource::Nofile).current;
     let limit = limit.and_then(|n| usize::try_from(n).ok()).unwrap_or(usize::MAX / 2);
-    // Without a proc file system the usual number: the standard streams, the reactor's, the listener.
+    // Without /proc, assume the usual number: standard streams, the reactor's descriptors and the listener.
     let in_use = std::fs::read_dir("/proc/self/fd").map_or(16, Iterator::count);
     let control = if settings.control.is_some() { control::MAX_OPERATOR_CONNECTIONS + 1 } else { 0 };
     let files = 4;
     Descriptors::new(DescriptorSettings { limit, in_use, trunks: settings.trunk.descriptors, files, control })
 }
 
-/// Bytes that nobody can guess.
-fn secret() -> Result<[u8; 32], RunError> {
+/// Unpredictable bytes from the system's random number generator.
+fn random_key() -> Result<[u8; 32], RunError> {
     let mut key = [0; 32];
     getrandom::fill(&mut key).map_err(|error| RunError::Random(error.to_string()))?;
     Ok(key)
