--- a/crates/fawnrouter-audit/src/judge.rs
+++ b/crates/fawnrouter-audit/src/judge.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crate::wire::{Sip, TcpReader, WsReader};
-use crate::{Listed, Seen, Side, Way};
+use crate::{Direction, ListState, Observation, Side};
 
 /// The rules by their numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -15,16 +15,16 @@
     /// Never two attempts out at once.
     OneAttempt = 2,
     /// Nothing new to a switch after the grace.
-    Drain = 3,
+    DrainGrace = 3,
     /// No cold switch pushed over.
-    Cold = 4,
+    ColdSwitch = 4,
     /// The guard after a time-out, reset or cancel.
-    Guard = 5,
+    RetryGuard = 5,
 }
 
 /// A rule that broke.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Breach {
+pub struct Violation {
     /// Which rule.
     pub rule: Rule,
     /// When, from the start of the record.
@@ -33,7 +33,7 @@
     pub text: String,
 }
 
-impl fmt::Display for Breach {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "rule {} at {:.3} s: {}", self.rule as u8, self.at.as_secs_f64(), self.text)
     }
@@ -41,7 +41,7 @@
 
 /// The figures of the rules, and how exact the taps are.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Figures {
+pub struct AuditParameters {
     /// Rule 3: work may go on for this long after the list told of the end.
     pub drain_grace: Duration,
     /// Rule 5.
@@ -49,40 +49,40 @@
     /// Rule 4: so many times the present capacity ...
     pub fall_multiple: f64,
     /// ... over a window of this length.
-    pub fall_time: Duration,
+    pub fall_window: Duration,
     /// Rule 4: set-ups beyond the budget that count as chance.
-    pub chance: f64,
+    pub excess_allowance: f64,
     /// Rule 1: an answer may be this late, and a set-up may be seen this long after the answer: the two are seen on
     /// different sockets.
-    pub slack: Duration,
+    pub answer_slack: Duration,
     /// Rule 5: times are taken at the receiving end.
-    pub tolerance: Duration,
+    pub time_tolerance: Duration,
 }
 
 /// What came out.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Verdict {
+pub struct AuditReport {
     /// The first breaches, in order.
-    pub breaches: Vec<Breach>,
+    pub violations: Vec<Violation>,
     /// All breaches by rule.
-    pub counts: BTreeMap<Rule, u64>,
+    pub violation_counts: BTreeMap<Rule, u64>,
     /// Calls judged.
     pub calls: u64,
     /// Attempts judged.
     pub attempts: u64,
     /// Calls whose time was not up when the record ended.
-    pub open: u64,
+    pub undecided_calls: u64,
     /// The most that a tap was held up.
-    pub latest: Duration,
+    pub max_tap_delay: Duration,
     /// Calls that switches took (200), by the gateway's host in the Via, the switch, and the minute of the record.
-    pub took: BTreeMap<(String, u32, u64), u64>,
+    pub accepted_calls: BTreeMap<(String, u32, u64), u64>,
 }
 
-impl Verdict {
+impl AuditReport {
     /// No rule broke, and there was something to judge.
     #[must_use]
-    pub fn clean(&self) -> bool {
-        self.counts.is_empty() && self.calls > 0
+    pub fn is_clean(&self) -> bool {
+        self.violation_counts.is_empty() && self.calls > 0
     }
 }
 
@@ -143,7 +143,7 @@
 /// Takes what was seen, in order of time, and judges.
 #[derive(Debug)]
 pub struct Auditor {
-    figures: Figures,
+    figures: AuditParameters,
     readers: BTreeMap<u64, Reader>,
     /// Calls by connection and branch of their INVITE.
     calls: BTreeMap<(u64, String), Call>,
@@ -155,7 +155,7 @@
     closed: BTreeMap<u32, Duration>,
     cold: BTreeMap<u32, Cold>,
     forget: VecDeque<(Duration, (u64, String), String)>,
-    verdict: Verdict,
+    verdict: AuditReport,
     last: Duration,
     /// How much earlier what is judged now may have arrived. Every rule is judged by the time that speaks for the
     /// gateway: a tap that was held up must not show a breach that was none.
@@ -165,7 +165,7 @@
 impl Auditor {
     /// An auditor of these figures.
     #[must_use]
-    pub fn new(figures: Figures) -> Self {
+    pub fn new(figures: AuditParameters) -> Self {
         Self {
             figures,
             readers: BTreeMap::new(),
@@ -176,24 +176,24 @@
             closed: BTreeMap::new(),
             cold: BTreeMap::new(),
             forget: VecDeque::new(),
-            verdict: Verdict::default(),
+            verdict: AuditReport::default(),
             last: Duration::ZERO,
             late: Duration::ZERO,
         }
     }
 
     fn breach(&mut self, rule: Rule, at: Duration, text: String) {
-        *self.verdict.counts.entry(rule).or_default() += 1;
-        if self.verdict.breaches.len() < KEPT {
-            self.verdict.breaches.push(Breach { rule, at, text });
+        *self.verdict.violation_counts.entry(rule).or_default() += 1;
+        if self.verdict.violations.len() < KEPT {
+            self.verdict.violations.push(Violation { rule, at, text });
         }
     }
 
     /// Takes one thing that was seen at this time.
-    pub fn take(&mut self, at: Duration, seen: Seen) {
+    pub fn observe(&mut self, at: Duration, seen: Observation) {
         self.last = self.last.max(at);
         match seen {
-            Seen::Opened { conn, side } => {
+            Observation::Opened { conn, side } => {
                 let reader = match side {
                     Side::Caller { gateway } => {
                         Reader::Caller { gateway, inward: WsReader::default(), outward: WsReader::default() }
@@ -204,22 +204,22 @@
                 };
                 self.readers.insert(conn, reader);
             }
-            Seen::Bytes { conn, way, bytes, late } => {
-                self.verdict.latest = self.verdict.latest.max(late);
+            Observation::Bytes { conn, direction: way, bytes, tap_delay: late } => {
+                self.verdict.max_tap_delay = self.verdict.max_tap_delay.max(late);
                 self.late = late;
                 self.bytes(at, conn, way, &bytes);
             }
-            Seen::Closed { conn } => self.conn_closed(at, conn),
-            Seen::Told { switch, listed } => {
+            Observation::Closed { conn } => self.conn_closed(at, conn),
+            Observation::ListUpdated { switch, state: listed } => {
                 match listed {
-                    Listed::Ready => drop(self.closed.remove(&switch)),
-                    Listed::Closed => drop(self.closed.entry(switch).or_insert(at)),
+                    ListState::Ready => drop(self.closed.remove(&switch)),
+                    ListState::Closed => drop(self.closed.entry(switch).or_insert(at)),
                 }
                 if let Some(cold) = self.cold.get_mut(&switch) {
-                    cold.told |= listed == Listed::Ready;
+                    cold.told |= listed == ListState::Ready;
                 }
             }
-            Seen::Started { switch, capacity_per_s: capacity, from, ramp } => {
+            Observation::ColdStart { switch, capacity_per_s: capacity, initial_share: from, ramp } => {
                 let (arrivals, told, fallen) = (VecDeque::new(), false, false);
                 self.cold.insert(switch, Cold { since: at, capacity, from, ramp, told, arrivals, fallen });
             }
@@ -227,14 +227,14 @@
         self.overdue(at);
     }
 
-    fn bytes(&mut self, at: Duration, conn: u64, way: Way, bytes: &[u8]) {
+    fn bytes(&mut self, at: Duration, conn: u64, way: Direction, bytes: &[u8]) {
         let (messages, place) = match self.readers.get_mut(&conn) {
             Some(Reader::Caller { gateway, inward, outward }) => {
-                let reader = if way == Way::In { inward } else { outward };
+                let reader = if way == Direction::ToGateway { inward } else { outward };
                 (reader.take(bytes), Side::Caller { gateway: *gateway })
             }
             Some(Reader::Trunk { switch, inward, outward }) => {
-                let reader = if way == Way::In { inward } else { outward };
+                let reader = if way == Direction::ToGateway { inward } else { outward };
                 (reader.take(bytes), Side::Trunk { switch: *switch })
             }
             None => return,
@@ -243,10 +243,12 @@
             Ok(messages) => {
                 for sip in messages {
                     match (place, way) {
-                        (Side::Caller { .. }, Way::In) => self.caller_sent(at, conn, sip),
-                        (Side::Caller { .. }, Way::Out) => self.caller_got(at, conn, sip),
-                        (Side::Trunk { switch }, Way::Out) => self.switch_got(at, conn, switch, sip),
-                        (Side::Trunk { .. }, Way::In) => self.switch_sent(at, conn, &sip),
+                        (Side::Caller { .. }, Direction::ToGateway) => self.caller_sent(at, conn, sip),
+                        (Side::Caller { .. }, Direction::FromGateway) => self.caller_got(at, conn, sip),
+                        (Side::Trunk { switch }, Direction::FromGateway) => {
+                            self.switch_got(at, conn, switch, sip)
+                        }
+                        (Side::Trunk { .. }, Direction::ToGateway) => self.switch_sent(at, conn, &sip),
                     }
                 }
             }
@@ -262,7 +264,7 @@
         if self.calls.contains_key(&key) {
             return;
         }
-        let due = at + Duration::from_secs(sip.expires_s.unwrap_or(3600)) + self.figures.slack;
+        let due = at + Duration::from_secs(sip.expires_s.unwrap_or(3600)) + self.figures.answer_slack;
         self.verdict.calls += 1;
         // A try that was asked who it is (401) comes again under its session, as a transaction of its own.
         self.answered.remove(&sip.session);
@@ -312,8 +314,10 @@
                 format!("a set-up to switch {switch} has no Session-ID"),
             );
         }
-        if let Some(answered) =
-            self.answered.get(&session).filter(|t| at.saturating_sub(self.late) > **t + self.figures.slack)
+        if let Some(answered) = self
+            .answered
+            .get(&session)
+            .filter(|t| at.saturating_sub(self.late) > **t + self.figures.answer_slack)
         {
             let text = format!(
                 "call {session} was sent to switch {switch} after its answer at {:.3} s",
@@ -321,7 +325,7 @@
             );
             self.breach(Rule::OneAnswer, at, text);
         }
-        let (guard, tolerance) = (self.figures.guard, self.figures.tolerance);
+        let (guard, tolerance) = (self.figures.guard, self.figures.time_tolerance);
         let mut found = Vec::new();
         for earlier in self.attempts.get(&session).into_iter().flatten() {
             // A time-out that the gateway announced ends an attempt that nobody answered.
@@ -335,7 +339,7 @@
                     if guarded && at + tolerance < end + guard {
                         let ms = at.saturating_sub(end).as_millis();
                         found.push((
-                            Rule::Guard,
+                            Rule::RetryGuard,
                             format!("call {session} was sent again {ms} ms after an attempt was given up"),
                         ));
                     }
@@ -361,7 +365,7 @@
         {
             let ms = (at - *told).as_millis();
             self.breach(
-                Rule::Drain,
+                Rule::DrainGrace,
                 at,
                 format!("a set-up went to switch {switch} {ms} ms after its end was told"),
             );
@@ -376,7 +380,8 @@
 
     /// Rule 4: over every window that ends with this set-up.
     fn arrive(&mut self, at: Duration, switch: u32) {
-        let Figures { fall_multiple, fall_time, chance, .. } = self.figures;
+        let AuditParameters { fall_multiple, fall_window: fall_time, excess_allowance: chance, .. } =
+            self.figures;
         let Some(cold) = self.cold.get_mut(&switch) else { return };
         if at > cold.since + cold.ramp + fall_time {
             self.cold.remove(&switch);
@@ -397,7 +402,7 @@
                 "cold switch {switch} got {count} set-ups in {:.1} s, its budget is {budget:.1}",
                 fall_time.as_secs_f64()
             );
-            self.breach(Rule::Cold, at, text);
+            self.breach(Rule::ColdSwitch, at, text);
         }
     }
 
@@ -419,7 +424,7 @@
         // A repeated 200 finds its attempt ended.
         if let Some(attempt) = attempts.find(|a| a.conn == conn && a.branch == branch && a.ended.is_none()) {
             let key = (attempt.host.clone(), *switch, at.as_secs() / 60);
-            *self.verdict.took.entry(key).or_default() += 1;
+            *self.verdict.accepted_calls.entry(key).or_default() += 1;
         }
     }
 
@@ -458,7 +463,7 @@
 
     /// Ends the record: calls that never got their answer are found now.
     #[must_use]
-    pub fn finish(mut self) -> Verdict {
+    pub fn finish(mut self) -> AuditReport {
         let unanswered: Vec<(String, Duration)> = (self.calls.values())
             .filter(|c| c.answered.is_none() && !c.caller_gone)
             .map(|c| (c.session.clone(), c.due))
@@ -470,7 +475,7 @@
                     self.breach(Rule::OneAnswer, due, format!("call {session} never got a final answer"));
                 }
             } else {
-                self.verdict.open += 1;
+                self.verdict.undecided_calls += 1;
             }
         }
         self.verdict
--- a/crates/fawnrouter-audit/src/lib.rs
+++ b/crates/fawnrouter-audit/src/lib.rs
@@ -9,7 +9,7 @@
 mod judge;
 mod wire;
 
-pub use judge::{Auditor, Breach, Figures, Rule, Verdict};
+pub use judge::{AuditParameters, AuditReport, Auditor, Rule, Violation};
 
 use std::time::Duration;
 
@@ -30,16 +30,16 @@
 
 /// Which way bytes went.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Direction {
     /// Towards the gateway.
-    In,
+    ToGateway,
     /// From the gateway.
-    Out,
+    FromGateway,
 }
 
 /// What the list said of a switch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listed {
+pub enum ListState {
     /// It takes calls.
     Ready,
     /// It drains, or is gone.
@@ -48,7 +48,7 @@
 
 /// One thing that was seen, or one fact of the stand.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Seen {
+pub enum Observation {
     /// A connection was opened.
     Opened {
         /// The connection.
@@ -61,11 +61,11 @@
         /// The connection.
         conn: u64,
         /// Which way.
-        way: Way,
+        direction: Direction,
         /// The bytes.
         bytes: Vec<u8>,
         /// They may have arrived up to this much earlier: the tap itself was held up.
-        late: Duration,
+        tap_delay: Duration,
     },
     /// It was closed.
     Closed {
@@ -73,20 +73,20 @@
         conn: u64,
     },
     /// All gateways were told of a switch.
-    Told {
+    ListUpdated {
         /// The switch.
         switch: u32,
         /// What.
-        listed: Listed,
+        state: ListState,
     },
     /// A switch started cold.
-    Started {
+    ColdStart {
         /// The switch.
         switch: u32,
         /// Set-ups a second that it takes when warm.
         capacity_per_s: f64,
         /// The share of it that it starts with.
-        from: f64,
+        initial_share: f64,
         /// Time until it is warm; the share grows evenly.
         ramp: Duration,
     },
--- a/crates/fawnrouter-audit/tests/planted.rs
+++ b/crates/fawnrouter-audit/tests/planted.rs
@@ -8,14 +8,14 @@
     Duration::from_millis(n)
 }
 
-const FIGURES: Figures = Figures {
+const FIGURES: AuditParameters = AuditParameters {
     drain_grace: ms(1000),
     guard: ms(300),
     fall_multiple: 3.0,
-    fall_time: ms(1000),
-    chance: 2.0,
-    slack: ms(50),
-    tolerance: ms(10),
+    fall_window: ms(1000),
+    excess_allowance: 2.0,
+    answer_slack: ms(50),
+    time_tolerance: ms(10),
 };
 
 struct Stand {
@@ -46,22 +46,33 @@
     /// A caller on connection 1, switches 70 and 71 on connections 70 and 71.
     fn new() -> Self {
         let mut auditor = Auditor::new(FIGURES);
-        auditor.take(ms(0), Seen::Opened { conn: 1, side: Side::Caller { gateway: 0 } });
+        auditor.observe(ms(0), Observation::Opened { conn: 1, side: Side::Caller { gateway: 0 } });
         for switch in [70, 71] {
-            auditor.take(ms(0), Seen::Opened { conn: u64::from(switch), side: Side::Trunk { switch } });
+            auditor.observe(
+                ms(0),
+                Observation::Opened { conn: u64::from(switch), side: Side::Trunk { switch } },
+            );
         }
         let head = b"GET / HTTP/1.1\r\n\r\n".to_vec();
-        auditor.take(ms(0), Seen::Bytes { conn: 1, way: Way::In, bytes: head, late: ms(0) });
+        auditor.observe(
+            ms(0),
+            Observation::Bytes { conn: 1, direction: Direction::ToGateway, bytes: head, tap_delay: ms(0) },
+        );
         let head = b"HTTP/1.1 101 Switching Protocols\r\n\r\n".to_vec();
-        auditor.take(ms(0), Seen::Bytes { conn: 1, way: Way::Out, bytes: head, late: ms(0) });
+        auditor.observe(
+            ms(0),
+            Observation::Bytes { conn: 1, direction: Direction::FromGateway, bytes: head, tap_delay: ms(0) },
+        );
         Self { auditor, late: ms(0) }
     }
 
-    fn bytes(&mut self, at: u64, conn: u64, way: Way, bytes: Vec<u8>) -> &mut Self {
+    fn bytes(&mut self, at: u64, conn: u64, direction: Direction, bytes: Vec<u8>) -> &mut Self {
         // In two pieces, as sockets may give them.
         let (a, b) = bytes.split_at(bytes.len() / 2);
-        self.auditor.take(ms(at), Seen::Bytes { conn, way, bytes: a.to_vec(), late: self.late });
-        self.auditor.take(ms(at), Seen::Bytes { conn, way, bytes: b.to_vec(), late: self.late });
+        self.auditor
+            .observe(ms(at), Observation::Bytes { conn, direction, bytes: a.to_vec(), tap_delay: self.late });
+        self.auditor
+            .observe(ms(at), Observation::Bytes { conn, direction, bytes: b.to_vec(), tap_delay: self.late });
         self
     }
 
@@ -70,12 +81,12 @@
             "INVITE sip:x@g SIP/2.0\r\nVia: SIP/2.0/WS c;branch=b{n}\r\nTo: <sip:x@g>\r\nCall-ID: c{n}\r\nCSeq: 1 INVITE\r\n\
              Expires: 3\r\nSession-ID: s{n};remote=0\r\n\r\n"
         );
-        self.bytes(at, 1, Way::In, frame(&text, true))
+        self.bytes(at, 1, Direction::ToGateway, frame(&text, true))
     }
 
     fn answer(&mut self, at: u64, n: u32, status: u16) -> &mut Self {
         let text = format!("SIP/2.0 {status} X\r\nVia: SIP/2.0/WS c;branch=b{n}\r\nCSeq: 1 INVITE\r\n\r\n");
-        self.bytes(at, 1, Way::Out, frame(&text, false))
+        self.bytes(at, 1, Direction::FromGateway, frame(&text, false))
     }
 
     fn request(
@@ -91,7 +102,7 @@
             "{method} sip:x@s SIP/2.0\r\nv: SIP/2.0/TCP gw0;branch=t{n}.{attempt};oc;fr-within={within}\r\nTo: <sip:x@g>\r\n\
              Session-ID: s{n};remote=0\r\nCSeq: 1 {method}\r\nl: 2\r\n\r\nab"
         );
-        self.bytes(at, u64::from(switch), Way::Out, text.into_bytes())
+        self.bytes(at, u64::from(switch), Direction::FromGateway, text.into_bytes())
     }
 
     fn send(&mut self, at: u64, switch: u32, n: u32, attempt: u32) -> &mut Self {
@@ -102,18 +113,18 @@
         let text = format!(
             "SIP/2.0 {status} X\r\nVia: SIP/2.0/TCP gw0;branch=t{n}.{attempt}\r\nCSeq: 1 INVITE\r\nContent-Length: 0\r\n\r\n"
         );
-        self.bytes(at, u64::from(switch), Way::In, text.into_bytes())
+        self.bytes(at, u64::from(switch), Direction::ToGateway, text.into_bytes())
     }
 
-    fn fact(&mut self, at: u64, seen: Seen) -> &mut Self {
-        self.auditor.take(ms(at), seen);
+    fn fact(&mut self, at: u64, seen: Observation) -> &mut Self {
+        self.auditor.observe(ms(at), seen);
         self
     }
 
     /// The rules that broke, with how often.
     fn broken(mut self) -> Vec<(Rule, u64)> {
-        self.auditor.take(ms(100_000), Seen::Told { switch: 999, listed: Listed::Ready });
-        self.auditor.finish().counts.into_iter().collect()
+        self.auditor.observe(ms(100_000), Observation::ListUpdated { switch: 999, state: ListState::Ready });
+        self.auditor.finish().violation_counts.into_iter().collect()
     }
 }
 
@@ -124,9 +135,9 @@
     stand.send(41, 71, 1, 1).reply(60, 71, 1, 1, 180).reply(90, 71, 1, 1, 200).answer(91, 1, 200);
     stand.invite(200, 2).answer(3100, 2, 503);
     let verdict = stand.auditor.finish();
-    assert!(verdict.clean(), "{verdict:?}");
+    assert!(verdict.is_clean(), "{verdict:?}");
     assert_eq!((verdict.calls, verdict.attempts), (2, 2));
-    let took: Vec<_> = verdict.took.into_iter().collect();
+    let took: Vec<_> = verdict.accepted_calls.into_iter().collect();
     assert_eq!(took, [(("gw0".to_owned(), 71, 0), 1)], "switch 70 refused, switch 71 took one call");
 }
 
@@ -158,9 +169,9 @@
 
 #[test]
 fn rule_3_a_set_up_after_the_grace_but_not_within_it() {
-    for (at, expected) in [(1400, vec![]), (1600, vec![(Rule::Drain, 1)])] {
+    for (at, expected) in [(1400, vec![]), (1600, vec![(Rule::DrainGrace, 1)])] {
         let mut stand = Stand::new();
-        stand.fact(500, Seen::Told { switch: 70, listed: Listed::Closed });
+        stand.fact(500, Observation::ListUpdated { switch: 70, state: ListState::Closed });
         stand.invite(600, 1).send(at, 70, 1, 0).reply(at + 5, 70, 1, 0, 200).answer(at + 6, 1, 200);
         assert_eq!(stand.broken(), expected, "{at}");
     }
@@ -169,10 +180,13 @@
 #[test]
 fn rule_4_a_cold_switch_pushed_over_by_all_together() {
     // 20 a second when warm, from 0.3 in 10 s: the budget of the first second is 3 * 20 * 0.335 + 2 = 22.
-    for (count, expected) in [(22, vec![]), (23, vec![(Rule::Cold, 1)])] {
+    for (count, expected) in [(22, vec![]), (23, vec![(Rule::ColdSwitch, 1)])] {
         let mut stand = Stand::new();
-        stand.fact(1000, Seen::Started { switch: 70, capacity_per_s: 20.0, from: 0.3, ramp: ms(10_000) });
-        stand.fact(1000, Seen::Told { switch: 70, listed: Listed::Ready });
+        stand.fact(
+            1000,
+            Observation::ColdStart { switch: 70, capacity_per_s: 20.0, initial_share: 0.3, ramp: ms(10_000) },
+        );
+        stand.fact(1000, Observation::ListUpdated { switch: 70, state: ListState::Ready });
         for n in 0..count {
             stand.invite(1100, n).send(1200 + u64::from(n), 70, n, 0).answer(1500, n, 200);
         }
@@ -180,7 +194,10 @@
     }
     // Gateways that were not told of the start cannot know.
     let mut stand = Stand::new();
-    stand.fact(1000, Seen::Started { switch: 70, capacity_per_s: 20.0, from: 0.3, ramp: ms(10_000) });
+    stand.fact(
+        1000,
+        Observation::ColdStart { switch: 70, capacity_per_s: 20.0, initial_share: 0.3, ramp: ms(10_000) },
+    );
     for n in 0..60 {
         stand.invite(1100, n).send(1200, 70, n, 0).answer(1500, n, 200);
     }
@@ -189,14 +206,14 @@
 
 #[test]
 fn rule_5_again_too_soon_after_a_cancel_a_reset_and_a_time_out() {
-    for (again, expected) in [(250, vec![(Rule::Guard, 1)]), (320, vec![])] {
+    for (again, expected) in [(250, vec![(Rule::RetryGuard, 1)]), (320, vec![])] {
         let mut stand = Stand::new();
         stand.invite(0, 1).send(0, 70, 1, 0).reply(5, 70, 1, 0, 100).request(10, "CANCEL", 70, 1, 0, 2500);
         stand.send(10 + again, 71, 1, 1).answer(1000, 1, 200);
         assert_eq!(stand.broken(), expected, "cancel, {again} ms");
 
         let mut stand = Stand::new();
-        stand.invite(0, 1).send(0, 70, 1, 0).fact(10, Seen::Closed { conn: 70 });
+        stand.invite(0, 1).send(0, 70, 1, 0).fact(10, Observation::Closed { conn: 70 });
         stand.send(10 + again, 71, 1, 1).answer(1000, 1, 200);
         assert_eq!(stand.broken(), expected, "reset, {again} ms");
 
@@ -233,12 +250,12 @@
             // The same session, another transaction.
             let text = "INVITE sip:x@g SIP/2.0\r\nVia: SIP/2.0/WS c;branch=b1a\r\nTo: <sip:x@g>\r\nCall-ID: c1\r\n\
                         CSeq: 2 INVITE\r\nExpires: 3\r\nSession-ID: s1;remote=0\r\n\r\n";
-            stand.bytes(5, 1, Way::In, frame(text, true));
+            stand.bytes(5, 1, Direction::ToGateway, frame(text, true));
         }
         stand.send(200, 70, 1, 0).reply(240, 70, 1, 0, 200);
         if again {
             let text = "SIP/2.0 200 OK\r\nVia: SIP/2.0/WS c;branch=b1a\r\nCSeq: 2 INVITE\r\n\r\n";
-            stand.bytes(241, 1, Way::Out, frame(text, false));
+            stand.bytes(241, 1, Direction::FromGateway, frame(text, false));
         }
         assert_eq!(stand.broken(), expected, "{again}");
     }
@@ -247,9 +264,9 @@
 #[test]
 fn the_body_of_a_refused_upgrade_is_no_breach() {
     let mut stand = Stand::new();
-    stand.fact(0, Seen::Opened { conn: 5, side: Side::Caller { gateway: 0 } });
+    stand.fact(0, Observation::Opened { conn: 5, side: Side::Caller { gateway: 0 } });
     let refusal = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 6\r\n\r\n\u{1}\u{7f}full";
-    stand.bytes(1, 5, Way::Out, refusal.as_bytes().to_vec());
+    stand.bytes(1, 5, Direction::FromGateway, refusal.as_bytes().to_vec());
     stand.invite(10, 1).answer(20, 1, 503);
     assert_eq!(stand.broken(), []);
 }
@@ -257,11 +274,11 @@
 #[test]
 fn a_caller_that_left_is_owed_nothing() {
     let mut stand = Stand::new();
-    stand.invite(0, 1).send(5, 70, 1, 0).fact(100, Seen::Closed { conn: 1 });
+    stand.invite(0, 1).send(5, 70, 1, 0).fact(100, Observation::Closed { conn: 1 });
     assert_eq!(stand.broken(), []);
 }
 
 #[test]
 fn an_empty_record_is_not_called_clean() {
-    assert!(!Stand::new().auditor.finish().clean());
+    assert!(!Stand::new().auditor.finish().is_clean());
 }
--- a/crates/fawnrouter-lab/src/callers.rs
+++ b/crates/fawnrouter-lab/src/callers.rs
@@ -9,7 +9,7 @@
 
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use fawnrouter_audit::{Side, Way};
+use fawnrouter_audit::{Direction, Side};
 use fawnrouter_sip::{Dialog, Draft, Limits, Message, Method, Name};
 use fawnrouter_ws::{ClientHandshake, Decoder, Event, HttpLimits, Opcode, Role, encode};
 use fawnrouterd::Outbox;
@@ -138,7 +138,7 @@
         let conn = self.tap.opened(Side::Caller { gateway: number });
         let shake = ClientHandshake::new(nonce, "sip");
         let request = shake.request(&address.to_string(), "/", None);
-        self.tap.bytes(conn, Way::In, &request);
+        self.tap.bytes(conn, Direction::ToGateway, &request);
         (&stream).write_all(&request).await?;
         let mut bytes = Vec::new();
         let consumed = loop {
@@ -147,7 +147,7 @@
             if n == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
-            self.tap.bytes(conn, Way::Out, &buffer[..n]);
+            self.tap.bytes(conn, Direction::FromGateway, &buffer[..n]);
             bytes.extend_from_slice(&buffer[..n]);
             match shake.check(&bytes, &HttpLimits::default()) {
                 Ok(Some(n)) => break n,
@@ -209,12 +209,12 @@
                 .field(Name::Authorization, &credentials.write());
             let mut bytes = Vec::new();
             encode(Opcode::Text, &draft.finish(b""), Some([5; 4]), &mut bytes);
-            self.tap.bytes(conn, Way::In, &bytes);
+            self.tap.bytes(conn, Direction::ToGateway, &bytes);
             (&*stream).write_all(&bytes).await?;
             let told = loop {
                 let mut buffer = [0; 4096];
                 let n = stream.read_with(|mut s| s.read(&mut buffer)).await?;
-                self.tap.bytes(conn, Way::Out, &buffer[..n]);
+                self.tap.bytes(conn, Direction::FromGateway, &buffer[..n]);
                 let mut input = &buffer[..n];
                 match frames.feed(&mut input).map_err(io::Error::other)? {
                     Some(Event::Text(text)) => {
@@ -269,7 +269,7 @@
                 }
                 match stream.read_with(|mut s| s.read(&mut buffer)).await {
                     Ok(n @ 1..) => {
-                        self.tap.bytes(conn, Way::Out, &buffer[..n]);
+                        self.tap.bytes(conn, Direction::FromGateway, &buffer[..n]);
                         got = n;
                     }
                     _ => return,
@@ -285,7 +285,7 @@
     }
 
     fn send_raw(&self, conn: u64, outbox: &Outbox, bytes: &[u8]) {
-        self.tap.bytes(conn, Way::In, bytes);
+        self.tap.bytes(conn, Direction::ToGateway, bytes);
         outbox.push(|out| out.extend_from_slice(bytes));
     }
 
--- a/crates/fawnrouter-lab/src/day.rs
+++ b/crates/fawnrouter-lab/src/day.rs
@@ -11,7 +11,7 @@
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use async_lock::Mutex;
-use fawnrouter_audit::{Figures, Listed, Seen, Verdict};
+use fawnrouter_audit::{AuditParameters, AuditReport, ListState, Observation};
 use fawnrouter_config::{SwitchEntry, SwitchFile, SwitchState};
 use fawnrouterd::engine::zones::SpillCause;
 
@@ -77,17 +77,17 @@
 }
 
 /// The auditor's figures for a script.
-pub fn figures(script: &Script) -> Figures {
+pub fn figures(script: &Script) -> AuditParameters {
     let rules = &script.rules;
-    Figures {
+    AuditParameters {
         // The list is told when the file is written; the gateway's look at it comes on top of the grace.
         drain_grace: ms(rules.drain_grace_ms),
         guard: ms(rules.release_guard_ms),
         fall_multiple: rules.fall_multiple,
-        fall_time: ms(rules.fall_ms),
-        chance: 3.0,
-        slack: ms(100),
-        tolerance: ms(20),
+        fall_window: ms(rules.fall_ms),
+        excess_allowance: 3.0,
+        answer_slack: ms(100),
+        time_tolerance: ms(20),
     }
 }
 
@@ -250,16 +250,16 @@
         // it ends from after it.
         let ready = |line: &SwitchEntry| line.state == SwitchState::Ready;
         for (id, _) in shown.iter().filter(|(_, line)| ready(line)) {
-            self.tap.fact(Seen::Told { switch: *id, listed: Listed::Ready });
+            self.tap.fact(Observation::ListUpdated { switch: *id, state: ListState::Ready });
         }
         // A disk that is busy must not hold up the taps.
         blocking::unblock(move || write_list(&folder, version, &list)).await?;
         let mut registry = self.registry.borrow_mut();
         for id in registry.published.keys().filter(|id| !shown.contains_key(id)) {
-            self.tap.fact(Seen::Told { switch: *id, listed: Listed::Closed });
+            self.tap.fact(Observation::ListUpdated { switch: *id, state: ListState::Closed });
         }
         for (id, _) in shown.iter().filter(|(_, line)| !ready(line)) {
-            self.tap.fact(Seen::Told { switch: *id, listed: Listed::Closed });
+            self.tap.fact(Observation::ListUpdated { switch: *id, state: ListState::Closed });
         }
         registry.published = shown;
         Ok(())
@@ -380,7 +380,7 @@
     }
 
     /// What crossed zones, by the auditor and by the gateways themselves.
-    fn spill(&self, audit: &Verdict) -> io::Result<Vec<Spill>> {
+    fn spill(&self, audit: &AuditReport) -> io::Result<Vec<Spill>> {
         let Some(zones) = &self.script.zones else { return Ok(Vec::new()) };
         let folder = self.registry.borrow().folder.path().to_owned();
         let zone_of = |switch: u32| {
@@ -391,7 +391,10 @@
         for number in 0..self.script.gateways {
             let own = zones.gateways[number as usize % zones.gateways.len()].clone();
             let host = format!("gw{number}.invalid");
-            let took = audit.took.iter().filter(|((h, switch, _), _)| *h == host && zone_of(*switch) != own);
+            let took = audit
+                .accepted_calls
+                .iter()
+                .filter(|((h, switch, _), _)| *h == host && zone_of(*switch) != own);
             let seen = took.map(|(_, n)| n).sum();
             let ledger =
                 fawnrouterd::ledger::read(&folder.join(account_of(number))).map_err(io::Error::other)?;
--- a/crates/fawnrouter-lab/src/report.rs
+++ b/crates/fawnrouter-lab/src/report.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use fawnrouter_audit::Verdict;
+use fawnrouter_audit::AuditReport;
 use hdrhistogram::Histogram;
 
 use crate::flood::FloodFigures;
@@ -101,7 +101,7 @@
     /// Stand-ins that were pushed over while cold.
     pub fallen: Vec<u32>,
     /// The auditor's verdict.
-    pub audit: Verdict,
+    pub audit: AuditReport,
     seconds: BTreeMap<u64, (f64, f64)>,
     points: Vec<(f64, f64, Duration)>,
 }
@@ -125,7 +125,7 @@
             floods: Vec::new(),
             spill: Vec::new(),
             fallen: Vec::new(),
-            audit: Verdict::default(),
+            audit: AuditReport::default(),
             seconds: BTreeMap::new(),
             points,
         }
@@ -196,7 +196,7 @@
     /// No rule broke and every try was answered.
     #[must_use]
     pub fn clean(&self) -> bool {
-        self.audit.clean() && self.fallen.is_empty()
+        self.audit.is_clean() && self.fallen.is_empty()
     }
 }
 
@@ -254,13 +254,13 @@
         for id in &self.fallen {
             writeln!(f, "stand-in {id} was pushed over while cold")?;
         }
-        for breach in self.audit.breaches.iter().take(20) {
+        for breach in self.audit.violations.iter().take(20) {
             writeln!(f, "BROKEN {breach}")?;
         }
-        let word = if self.audit.clean() { "clean" } else { "BROKEN" };
+        let word = if self.audit.is_clean() { "clean" } else { "BROKEN" };
         let broken: Vec<String> =
-            self.audit.counts.iter().map(|(r, n)| format!("rule {}: {n}", *r as u8)).collect();
-        let open = self.audit.open;
+            self.audit.violation_counts.iter().map(|(r, n)| format!("rule {}: {n}", *r as u8)).collect();
+        let open = self.audit.undecided_calls;
         write!(
             f,
             "audit              {word}: {} calls, {} set-ups seen",
@@ -269,8 +269,8 @@
         if open > 0 {
             write!(f, ", {open} calls not over")?;
         }
-        if self.audit.latest.as_millis() > 20 {
-            write!(f, ", taps held up for {} ms at the most", self.audit.latest.as_millis())?;
+        if self.audit.max_tap_delay.as_millis() > 20 {
+            write!(f, ", taps held up for {} ms at the most", self.audit.max_tap_delay.as_millis())?;
         }
         if !broken.is_empty() {
             write!(f, "; {}", broken.join(", "))?;
--- a/crates/fawnrouter-lab/src/stand_in.rs
+++ b/crates/fawnrouter-lab/src/stand_in.rs
@@ -9,7 +9,7 @@
 
 use async_executor::{LocalExecutor, Task};
 use async_io::{Async, Timer};
-use fawnrouter_audit::{Seen, Side, Way};
+use fawnrouter_audit::{Direction, Observation, Side};
 use fawnrouter_sip::{Chunk, Limits, Message, StreamDecoder};
 use fawnrouterd::Outbox;
 use futures_lite::future;
@@ -141,10 +141,10 @@
     }
 
     fn tell_start(&self) {
-        self.tap.fact(Seen::Started {
+        self.tap.fact(Observation::ColdStart {
             switch: self.id,
             capacity_per_s: self.make.capacity_per_s,
-            from: self.make.cold_from,
+            initial_share: self.make.cold_from,
             ramp: self.make.ramp,
         });
     }
@@ -165,7 +165,7 @@
     fn send(&self, conn: u64, bytes: &[u8]) {
         let outbox = self.conns.borrow().get(&conn).cloned();
         if let Some(outbox) = outbox {
-            self.tap.bytes(conn, Way::In, bytes);
+            self.tap.bytes(conn, Direction::ToGateway, bytes);
             outbox.push(|out| out.extend_from_slice(bytes));
         }
     }
@@ -210,7 +210,7 @@
             if !stand_in.conns.borrow().contains_key(&conn) {
                 return;
             }
-            stand_in.tap.bytes(conn, Way::Out, &buffer[..n]);
+            stand_in.tap.bytes(conn, Direction::FromGateway, &buffer[..n]);
             decoder.push(&buffer[..n]);
             let mut steps = Vec::new();
             while let Ok(Some(chunk)) = decoder.next_chunk() {
--- a/crates/fawnrouter-lab/src/tap.rs
+++ b/crates/fawnrouter-lab/src/tap.rs
@@ -6,7 +6,7 @@
 
 use async_io::Timer;
 
-use fawnrouter_audit::{Auditor, Figures, Seen, Side, Verdict, Way};
+use fawnrouter_audit::{AuditParameters, AuditReport, Auditor, Direction, Observation, Side};
 
 /// The tap of all connections of a run.
 pub struct Tap {
@@ -22,7 +22,7 @@
 const AFTER: Duration = Duration::from_millis(20);
 
 impl Tap {
-    pub fn new(figures: Figures) -> Self {
+    pub fn new(figures: AuditParameters) -> Self {
         Self { start: Instant::now(), state: RefCell::new((Auditor::new(figures), 0)), beat: Cell::default() }
     }
 
@@ -35,8 +35,8 @@
         self.start + at
     }
 
-    pub fn fact(&self, seen: Seen) {
-        self.state.borrow_mut().0.take(self.now(), seen);
+    pub fn fact(&self, seen: Observation) {
+        self.state.borrow_mut().0.observe(self.now(), seen);
     }
 
     /// Numbers a fresh connection.
@@ -46,13 +46,13 @@
             state.1 += 1;
             state.1
         };
-        self.fact(Seen::Opened { conn, side });
+        self.fact(Observation::Opened { conn, side });
         conn
     }
 
-    pub fn bytes(&self, conn: u64, way: Way, bytes: &[u8]) {
+    pub fn bytes(&self, conn: u64, way: Direction, bytes: &[u8]) {
         let late = self.late();
-        self.fact(Seen::Bytes { conn, way, bytes: bytes.to_vec(), late });
+        self.fact(Observation::Bytes { conn, direction: way, bytes: bytes.to_vec(), tap_delay: late });
     }
 
     /// Beats for ever, which shows when the lab itself is held up by the machine.
@@ -73,11 +73,11 @@
     }
 
     pub fn closed(&self, conn: u64) {
-        self.fact(Seen::Closed { conn });
+        self.fact(Observation::Closed { conn });
     }
 
     /// Ends the record.
-    pub fn finish(&self, figures: Figures) -> Verdict {
+    pub fn finish(&self, figures: AuditParameters) -> AuditReport {
         let auditor = std::mem::replace(&mut self.state.borrow_mut().0, Auditor::new(figures));
         auditor.finish()
     }
