--- a/crates/fawnrouter-engine/src/authenticate.rs
+++ b/crates/fawnrouter-engine/src/authenticate.rs
@@ -51,7 +51,7 @@
         let Some(identity) = self.table.clients.get_mut(&client).map(|c| &mut c.identity) else {
             return AuthCheck::Answered;
         };
-        let mut fields = request.values_whole(Name::Authorization).peekable();
+        let mut fields = request.whole_values(Name::Authorization).peekable();
         let has_credentials = fields.peek().is_some();
         let (now, unknown_clients) = (self.now.0, *unknown_clients);
         if !has_credentials {
@@ -61,7 +61,7 @@
                 return AuthCheck::Proceed(None);
             }
         }
-        let signed = Request { method: request.method_text(), uri };
+        let signed = Request { method: request.method_name(), uri };
         let checked = authenticator.check(now, client.0, &mut identity.auth_state, signed, fields);
         match checked {
             AuthOutcome::Known { client: name, info } => {
--- a/crates/fawnrouter-engine/src/caller.rs
+++ b/crates/fawnrouter-engine/src/caller.rs
@@ -4,8 +4,8 @@
 
 use fawnrouter::{CallId, NewCall, Outcome};
 use fawnrouter_admission::{CallState, SetUpAdmission, SetUpDecision};
-use fawnrouter_sip::transaction::{ACK_WAIT, InviteServer, ServerStep};
-use fawnrouter_sip::{Address, Dialog, Draft, Message, Method, Name, Start, Uri, UriError};
+use fawnrouter_sip::transaction::{ACK_TIMEOUT, InviteServerTransaction, ServerAction};
+use fawnrouter_sip::{Address, Dialog, Message, MessageBuilder, Method, Name, StartLine, Uri, UriError};
 use rand_core::RngCore;
 
 use crate::authenticate::AuthCheck;
@@ -28,7 +28,7 @@
             return;
         }
         // A response of a client answers the gateway's BYE; it needs no handling.
-        let Start::Request { method, uri, .. } = message.start() else { return };
+        let StartLine::Request { method, uri, .. } = message.start() else { return };
         if let Err(invalid) = message.validate() {
             // An ACK is never answered (RFC 3261 §17).
             if method != Method::Ack {
@@ -80,7 +80,7 @@
         let Some(known) = self.table.clients.get(&client) else { return };
         let tag = format!("{:08x}", self.rng.next_u32());
         let peer = Some((known.host.as_str(), known.peer.port()));
-        let mut draft = Draft::answer(request, status, phrase, &tag, peer);
+        let mut draft = MessageBuilder::response_to(request, status, phrase, &tag, peer);
         for (name, value) in extra {
             draft.field(*name, value);
         }
@@ -103,7 +103,7 @@
         if self.table.by_branch.contains_key(&(client, branch.clone())) {
             return;
         }
-        let Start::Request { uri: target, .. } = invite.start() else { return };
+        let StartLine::Request { uri: target, .. } = invite.start() else { return };
         let uri = match check_request(&invite, target) {
             Ok(uri) => uri,
             Err((status, extra)) => {
@@ -143,7 +143,7 @@
             call_id,
             tag: self.rng.next_u32(),
             session_id,
-            server_transaction: InviteServer::default(),
+            server_transaction: InviteServerTransaction::default(),
             stage: Stage::Routing,
             received_at: self.now,
             deadline: self.now.plus(left),
@@ -207,7 +207,12 @@
     }
 
     /// Begins a response to a call's INVITE, if its transaction allows one with this status.
-    fn begin_answer(&mut self, id: CallId, status: u16, attempt: Option<u32>) -> Option<(ClientId, Draft)> {
+    fn begin_answer(
+        &mut self,
+        id: CallId,
+        status: u16,
+        attempt: Option<u32>,
+    ) -> Option<(ClientId, MessageBuilder)> {
         let host = self.settings.host.clone();
         let call = self.table.calls.get_mut(&id)?;
         let client = self.table.clients.get(&call.client)?;
@@ -216,15 +221,15 @@
         }
         let tag = Self::caller_tag(call, id, attempt);
         let peer = Some((client.host.as_str(), client.peer.port()));
-        let mut draft = Draft::answer(call.invite.as_deref()?, status, None, &tag, peer);
+        let mut draft = MessageBuilder::response_to(call.invite.as_deref()?, status, None, &tag, peer);
         if status > 100 {
-            draft.named("Session-ID", &format!("{};remote={:032}", call.session_id, 0));
+            draft.named_field("Session-ID", &format!("{};remote={:032}", call.session_id, 0));
             draft.field(Name::Allow, ALLOW);
         }
         if (101..300).contains(&status) {
             draft.field(Name::Contact, &format!("<sip:gateway@{host};transport=ws>"));
             // The caller builds its route set from the Record-Route of its own request (§12.1.1).
-            draft.copy(call.invite.as_deref()?, Name::RecordRoute);
+            draft.copy_fields(call.invite.as_deref()?, Name::RecordRoute);
         }
         Some((call.client, draft))
     }
@@ -258,7 +263,7 @@
         self.emit_call_event(id, || CallEvent::Answered { status: answer.status, after });
         self.set_up_ended(id);
         self.pending -= 1;
-        self.table.timers.set(TimerKey::Call(id), self.now.plus(ACK_WAIT));
+        self.table.timers.set(TimerKey::Call(id), self.now.plus(ACK_TIMEOUT));
         self.table.retire(id, self.settings.intake.calls);
     }
 
@@ -284,7 +289,7 @@
         self.set_up_stage_changed(id, CallState::Established);
         self.pending -= 1;
         self.counters.established += 1;
-        self.table.timers.set(TimerKey::Call(id), self.now.plus(ACK_WAIT));
+        self.table.timers.set(TimerKey::Call(id), self.now.plus(ACK_TIMEOUT));
         self.emit_call_event(id, || CallEvent::Answered { status: 200, after });
         true
     }
@@ -300,7 +305,7 @@
         let Some(call) = self.table.calls.get_mut(&id) else { return };
         let step = call.server_transaction.on_ack();
         match &mut call.stage {
-            Stage::Established { acked, leg, .. } if step == ServerStep::Act && !*acked => {
+            Stage::Established { acked, leg, .. } if step == ServerAction::Process && !*acked => {
                 *acked = true;
                 let leg = *leg;
                 self.table.timers.clear(TimerKey::Call(id));
@@ -317,8 +322,11 @@
             return self.respond(client, cancel, 481, None, &[]);
         };
         self.respond(client, cancel, 200, None, &[]);
-        let acts =
-            self.table.calls.get(&id).is_some_and(|c| c.server_transaction.on_cancel() == ServerStep::Act);
+        let acts = self
+            .table
+            .calls
+            .get(&id)
+            .is_some_and(|c| c.server_transaction.on_cancel() == ServerAction::Process);
         if acts {
             self.on_caller_gave_up(id);
         }
@@ -342,7 +350,7 @@
                 if !dialog.matches(bye) || bye.get(Name::CallId) != Some(&dialog.call_id) {
                     return self.respond(client, bye, 481, None, &[]);
                 }
-                if !dialog.accepts(cseq) {
+                if !dialog.accept_cseq(cseq) {
                     // Out of order (§12.2.2).
                     return self.respond(client, bye, 500, None, &[]);
                 }
@@ -365,7 +373,7 @@
         let established = known.and_then(|id| self.table.calls.get_mut(&id));
         let status = match established.map(|c| &mut c.stage) {
             Some(Stage::Established { dialog, .. }) if dialog.matches(invite) => {
-                let in_order = dialog.accepts(invite.cseq().map_or(0, |c| c.number));
+                let in_order = dialog.accept_cseq(invite.cseq().map_or(0, |c| c.number));
                 if in_order { 488 } else { 500 }
             }
             _ => 481,
--- a/crates/fawnrouter-engine/src/engine.rs
+++ b/crates/fawnrouter-engine/src/engine.rs
@@ -8,7 +8,7 @@
     ServerState, SettingsError, Time,
 };
 use fawnrouter_admission::CallState;
-use fawnrouter_sip::transaction::{ACK_WAIT, CancelStep};
+use fawnrouter_sip::transaction::{ACK_TIMEOUT, CancelAction};
 use fawnrouter_zones::{BudgetError, SharedZonePolicy, ZonePolicy};
 use rand_chacha::ChaCha8Rng;
 use rand_core::{RngCore, SeedableRng};
@@ -288,13 +288,13 @@
         leg.state = LegState::Abandoned;
         let call = leg.call;
         match leg.client_transaction.cancel() {
-            CancelStep::Send => self.send_cancel(id),
-            CancelStep::Wait | CancelStep::Over => {}
+            CancelAction::Send => self.send_cancel(id),
+            CancelAction::Wait | CancelAction::AlreadyFinal => {}
         }
         if let Some(call) = self.table.calls.get_mut(&call).filter(|c| c.current_leg == Some(id)) {
             call.current_leg = None;
         }
-        self.table.timers.set(TimerKey::Leg(id), self.now.plus(ACK_WAIT));
+        self.table.timers.set(TimerKey::Leg(id), self.now.plus(ACK_TIMEOUT));
     }
 
     // ---- Timers -------------------------------------------------------------------------------------------
--- a/crates/fawnrouter-engine/src/table.rs
+++ b/crates/fawnrouter-engine/src/table.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use fawnrouter::{AttemptNo, CallId, NewCall, OutcomeDetail, ServerId, Time};
-use fawnrouter_sip::transaction::{InviteClient, InviteServer};
+use fawnrouter_sip::transaction::{InviteClientTransaction, InviteServerTransaction};
 use fawnrouter_sip::{Dialog, Message};
 
 use crate::identity::Identity;
@@ -45,7 +45,7 @@
     pub tag: u32,
     /// Session identifier of RFC 7989, the same on both legs.
     pub session_id: String,
-    pub server_transaction: InviteServer,
+    pub server_transaction: InviteServerTransaction,
     pub stage: Stage,
     pub received_at: Time,
     /// When the caller's time is up.
@@ -84,7 +84,7 @@
     pub call: CallId,
     pub attempt: AttemptNo,
     pub server: ServerId,
-    pub client_transaction: InviteClient,
+    pub client_transaction: InviteClientTransaction,
     pub state: LegState,
     pub sent_at: Time,
     pub uri: String,
--- a/crates/fawnrouter-engine/src/trunk.rs
+++ b/crates/fawnrouter-engine/src/trunk.rs
@@ -4,8 +4,8 @@
 
 use fawnrouter::{AttemptNo, CallId, Event, LoadReport, Outcome, OutcomeDetail, ServerId};
 use fawnrouter_admission::CallState;
-use fawnrouter_sip::transaction::{ACK_WAIT, ClientStep, InviteClient};
-use fawnrouter_sip::{Address, Dialog, Draft, Message, Method, Name, Uri};
+use fawnrouter_sip::transaction::{ACK_TIMEOUT, ClientAction, InviteClientTransaction};
+use fawnrouter_sip::{Address, Dialog, Message, MessageBuilder, Method, Name, Uri};
 use rand_core::RngCore;
 
 use crate::caller::{ALLOW, to_tag};
@@ -92,12 +92,12 @@
         let from = format!("{from};tag={random:08x}.{:x}", leg_id.0);
         let to = invite.get(Name::To).unwrap_or("").to_owned();
         let target = match invite.start() {
-            fawnrouter_sip::Start::Request { uri, .. } => request_uri(uri, address),
-            fawnrouter_sip::Start::Response { .. } => return,
+            fawnrouter_sip::StartLine::Request { uri, .. } => request_uri(uri, address),
+            fawnrouter_sip::StartLine::Response { .. } => return,
         };
         let call_id = format!("{:08x}{:08x}@{host}", random, self.rng.next_u32());
         let hops = invite.get(Name::MaxForwards).and_then(|m| m.trim().parse::<u8>().ok()).unwrap_or(70);
-        let mut draft = Draft::request(Method::Invite, &target);
+        let mut draft = MessageBuilder::request(Method::Invite, &target);
         draft
             .field(Name::Via, &via)
             .field(Name::MaxForwards, &hops.saturating_sub(1).to_string())
@@ -118,7 +118,7 @@
                 _ => false,
             };
             if forwarded {
-                draft.named(raw, value);
+                draft.named_field(raw, value);
             }
         }
         let bytes = draft.finish_with_body_of(invite);
@@ -128,7 +128,7 @@
             call: id,
             attempt,
             server,
-            client_transaction: InviteClient::default(),
+            client_transaction: InviteClientTransaction::default(),
             state: LegState::Pending,
             sent_at: self.now,
             uri: target,
@@ -151,7 +151,7 @@
     /// A request in the transaction of a leg's INVITE, with the same branch: CANCEL (§9.1), or the ACK of a
     /// final response of 300 or more (§17.1.1.3).
     fn request_in_transaction(leg: &Leg, method: Method, to: &str) -> Vec<u8> {
-        Draft::request(method, &leg.uri)
+        MessageBuilder::request(method, &leg.uri)
             .field(Name::Via, &leg.via)
             .field(Name::MaxForwards, "70")
             .field(Name::From, &leg.from)
@@ -200,7 +200,7 @@
             return;
         };
         leg.state = LegState::Releasing { dialog, bye_pending: true };
-        self.table.timers.set(TimerKey::Leg(id), self.now.plus(ACK_WAIT));
+        self.table.timers.set(TimerKey::Leg(id), self.now.plus(ACK_TIMEOUT));
         self.send_bye(id);
     }
 
@@ -250,7 +250,7 @@
             return;
         };
         match leg.client_transaction.on_response(status) {
-            ClientStep::Provisional => {
+            ClientAction::Provisional => {
                 let (call, attempt) = (leg.call, leg.attempt);
                 let pending = matches!(leg.state, LegState::Pending);
                 if let Some(report) = report {
@@ -261,12 +261,12 @@
                     self.send_provisional(call, status, Some((response, attempt.0)));
                 }
             }
-            ClientStep::CancelNow => self.send_cancel(id),
-            ClientStep::Accepted => self.on_accepted(id, response),
-            ClientStep::Unwanted => self.on_unwanted(id, response),
-            ClientStep::Failed => self.on_failed(id, status, response, report),
-            ClientStep::AckAgain => self.repeat_ack(id, status, response),
-            ClientStep::Drop => {}
+            ClientAction::CancelNow => self.send_cancel(id),
+            ClientAction::Accepted => self.on_accepted(id, response),
+            ClientAction::AcceptedAfterCancel => self.on_unwanted(id, response),
+            ClientAction::Failed => self.on_failed(id, status, response, report),
+            ClientAction::AckAgain => self.repeat_ack(id, status, response),
+            ClientAction::Drop => {}
         }
     }
 
@@ -396,7 +396,7 @@
         }
         let answer = |engine: &mut Self, status: u16| {
             let tag = format!("{:08x}", engine.rng.next_u32());
-            let mut draft = Draft::answer(request, status, None, &tag, None);
+            let mut draft = MessageBuilder::response_to(request, status, None, &tag, None);
             if matches!(status, 200 | 405) {
                 draft.field(Name::Allow, ALLOW);
             }
@@ -414,7 +414,7 @@
                 let call = leg.call;
                 match &mut leg.state {
                     LegState::Established { dialog, .. } if dialog.matches(request) => {
-                        if !dialog.accepts(number) {
+                        if !dialog.accept_cseq(number) {
                             return answer(self, 500);
                         }
                         answer(self, 200);
@@ -443,7 +443,7 @@
 /// sip URI (RFC 3261 §19.1.6).
 fn request_uri(target: &str, address: std::net::SocketAddr) -> String {
     match Uri::parse(target) {
-        Ok(uri) if uri.tel => format!("sip:{}{}@{address};user=phone", uri.user, uri.params.0),
+        Ok(uri) if uri.is_tel => format!("sip:{}{}@{address};user=phone", uri.user, uri.params.0),
         Ok(uri) if !uri.user.is_empty() => format!("sip:{}@{address}{}", uri.user, uri.params.0),
         _ => format!("sip:{address}"),
     }
--- a/crates/fawnrouter-engine/tests/calls.rs
+++ b/crates/fawnrouter-engine/tests/calls.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use fawnrouter_engine::fawnrouter::{ListKind, ServerId, ServerState, Time};
-use fawnrouter_engine::sip::{Draft, Message, Method, Name, Start};
+use fawnrouter_engine::sip::{Message, MessageBuilder, Method, Name, StartLine};
 use fawnrouter_engine::{ClientId, Input, IntakeLimits};
 
 #[test]
@@ -20,7 +20,7 @@
     assert_eq!(out.get(Name::MaxForwards), Some("69"));
     assert_ne!(out.get(Name::CallId), invite.get(Name::CallId));
     assert!(out.get(Name::SessionId).is_some_and(|s| s.starts_with("0123456789abcdef0123456789abcdef")));
-    assert!(matches!(out.start(), Start::Request { uri: "sip:+91481@127.0.0.1:5070", .. }));
+    assert!(matches!(out.start(), StartLine::Request { uri: "sip:+91481@127.0.0.1:5070", .. }));
     rig.answer(server, &out, 100, &[]);
     rig.answer(server, &out, 180, &[]);
     rig.answer(server, &out, 200, &[]);
@@ -45,10 +45,10 @@
     let mut rig = Rig::with_switches(1);
     let (_, _, server, out) = rig.establish_call();
     let bye = {
-        let mut draft = Draft::request(Method::Bye, "sip:gateway@gw.example;transport=tcp");
+        let mut draft = MessageBuilder::request(Method::Bye, "sip:gateway@gw.example;transport=tcp");
         draft.field(Name::Via, "SIP/2.0/TCP sw;branch=z9hG4bKsw1").field(Name::MaxForwards, "70");
         draft.field(Name::From, &format!("{};tag=sw", out.get(Name::To).unwrap()));
-        draft.field(Name::To, out.get(Name::From).unwrap()).copy(&out, Name::CallId);
+        draft.field(Name::To, out.get(Name::From).unwrap()).copy_fields(&out, Name::CallId);
         parse(&draft.field(Name::CSeq, "1 BYE").finish(b""))
     };
     rig.take_sent();
@@ -484,7 +484,7 @@
         rig.send_from_client(&invite);
         assert_eq!(rig.final_statuses(&invite), [status], "{case}");
     }
-    let mut no_hops_left = Draft::request(Method::Options, "sip:gw.example");
+    let mut no_hops_left = MessageBuilder::request(Method::Options, "sip:gw.example");
     no_hops_left.field(Name::Via, "SIP/2.0/WS c;branch=z9hG4bKo").field(Name::MaxForwards, "0");
     no_hops_left.field(Name::From, "<sip:a@c>;tag=1").field(Name::To, "<sip:gw.example>");
     let options = parse(&no_hops_left.field(Name::CallId, "o1").field(Name::CSeq, "4 OPTIONS").finish(b""));
--- a/crates/fawnrouter-engine/tests/common/mod.rs
+++ b/crates/fawnrouter-engine/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use fawnrouter_engine::fawnrouter::*;
-use fawnrouter_engine::sip::{Draft, Limits as SipLimits, Message, Method, Name};
+use fawnrouter_engine::sip::{Limits as SipLimits, Message, MessageBuilder, Method, Name};
 use fawnrouter_engine::*;
 
 pub const fn ms(n: u64) -> Duration {
@@ -201,7 +201,7 @@
     pub fn invite(&mut self, expires: Option<u64>, extra: &[(&str, &str)]) -> Message {
         self.calls += 1;
         let n = self.calls;
-        let mut draft = Draft::request(Method::Invite, &format!("sip:+9148{n}@gw.example"));
+        let mut draft = MessageBuilder::request(Method::Invite, &format!("sip:+9148{n}@gw.example"));
         draft
             .field(Name::Via, &format!("SIP/2.0/WS c1.invalid;branch=z9hG4bKc{n}"))
             .field(Name::MaxForwards, "70")
@@ -215,7 +215,7 @@
             draft.field(Name::Expires, &seconds.to_string());
         }
         for (name, value) in extra {
-            draft.named(name, value);
+            draft.named_field(name, value);
         }
         parse(&draft.finish(b"v=0 offer"))
     }
@@ -319,7 +319,7 @@
 
 /// A switch's response to a request.
 pub fn response(request: &Message, status: u16, extra: &[(Name, &str)]) -> Message {
-    let mut draft = Draft::answer(request, status, None, "sw", None);
+    let mut draft = MessageBuilder::response_to(request, status, None, "sw", None);
     if (200..300).contains(&status) {
         draft.field(Name::Contact, "<sip:sw@127.0.0.1:5070;transport=tcp>");
         draft.field(Name::ContentType, "application/sdp");
@@ -333,29 +333,35 @@
 
 /// The caller's request in the dialog that the 200 established.
 pub fn in_dialog(invite: &Message, ok: &Message, method: Method, cseq: u32) -> Message {
-    let mut draft = Draft::request(method, "sip:gateway@gw.example;transport=ws");
+    let mut draft = MessageBuilder::request(method, "sip:gateway@gw.example;transport=ws");
     draft
         .field(Name::Via, &format!("SIP/2.0/WS c1.invalid;branch=z9hG4bKd{cseq}{}", method.name()))
         .field(Name::MaxForwards, "70")
-        .copy(invite, Name::From)
-        .copy(ok, Name::To)
-        .copy(invite, Name::CallId)
+        .copy_fields(invite, Name::From)
+        .copy_fields(ok, Name::To)
+        .copy_fields(invite, Name::CallId)
         .field(Name::CSeq, &format!("{cseq} {}", method.name()));
     parse(&draft.finish(b""))
 }
 
 /// The caller's CANCEL of its INVITE.
 pub fn cancel(invite: &Message) -> Message {
-    let mut draft = Draft::request(Method::Cancel, "sip:x@gw.example");
-    draft.copy(invite, Name::Via).copy(invite, Name::MaxForwards).copy(invite, Name::From);
-    draft.copy(invite, Name::To).copy(invite, Name::CallId).field(Name::CSeq, "1 CANCEL");
+    let mut draft = MessageBuilder::request(Method::Cancel, "sip:x@gw.example");
+    draft
+        .copy_fields(invite, Name::Via)
+        .copy_fields(invite, Name::MaxForwards)
+        .copy_fields(invite, Name::From);
+    draft.copy_fields(invite, Name::To).copy_fields(invite, Name::CallId).field(Name::CSeq, "1 CANCEL");
     parse(&draft.finish(b""))
 }
 
 /// The caller's ACK of a final response of 300 or more.
 pub fn ack_refusal(invite: &Message, refusal: &Message) -> Message {
-    let mut draft = Draft::request(Method::Ack, "sip:x@gw.example");
-    draft.copy(invite, Name::Via).copy(invite, Name::MaxForwards).copy(invite, Name::From);
-    draft.copy(refusal, Name::To).copy(invite, Name::CallId).field(Name::CSeq, "1 ACK");
+    let mut draft = MessageBuilder::request(Method::Ack, "sip:x@gw.example");
+    draft
+        .copy_fields(invite, Name::Via)
+        .copy_fields(invite, Name::MaxForwards)
+        .copy_fields(invite, Name::From);
+    draft.copy_fields(refusal, Name::To).copy_fields(invite, Name::CallId).field(Name::CSeq, "1 ACK");
     parse(&draft.finish(b""))
 }
--- a/crates/fawnrouter-engine/tests/gate.rs
+++ b/crates/fawnrouter-engine/tests/gate.rs
@@ -10,7 +10,7 @@
     Algorithm, AuthenticatorSettings, Credentials, Secret, client_response, ha1,
 };
 use fawnrouter_engine::fawnrouter::{Action, CallId, Event, ListKind, ServerId, Time};
-use fawnrouter_engine::sip::{Draft, Message, Method, Name, Start};
+use fawnrouter_engine::sip::{Message, MessageBuilder, Method, Name, StartLine};
 use fawnrouter_engine::{
     AuthSettings, ClientId, Decide, Engine, EngineSettings, Input, KnownClient, UnknownClients,
 };
@@ -75,7 +75,7 @@
 
 /// The same request with credentials and the next CSeq (RFC 3261 §22.2).
 fn with_credentials(request: &Message, name: &str, password: &str, nonce: &str, nc: u32) -> Message {
-    let Start::Request { name: method, uri, .. } = request.start() else { panic!("a request") };
+    let StartLine::Request { name: method, uri, .. } = request.start() else { panic!("a request") };
     let (nc_text, hash) = (format!("{nc:08x}"), ha1(Algorithm::Sha256, name, REALM, password));
     let response = client_response(Algorithm::Sha256, &hash, (method, uri), nonce, &nc_text, "c");
     let credentials = Credentials {
@@ -89,11 +89,11 @@
         nc: (nc_text.into(), nc),
     };
     let branch = request.via().ok().and_then(|v| v.branch()).unwrap_or("").to_owned();
-    let mut draft = Draft::request(Method::of(method), uri);
+    let mut draft = MessageBuilder::request(Method::of(method), uri);
     draft.field(Name::Via, &format!("SIP/2.0/WS c1.invalid;branch={branch}.{nc}"));
     for (field, raw, value) in request.fields() {
         if !matches!(field, Name::Via | Name::CSeq | Name::ContentLength) {
-            draft.named(raw, value);
+            draft.named_field(raw, value);
         }
     }
     draft.field(Name::CSeq, &format!("{} {method}", nc + 1)).field(Name::Authorization, &credentials.write());
@@ -148,11 +148,11 @@
 
 /// A new nonce for a connection, requested with an empty one.
 fn nonce_on(rig: &mut Rig, client: ClientId, like: &Message) -> String {
-    let mut draft = Draft::request(Method::Options, "sip:gw.example");
-    draft.field(Name::Via, "SIP/2.0/WS c1.invalid;branch=z9hG4bKask").copy(like, Name::MaxForwards);
+    let mut draft = MessageBuilder::request(Method::Options, "sip:gw.example");
+    draft.field(Name::Via, "SIP/2.0/WS c1.invalid;branch=z9hG4bKask").copy_fields(like, Name::MaxForwards);
     draft
-        .copy(like, Name::From)
-        .copy(like, Name::To)
+        .copy_fields(like, Name::From)
+        .copy_fields(like, Name::To)
         .field(Name::CallId, "ask")
         .field(Name::CSeq, "1 OPTIONS");
     let empty = format!("Digest username=\"x\", realm=\"{REALM}\", nonce=\"\", uri=\"\", response=\"\"");
@@ -167,11 +167,11 @@
     let invite = rig.call(9);
     assert_eq!(rig.statuses(&invite), [100]);
     let nonce = nonce_on(&mut rig, CLIENT, &invite);
-    let mut draft = Draft::request(Method::Options, "sip:gw.example");
-    draft.field(Name::Via, "SIP/2.0/WS c1.invalid;branch=z9hG4bKo").copy(&invite, Name::MaxForwards);
+    let mut draft = MessageBuilder::request(Method::Options, "sip:gw.example");
+    draft.field(Name::Via, "SIP/2.0/WS c1.invalid;branch=z9hG4bKo").copy_fields(&invite, Name::MaxForwards);
     draft
-        .copy(&invite, Name::From)
-        .copy(&invite, Name::To)
+        .copy_fields(&invite, Name::From)
+        .copy_fields(&invite, Name::To)
         .field(Name::CallId, "o")
         .field(Name::CSeq, "1 OPTIONS");
     let options = with_credentials(&parse(&draft.finish(b"")), "branch", "tellers", &nonce, 1);
--- a/crates/fawnrouter-lab/src/callers.rs
+++ b/crates/fawnrouter-lab/src/callers.rs
@@ -10,7 +10,7 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use fawnrouter_audit::{Direction, Side};
-use fawnrouter_sip::{Dialog, Draft, Limits, Message, Method, Name};
+use fawnrouter_sip::{Dialog, Limits, Message, MessageBuilder, Method, Name};
 use fawnrouter_ws::{ClientHandshake, Decoder, Event, HttpLimits, Opcode, Role, encode};
 use fawnrouterd::Outbox;
 use fawnrouterd::engine::digest::{Algorithm, Credentials, client_response, ha1};
@@ -198,7 +198,7 @@
                 cnonce: "lab".into(),
                 nc: ("00000001".into(), 1),
             };
-            let mut draft = Draft::request(Method::Options, URI);
+            let mut draft = MessageBuilder::request(Method::Options, URI);
             draft
                 .field(Name::Via, &format!("SIP/2.0/WS caller.invalid;branch=z9hG4bKwho{conn}.{attempt}"))
                 .field(Name::MaxForwards, "70")
@@ -332,7 +332,8 @@
         let tries = person.tries;
         let kind = &self.kinds[person.class];
         let call_id = format!("{id}.{tries}.{random:08x}@caller.invalid");
-        let mut draft = Draft::request(Method::Invite, &format!("sip:{}@gateway.invalid", person.number));
+        let mut draft =
+            MessageBuilder::request(Method::Invite, &format!("sip:{}@gateway.invalid", person.number));
         draft
             .field(
                 Name::Via,
@@ -346,7 +347,7 @@
             .field(Name::Contact, &format!("<sip:desk{id}@caller{line}.invalid;transport=ws>"))
             .field(Name::Expires, &self.habits.try_s.to_string())
             .field(Name::SessionId, &format!("{:032x};remote={:032}", session | 1, 0))
-            .named("X-Class", &kind.name)
+            .named_field("X-Class", &kind.name)
             .field(Name::ContentType, "application/sdp");
         let bytes = draft.finish(b"v=0\r\no=- 1 1 IN IP4 127.0.0.1\r\ns=-\r\n");
         let Ok(invite) = Message::parse(&bytes, &Limits::default()) else { return };
@@ -390,7 +391,7 @@
             let known = id
                 .filter(|id| crowd.people.get(id).is_some_and(|p| matches!(p.state, State::Standing { .. })));
             let status = if known.is_some() { 200 } else { 481 };
-            let bytes = Draft::answer(&message, status, None, "caller", None).finish(b"");
+            let bytes = MessageBuilder::response_to(&message, status, None, "caller", None).finish(b"");
             self.send(crowd, line, &bytes);
             if let Some(id) = known {
                 self.over(crowd, id, End::Cut);
@@ -405,9 +406,11 @@
             return;
         }
         if status >= 300 {
-            let mut ack = Draft::request(Method::Ack, "sip:gateway.invalid");
-            ack.copy(invite, Name::Via).copy(invite, Name::MaxForwards).copy(invite, Name::From);
-            ack.copy(&message, Name::To).copy(invite, Name::CallId).field(Name::CSeq, "1 ACK");
+            let mut ack = MessageBuilder::request(Method::Ack, "sip:gateway.invalid");
+            ack.copy_fields(invite, Name::Via)
+                .copy_fields(invite, Name::MaxForwards)
+                .copy_fields(invite, Name::From);
+            ack.copy_fields(&message, Name::To).copy_fields(invite, Name::CallId).field(Name::CSeq, "1 ACK");
             let bytes = ack.finish(b"");
             let wait = message.get(Name::RetryAfter).and_then(|s| s.parse().ok()).map(Duration::from_secs);
             crowd.by_call_id.remove(call_id);
@@ -456,14 +459,14 @@
                 Due::Leave(id, tries) => {
                     let Some(person) = crowd.people.get(&id).filter(|p| p.tries == tries) else { continue };
                     if let State::Trying { line, invite, .. } = &person.state {
-                        let mut cancel = Draft::request(Method::Cancel, "sip:gateway.invalid");
+                        let mut cancel = MessageBuilder::request(Method::Cancel, "sip:gateway.invalid");
                         cancel
-                            .copy(invite, Name::Via)
-                            .copy(invite, Name::MaxForwards)
-                            .copy(invite, Name::From);
+                            .copy_fields(invite, Name::Via)
+                            .copy_fields(invite, Name::MaxForwards)
+                            .copy_fields(invite, Name::From);
                         cancel
-                            .copy(invite, Name::To)
-                            .copy(invite, Name::CallId)
+                            .copy_fields(invite, Name::To)
+                            .copy_fields(invite, Name::CallId)
                             .field(Name::CSeq, "1 CANCEL");
                         let (line, bytes) = (*line, cancel.finish(b""));
                         self.send(crowd, line, &bytes);
--- a/crates/fawnrouter-lab/src/flood.rs
+++ b/crates/fawnrouter-lab/src/flood.rs
@@ -11,7 +11,7 @@
 
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use fawnrouter_sip::{Dialog, Draft, Limits, Message, Method, Name};
+use fawnrouter_sip::{Dialog, Limits, Message, MessageBuilder, Method, Name};
 use fawnrouter_ws::{ClientHandshake, Decoder, Event, HandshakeError, HttpLimits, Opcode, Role, encode};
 use futures_lite::{AsyncWriteExt, future};
 use serde::{Deserialize, Serialize};
@@ -330,8 +330,8 @@
     }
 }
 
-fn request(method: Method, uri: &str, n: u32, call: u32) -> Draft {
-    let mut draft = Draft::request(method, uri);
+fn request(method: Method, uri: &str, n: u32, call: u32) -> MessageBuilder {
+    let mut draft = MessageBuilder::request(method, uri);
     draft
         .field(Name::Via, &format!("SIP/2.0/WS stranger{n}.invalid;branch=z9hG4bKf{n}.{call}"))
         .field(Name::MaxForwards, "70")
@@ -361,9 +361,9 @@
     let mut send = |bytes: Vec<u8>| encode(Opcode::Text, &bytes, Some([1, 2, 3, 4]), out);
     if status >= 300 {
         figures.calls.2 += 1;
-        let mut ack = Draft::request(Method::Ack, "sip:gateway.invalid");
-        ack.copy(message, Name::Via).field(Name::MaxForwards, "70").copy(message, Name::From);
-        ack.copy(message, Name::To).copy(message, Name::CallId).field(Name::CSeq, "1 ACK");
+        let mut ack = MessageBuilder::request(Method::Ack, "sip:gateway.invalid");
+        ack.copy_fields(message, Name::Via).field(Name::MaxForwards, "70").copy_fields(message, Name::From);
+        ack.copy_fields(message, Name::To).copy_fields(message, Name::CallId).field(Name::CSeq, "1 ACK");
         return send(ack.finish(b""));
     }
     figures.calls.1 += 1;
--- a/crates/fawnrouter-lab/src/load.rs
+++ b/crates/fawnrouter-lab/src/load.rs
@@ -12,7 +12,7 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use fawnrouter_config::{Settings, SwitchEntry, SwitchFile, SwitchState};
-use fawnrouter_sip::{Chunk, Dialog, Draft, Limits, Message, Method, Name, StreamDecoder};
+use fawnrouter_sip::{Dialog, Limits, Message, MessageBuilder, Method, Name, StreamDecoder, StreamItem};
 use fawnrouter_ws::{ClientHandshake, Decoder, Event, HttpLimits, Opcode, Role, Terms, accept, encode};
 use fawnrouterd::Outbox;
 use futures_lite::{AsyncWriteExt, future};
@@ -138,7 +138,7 @@
                     }
                 } else {
                     chunks.push(&buffer[..n]);
-                    while let Ok(Some(Chunk::Message(message))) = chunks.next_chunk() {
+                    while let Ok(Some(StreamItem::Message(message))) = chunks.next_item() {
                         self.answer(&outbox, *message);
                     }
                 }
@@ -153,7 +153,7 @@
     fn answer(&self, outbox: &Rc<Outbox>, message: Message) {
         let web_socket = self.web_socket;
         let send = move |outbox: &Outbox, status: u16, message: &Message| {
-            let mut draft = Draft::answer(message, status, None, "far", None);
+            let mut draft = MessageBuilder::response_to(message, status, None, "far", None);
             draft.field(Name::Contact, "<sip:far@127.0.0.1:5060;transport=tcp>");
             let bytes = draft.finish(if status == 200 { b"v=0\r\n" } else { b"" });
             match web_socket {
@@ -215,7 +215,7 @@
 
     fn call(&self, n: u64) {
         let line = n as usize % self.lines.len();
-        let mut draft = Draft::request(Method::Invite, &format!("sip:+9148{n:08}@gateway.invalid"));
+        let mut draft = MessageBuilder::request(Method::Invite, &format!("sip:+9148{n:08}@gateway.invalid"));
         draft
             .field(Name::Via, &format!("SIP/2.0/WS c{line}.invalid;branch=z9hG4bKload{n};rport"))
             .field(Name::MaxForwards, "70")
--- a/crates/fawnrouter-lab/src/stand_in.rs
+++ b/crates/fawnrouter-lab/src/stand_in.rs
@@ -10,7 +10,7 @@
 use async_executor::{LocalExecutor, Task};
 use async_io::{Async, Timer};
 use fawnrouter_audit::{Direction, Observation, Side};
-use fawnrouter_sip::{Chunk, Limits, Message, StreamDecoder};
+use fawnrouter_sip::{Limits, Message, StreamDecoder, StreamItem};
 use fawnrouterd::Outbox;
 use futures_lite::future;
 
@@ -213,8 +213,8 @@
             stand_in.tap.bytes(conn, Direction::FromGateway, &buffer[..n]);
             decoder.push(&buffer[..n]);
             let mut steps = Vec::new();
-            while let Ok(Some(chunk)) = decoder.next_chunk() {
-                if let Chunk::Message(message) = chunk {
+            while let Ok(Some(chunk)) = decoder.next_item() {
+                if let StreamItem::Message(message) = chunk {
                     let now = stand_in.tap.now();
                     if stand_in.distance.is_far(&message) {
                         stand_in.far.borrow_mut().insert(conn);
--- a/crates/fawnrouter-lab/src/switch.rs
+++ b/crates/fawnrouter-lab/src/switch.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use fawnrouter_sip::{Draft, Message, Method, Name};
+use fawnrouter_sip::{Message, MessageBuilder, Method, Name};
 
 /// Shares of a call's work: set-up, answer, release; and what a refusal costs.
 const WORK: (f64, f64, f64, f64) = (0.6, 0.2, 0.2, 0.1);
@@ -240,7 +240,7 @@
 }
 
 fn answer(request: &Message, status: u16, extra: &[(Name, String)], contact: Option<&str>) -> Vec<u8> {
-    let mut draft = Draft::answer(request, status, None, "stand-in", None);
+    let mut draft = MessageBuilder::response_to(request, status, None, "stand-in", None);
     for (name, value) in extra {
         draft.field(*name, value);
     }
@@ -276,7 +276,7 @@
     }
 
     fn request(method: Method, n: u32) -> Box<Message> {
-        let mut draft = Draft::request(method, "sip:x@s");
+        let mut draft = MessageBuilder::request(method, "sip:x@s");
         draft
             .field(Name::Via, &format!("SIP/2.0/TCP g;branch=z9hG4bK{n}"))
             .field(Name::CallId, &n.to_string());
--- a/crates/fawnrouter-lab/tests/admission.rs
+++ b/crates/fawnrouter-lab/tests/admission.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use common::*;
-use fawnrouter_sip::{Draft, Method, Name};
+use fawnrouter_sip::{MessageBuilder, Method, Name};
 use fawnrouter_ws::{ClientHandshake, CloseCode, Opcode, encode};
 use fawnrouterd::control::{AdmissionStatus, Command, Reply, send_command};
 use fawnrouterd::engine::digest::{Algorithm, Credentials, client_response, ha1};
@@ -116,11 +116,11 @@
             nc: ("00000001".into(), 1),
         };
         let sound = parse(&request(method, n));
-        let mut draft = Draft::request(method, &uri);
+        let mut draft = MessageBuilder::request(method, &uri);
         draft.field(Name::Via, &format!("SIP/2.0/WS c.invalid;branch=z9hG4bKp{n}.{attempt}"));
         for (field, raw, value) in sound.fields() {
             if !matches!(field, Name::Via | Name::CSeq | Name::ContentLength) {
-                draft.named(raw, value);
+                draft.named_field(raw, value);
             }
         }
         draft.field(Name::CSeq, &format!("{attempt} {}", method.name()));
--- a/crates/fawnrouter-lab/tests/common/mod.rs
+++ b/crates/fawnrouter-lab/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use std::sync::mpsc;
 use std::time::Duration;
 
-use fawnrouter_sip::{Chunk, Draft, Limits, Message, Method, Name, StreamDecoder};
+use fawnrouter_sip::{Limits, Message, MessageBuilder, Method, Name, StreamDecoder, StreamItem};
 use fawnrouter_ws::{
     ClientHandshake, CloseCode, Decoder, Event, HandshakeError, HttpLimits, Opcode, Role, encode,
 };
@@ -205,7 +205,7 @@
 }
 
 pub fn request(method: Method, n: u32) -> Vec<u8> {
-    let mut draft = Draft::request(method, &format!("sip:+91{n}@gw.example"));
+    let mut draft = MessageBuilder::request(method, &format!("sip:+91{n}@gw.example"));
     draft
         .field(Name::Via, &format!("SIP/2.0/WS c.invalid;branch=z9hG4bKt{n}"))
         .field(Name::MaxForwards, "70")
@@ -233,13 +233,13 @@
             let mut buffer = [0; 4096];
             while let Ok(n @ 1..) = stream.read(&mut buffer) {
                 decoder.push(&buffer[..n]);
-                while let Ok(Some(Chunk::Message(message))) = decoder.next_chunk() {
+                while let Ok(Some(StreamItem::Message(message))) = decoder.next_item() {
                     for status in answer(&message) {
                         if status == 0 {
                             let _ = stream.shutdown(std::net::Shutdown::Both);
                             break;
                         }
-                        let mut draft = Draft::answer(&message, status, None, "sw", None);
+                        let mut draft = MessageBuilder::response_to(&message, status, None, "sw", None);
                         draft.field(Name::Contact, "<sip:sw@127.0.0.1>");
                         let _ = stream.write_all(&draft.finish(b""));
                     }
--- a/crates/fawnrouter-sip/src/dialog.rs
+++ b/crates/fawnrouter-sip/src/dialog.rs
@@ -2,7 +2,7 @@
 
 use crate::message::{Message, Method, Name};
 use crate::value::{Address, ValueError};
-use crate::write::Draft;
+use crate::write::MessageBuilder;
 
 /// One end's view of a dialog.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -79,7 +79,7 @@
 
     /// Begins a request in the dialog (§12.2.1.1). An ACK repeats the INVITE's CSeq; others take the next one.
     #[must_use]
-    pub fn request(&mut self, method: Method, via: &str) -> Draft {
+    pub fn request(&mut self, method: Method, via: &str) -> MessageBuilder {
         if method != Method::Ack {
             self.local_cseq += 1;
         }
@@ -94,7 +94,7 @@
             }
             None => (&self.target, self.routes.iter().map(String::as_str).collect()),
         };
-        let mut draft = Draft::request(method, uri);
+        let mut draft = MessageBuilder::request(method, uri);
         draft.field(Name::Via, via).field(Name::MaxForwards, "70");
         for route in routes {
             draft.field(Name::Route, route);
@@ -109,7 +109,7 @@
     }
 
     /// Whether a request of the other side comes in order (§12.2.2); takes note of its number.
-    pub fn accepts(&mut self, cseq: u32) -> bool {
+    pub fn accept_cseq(&mut self, cseq: u32) -> bool {
         let in_order = self.remote_cseq.is_none_or(|last| cseq > last);
         if in_order {
             self.remote_cseq = Some(cseq);
--- a/crates/fawnrouter-sip/src/lib.rs
+++ b/crates/fawnrouter-sip/src/lib.rs
@@ -14,8 +14,8 @@
 mod write;
 
 pub use dialog::Dialog;
-pub use message::{Field, Invalid, Limits, Message, Method, Name, ParseError, Start};
-pub use stream::{Chunk, StreamDecoder};
+pub use message::{Field, InvalidRequest, Limits, Message, Method, Name, ParseError, StartLine};
+pub use stream::{StreamDecoder, StreamItem};
 pub use uri::{TrunkGroup, Uri, UriError, unescape};
 pub use value::{Address, CSeq, Params, Reason, ValueError, Via, first_value, split_values};
-pub use write::{Draft, reason_phrase};
+pub use write::{MessageBuilder, reason_phrase};
--- a/crates/fawnrouter-sip/src/message.rs
+++ b/crates/fawnrouter-sip/src/message.rs
@@ -9,16 +9,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Bytes of the start line and all fields.
-    pub head: usize,
+    pub head_bytes: usize,
     /// Number of fields.
     pub fields: usize,
     /// Bytes of the body.
-    pub body: usize,
+    pub body_bytes: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Self { head: 16 * 1024, fields: 128, body: 64 * 1024 }
+        Self { head_bytes: 16 * 1024, fields: 128, body_bytes: 64 * 1024 }
     }
 }
 
@@ -28,7 +28,7 @@
 pub enum ParseError {
     /// The head does not end, or ends in the middle of a line.
     #[error("the message has no empty line after its fields")]
-    NoEndOfHead,
+    UnterminatedHead,
     /// The head is not UTF-8 (RFC 3261 §7).
     #[error("byte {0} of the head is not UTF-8")]
     NotUtf8(usize),
@@ -40,7 +40,7 @@
     Field(usize),
     /// A control character where none may stand.
     #[error("line {0} holds a control character")]
-    Control(usize),
+    ControlCharacter(usize),
     /// Beyond a limit.
     #[error("{what} is over the limit of {limit}")]
     TooLarge {
@@ -56,7 +56,7 @@
 
 /// What a well-formed request lacks, with the status to answer it with (RFC 3261 §8.2).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Invalid {
+pub struct InvalidRequest {
     /// The status.
     pub status: u16,
     /// Which part is wrong, to stand in the reason phrase.
@@ -158,7 +158,7 @@
 
 /// The first line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Start<'a> {
+pub enum StartLine<'a> {
     /// A request.
     Request {
         /// Its method.
@@ -215,15 +215,15 @@
         // Empty lines before the start line are dropped (RFC 3261 §7.5).
         let lead = bytes.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
         let bytes = &bytes[lead..];
-        let end = head_end(bytes, 0).ok_or(ParseError::NoEndOfHead)?;
+        let end = head_end(bytes, 0).ok_or(ParseError::UnterminatedHead)?;
         let mut message = Self::parse_head(&bytes[..end], limits)?;
         let body = &bytes[end..];
         let length = match message.content_length() {
             Ok(Some(length)) if length <= body.len() => length,
             _ => body.len(),
         };
-        if length > limits.body {
-            return Err(ParseError::TooLarge { what: "the body", limit: limits.body });
+        if length > limits.body_bytes {
+            return Err(ParseError::TooLarge { what: "the body", limit: limits.body_bytes });
         }
         // A body shorter than promised is kept; `validate` answers it.
         message.body = body[..length].to_vec();
@@ -235,8 +235,8 @@
     /// # Errors
     /// See [`ParseError`].
     pub fn parse_head(bytes: &[u8], limits: &Limits) -> Result<Self, ParseError> {
-        if bytes.len() > limits.head {
-            return Err(ParseError::TooLarge { what: "the head", limit: limits.head });
+        if bytes.len() > limits.head_bytes {
+            return Err(ParseError::TooLarge { what: "the head", limit: limits.head_bytes });
         }
         let mut head =
             std::str::from_utf8(bytes).map_err(|e| ParseError::NotUtf8(e.valid_up_to()))?.to_owned();
@@ -246,7 +246,7 @@
             head = head.replace("\r\n ", "   ").replace("\r\n\t", "   ");
         }
         let mut lines = memchr::memmem::find_iter(head.as_bytes(), b"\r\n");
-        let first = lines.next().ok_or(ParseError::NoEndOfHead)?;
+        let first = lines.next().ok_or(ParseError::UnterminatedHead)?;
         let start = parse_start(&head[..first]).ok_or(ParseError::StartLine)?;
         let mut fields = Vec::with_capacity(16);
         let mut begin = first + 2;
@@ -261,7 +261,7 @@
                 return Err(ParseError::Field(number + 2));
             }
             if memchr::memchr3(b'\r', b'\n', 0, &line[colon..]).is_some() {
-                return Err(ParseError::Control(number + 2));
+                return Err(ParseError::ControlCharacter(number + 2));
             }
             let text = &head[begin + colon + 1..end];
             let lead = text.len() - text.trim_start_matches([' ', '\t']).len();
@@ -282,16 +282,16 @@
 
     /// The start line.
     #[must_use]
-    pub fn start(&self) -> Start<'_> {
+    pub fn start(&self) -> StartLine<'_> {
         match &self.start {
-            StartPlaces::Request { method, name, uri, version } => Start::Request {
+            StartPlaces::Request { method, name, uri, version } => StartLine::Request {
                 method: *method,
                 name: &self.head[name.clone()],
                 uri: &self.head[uri.clone()],
                 version: &self.head[version.clone()],
             },
             StartPlaces::Response { status, phrase } => {
-                Start::Response { status: *status, phrase: &self.head[phrase.clone()] }
+                StartLine::Response { status: *status, phrase: &self.head[phrase.clone()] }
             }
         }
     }
@@ -316,10 +316,10 @@
 
     /// The method of a request as written; empty for a response.
     #[must_use]
-    pub fn method_text(&self) -> &str {
+    pub fn method_name(&self) -> &str {
         match self.start() {
-            Start::Request { name, .. } => name,
-            Start::Response { .. } => "",
+            StartLine::Request { name, .. } => name,
+            StartLine::Response { .. } => "",
         }
     }
 
@@ -348,7 +348,7 @@
 
     /// The value of every field of this name as a whole: for those in which commas part no values (§7.3.1), as
     /// Authorization.
-    pub fn values_whole(&self, name: Name) -> impl Iterator<Item = &str> {
+    pub fn whole_values(&self, name: Name) -> impl Iterator<Item = &str> {
         self.fields.iter().filter(move |f| f.name == name).map(|f| self.cut(f.value))
     }
 
@@ -397,13 +397,13 @@
     ///
     /// # Errors
     /// The status to answer with, and what is wrong.
-    pub fn validate(&self) -> Result<(), Invalid> {
-        let bad = |what| Err(Invalid { status: 400, what });
-        let Start::Request { name, uri, version, .. } = self.start() else {
+    pub fn validate(&self) -> Result<(), InvalidRequest> {
+        let bad = |what| Err(InvalidRequest { status: 400, what });
+        let StartLine::Request { name, uri, version, .. } = self.start() else {
             return bad("Start Line");
         };
         if !version.eq_ignore_ascii_case("SIP/2.0") {
-            return Err(Invalid { status: 505, what: "Version" });
+            return Err(InvalidRequest { status: 505, what: "Version" });
         }
         let once = |wanted| self.fields.iter().filter(|f| f.name == wanted).count() == 1;
         for (name, what) in [
--- a/crates/fawnrouter-sip/src/stream.rs
+++ b/crates/fawnrouter-sip/src/stream.rs
@@ -4,7 +4,7 @@
 
 /// What a stream holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Chunk {
+pub enum StreamItem {
     /// A message.
     Message(Box<Message>),
     /// A double CRLF: the peer asks for a single one back.
@@ -42,7 +42,7 @@
 
     /// Bytes of what is not a whole message yet.
     #[must_use]
-    pub fn held(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.buffer.len() - self.read
     }
 
@@ -50,12 +50,12 @@
     ///
     /// # Errors
     /// After an error the stream can't be read on: there is no place to start from.
-    pub fn next_chunk(&mut self) -> Result<Option<Chunk>, ParseError> {
+    pub fn next_item(&mut self) -> Result<Option<StreamItem>, ParseError> {
         if self.head.is_none() {
             let rest = &self.buffer[self.read..];
             if rest.starts_with(b"\r\n\r\n") {
                 self.read += 4;
-                return Ok(Some(Chunk::Ping));
+                return Ok(Some(StreamItem::Ping));
             }
             if rest.starts_with(b"\r\n") && rest.len() > 2 && !rest[2..].starts_with(b"\r") {
                 self.read += 2;
@@ -66,15 +66,15 @@
             let from = self.searched.max(self.read);
             let Some(end) = message::head_end(&self.buffer, from) else {
                 self.searched = self.buffer.len().saturating_sub(3).max(self.read);
-                if self.buffer.len() - self.read > self.limits.head {
-                    return Err(ParseError::TooLarge { what: "the head", limit: self.limits.head });
+                if self.buffer.len() - self.read > self.limits.head_bytes {
+                    return Err(ParseError::TooLarge { what: "the head", limit: self.limits.head_bytes });
                 }
                 return Ok(None);
             };
             let head = Message::parse_head(&self.buffer[self.read..end], &self.limits)?;
             let length = head.content_length()?.ok_or(ParseError::ContentLength)?;
-            if length > self.limits.body {
-                return Err(ParseError::TooLarge { what: "the body", limit: self.limits.body });
+            if length > self.limits.body_bytes {
+                return Err(ParseError::TooLarge { what: "the body", limit: self.limits.body_bytes });
             }
             self.read = end;
             self.searched = end;
@@ -87,7 +87,7 @@
         self.searched = self.read;
         Ok(self.head.take().map(|(mut message, _)| {
             message.set_body(body);
-            Chunk::Message(Box::new(message))
+            StreamItem::Message(Box::new(message))
         }))
     }
 }
--- a/crates/fawnrouter-sip/src/transaction.rs
+++ b/crates/fawnrouter-sip/src/transaction.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 
 /// 64·T1: how long a server transaction waits for an ACK (timers H and L).
-pub const ACK_WAIT: Duration = Duration::from_millis(64 * 500);
+pub const ACK_TIMEOUT: Duration = Duration::from_millis(64 * 500);
 
 /// An INVITE that came in (§17.2.1).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum InviteServer {
+pub enum InviteServerTransaction {
     /// No final response yet.
     #[default]
     Proceeding,
@@ -25,14 +25,14 @@
 
 /// What to do with a request that belongs to an INVITE's server transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ServerStep {
+pub enum ServerAction {
     /// Work on it.
-    Act,
+    Process,
     /// Nothing: it has been worked on. On a reliable transport nothing is sent again.
     Absorb,
 }
 
-impl InviteServer {
+impl InviteServerTransaction {
     /// Whether a response of this status may be sent now; takes note that it is.
     pub fn respond(&mut self, status: u16) -> bool {
         if *self != Self::Proceeding {
@@ -47,27 +47,27 @@
     }
 
     /// An ACK that names this transaction. Only that of a 2xx means something to the dialog.
-    pub fn on_ack(&mut self) -> ServerStep {
+    pub fn on_ack(&mut self) -> ServerAction {
         match self {
-            Self::Accepted => ServerStep::Act,
+            Self::Accepted => ServerAction::Process,
             Self::Completed => {
                 *self = Self::Confirmed;
-                ServerStep::Absorb
+                ServerAction::Absorb
             }
-            Self::Proceeding | Self::Confirmed => ServerStep::Absorb,
+            Self::Proceeding | Self::Confirmed => ServerAction::Absorb,
         }
     }
 
     /// A CANCEL of it: acts only before a final response (§9.2). The CANCEL itself is answered 200 all the same.
     #[must_use]
-    pub fn on_cancel(self) -> ServerStep {
-        if self == Self::Proceeding { ServerStep::Act } else { ServerStep::Absorb }
+    pub fn on_cancel(self) -> ServerAction {
+        if self == Self::Proceeding { ServerAction::Process } else { ServerAction::Absorb }
     }
 }
 
 /// An INVITE that went out (§17.1.1).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum InviteClient {
+pub enum InviteClientTransaction {
     /// Nothing has come back.
     #[default]
     Calling,
@@ -85,7 +85,7 @@
 
 /// What a response means to the owner of a client transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ClientStep {
+pub enum ClientAction {
     /// The first word, or progress: may be passed on.
     Provisional,
     /// The first provisional came after the owner gave up: send the CANCEL now.
@@ -93,7 +93,7 @@
     /// The first final response of 2xx.
     Accepted,
     /// A 2xx although the owner has given up: ACK it and release it with BYE (§9.1, §13.2.2.4).
-    Unwanted,
+    AcceptedAfterCancel,
     /// The first final response of 300 or more: ACK it and pass it on.
     Failed,
     /// A final response again: ACK it again (§13.2.2.4, §17.1.1.2) and do no more.
@@ -104,54 +104,56 @@
 
 /// What giving up an INVITE asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CancelStep {
+pub enum CancelAction {
     /// Send CANCEL.
     Send,
     /// Wait: no CANCEL may go out before a provisional response (§9.1).
     Wait,
     /// It has ended.
-    Over,
+    AlreadyFinal,
 }
 
-impl InviteClient {
+impl InviteClientTransaction {
     /// Takes a response.
-    pub fn on_response(&mut self, status: u16) -> ClientStep {
+    pub fn on_response(&mut self, status: u16) -> ClientAction {
         let (next, step) = match (*self, status) {
-            (_, ..100 | 700..) => return ClientStep::Drop,
-            (Self::Calling | Self::Proceeding, 100..200) => (Self::Proceeding, ClientStep::Provisional),
-            (Self::CancelWanted, 100..200) => (Self::Cancelling, ClientStep::CancelNow),
-            (Self::Cancelling | Self::Accepted | Self::Completed, 100..200) => return ClientStep::Drop,
-            (Self::Calling | Self::Proceeding, 200..300) => (Self::Accepted, ClientStep::Accepted),
-            (Self::CancelWanted | Self::Cancelling, 200..300) => (Self::Accepted, ClientStep::Unwanted),
-            (Self::Accepted, 200..300) => (Self::Accepted, ClientStep::AckAgain),
-            (Self::Completed, 200..300) => (Self::Accepted, ClientStep::Unwanted),
-            (Self::Accepted, _) => return ClientStep::Drop,
-            (Self::Completed, _) => (Self::Completed, ClientStep::AckAgain),
-            (_, _) => (Self::Completed, ClientStep::Failed),
+            (_, ..100 | 700..) => return ClientAction::Drop,
+            (Self::Calling | Self::Proceeding, 100..200) => (Self::Proceeding, ClientAction::Provisional),
+            (Self::CancelWanted, 100..200) => (Self::Cancelling, ClientAction::CancelNow),
+            (Self::Cancelling | Self::Accepted | Self::Completed, 100..200) => return ClientAction::Drop,
+            (Self::Calling | Self::Proceeding, 200..300) => (Self::Accepted, ClientAction::Accepted),
+            (Self::CancelWanted | Self::Cancelling, 200..300) => {
+                (Self::Accepted, ClientAction::AcceptedAfterCancel)
+            }
+            (Self::Accepted, 200..300) => (Self::Accepted, ClientAction::AckAgain),
+            (Self::Completed, 200..300) => (Self::Accepted, ClientAction::AcceptedAfterCancel),
+            (Self::Accepted, _) => return ClientAction::Drop,
+            (Self::Completed, _) => (Self::Completed, ClientAction::AckAgain),
+            (_, _) => (Self::Completed, ClientAction::Failed),
         };
         *self = next;
         step
     }
 
     /// The owner gives up.
-    pub fn cancel(&mut self) -> CancelStep {
+    pub fn cancel(&mut self) -> CancelAction {
         match self {
             Self::Calling => {
                 *self = Self::CancelWanted;
-                CancelStep::Wait
+                CancelAction::Wait
             }
             Self::Proceeding => {
                 *self = Self::Cancelling;
-                CancelStep::Send
+                CancelAction::Send
             }
-            Self::CancelWanted => CancelStep::Wait,
-            Self::Cancelling | Self::Accepted | Self::Completed => CancelStep::Over,
+            Self::CancelWanted => CancelAction::Wait,
+            Self::Cancelling | Self::Accepted | Self::Completed => CancelAction::AlreadyFinal,
         }
     }
 
     /// Whether a final response has come.
     #[must_use]
-    pub const fn is_over(self) -> bool {
+    pub const fn has_final_response(self) -> bool {
         matches!(self, Self::Accepted | Self::Completed)
     }
 }
@@ -162,34 +164,34 @@
 
     #[test]
     fn a_200_that_crosses_the_cancel_is_unwanted_and_a_second_one_is_only_acknowledged() {
-        let mut leg = InviteClient::default();
-        assert_eq!(leg.on_response(100), ClientStep::Provisional);
-        assert_eq!(leg.cancel(), CancelStep::Send);
-        assert_eq!(leg.on_response(200), ClientStep::Unwanted);
-        assert_eq!(leg.on_response(200), ClientStep::AckAgain);
-        assert_eq!(leg.on_response(487), ClientStep::Drop);
+        let mut leg = InviteClientTransaction::default();
+        assert_eq!(leg.on_response(100), ClientAction::Provisional);
+        assert_eq!(leg.cancel(), CancelAction::Send);
+        assert_eq!(leg.on_response(200), ClientAction::AcceptedAfterCancel);
+        assert_eq!(leg.on_response(200), ClientAction::AckAgain);
+        assert_eq!(leg.on_response(487), ClientAction::Drop);
     }
 
     #[test]
     fn no_cancel_goes_out_before_a_provisional_response() {
-        let mut leg = InviteClient::default();
-        assert_eq!(leg.cancel(), CancelStep::Wait);
-        assert_eq!(leg.cancel(), CancelStep::Wait);
-        assert_eq!(leg.on_response(180), ClientStep::CancelNow);
-        assert_eq!(leg.cancel(), CancelStep::Over);
-        assert_eq!(leg.on_response(487), ClientStep::Failed);
-        assert_eq!(leg.on_response(487), ClientStep::AckAgain);
+        let mut leg = InviteClientTransaction::default();
+        assert_eq!(leg.cancel(), CancelAction::Wait);
+        assert_eq!(leg.cancel(), CancelAction::Wait);
+        assert_eq!(leg.on_response(180), ClientAction::CancelNow);
+        assert_eq!(leg.cancel(), CancelAction::AlreadyFinal);
+        assert_eq!(leg.on_response(487), ClientAction::Failed);
+        assert_eq!(leg.on_response(487), ClientAction::AckAgain);
     }
 
     #[test]
     fn a_server_transaction_gives_one_final_response() {
-        let mut leg = InviteServer::default();
+        let mut leg = InviteServerTransaction::default();
         assert!(leg.respond(100) && leg.respond(180));
-        assert_eq!(leg.on_ack(), ServerStep::Absorb);
+        assert_eq!(leg.on_ack(), ServerAction::Absorb);
         assert!(leg.respond(503));
         assert!(!leg.respond(200) && !leg.respond(180));
-        assert_eq!(leg.on_cancel(), ServerStep::Absorb);
-        assert_eq!(leg.on_ack(), ServerStep::Absorb);
-        assert_eq!(leg, InviteServer::Confirmed);
+        assert_eq!(leg.on_cancel(), ServerAction::Absorb);
+        assert_eq!(leg.on_ack(), ServerAction::Absorb);
+        assert_eq!(leg, InviteServerTransaction::Confirmed);
     }
 }
--- a/crates/fawnrouter-sip/src/uri.rs
+++ b/crates/fawnrouter-sip/src/uri.rs
@@ -30,7 +30,7 @@
     /// `sips` was used.
     pub secure: bool,
     /// A tel URI: `user` is its number and `host` is empty.
-    pub tel: bool,
+    pub is_tel: bool,
     /// The user part without its password, with its own parameters (RFC 3261 §19.1.6) still in it.
     pub user: &'a str,
     /// The host, brackets of an IPv6 address included.
@@ -63,7 +63,14 @@
             if user.is_empty() || !user.bytes().all(digits) {
                 return Err(UriError::Malformed);
             }
-            return Ok(Self { secure: false, tel: true, user, host: "", port: None, params: Params(params) });
+            return Ok(Self {
+                secure: false,
+                is_tel: true,
+                user,
+                host: "",
+                port: None,
+                params: Params(params),
+            });
         }
         let secure = scheme.eq_ignore_ascii_case("sips");
         if !secure && !scheme.eq_ignore_ascii_case("sip") {
@@ -94,7 +101,7 @@
         if !host_ok || (user.is_empty() && rest.contains('@')) {
             return Err(UriError::Malformed);
         }
-        Ok(Self { secure, tel: false, user, host, port, params: Params(params) })
+        Ok(Self { secure, is_tel: false, user, host, port, params: Params(params) })
     }
 
     /// The number or name called: the user part without its parameters, unescaped, without the visual
@@ -113,7 +120,7 @@
     /// The trunk group that the caller names, in the user part of a sip URI or the parameters of a tel URI.
     #[must_use]
     pub fn trunk_group(&self) -> Option<TrunkGroup<'a>> {
-        let params = if self.tel { self.params } else { Params(&self.user[self.user.find(';')?..]) };
+        let params = if self.is_tel { self.params } else { Params(&self.user[self.user.find(';')?..]) };
         params
             .get("tgrp")
             .zip(params.get("trunk-context"))
--- a/crates/fawnrouter-sip/src/write.rs
+++ b/crates/fawnrouter-sip/src/write.rs
@@ -4,11 +4,11 @@
 
 /// A message being written.
 #[derive(Clone, Debug)]
-pub struct Draft {
+pub struct MessageBuilder {
     text: Vec<u8>,
 }
 
-impl Draft {
+impl MessageBuilder {
     /// A request to `uri`.
     #[must_use]
     pub fn request(method: Method, uri: &str) -> Self {
@@ -29,7 +29,7 @@
     /// A response to `request` (§8.2.6.2): its Vias, From, To, Call-ID and CSeq, a tag on the To if it has none,
     /// and `received`/`rport` in the top Via (§18.2.1, RFC 3581 §4) if the peer's address is given.
     #[must_use]
-    pub fn answer(
+    pub fn response_to(
         request: &Message,
         status: u16,
         phrase: Option<&str>,
@@ -44,7 +44,7 @@
                 None => draft.field(Name::Via, via),
             };
         }
-        draft.copy(request, Name::From);
+        draft.copy_fields(request, Name::From);
         let to = request.get(Name::To).unwrap_or("");
         let tagged = crate::value::Address::parse(to).is_ok_and(|a| a.tag().is_some());
         if tagged || status == 100 || tag.is_empty() {
@@ -52,17 +52,17 @@
         } else {
             draft.put(&["To: ", to, ";tag=", tag, "\r\n"]);
         }
-        draft.copy(request, Name::CallId).copy(request, Name::CSeq);
+        draft.copy_fields(request, Name::CallId).copy_fields(request, Name::CSeq);
         draft
     }
 
     /// Adds a field. Line ends in the value, which would begin another field, are dropped.
     pub fn field(&mut self, name: Name, value: &str) -> &mut Self {
-        self.named(name.text(), value)
+        self.named_field(name.text(), value)
     }
 
     /// Adds a field of any name.
-    pub fn named(&mut self, name: &str, value: &str) -> &mut Self {
+    pub fn named_field(&mut self, name: &str, value: &str) -> &mut Self {
         if value.contains(['\r', '\n']) {
             let clean: String = value.chars().filter(|c| !matches!(c, '\r' | '\n')).collect();
             return self.put(&[name, ": ", &clean, "\r\n"]);
@@ -71,7 +71,7 @@
     }
 
     /// Adds all fields of this name as `from` has them.
-    pub fn copy(&mut self, from: &Message, name: Name) -> &mut Self {
+    pub fn copy_fields(&mut self, from: &Message, name: Name) -> &mut Self {
         for (_, _, value) in from.fields().filter(|(n, _, _)| *n == name) {
             self.field(name, value);
         }
@@ -91,10 +91,10 @@
     #[must_use]
     pub fn finish_with_body_of(&mut self, other: &Message) -> Vec<u8> {
         if !other.body().is_empty() {
-            self.copy(other, Name::ContentType).copy(other, Name::ContentEncoding);
+            self.copy_fields(other, Name::ContentType).copy_fields(other, Name::ContentEncoding);
             for name in ["Content-Disposition", "Content-Language", "MIME-Version"] {
                 if let Some(value) = other.get_named(name) {
-                    self.named(name, value);
+                    self.named_field(name, value);
                 }
             }
         }
--- a/crates/fawnrouter-sip/tests/messages.rs
+++ b/crates/fawnrouter-sip/tests/messages.rs
@@ -4,7 +4,7 @@
 use fawnrouter_sip::*;
 use proptest::prelude::*;
 
-const LIMITS: Limits = Limits { head: 4096, fields: 40, body: 1024 };
+const LIMITS: Limits = Limits { head_bytes: 4096, fields: 40, body_bytes: 1024 };
 
 /// An INVITE with a line replaced or added: (`name`, line) replaces the line that begins with `name`.
 fn invite(changes: &[(&str, &str)], body: &str) -> String {
@@ -38,7 +38,7 @@
         Ok(m) => match m.validate() {
             Err(invalid) => invalid.status,
             Ok(()) => {
-                let Start::Request { uri, .. } = m.start() else { return 0 };
+                let StartLine::Request { uri, .. } = m.start() else { return 0 };
                 match Uri::parse(uri) {
                     Ok(_) => 0,
                     Err(UriError::Malformed) => 400,
@@ -267,7 +267,7 @@
 #[test]
 fn an_answer_repeats_what_names_the_transaction_and_tells_where_it_came_from() {
     let m = Message::parse(invite(&[], "").as_bytes(), &LIMITS).unwrap();
-    let bytes = Draft::answer(&m, 503, None, "t9", Some(("127.0.0.1", 4711)))
+    let bytes = MessageBuilder::response_to(&m, 503, None, "t9", Some(("127.0.0.1", 4711)))
         .field(Name::RetryAfter, "2")
         .finish(b"");
     let answer = Message::parse(&bytes, &LIMITS).unwrap();
@@ -288,14 +288,15 @@
     let bye = Message::parse(&bytes, &LIMITS).unwrap();
     assert!(bye.validate().is_ok());
     assert_eq!(bye.values(Name::Route).collect::<Vec<_>>(), ["<sip:p1;lr>", "<sip:p2;lr>"]);
-    assert!(matches!(bye.start(), Start::Request { uri: "sip:a@c1.invalid;transport=ws", .. }));
+    assert!(matches!(bye.start(), StartLine::Request { uri: "sip:a@c1.invalid;transport=ws", .. }));
     assert_eq!(bye.get(Name::CSeq), Some("1 BYE"));
-    assert!(dialog.accepts(2) && !dialog.accepts(2) && !dialog.accepts(1));
+    assert!(dialog.accept_cseq(2) && !dialog.accept_cseq(2) && !dialog.accept_cseq(1));
 }
 
 #[test]
 fn a_value_with_line_ends_cannot_smuggle_a_field() {
-    let bytes = Draft::request(Method::Options, "sip:h").field(Name::Subject, "a\r\nVia: evil").finish(b"");
+    let bytes =
+        MessageBuilder::request(Method::Options, "sip:h").field(Name::Subject, "a\r\nVia: evil").finish(b"");
     assert!(!String::from_utf8(bytes).unwrap().contains("\nVia"));
 }
 
@@ -306,14 +307,14 @@
     assert!(matches!(Message::parse(text.as_bytes(), &LIMITS), Err(ParseError::TooLarge { .. })));
     let mut stream = StreamDecoder::new(LIMITS);
     stream.push(&vec![b'x'; 5000]);
-    assert!(matches!(stream.next_chunk(), Err(ParseError::TooLarge { .. })));
+    assert!(matches!(stream.next_item(), Err(ParseError::TooLarge { .. })));
     let mut stream = StreamDecoder::new(LIMITS);
     stream.push(invite(&[("L", "Content-Length: 2000")], "").as_bytes());
-    assert!(matches!(stream.next_chunk(), Err(ParseError::TooLarge { .. })));
+    assert!(matches!(stream.next_item(), Err(ParseError::TooLarge { .. })));
 }
 
-fn drain(stream: &mut StreamDecoder) -> Vec<Chunk> {
-    std::iter::from_fn(|| stream.next_chunk().unwrap()).collect()
+fn drain(stream: &mut StreamDecoder) -> Vec<StreamItem> {
+    std::iter::from_fn(|| stream.next_item().unwrap()).collect()
 }
 
 #[test]
@@ -343,7 +344,7 @@
         let _ = verdict(&bytes);
         let mut stream = StreamDecoder::new(LIMITS);
         stream.push(&bytes);
-        while let Ok(Some(_)) = stream.next_chunk() {}
+        while let Ok(Some(_)) = stream.next_item() {}
     }
 
     #[test]
@@ -362,15 +363,15 @@
     #[test]
     fn what_is_written_reads_back(user in "[a-z0-9.]{1,12}", subject in "[ -~]{0,40}", body in proptest::collection::vec(any::<u8>(), 0..200)) {
         let uri = format!("sip:{user}@h.example");
-        let mut draft = Draft::request(Method::Invite, &uri);
+        let mut draft = MessageBuilder::request(Method::Invite, &uri);
         let bytes = draft.field(Name::Subject, &subject).finish(&body);
         let m = Message::parse(&bytes, &LIMITS).unwrap();
-        let same = matches!(m.start(), Start::Request { method: Method::Invite, uri: u, .. } if u == uri);
+        let same = matches!(m.start(), StartLine::Request { method: Method::Invite, uri: u, .. } if u == uri);
         prop_assert!(same);
         prop_assert_eq!(m.get(Name::Subject), Some(subject.trim_matches([' ', '\t'])));
         prop_assert_eq!(m.body(), &body[..]);
         let mut stream = StreamDecoder::new(LIMITS);
         stream.push(&bytes);
-        prop_assert_eq!(stream.next_chunk().unwrap(), Some(Chunk::Message(Box::new(m))));
+        prop_assert_eq!(stream.next_item().unwrap(), Some(StreamItem::Message(Box::new(m))));
     }
 }
--- a/crates/fawnrouterd/src/core.rs
+++ b/crates/fawnrouterd/src/core.rs
@@ -82,7 +82,7 @@
     /// Limits of SIP messages.
     pub fn sip_limits(&self) -> Limits {
         let limits = &self.settings.limits;
-        Limits { head: limits.head_bytes, fields: limits.fields, body: limits.body_bytes }
+        Limits { head_bytes: limits.head_bytes, fields: limits.fields, body_bytes: limits.body_bytes }
     }
 
     /// A fresh outbox.
--- a/crates/fawnrouterd/src/trunk.rs
+++ b/crates/fawnrouterd/src/trunk.rs
@@ -9,7 +9,7 @@
 use fawnrouter_admission::BufferOwner;
 use fawnrouter_engine::Input;
 use fawnrouter_engine::fawnrouter::ServerId;
-use fawnrouter_sip::{Chunk, StreamDecoder};
+use fawnrouter_sip::{StreamDecoder, StreamItem};
 use futures_lite::future;
 
 use crate::core::Core;
@@ -54,13 +54,13 @@
         let Some(n) = n.ok().filter(|n| *n > 0) else { return };
         decoder.push(&core.scratch.borrow()[..n]);
         loop {
-            match decoder.next_chunk() {
-                Ok(None) if held.set(decoder.held()) => break,
+            match decoder.next_item() {
+                Ok(None) if held.set(decoder.buffered_bytes()) => break,
                 Ok(None) => {
                     return tracing::warn!(switch = server.0, "connection closed: no memory for its message");
                 }
-                Ok(Some(Chunk::Ping)) => outbox.push(|out| out.extend_from_slice(b"\r\n")),
-                Ok(Some(Chunk::Message(message))) => {
+                Ok(Some(StreamItem::Ping)) => outbox.push(|out| out.extend_from_slice(b"\r\n")),
+                Ok(Some(StreamItem::Message(message))) => {
                     // The list may have dropped this connection while its bytes were on the way.
                     if core.connections.borrow().is_current(server, outbox) {
                         core.input(Input::TrunkMessage { server, message });
