--- a/crates/fawnrouter-lab/src/callers.rs
+++ b/crates/fawnrouter-lab/src/callers.rs
@@ -11,7 +11,7 @@
 use async_io::{Async, Timer};
 use fawnrouter_audit::{Direction, Side};
 use fawnrouter_sip::{Dialog, Limits, Message, MessageBuilder, Method, Name};
-use fawnrouter_ws::{ClientHandshake, Decoder, Event, HttpLimits, Opcode, Role, encode};
+use fawnrouter_ws::{ClientHandshake, Event, FrameDecoder, HttpLimits, Opcode, Role, encode_frame};
 use fawnrouterd::Outbox;
 use fawnrouterd::engine::digest::{Algorithm, Credentials, client_response, ha1};
 use futures_lite::{AsyncWriteExt, future};
@@ -179,7 +179,7 @@
         password: &str,
     ) -> io::Result<()> {
         const URI: &str = "sip:gateway.invalid";
-        let mut frames = Decoder::new(Role::Client, 64 * 1024);
+        let mut frames = FrameDecoder::new(Role::Client, 64 * 1024);
         let mut nonce = String::new();
         for attempt in 1..=3 {
             let response = if nonce.is_empty() {
@@ -208,7 +208,7 @@
                 .field(Name::CSeq, &format!("{attempt} OPTIONS"))
                 .field(Name::Authorization, &credentials.write());
             let mut bytes = Vec::new();
-            encode(Opcode::Text, &draft.finish(b""), Some([5; 4]), &mut bytes);
+            encode_frame(Opcode::Text, &draft.finish(b""), Some([5; 4]), &mut bytes);
             self.tap.bytes(conn, Direction::ToGateway, &bytes);
             (&*stream).write_all(&bytes).await?;
             let told = loop {
@@ -244,7 +244,7 @@
         rest: Vec<u8>,
     ) {
         let reading = async {
-            let mut decoder = Decoder::new(Role::Client, 256 * 1024);
+            let mut decoder = FrameDecoder::new(Role::Client, 256 * 1024);
             let mut buffer = vec![0; 64 * 1024];
             let mut got = rest.len();
             buffer[..got].copy_from_slice(&rest);
@@ -259,7 +259,7 @@
                         }
                         Ok(Some(Event::Ping(payload))) => {
                             let mut bytes = Vec::new();
-                            encode(Opcode::Pong, payload, Some([7; 4]), &mut bytes);
+                            encode_frame(Opcode::Pong, payload, Some([7; 4]), &mut bytes);
                             self.send_raw(conn, &outbox, &bytes);
                         }
                         Ok(Some(Event::Close(_))) | Err(_) => return,
@@ -293,7 +293,7 @@
         let mask = crowd.rng.next_u32().to_be_bytes();
         if let Some((conn, outbox)) = &crowd.lines[line].outbox {
             let mut bytes = Vec::new();
-            encode(Opcode::Text, message, Some(mask), &mut bytes);
+            encode_frame(Opcode::Text, message, Some(mask), &mut bytes);
             self.send_raw(*conn, outbox, &bytes);
         }
     }
--- a/crates/fawnrouter-lab/src/flood.rs
+++ b/crates/fawnrouter-lab/src/flood.rs
@@ -12,7 +12,9 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use fawnrouter_sip::{Dialog, Limits, Message, MessageBuilder, Method, Name};
-use fawnrouter_ws::{ClientHandshake, Decoder, Event, HandshakeError, HttpLimits, Opcode, Role, encode};
+use fawnrouter_ws::{
+    ClientHandshake, Event, FrameDecoder, HandshakeError, HttpLimits, Opcode, Role, encode_frame,
+};
 use futures_lite::{AsyncWriteExt, future};
 use serde::{Deserialize, Serialize};
 use socket2::{Domain, Socket, Type};
@@ -148,7 +150,7 @@
         figures.borrow_mut().tried += 1;
         let figures = figures.clone();
         tasks.push(executor.spawn(async move {
-            let mut one = Stranger { options, n, figures, decoder: Decoder::new(Role::Client, 1 << 20) };
+            let mut one = Stranger { options, n, figures, decoder: FrameDecoder::new(Role::Client, 1 << 20) };
             one.run().await;
         }));
     }
@@ -169,7 +171,7 @@
     options: FloodOptions,
     n: u32,
     figures: Rc<RefCell<FloodFigures>>,
-    decoder: Decoder,
+    decoder: FrameDecoder,
 }
 
 impl Stranger {
@@ -248,7 +250,7 @@
     async fn stay(&mut self, stream: &Async<TcpStream>, rest: Vec<u8>) -> io::Result<Option<()>> {
         if self.options.way == FloodKind::Deaf {
             let mut one = Vec::new();
-            encode(Opcode::Text, &ask(self.n), Some([1, 2, 3, 4]), &mut one);
+            encode_frame(Opcode::Text, &ask(self.n), Some([1, 2, 3, 4]), &mut one);
             loop {
                 // It never reads, so that a goodbye is not seen: the end of the connection shows in the writing.
                 let mut to = stream;
@@ -269,7 +271,7 @@
                 Timer::after(Duration::from_secs_f64(1.0 / share)).await;
                 figures.borrow_mut().calls.0 += 1;
                 let mut bytes = Vec::new();
-                encode(Opcode::Text, &invite(n, call), Some([1, 2, 3, 4]), &mut bytes);
+                encode_frame(Opcode::Text, &invite(n, call), Some([1, 2, 3, 4]), &mut bytes);
                 let mut to = stream;
                 to.write_all(&bytes).await?;
             }
@@ -286,7 +288,7 @@
                     match event {
                         Event::Close(_) => return Ok(Some(())),
                         Event::Ping(payload) => {
-                            encode(Opcode::Pong, payload, Some([1, 2, 3, 4]), &mut out.borrow_mut());
+                            encode_frame(Opcode::Pong, payload, Some([1, 2, 3, 4]), &mut out.borrow_mut());
                         }
                         Event::Text(text) => {
                             if let Ok(message) = Message::parse(text.as_bytes(), &Limits::default()) {
@@ -358,7 +360,7 @@
 fn follow(message: &Message, out: &mut Vec<u8>, figures: &mut FloodFigures) {
     let is_invite = message.cseq().is_ok_and(|c| c.method == "INVITE");
     let Some(status) = message.status().filter(|s| *s >= 200 && is_invite) else { return };
-    let mut send = |bytes: Vec<u8>| encode(Opcode::Text, &bytes, Some([1, 2, 3, 4]), out);
+    let mut send = |bytes: Vec<u8>| encode_frame(Opcode::Text, &bytes, Some([1, 2, 3, 4]), out);
     if status >= 300 {
         figures.calls.2 += 1;
         let mut ack = MessageBuilder::request(Method::Ack, "sip:gateway.invalid");
--- a/crates/fawnrouter-lab/src/load.rs
+++ b/crates/fawnrouter-lab/src/load.rs
@@ -13,7 +13,9 @@
 use async_io::{Async, Timer};
 use fawnrouter_config::{Settings, SwitchEntry, SwitchFile, SwitchState};
 use fawnrouter_sip::{Dialog, Limits, Message, MessageBuilder, Method, Name, StreamDecoder, StreamItem};
-use fawnrouter_ws::{ClientHandshake, Decoder, Event, HttpLimits, Opcode, Role, Terms, accept, encode};
+use fawnrouter_ws::{
+    ClientHandshake, Event, FrameDecoder, HttpLimits, Opcode, Role, ServerOptions, accept, encode_frame,
+};
 use fawnrouterd::Outbox;
 use futures_lite::{AsyncWriteExt, future};
 use hdrhistogram::Histogram;
@@ -116,9 +118,9 @@
         let reading = async {
             let mut buffer = vec![0; 64 * 1024];
             let mut head = Vec::new();
-            let terms = Terms { protocols: vec!["sip".into()], ..Terms::default() };
+            let terms = ServerOptions { protocols: vec!["sip".into()], ..ServerOptions::default() };
             let mut shaken = !self.web_socket;
-            let mut frames = Decoder::new(Role::Server, 1 << 20);
+            let mut frames = FrameDecoder::new(Role::Server, 1 << 20);
             let mut chunks = StreamDecoder::new(Limits::default());
             while let Ok(n @ 1..) = stream.read_with(|mut s| s.read(&mut buffer)).await {
                 if !shaken {
@@ -157,7 +159,7 @@
             draft.field(Name::Contact, "<sip:far@127.0.0.1:5060;transport=tcp>");
             let bytes = draft.finish(if status == 200 { b"v=0\r\n" } else { b"" });
             match web_socket {
-                true => outbox.push(|out| encode(Opcode::Text, &bytes, None, out)),
+                true => outbox.push(|out| encode_frame(Opcode::Text, &bytes, None, out)),
                 false => outbox.push(|out| out.extend_from_slice(&bytes)),
             }
         };
@@ -188,13 +190,13 @@
 
 impl Load {
     fn send(&self, line: usize, bytes: &[u8]) {
-        self.lines[line].push(|out| encode(Opcode::Text, bytes, Some([3, 1, 4, 1]), out));
+        self.lines[line].push(|out| encode_frame(Opcode::Text, bytes, Some([3, 1, 4, 1]), out));
     }
 
     /// Serves a connection to its end; `take` gets each message.
     async fn serve(self: Rc<Self>, line: usize, stream: &Async<TcpStream>, take: impl Fn(&Message)) {
         let reading = async {
-            let mut frames = Decoder::new(Role::Client, 1 << 20);
+            let mut frames = FrameDecoder::new(Role::Client, 1 << 20);
             let mut buffer = vec![0; 64 * 1024];
             while let Ok(got @ 1..) = stream.read_with(|mut s| s.read(&mut buffer)).await {
                 let mut input = &buffer[..got];
--- a/crates/fawnrouter-lab/tests/admission.rs
+++ b/crates/fawnrouter-lab/tests/admission.rs
@@ -8,7 +8,7 @@
 
 use common::*;
 use fawnrouter_sip::{MessageBuilder, Method, Name};
-use fawnrouter_ws::{ClientHandshake, CloseCode, Opcode, encode};
+use fawnrouter_ws::{ClientHandshake, CloseCode, Opcode, encode_frame};
 use fawnrouterd::control::{AdmissionStatus, Command, Reply, send_command};
 use fawnrouterd::engine::digest::{Algorithm, Credentials, client_response, ha1};
 use rustix::process::{Pid, Resource, Rlimit, getrlimit, prlimit};
@@ -35,7 +35,7 @@
     // A place that is given back can be had again.
     let first = &mut inside[0];
     let mut bye = Vec::new();
-    encode(Opcode::Close, &[], MASK, &mut bye);
+    encode_frame(Opcode::Close, &[], MASK, &mut bye);
     first.stream.write_all(&bye).expect("sent");
     assert_eq!(first.next(), Got::Close(Some(CloseCode::NORMAL)));
     assert_eq!(first.next(), Got::End);
@@ -62,7 +62,7 @@
         }
     }
     // The idle one had to make room, and was told to come later; the one in a call was not touched.
-    assert_eq!(idle.next(), Got::Close(Some(CloseCode::LATER)));
+    assert_eq!(idle.next(), Got::Close(Some(CloseCode::TRY_AGAIN_LATER)));
     caller.send(&request(Method::Options, 2));
     assert_eq!(caller.last_status(), 200);
     assert!(told.try_iter().all(|m| m.method() != Some(Method::Bye)));
@@ -131,7 +131,7 @@
                 Got::Sip(m) if m.status().is_some_and(|s| s >= 200) => break m,
                 Got::Sip(_) => {}
                 Got::Close(code) => {
-                    assert_eq!(code, Some(CloseCode::LATER));
+                    assert_eq!(code, Some(CloseCode::TRY_AGAIN_LATER));
                     return None;
                 }
                 other => panic!("{other:?} instead of a response"),
@@ -323,7 +323,7 @@
     );
     let ask_much = |client: &mut Client| {
         let mut one = Vec::new();
-        encode(Opcode::Text, &request(Method::Options, 9), MASK, &mut one);
+        encode_frame(Opcode::Text, &request(Method::Options, 9), MASK, &mut one);
         let many = one.repeat(20_000);
         client.stream.set_write_timeout(Some(PATIENCE)).expect("a time-out");
         client.stream.write_all(&many).expect("the gateway reads on");
@@ -355,7 +355,7 @@
         "limits: { buffer_bytes: 1048576, write_backlog_bytes: 1048576 }\ncontrol: { socket: control }",
     );
     let mut one = Vec::new();
-    encode(Opcode::Text, &request(Method::Options, 9), MASK, &mut one);
+    encode_frame(Opcode::Text, &request(Method::Options, 9), MASK, &mut one);
     let many = one.repeat(2000);
     let mut deaf: Vec<Client> = (0..8).map(|_| Client::connect(&gateway)).collect();
     for client in &mut deaf {
--- a/crates/fawnrouter-lab/tests/common/mod.rs
+++ b/crates/fawnrouter-lab/tests/common/mod.rs
@@ -10,7 +10,7 @@
 
 use fawnrouter_sip::{Limits, Message, MessageBuilder, Method, Name, StreamDecoder, StreamItem};
 use fawnrouter_ws::{
-    ClientHandshake, CloseCode, Decoder, Event, HandshakeError, HttpLimits, Opcode, Role, encode,
+    ClientHandshake, CloseCode, Event, FrameDecoder, HandshakeError, HttpLimits, Opcode, Role, encode_frame,
 };
 use rustix::process::{Pid, Signal, kill_process};
 use socket2::{Domain, Socket, Type};
@@ -112,7 +112,7 @@
 
 pub struct Client {
     pub stream: TcpStream,
-    decoder: Decoder,
+    decoder: FrameDecoder,
     /// Bytes that were read and not looked at yet.
     held: Vec<u8>,
 }
@@ -145,14 +145,18 @@
                 other => other.expect("an upgrade"),
             };
             if checked.is_some() {
-                return Ok(Self { stream, decoder: Decoder::new(Role::Client, 1 << 20), held: Vec::new() });
+                return Ok(Self {
+                    stream,
+                    decoder: FrameDecoder::new(Role::Client, 1 << 20),
+                    held: Vec::new(),
+                });
             }
         }
     }
 
     pub fn send(&mut self, bytes: &[u8]) {
         let mut out = Vec::new();
-        encode(Opcode::Text, bytes, MASK, &mut out);
+        encode_frame(Opcode::Text, bytes, MASK, &mut out);
         self.stream.write_all(&out).expect("the gateway reads");
     }
 
--- a/crates/fawnrouter-lab/tests/sockets.rs
+++ b/crates/fawnrouter-lab/tests/sockets.rs
@@ -8,7 +8,7 @@
 
 use common::*;
 use fawnrouter_sip::Method;
-use fawnrouter_ws::{ClientHandshake, CloseCode, Opcode, encode, encode_fragment};
+use fawnrouter_ws::{ClientHandshake, CloseCode, Opcode, encode_fragment, encode_frame};
 use rustix::process::Signal;
 
 #[test]
@@ -20,7 +20,7 @@
     let invite = request(Method::Invite, 1);
     let (a, b) = invite.split_at(100);
     encode_fragment(Opcode::Text, false, a, MASK, &mut bytes);
-    encode(Opcode::Ping, b"between", MASK, &mut bytes);
+    encode_frame(Opcode::Ping, b"between", MASK, &mut bytes);
     encode_fragment(Opcode::Continuation, true, b, MASK, &mut bytes);
     for byte in bytes {
         client.stream.write_all(&[byte]).expect("the gateway reads");
@@ -35,7 +35,7 @@
     let gateway = Gateway::start(&[], "limits: { write_backlog_bytes: 65536 }");
     let mut deaf = Client::connect(&gateway);
     let mut one = Vec::new();
-    encode(Opcode::Text, &request(Method::Options, 1), MASK, &mut one);
+    encode_frame(Opcode::Text, &request(Method::Options, 1), MASK, &mut one);
     let many = one.repeat(200);
     deaf.stream.set_write_timeout(Some(PATIENCE)).expect("a time-out");
     let mut sent = 0;
@@ -97,21 +97,21 @@
     for _ in 0..3 {
         client.send(b"nor this");
     }
-    assert_eq!(client.next(), Got::Close(Some(CloseCode::POLICY)));
+    assert_eq!(client.next(), Got::Close(Some(CloseCode::POLICY_VIOLATION)));
 
     let mut client = Client::connect(&gateway);
     let mut bytes = Vec::new();
-    encode(Opcode::Text, &vec![b'x'; 10_000], MASK, &mut bytes);
+    encode_frame(Opcode::Text, &vec![b'x'; 10_000], MASK, &mut bytes);
     client.stream.write_all(&bytes[..100]).expect("sent");
-    assert_eq!(client.next(), Got::Close(Some(CloseCode::TOO_LARGE)));
+    assert_eq!(client.next(), Got::Close(Some(CloseCode::MESSAGE_TOO_BIG)));
 
     let mut client = Client::connect(&gateway);
     client.stream.write_all(&[0x81, 2, b'h', b'i']).expect("sent");
-    assert_eq!(client.next(), Got::Close(Some(CloseCode::PROTOCOL)));
+    assert_eq!(client.next(), Got::Close(Some(CloseCode::PROTOCOL_ERROR)));
 
     let mut client = Client::connect(&gateway);
     client.send(&[0x40, 0xff]);
-    assert_eq!(client.next(), Got::Close(Some(CloseCode::NOT_UTF8)));
+    assert_eq!(client.next(), Got::Close(Some(CloseCode::INVALID_PAYLOAD)));
 }
 
 #[test]
@@ -204,7 +204,7 @@
     let mut idle = Gateway::start(&[address], "");
     let mut client = Client::connect(&idle);
     idle.signal(Signal::INT);
-    assert_eq!(client.next(), Got::Close(Some(CloseCode::AWAY)));
+    assert_eq!(client.next(), Got::Close(Some(CloseCode::GOING_AWAY)));
     assert_eq!(idle.child.wait().expect("an end").code(), Some(0));
 }
 
--- a/crates/fawnrouter-sip/src/message.rs
+++ b/crates/fawnrouter-sip/src/message.rs
@@ -464,7 +464,7 @@
 }
 
 fn place(start: usize, len: usize) -> (u32, u32) {
-    // Heads are far below 4 GiB: `Limits::head` is checked first, and is itself clipped by the settings' schema.
+    // Heads are far below 4 GiB: `Limits::head_bytes` is checked first, and is itself clipped by the settings' schema.
     (u32::try_from(start).unwrap_or(u32::MAX), u32::try_from(len).unwrap_or(0))
 }
 
--- a/crates/fawnrouter-ws/src/frame.rs
+++ b/crates/fawnrouter-ws/src/frame.rs
@@ -59,23 +59,23 @@
     /// The purpose is fulfilled.
     pub const NORMAL: Self = Self(1000);
     /// The endpoint goes away.
-    pub const AWAY: Self = Self(1001);
+    pub const GOING_AWAY: Self = Self(1001);
     /// The peer broke the protocol.
-    pub const PROTOCOL: Self = Self(1002);
+    pub const PROTOCOL_ERROR: Self = Self(1002);
     /// Data of a type that is not accepted.
-    pub const UNSUPPORTED: Self = Self(1003);
+    pub const UNSUPPORTED_DATA: Self = Self(1003);
     /// Text that is not UTF-8.
-    pub const NOT_UTF8: Self = Self(1007);
+    pub const INVALID_PAYLOAD: Self = Self(1007);
     /// The peer broke a policy.
-    pub const POLICY: Self = Self(1008);
+    pub const POLICY_VIOLATION: Self = Self(1008);
     /// A message too large.
-    pub const TOO_LARGE: Self = Self(1009);
+    pub const MESSAGE_TOO_BIG: Self = Self(1009);
     /// Try again later (IANA registry of close codes).
-    pub const LATER: Self = Self(1013);
+    pub const TRY_AGAIN_LATER: Self = Self(1013);
 
     /// Whether a peer may send it (§7.4.1, §7.4.2).
     #[must_use]
-    pub const fn may_be_sent(self) -> bool {
+    pub const fn is_allowed_on_wire(self) -> bool {
         matches!(self.0, 1000..=1003 | 1007..=1014 | 3000..=4999)
     }
 }
@@ -115,9 +115,9 @@
     #[must_use]
     pub const fn close_code(self) -> CloseCode {
         match self {
-            Self::TooLarge(_) => CloseCode::TOO_LARGE,
-            Self::NotUtf8 => CloseCode::NOT_UTF8,
-            _ => CloseCode::PROTOCOL,
+            Self::TooLarge(_) => CloseCode::MESSAGE_TOO_BIG,
+            Self::NotUtf8 => CloseCode::INVALID_PAYLOAD,
+            _ => CloseCode::PROTOCOL_ERROR,
         }
     }
 }
@@ -156,7 +156,7 @@
 /// Cuts a stream into messages. It holds one message and one control frame at the most, within the limit, and copies
 /// each byte once, taking the mask off on the way.
 #[derive(Debug)]
-pub struct Decoder {
+pub struct FrameDecoder {
     role: Role,
     limit: usize,
     header: [u8; HEADER],
@@ -171,7 +171,7 @@
     closed: bool,
 }
 
-impl Decoder {
+impl FrameDecoder {
     /// A decoder for what `role` receives, with a limit in bytes on a message and on each of its frames.
     #[must_use]
     pub fn new(role: Role, limit: usize) -> Self {
@@ -191,7 +191,7 @@
 
     /// Bytes of a message that is not whole yet.
     #[must_use]
-    pub fn held(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         if self.given { self.control.len() } else { self.message.len() + self.control.len() }
     }
 
@@ -341,7 +341,7 @@
                     };
                 };
                 let code = CloseCode(u16::from_be_bytes([*a, *b]));
-                if !code.may_be_sent() {
+                if !code.is_allowed_on_wire() {
                     return Err(FrameError::Close);
                 }
                 simdutf8::basic::from_utf8(reason).map_err(|_| FrameError::NotUtf8)?;
@@ -379,7 +379,7 @@
 }
 
 /// Appends a frame that is a whole message or control frame. Clients give a fresh random mask (§5.3).
-pub fn encode(opcode: Opcode, payload: &[u8], mask: Option<[u8; 4]>, out: &mut Vec<u8>) {
+pub fn encode_frame(opcode: Opcode, payload: &[u8], mask: Option<[u8; 4]>, out: &mut Vec<u8>) {
     encode_fragment(opcode, true, payload, mask, out);
 }
 
--- a/crates/fawnrouter-ws/src/handshake.rs
+++ b/crates/fawnrouter-ws/src/handshake.rs
@@ -20,7 +20,7 @@
 
 /// What a server agrees to.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Terms {
+pub struct ServerOptions {
     /// Limits on the request's head.
     pub limits: HttpLimits,
     /// Sub-protocols that it speaks; one must be offered, the client's order counts.
@@ -40,7 +40,7 @@
     Http(#[from] HttpError),
     /// A request other than an upgrade to WebSocket.
     #[error("the request is no upgrade to WebSocket: {0}")]
-    NoUpgrade(&'static str),
+    NotUpgrade(&'static str),
     /// Another version than 13 (§4.4).
     #[error("the WebSocket version is not 13")]
     Version,
@@ -55,7 +55,7 @@
     Path,
     /// The server's answer is not what the client asked for.
     #[error("the server's answer does not fit: {0}")]
-    Answer(&'static str),
+    InvalidResponse(&'static str),
     /// The server refused with this status.
     #[error("the server refused with status {0}")]
     Refused(u16),
@@ -67,18 +67,18 @@
     pub const fn status(&self) -> u16 {
         match self {
             Self::Http(e) => e.status(),
-            Self::Version | Self::NoUpgrade(_) => 426,
+            Self::Version | Self::NotUpgrade(_) => 426,
             Self::Protocol => 400,
             Self::Origin => 403,
             Self::Path => 404,
-            Self::Answer(_) | Self::Refused(_) => 500,
+            Self::InvalidResponse(_) | Self::Refused(_) => 500,
         }
     }
 }
 
 /// An agreed upgrade.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Accepted {
+pub struct AcceptedHandshake {
     /// The answer to send.
     pub response: Vec<u8>,
     /// Bytes of the request; frames may follow them.
@@ -99,8 +99,8 @@
 /// Reads a client's request (§4.2); `None` while it is not all there.
 ///
 /// # Errors
-/// Why it is not agreed to; [`refuse`] writes the answer.
-pub fn accept(bytes: &[u8], terms: &Terms) -> Result<Option<Accepted>, HandshakeError> {
+/// Why it is not agreed to; [`refusal_response`] writes the answer.
+pub fn accept(bytes: &[u8], terms: &ServerOptions) -> Result<Option<AcceptedHandshake>, HandshakeError> {
     let Some(head) = http::parse_request(bytes, &terms.limits)? else { return Ok(None) };
     let protocol = agree(&head, terms)?;
     let key = head.get("Sec-WebSocket-Key").unwrap_or("");
@@ -109,42 +109,42 @@
          Sec-WebSocket-Accept: {}\r\nSec-WebSocket-Protocol: {protocol}\r\n\r\n",
         accept_key(key)
     );
-    let forwarded = head.all("Forwarded").map(str::to_owned).collect();
-    Ok(Some(Accepted { response: response.into_bytes(), consumed: head.len, protocol, forwarded }))
+    let forwarded = head.values("Forwarded").map(str::to_owned).collect();
+    Ok(Some(AcceptedHandshake { response: response.into_bytes(), consumed: head.len, protocol, forwarded }))
 }
 
-fn agree(head: &Head<'_, RequestLine<'_>>, terms: &Terms) -> Result<String, HandshakeError> {
+fn agree(head: &Head<'_, RequestLine<'_>>, terms: &ServerOptions) -> Result<String, HandshakeError> {
     if head.line.method != "GET" {
-        return Err(HandshakeError::NoUpgrade("the method is not GET"));
+        return Err(HandshakeError::NotUpgrade("the method is not GET"));
     }
     let path = head.line.target.split('?').next().unwrap_or("");
     if !terms.paths.is_empty() && !terms.paths.iter().any(|p| p == path) {
         return Err(HandshakeError::Path);
     }
     if !head.has_token("Upgrade", "websocket") || !head.has_token("Connection", "Upgrade") {
-        return Err(HandshakeError::NoUpgrade("Upgrade and Connection do not ask for it"));
+        return Err(HandshakeError::NotUpgrade("Upgrade and Connection do not ask for it"));
     }
     if head.get("Sec-WebSocket-Version") != Some("13") {
         return Err(HandshakeError::Version);
     }
-    let keys = head.all("Sec-WebSocket-Key").collect::<Vec<_>>();
+    let keys = head.values("Sec-WebSocket-Key").collect::<Vec<_>>();
     let sound = |key: &&str| STANDARD.decode(key).is_ok_and(|raw| raw.len() == 16);
     if keys.len() != 1 || !keys.iter().all(sound) {
-        return Err(HandshakeError::NoUpgrade("Sec-WebSocket-Key is not 16 bytes in base64"));
+        return Err(HandshakeError::NotUpgrade("Sec-WebSocket-Key is not 16 bytes in base64"));
     }
     if let (Origins::Listed(allowed), Some(origin)) = (&terms.origins, head.get("Origin"))
         && !allowed.iter().any(|o| o.eq_ignore_ascii_case(origin))
     {
         return Err(HandshakeError::Origin);
     }
-    let offered = head.all("Sec-WebSocket-Protocol").flat_map(|v| v.split(',')).map(str::trim);
+    let offered = head.values("Sec-WebSocket-Protocol").flat_map(|v| v.split(',')).map(str::trim);
     let common = offered.into_iter().find(|o| terms.protocols.iter().any(|p| p.eq_ignore_ascii_case(o)));
     common.map(str::to_owned).ok_or(HandshakeError::Protocol)
 }
 
 /// The answer to a request that is not agreed to. `retry_after` in seconds goes with a 503.
 #[must_use]
-pub fn refuse(status: u16, why: &str, retry_after: Option<u64>) -> Vec<u8> {
+pub fn refusal_response(status: u16, why: &str, retry_after: Option<u64>) -> Vec<u8> {
     let phrase = match status {
         400 => "Bad Request",
         403 => "Forbidden",
@@ -207,16 +207,16 @@
             return Err(HandshakeError::Refused(head.line.status));
         }
         if !head.has_token("Upgrade", "websocket") || !head.has_token("Connection", "Upgrade") {
-            return Err(HandshakeError::Answer("Upgrade"));
+            return Err(HandshakeError::InvalidResponse("Upgrade"));
         }
         if head.get("Sec-WebSocket-Accept") != Some(accept_key(&self.key).as_str()) {
-            return Err(HandshakeError::Answer("Sec-WebSocket-Accept"));
+            return Err(HandshakeError::InvalidResponse("Sec-WebSocket-Accept"));
         }
         if head.get("Sec-WebSocket-Extensions").is_some() {
-            return Err(HandshakeError::Answer("Sec-WebSocket-Extensions"));
+            return Err(HandshakeError::InvalidResponse("Sec-WebSocket-Extensions"));
         }
         if !head.get("Sec-WebSocket-Protocol").is_some_and(|p| p.eq_ignore_ascii_case(&self.protocol)) {
-            return Err(HandshakeError::Answer("Sec-WebSocket-Protocol"));
+            return Err(HandshakeError::InvalidResponse("Sec-WebSocket-Protocol"));
         }
         Ok(Some(head.len))
     }
--- a/crates/fawnrouter-ws/src/http.rs
+++ b/crates/fawnrouter-ws/src/http.rs
@@ -4,14 +4,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HttpLimits {
     /// Bytes of the whole head.
-    pub head: usize,
+    pub head_bytes: usize,
     /// Number of fields.
     pub fields: usize,
 }
 
 impl Default for HttpLimits {
     fn default() -> Self {
-        Self { head: 8 * 1024, fields: 64 }
+        Self { head_bytes: 8 * 1024, fields: 64 }
     }
 }
 
@@ -77,20 +77,20 @@
 
 impl<'a, L> Head<'a, L> {
     /// All values of a field; names are compared without case.
-    pub fn all<'s>(&'s self, name: &'s str) -> impl Iterator<Item = &'a str> + 's {
+    pub fn values<'s>(&'s self, name: &'s str) -> impl Iterator<Item = &'a str> + 's {
         self.fields.iter().filter(move |(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| *v)
     }
 
     /// The value of a field that may stand once.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<&'a str> {
-        self.all(name).next()
+        self.values(name).next()
     }
 
     /// Whether a list field holds a token, compared without case.
     #[must_use]
     pub fn has_token(&self, name: &str, token: &str) -> bool {
-        self.all(name).flat_map(|v| v.split(',')).any(|t| t.trim().eq_ignore_ascii_case(token))
+        self.values(name).flat_map(|v| v.split(',')).any(|t| t.trim().eq_ignore_ascii_case(token))
     }
 }
 
@@ -114,7 +114,7 @@
         return Err(if known { HttpError::Version } else { HttpError::FirstLine("request line") });
     }
     let head = Head { line: RequestLine { method, target }, fields, len };
-    if head.all("Host").count() != 1 {
+    if head.values("Host").count() != 1 {
         return Err(HttpError::Host);
     }
     Ok(Some(head))
@@ -144,12 +144,12 @@
     // One empty line before the first line is let pass (§2.2).
     let lead = if bytes.starts_with(b"\r\n") { 2 } else { 0 };
     let Some(end) = memchr::memmem::find(&bytes[lead..], b"\r\n\r\n") else {
-        let over = bytes.len() > limits.head;
-        return if over { Err(HttpError::TooLarge(limits.head)) } else { Ok(None) };
+        let over = bytes.len() > limits.head_bytes;
+        return if over { Err(HttpError::TooLarge(limits.head_bytes)) } else { Ok(None) };
     };
     let len = lead + end + 4;
-    if len > limits.head {
-        return Err(HttpError::TooLarge(limits.head));
+    if len > limits.head_bytes {
+        return Err(HttpError::TooLarge(limits.head_bytes));
     }
     let text = std::str::from_utf8(&bytes[lead..lead + end]).map_err(|_| HttpError::FirstLine(what))?;
     let mut lines = text.split("\r\n");
--- a/crates/fawnrouter-ws/src/lib.rs
+++ b/crates/fawnrouter-ws/src/lib.rs
@@ -9,7 +9,9 @@
 
 pub use forwarded::{ForwardedError, forwarded_for};
 pub use frame::{
-    CloseCode, Decoder, Event, FrameError, Opcode, Role, close_payload, encode, encode_fragment,
+    CloseCode, Event, FrameDecoder, FrameError, Opcode, Role, close_payload, encode_fragment, encode_frame,
+};
+pub use handshake::{
+    AcceptedHandshake, ClientHandshake, HandshakeError, Origins, ServerOptions, accept, refusal_response,
 };
-pub use handshake::{Accepted, ClientHandshake, HandshakeError, Origins, Terms, accept, refuse};
 pub use http::{Head, HttpError, HttpLimits, RequestLine, StatusLine, parse_request, parse_response};
--- a/crates/fawnrouter-ws/tests/codec.rs
+++ b/crates/fawnrouter-ws/tests/codec.rs
@@ -5,12 +5,12 @@
 
 const MASK: Option<[u8; 4]> = Some([0x37, 0xfa, 0x21, 0x3d]);
 
-fn terms() -> Terms {
-    Terms {
+fn terms() -> ServerOptions {
+    ServerOptions {
         protocols: vec!["sip".into()],
         origins: Origins::Listed(vec!["https://desk.example".into()]),
         paths: vec!["/".into()],
-        ..Terms::default()
+        ..ServerOptions::default()
     }
 }
 
@@ -52,7 +52,7 @@
     for (from, to, status) in rows {
         let error = accept(&request(from, to), &terms()).unwrap_err();
         assert_eq!(error.status(), status, "{from} -> {to}: {error}");
-        let answer = refuse(status, &error.to_string(), None);
+        let answer = refusal_response(status, &error.to_string(), None);
         assert!(answer.starts_with(format!("HTTP/1.1 {status} ").as_bytes()));
     }
     let long = vec![b'a'; 9000];
@@ -75,13 +75,13 @@
     let other = ClientHandshake::new([8; 16], "sip");
     assert!(matches!(
         other.check(&accepted.response, &HttpLimits::default()),
-        Err(HandshakeError::Answer(_))
+        Err(HandshakeError::InvalidResponse(_))
     ));
-    let refused = refuse(503, "full", Some(2));
+    let refused = refusal_response(503, "full", Some(2));
     assert_eq!(client.check(&refused, &HttpLimits::default()), Err(HandshakeError::Refused(503)));
 }
 
-fn events(decoder: &mut Decoder, mut input: &[u8]) -> Result<Vec<String>, FrameError> {
+fn events(decoder: &mut FrameDecoder, mut input: &[u8]) -> Result<Vec<String>, FrameError> {
     let mut all = Vec::new();
     while let Some(event) = decoder.feed(&mut input)? {
         all.push(match event {
@@ -99,12 +99,12 @@
 fn conversation() -> Vec<u8> {
     let mut bytes = Vec::new();
     encode_fragment(Opcode::Text, false, "gr\u{fc}".as_bytes(), MASK, &mut bytes);
-    encode(Opcode::Ping, b"there?", MASK, &mut bytes);
+    encode_frame(Opcode::Ping, b"there?", MASK, &mut bytes);
     encode_fragment(Opcode::Continuation, false, b"", MASK, &mut bytes);
     encode_fragment(Opcode::Continuation, true, "\u{df}e".as_bytes(), MASK, &mut bytes);
-    encode(Opcode::Text, b"whole", MASK, &mut bytes);
-    encode(Opcode::Binary, &[9; 300], MASK, &mut bytes);
-    encode(Opcode::Close, &close_payload(CloseCode::NORMAL, "bye"), MASK, &mut bytes);
+    encode_frame(Opcode::Text, b"whole", MASK, &mut bytes);
+    encode_frame(Opcode::Binary, &[9; 300], MASK, &mut bytes);
+    encode_frame(Opcode::Close, &close_payload(CloseCode::NORMAL, "bye"), MASK, &mut bytes);
     bytes
 }
 
@@ -113,12 +113,12 @@
     let all = conversation();
     let expected = ["ping 6", "text gr\u{fc}\u{df}e", "text whole", "binary 300", "close Some(1000)"];
     for cut in 0..=all.len() {
-        let mut decoder = Decoder::new(Role::Server, 1000);
+        let mut decoder = FrameDecoder::new(Role::Server, 1000);
         let mut got = events(&mut decoder, &all[..cut]).unwrap();
         got.extend(events(&mut decoder, &all[cut..]).unwrap());
         assert_eq!(got, expected, "cut at {cut}");
     }
-    let mut decoder = Decoder::new(Role::Server, 1000);
+    let mut decoder = FrameDecoder::new(Role::Server, 1000);
     let mut got = Vec::new();
     for byte in all {
         got.extend(events(&mut decoder, &[byte]).unwrap());
@@ -129,7 +129,7 @@
 #[test]
 fn what_breaks_the_protocol_is_told_with_its_close_code() {
     let plain = |bytes: &[u8]| {
-        let mut decoder = Decoder::new(Role::Client, 200);
+        let mut decoder = FrameDecoder::new(Role::Client, 200);
         events(&mut decoder, bytes).map_err(|e| e.close_code().0)
     };
     let rows: [(&str, &[u8], u16); 14] = [
@@ -155,19 +155,19 @@
     pieces.extend([0; 125]);
     pieces.extend([0x80, 125]);
     assert_eq!(plain(&pieces), Err(1009), "pieces that add up to too much");
-    let mut unmasked = Decoder::new(Role::Server, 200);
+    let mut unmasked = FrameDecoder::new(Role::Server, 200);
     assert_eq!(unmasked.feed(&mut &[0x81, 0][..]), Err(FrameError::Mask));
 }
 
 #[test]
 fn nothing_is_read_after_a_close() {
-    let mut decoder = Decoder::new(Role::Client, 200);
+    let mut decoder = FrameDecoder::new(Role::Client, 200);
     assert_eq!(events(&mut decoder, &[0x88, 0, 0x81, 1, b'x']).unwrap(), ["close None"]);
 }
 
 #[test]
 fn a_long_reason_is_cut_at_a_character() {
-    let payload = close_payload(CloseCode::LATER, &"\u{20ac}".repeat(60));
+    let payload = close_payload(CloseCode::TRY_AGAIN_LATER, &"\u{20ac}".repeat(60));
     assert!(payload.len() <= 125 && std::str::from_utf8(&payload[2..]).is_ok());
 }
 
@@ -177,7 +177,7 @@
     #[test]
     fn no_bytes_make_the_codecs_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         for role in [Role::Server, Role::Client] {
-            let mut decoder = Decoder::new(role, 200);
+            let mut decoder = FrameDecoder::new(role, 200);
             let _ = events(&mut decoder, &bytes);
         }
         let _ = accept(&bytes, &terms());
@@ -190,8 +190,8 @@
         let mut bytes = Vec::new();
         encode_fragment(Opcode::Binary, false, &payload[..cut], Some(mask), &mut bytes);
         encode_fragment(Opcode::Continuation, true, &payload[cut..], Some(mask), &mut bytes);
-        encode(Opcode::Binary, &payload, Some(mask), &mut bytes);
-        let mut decoder = Decoder::new(Role::Server, 80_000);
+        encode_frame(Opcode::Binary, &payload, Some(mask), &mut bytes);
+        let mut decoder = FrameDecoder::new(Role::Server, 80_000);
         let mut input = &bytes[..];
         for _ in 0..2 {
             prop_assert_eq!(decoder.feed(&mut input).unwrap(), Some(Event::Binary(&payload[..])));
--- a/crates/fawnrouterd/src/client.rs
+++ b/crates/fawnrouterd/src/client.rs
@@ -11,8 +11,8 @@
 use fawnrouter_engine::{Input, retry_after_seconds};
 use fawnrouter_sip::Message;
 use fawnrouter_ws::{
-    CloseCode, Decoder, Event, HttpLimits, Opcode, Origins, Role, Terms, accept, close_payload, encode,
-    forwarded_for, refuse,
+    CloseCode, Event, FrameDecoder, HttpLimits, Opcode, Origins, Role, ServerOptions, accept, close_payload,
+    encode_frame, forwarded_for, refusal_response,
 };
 use futures_lite::{AsyncWriteExt, future};
 
@@ -50,10 +50,13 @@
 }
 
 /// The terms of the handshake.
-pub fn terms(core: &Core) -> Terms {
+pub fn terms(core: &Core) -> ServerOptions {
     let listen = &core.settings.listen;
-    Terms {
-        limits: HttpLimits { head: core.settings.limits.head_bytes, fields: core.settings.limits.fields },
+    ServerOptions {
+        limits: HttpLimits {
+            head_bytes: core.settings.limits.head_bytes,
+            fields: core.settings.limits.fields,
+        },
         protocols: vec!["sip".into()],
         origins: if listen.origins.is_empty() {
             Origins::Any
@@ -70,7 +73,7 @@
     (conn, outbox): (ConnectionId, Rc<Outbox>),
     stream: Async<TcpStream>,
     peer: SocketAddr,
-    terms: Rc<Terms>,
+    terms: Rc<ServerOptions>,
 ) {
     serve(&core, conn, &outbox, stream, peer, &terms).await;
     core.connections.borrow_mut().gone(conn);
@@ -79,7 +82,7 @@
 
 /// The answer to a connection that does not get in.
 pub fn refusal(reason: RefusalReason, wait: Duration) -> Vec<u8> {
-    refuse(503, reason.text(), Some(retry_after_seconds(wait)))
+    refusal_response(503, reason.text(), Some(retry_after_seconds(wait)))
 }
 
 /// Tells a connection that does not get in when to come back. The answer goes out before its request is read, and
@@ -113,18 +116,18 @@
     outbox: &Rc<Outbox>,
     stream: Async<TcpStream>,
     peer: SocketAddr,
-    terms: &Terms,
+    terms: &ServerOptions,
 ) {
     let _ = stream.get_ref().set_nodelay(true);
     let limit = Duration::from_millis(core.settings.listen.handshake_ms);
     let too_late = async {
         Timer::after(limit).await;
-        Err(refuse(408, "the handshake took too long", None))
+        Err(refusal_response(408, "the handshake took too long", None))
     };
     // It may have to make room for another before it is done.
     let made_room = async {
         let why = outbox.finished().await.unwrap_or("the gateway ends");
-        Err(refuse(
+        Err(refusal_response(
             503,
             why,
             Some(retry_after_seconds(Duration::from_millis(core.settings.limits.retry_after_ms))),
@@ -147,7 +150,12 @@
     // so it is told and ended. It could harm nobody else, as its place has been given away.
     if !outbox.is_open() {
         let mut goodbye = Vec::new();
-        encode(Opcode::Close, &close_payload(CloseCode::LATER, "others want in"), None, &mut goodbye);
+        encode_frame(
+            Opcode::Close,
+            &close_payload(CloseCode::TRY_AGAIN_LATER, "others want in"),
+            None,
+            &mut goodbye,
+        );
         return future::or(tell_and_end(core, &stream, &goodbye), async {
             Timer::after(LAST_WORDS).await;
         })
@@ -159,7 +167,7 @@
     let heard = Cell::new(Instant::now());
     let reading = async {
         let limits = &core.settings.limits;
-        let mut decoder = Decoder::new(Role::Server, limits.head_bytes + limits.body_bytes);
+        let mut decoder = FrameDecoder::new(Role::Server, limits.head_bytes + limits.body_bytes);
         let held = Share::of(&core.buffer_budget, BufferOwner::Client);
         let mut session = Session { core, client, outbox, held: &held, bad_in_a_row: 0, messages: 0 };
         let mut goes_on = session.take_all(&mut decoder, &rest);
@@ -217,7 +225,7 @@
     conn: ConnectionId,
     stream: &Async<TcpStream>,
     peer: SocketAddr,
-    terms: &Terms,
+    terms: &ServerOptions,
 ) -> Result<Option<Shaken>, Vec<u8>> {
     let mut bytes = Vec::new();
     let held = Share::of(&core.buffer_budget, BufferOwner::Client);
@@ -227,12 +235,12 @@
             return Ok(None);
         }
         if !held.set(bytes.len()) {
-            return Err(refuse(503, "no memory is left for the request", Some(1)));
+            return Err(refusal_response(503, "no memory is left for the request", Some(1)));
         }
         match accept(&bytes, terms) {
             Ok(None) => {}
             Ok(Some(accepted)) => break accepted,
-            Err(error) => return Err(refuse(error.status(), &error.to_string(), None)),
+            Err(error) => return Err(refusal_response(error.status(), &error.to_string(), None)),
         }
     };
     let refused = |(reason, wait): Refusal| refusal(reason, wait);
@@ -240,7 +248,7 @@
     let mut origin = peer.ip();
     if core.connection_admission.borrow().is_forwarder(origin) {
         let hops = forwarded_for(accepted.forwarded.iter().map(String::as_str));
-        let hops = hops.map_err(|error| refuse(400, &error.to_string(), None))?;
+        let hops = hops.map_err(|error| refusal_response(400, &error.to_string(), None))?;
         let believed = core.connection_admission.borrow_mut().forwarded(now, conn, &hops).map_err(refused)?;
         origin = believed.unwrap_or(origin);
     }
@@ -265,7 +273,7 @@
             return outbox.abort();
         }
         if silent >= pause {
-            outbox.push(|out| encode(Opcode::Ping, b"", None, out));
+            outbox.push(|out| encode_frame(Opcode::Ping, b"", None, out));
             Timer::at(heard.get() + pause * 2).await;
         } else {
             Timer::at(heard.get() + pause).await;
@@ -286,13 +294,13 @@
 
 impl Session<'_> {
     /// Works on all that is there; `false` when the connection is to end.
-    fn take_all(&mut self, decoder: &mut Decoder, mut input: &[u8]) -> bool {
+    fn take_all(&mut self, decoder: &mut FrameDecoder, mut input: &[u8]) -> bool {
         loop {
             if input.is_empty() {
-                if self.held.set(decoder.held()) {
+                if self.held.set(decoder.buffered_bytes()) {
                     return true;
                 }
-                return self.end(CloseCode::LATER, "no memory is left for the message");
+                return self.end(CloseCode::TRY_AGAIN_LATER, "no memory is left for the message");
             }
             self.messages += 1;
             let (code, reason) = match decoder.feed(&mut input) {
@@ -301,15 +309,15 @@
                     return true;
                 }
                 Ok(Some(Event::Text(text))) => match self.message(text.as_bytes()) {
-                    Some(reason) => (CloseCode::POLICY, reason),
+                    Some(reason) => (CloseCode::POLICY_VIOLATION, reason),
                     None => continue,
                 },
                 Ok(Some(Event::Binary(bytes))) => match self.message(bytes) {
-                    Some(reason) => (CloseCode::POLICY, reason),
+                    Some(reason) => (CloseCode::POLICY_VIOLATION, reason),
                     None => continue,
                 },
                 Ok(Some(Event::Ping(payload))) => {
-                    self.outbox.push(|out| encode(Opcode::Pong, payload, None, out));
+                    self.outbox.push(|out| encode_frame(Opcode::Pong, payload, None, out));
                     continue;
                 }
                 Ok(Some(Event::Pong(_))) => continue,
@@ -326,7 +334,7 @@
             tracing::warn!(client = self.client.0, code = code.0, "connection closed: {reason}");
         }
         let payload = close_payload(code, reason);
-        self.outbox.push(|out| encode(Opcode::Close, &payload, None, out));
+        self.outbox.push(|out| encode_frame(Opcode::Close, &payload, None, out));
         false
     }
 
@@ -334,7 +342,7 @@
     fn message(&mut self, bytes: &[u8]) -> Option<String> {
         // A keep-alive of clients that follow RFC 5626 §3.5.1.
         if bytes == b"\r\n\r\n" || bytes == b"\r\n" {
-            self.outbox.push(|out| encode(Opcode::Text, b"\r\n", None, out));
+            self.outbox.push(|out| encode_frame(Opcode::Text, b"\r\n", None, out));
             return None;
         }
         match Message::parse(bytes, &self.core.sip_limits()) {
--- a/crates/fawnrouterd/src/connection_admission.rs
+++ b/crates/fawnrouterd/src/connection_admission.rs
@@ -116,7 +116,7 @@
             match verdict {
                 Some(ConnectionDecision::Refuse { reason, retry_after }) => Err((reason, retry_after)),
                 Some(ConnectionDecision::Replace(victim)) => {
-                    connections.close(victim, CloseCode::LATER, EvictionReason::PlaceNeeded.text());
+                    connections.close(victim, CloseCode::TRY_AGAIN_LATER, EvictionReason::PlaceNeeded.text());
                     Ok(conn)
                 }
                 _ => Ok(conn),
@@ -176,7 +176,7 @@
             Some(ConnectionDecision::Refuse { reason, retry_after }) => Err((reason, retry_after)),
             Some(ConnectionDecision::Probation) => Ok(true),
             Some(ConnectionDecision::Replace(victim)) => {
-                connections.close(victim, CloseCode::LATER, EvictionReason::PlaceNeeded.text());
+                connections.close(victim, CloseCode::TRY_AGAIN_LATER, EvictionReason::PlaceNeeded.text());
                 Ok(false)
             }
             Some(ConnectionDecision::Accept) => Ok(false),
@@ -197,7 +197,7 @@
         match self.admission.as_mut().map(|a| a.authenticated(now.0, conn, client)) {
             Some(ConnectionDecision::Refuse { reason, .. }) => Err(reason),
             Some(ConnectionDecision::Replace(victim)) => {
-                connections.close(victim, CloseCode::LATER, EvictionReason::PlaceNeeded.text());
+                connections.close(victim, CloseCode::TRY_AGAIN_LATER, EvictionReason::PlaceNeeded.text());
                 Ok(())
             }
             _ => Ok(()),
@@ -271,7 +271,7 @@
             {
                 connection.outbox.abort();
             }
-            connections.close(conn, CloseCode::LATER, why.text());
+            connections.close(conn, CloseCode::TRY_AGAIN_LATER, why.text());
         }
     }
 
--- a/crates/fawnrouterd/src/connections.rs
+++ b/crates/fawnrouterd/src/connections.rs
@@ -6,7 +6,7 @@
 use fawnrouter_admission::ConnectionId;
 use fawnrouter_engine::ClientId;
 use fawnrouter_engine::fawnrouter::ServerId;
-use fawnrouter_ws::{CloseCode, Opcode, close_payload, encode};
+use fawnrouter_ws::{CloseCode, Opcode, close_payload, encode_frame};
 
 use crate::outbox::Outbox;
 
@@ -125,6 +125,6 @@
 /// Says goodbye to a client, and takes nothing more for it.
 pub fn goodbye(outbox: &Outbox, code: CloseCode, reason: &str) {
     let payload = close_payload(code, reason);
-    outbox.push(|out| encode(Opcode::Close, &payload, None, out));
+    outbox.push(|out| encode_frame(Opcode::Close, &payload, None, out));
     outbox.finish();
 }
--- a/crates/fawnrouterd/src/core.rs
+++ b/crates/fawnrouterd/src/core.rs
@@ -12,7 +12,7 @@
 use fawnrouter_engine::fawnrouter::ServerId;
 use fawnrouter_engine::{Engine, Input, Output};
 use fawnrouter_sip::Limits;
-use fawnrouter_ws::{CloseCode, Opcode, encode};
+use fawnrouter_ws::{CloseCode, Opcode, encode_frame};
 
 use crate::clock::Clock;
 use crate::connection_admission::ConnectionAdmission;
@@ -104,7 +104,7 @@
                 if let Some((conn, outbox)) = connections_now.client(client) {
                     // A message to a client means that one of its calls has changed.
                     admission_now.active(now, conn, engine.client_call_count(client));
-                    outbox.push(|out| encode(Opcode::Text, &bytes, None, out));
+                    outbox.push(|out| encode_frame(Opcode::Text, &bytes, None, out));
                 }
             }
             Output::ToTrunk { server, bytes } => {
@@ -127,13 +127,13 @@
                 let outbox = outbox.clone();
                 tracing::debug!(client = client.0, name = &*name, "client known");
                 if let Err(reason) = admission_now.known(now, connections_now, conn, &name) {
-                    goodbye(&outbox, CloseCode::LATER, reason.text());
+                    goodbye(&outbox, CloseCode::TRY_AGAIN_LATER, reason.text());
                 }
             }
             Output::CloseClient { client, reason } => {
                 if let Some((_, outbox)) = connections_now.client(client) {
                     tracing::warn!(client = client.0, "connection closed: {reason}");
-                    goodbye(outbox, CloseCode::POLICY, reason);
+                    goodbye(outbox, CloseCode::POLICY_VIOLATION, reason);
                 }
             }
             Output::Log(line) => tracing::info!("{line}"),
--- a/crates/fawnrouterd/src/serve.rs
+++ b/crates/fawnrouterd/src/serve.rs
@@ -132,7 +132,7 @@
             },
         );
         let clean = clean.await;
-        core.connections.borrow().close_all(CloseCode::AWAY, "gateway ends");
+        core.connections.borrow().close_all(CloseCode::GOING_AWAY, "gateway ends");
         let flushed = async {
             while core.connections.borrow().busy() {
                 Timer::after(Duration::from_millis(5)).await;
