--- a/crates/fawnrouter-audit/src/lib.rs
+++ b/crates/fawnrouter-audit/src/lib.rs
@@ -6,10 +6,10 @@
 //! What counts as the end of an attempt: its final response, the CANCEL, the end of its connection, or the time-out
 //! that the gateway wrote into its Via (`fr-within`, milliseconds).
 
-mod judge;
+mod auditor;
 mod wire;
 
-pub use judge::{AuditParameters, AuditReport, Auditor, Rule, Violation};
+pub use auditor::{AuditParameters, AuditReport, Auditor, Rule, Violation};
 
 use std::time::Duration;
 
--- a/crates/fawnrouter-sip/src/dialog.rs
+++ b/crates/fawnrouter-sip/src/dialog.rs
@@ -1,8 +1,8 @@
 //! Dialogs (RFC 3261 §12): what the two ends of a call remember of each other.
 
+use crate::builder::MessageBuilder;
 use crate::message::{Message, Method, Name};
 use crate::value::{Address, ValueError};
-use crate::write::MessageBuilder;
 
 /// One end's view of a dialog.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/fawnrouter-sip/src/lib.rs
+++ b/crates/fawnrouter-sip/src/lib.rs
@@ -5,17 +5,17 @@
 //! Bytes go in and typed messages come out; every length and count has a limit in [`Limits`]. Nothing here reads
 //! a clock: what expires is told by the caller.
 
+mod builder;
 mod dialog;
 mod message;
 mod stream;
 pub mod transaction;
 mod uri;
 mod value;
-mod write;
 
+pub use builder::{MessageBuilder, reason_phrase};
 pub use dialog::Dialog;
 pub use message::{Field, InvalidRequest, Limits, Message, Method, Name, ParseError, StartLine};
 pub use stream::{StreamDecoder, StreamItem};
 pub use uri::{TrunkGroup, Uri, UriError, unescape};
 pub use value::{Address, CSeq, Params, Reason, ValueError, Via, first_value, split_values};
-pub use write::{MessageBuilder, reason_phrase};
