--- a/benches/codecs/src/main.rs
+++ b/benches/codecs/src/main.rs
@@ -49,14 +49,8 @@
                 Box::new(|| {
                     let m = Message::parse(black_box(&bytes), &limits).expect("sound");
                     let via = m.via().expect("a Via");
-                    let from =
-                        fawnrouter_sip::Address::parse(m.get(Name::From).expect("From")).expect("an address");
-                    black_box((
-                        via.branch(),
-                        from.tag(),
-                        m.get(Name::CallId),
-                        m.cseq().expect("CSeq").number,
-                    ));
+                    let from = fawnrouter_sip::Address::parse(m.get(Name::From).expect("From")).expect("an address");
+                    black_box((via.branch(), from.tag(), m.get(Name::CallId), m.cseq().expect("CSeq").number));
                 }),
             ),
             (
@@ -67,21 +61,16 @@
                     let via = m.via_header().expect("a Via").typed().expect("a Via");
                     let from = m.from_header().expect("From").typed().expect("an address");
                     let cseq = m.cseq_header().expect("CSeq").typed().expect("CSeq");
-                    black_box((
-                        via.branch().map(|b| b.value().len()),
-                        from.tag().is_some(),
-                        m.call_id_header().is_ok(),
-                        cseq.seq,
-                    ));
+                    black_box((via.branch().map(|b| b.value().len()), from.tag().is_some(), m.call_id_header().is_ok(), cseq.seq));
                 }),
             ),
             (
                 "ezk-sip-types",
                 Box::new(|| {
-                    use bytesstr::BytesStr;
                     use ezk_sip_types::Headers;
                     use ezk_sip_types::header::typed::{CSeq, CallID, FromTo, Via};
                     use ezk_sip_types::msg::{Line, MessageLine, PullParser};
+                    use bytesstr::BytesStr;
                     let mut parser = PullParser::new(black_box(&bytes), 0);
                     let first = parser.next().expect("a line").expect("a line");
                     let first = BytesStr::from_parse(&bytes, std::str::from_utf8(first).expect("text"));
@@ -92,21 +81,14 @@
                         if raw.is_empty() {
                             break;
                         }
-                        let (_, line) =
-                            Line::parse(&bytes, std::str::from_utf8(raw).expect("text")).expect("a field");
+                        let (_, line) = Line::parse(&bytes, std::str::from_utf8(raw).expect("text")).expect("a field");
                         headers.insert(line.name, line.value);
                     }
                     let via: Via = headers.get_named().expect("a Via");
                     let from: FromTo = headers.get(ezk_sip_types::Name::FROM).expect("From");
                     let call_id: CallID = headers.get_named().expect("Call-ID");
                     let cseq: CSeq = headers.get_named().expect("CSeq");
-                    black_box((
-                        line,
-                        via.params.get_val("branch").is_some(),
-                        from.tag.is_some(),
-                        call_id.0.len(),
-                        cseq.cseq,
-                    ));
+                    black_box((line, via.params.get_val("branch").is_some(), from.tag.is_some(), call_id.0.len(), cseq.cseq));
                 }),
             ),
         ],
@@ -191,10 +173,7 @@
                 (
                     "tungstenite",
                     Box::new(|| {
-                        use tungstenite::protocol::frame::{
-                            Frame,
-                            coding::{Data, OpCode},
-                        };
+                        use tungstenite::protocol::frame::{Frame, coding::{Data, OpCode}};
                         buffer.clear();
                         for _ in 0..count {
                             let payload = black_box(payload.as_bytes()).to_vec();
