--- a/crates/fawnrouter-engine/src/trunk.rs
+++ b/crates/fawnrouter-engine/src/trunk.rs
@@ -225,7 +225,7 @@
 
     fn on_response(&mut self, server: ServerId, status: u16, response: &Message) {
         let Ok(cseq) = response.cseq() else { return };
-        let method = Method::of(cseq.method);
+        let method = Method::from_name(cseq.method);
         match method {
             Method::Invite => {}
             Method::Bye => return self.on_bye_answer(server, response),
--- a/crates/fawnrouter-engine/tests/gate.rs
+++ b/crates/fawnrouter-engine/tests/gate.rs
@@ -89,7 +89,7 @@
         nc: (nc_text.into(), nc),
     };
     let branch = request.via().ok().and_then(|v| v.branch()).unwrap_or("").to_owned();
-    let mut draft = MessageBuilder::request(Method::of(method), uri);
+    let mut draft = MessageBuilder::request(Method::from_name(method), uri);
     draft.field(Name::Via, &format!("SIP/2.0/WS c1.invalid;branch={branch}.{nc}"));
     for (field, raw, value) in request.fields() {
         if !matches!(field, Name::Via | Name::CSeq | Name::ContentLength) {
--- a/crates/fawnrouter-sip/src/builder.rs
+++ b/crates/fawnrouter-sip/src/builder.rs
@@ -13,7 +13,7 @@
     #[must_use]
     pub fn request(method: Method, uri: &str) -> Self {
         let mut draft = Self { text: Vec::with_capacity(768) };
-        draft.put(&[method.name(), " ", uri, " SIP/2.0\r\n"]);
+        draft.append(&[method.name(), " ", uri, " SIP/2.0\r\n"]);
         draft
     }
 
@@ -22,7 +22,7 @@
     pub fn response(status: u16, phrase: Option<&str>) -> Self {
         let mut draft = Self { text: Vec::with_capacity(768) };
         let code = status.to_string();
-        draft.put(&["SIP/2.0 ", &code, " ", phrase.unwrap_or(reason_phrase(status)), "\r\n"]);
+        draft.append(&["SIP/2.0 ", &code, " ", phrase.unwrap_or(reason_phrase(status)), "\r\n"]);
         draft
     }
 
@@ -40,7 +40,7 @@
         let mut first = true;
         for via in request.values(Name::Via) {
             match peer.filter(|_| std::mem::take(&mut first)) {
-                Some((host, port)) => draft.field(Name::Via, &stamp_via(via, host, port)),
+                Some((host, port)) => draft.field(Name::Via, &via_with_source(via, host, port)),
                 None => draft.field(Name::Via, via),
             };
         }
@@ -50,7 +50,7 @@
         if tagged || status == 100 || tag.is_empty() {
             draft.field(Name::To, to);
         } else {
-            draft.put(&["To: ", to, ";tag=", tag, "\r\n"]);
+            draft.append(&["To: ", to, ";tag=", tag, "\r\n"]);
         }
         draft.copy_fields(request, Name::CallId).copy_fields(request, Name::CSeq);
         draft
@@ -65,9 +65,9 @@
     pub fn named_field(&mut self, name: &str, value: &str) -> &mut Self {
         if value.contains(['\r', '\n']) {
             let clean: String = value.chars().filter(|c| !matches!(c, '\r' | '\n')).collect();
-            return self.put(&[name, ": ", &clean, "\r\n"]);
+            return self.append(&[name, ": ", &clean, "\r\n"]);
         }
-        self.put(&[name, ": ", value, "\r\n"])
+        self.append(&[name, ": ", value, "\r\n"])
     }
 
     /// Adds all fields of this name as `from` has them.
@@ -82,7 +82,7 @@
     #[must_use]
     pub fn finish(&mut self, body: &[u8]) -> Vec<u8> {
         let length = body.len().to_string();
-        self.put(&["Content-Length: ", &length, "\r\n\r\n"]);
+        self.append(&["Content-Length: ", &length, "\r\n\r\n"]);
         self.text.extend_from_slice(body);
         std::mem::take(&mut self.text)
     }
@@ -101,22 +101,22 @@
         self.finish(other.body())
     }
 
-    fn put(&mut self, parts: &[&str]) -> &mut Self {
+    fn append(&mut self, parts: &[&str]) -> &mut Self {
         parts.iter().for_each(|part| self.text.extend_from_slice(part.as_bytes()));
         self
     }
 }
 
 /// The Via as its receiver passes it back: with where it really came from.
-fn stamp_via(via: &str, host: &str, port: u16) -> String {
+fn via_with_source(via: &str, host: &str, port: u16) -> String {
     let mut out = String::with_capacity(via.len() + 40);
     let mut parts = via.split(';');
     out.push_str(parts.next().unwrap_or(""));
-    let mut asked = false;
+    let mut rport_requested = false;
     for part in parts {
         let name = part.split('=').next().unwrap_or("").trim();
         if name.eq_ignore_ascii_case("rport") {
-            asked = true;
+            rport_requested = true;
             out.push_str(&format!(";rport={port}"));
         } else if !name.eq_ignore_ascii_case("received") {
             out.push(';');
@@ -124,8 +124,8 @@
         }
     }
     let sent_by = crate::value::Via::parse(via).map_or("", |v| v.sent_by);
-    let bare = sent_by.rsplit_once(':').map_or(sent_by, |(h, _)| h);
-    if asked || bare != host {
+    let sent_by_host = sent_by.rsplit_once(':').map_or(sent_by, |(h, _)| h);
+    if rport_requested || sent_by_host != host {
         out.push_str(&format!(";received={host}"));
     }
     out
--- a/crates/fawnrouter-sip/src/message.rs
+++ b/crates/fawnrouter-sip/src/message.rs
@@ -79,7 +79,7 @@
 impl Method {
     /// The method of this name; methods are case-sensitive (RFC 3261 §7.1).
     #[must_use]
-    pub fn of(text: &str) -> Self {
+    pub fn from_name(text: &str) -> Self {
         match text {
             "INVITE" => Self::Invite,
             "ACK" => Self::Ack,
@@ -106,7 +106,7 @@
     }
 }
 
-macro_rules! names {
+macro_rules! header_names {
     ($($(#[$doc:meta])* $variant:ident $text:literal $($compact:literal)?),* $(,)?) => {
         /// Header field names known here; compact forms (RFC 3261 §7.3.3) are the same names.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -116,7 +116,7 @@
         impl Name {
             /// The name that a field line begins with, in any case and form.
             #[must_use]
-            pub fn of(text: &str) -> Self {
+            pub fn from_name(text: &str) -> Self {
                 match text.len() {
                     1 => match text.as_bytes()[0].to_ascii_lowercase() {
                         $($(x if x == $compact => Self::$variant,)?)*
@@ -136,7 +136,7 @@
     };
 }
 
-names! {
+header_names! {
     Via "Via" b'v', From "From" b'f', To "To" b't', CallId "Call-ID" b'i', CSeq "CSeq", Contact "Contact" b'm',
     MaxForwards "Max-Forwards", ContentLength "Content-Length" b'l', ContentType "Content-Type" b'c',
     Route "Route", RecordRoute "Record-Route", Expires "Expires", Supported "Supported" b'k', Require "Require",
@@ -180,7 +180,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum StartPlaces {
+enum StartLineSpans {
     Request { method: Method, name: Range<usize>, uri: Range<usize>, version: Range<usize> },
     Response { status: u16, phrase: Range<usize> },
 }
@@ -189,7 +189,7 @@
 #[derive(Clone, PartialEq, Eq)]
 pub struct Message {
     head: String,
-    start: StartPlaces,
+    start: StartLineSpans,
     fields: Vec<Field>,
     body: Vec<u8>,
 }
@@ -201,7 +201,7 @@
 }
 
 /// Where the head ends: the place after the empty line. Bare LF line ends are not accepted.
-pub(crate) fn head_end(bytes: &[u8], from: usize) -> Option<usize> {
+pub(crate) fn find_head_end(bytes: &[u8], from: usize) -> Option<usize> {
     memchr::memmem::find(bytes.get(from..)?, b"\r\n\r\n").map(|at| from + at + 4)
 }
 
@@ -215,7 +215,7 @@
         // Empty lines before the start line are dropped (RFC 3261 §7.5).
         let lead = bytes.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
         let bytes = &bytes[lead..];
-        let end = head_end(bytes, 0).ok_or(ParseError::UnterminatedHead)?;
+        let end = find_head_end(bytes, 0).ok_or(ParseError::UnterminatedHead)?;
         let mut message = Self::parse_head(&bytes[..end], limits)?;
         let body = &bytes[end..];
         let length = match message.content_length() {
@@ -247,7 +247,7 @@
         }
         let mut lines = memchr::memmem::find_iter(head.as_bytes(), b"\r\n");
         let first = lines.next().ok_or(ParseError::UnterminatedHead)?;
-        let start = parse_start(&head[..first]).ok_or(ParseError::StartLine)?;
+        let start = parse_start_line(&head[..first]).ok_or(ParseError::StartLine)?;
         let mut fields = Vec::with_capacity(16);
         let mut begin = first + 2;
         for (number, end) in lines.enumerate() {
@@ -269,8 +269,8 @@
             if fields.len() >= limits.fields {
                 return Err(ParseError::TooLarge { what: "the number of fields", limit: limits.fields });
             }
-            let value = place(begin + colon + 1 + lead, text.len());
-            fields.push(Field { name: Name::of(raw), raw_name: place(begin, raw.len()), value });
+            let value = span(begin + colon + 1 + lead, text.len());
+            fields.push(Field { name: Name::from_name(raw), raw_name: span(begin, raw.len()), value });
             begin = end + 2;
         }
         Ok(Self { head, start, fields, body: Vec::new() })
@@ -284,13 +284,13 @@
     #[must_use]
     pub fn start(&self) -> StartLine<'_> {
         match &self.start {
-            StartPlaces::Request { method, name, uri, version } => StartLine::Request {
+            StartLineSpans::Request { method, name, uri, version } => StartLine::Request {
                 method: *method,
                 name: &self.head[name.clone()],
                 uri: &self.head[uri.clone()],
                 version: &self.head[version.clone()],
             },
-            StartPlaces::Response { status, phrase } => {
+            StartLineSpans::Response { status, phrase } => {
                 StartLine::Response { status: *status, phrase: &self.head[phrase.clone()] }
             }
         }
@@ -300,8 +300,8 @@
     #[must_use]
     pub fn status(&self) -> Option<u16> {
         match self.start {
-            StartPlaces::Response { status, .. } => Some(status),
-            StartPlaces::Request { .. } => None,
+            StartLineSpans::Response { status, .. } => Some(status),
+            StartLineSpans::Request { .. } => None,
         }
     }
 
@@ -309,8 +309,8 @@
     #[must_use]
     pub fn method(&self) -> Option<Method> {
         match self.start {
-            StartPlaces::Request { method, .. } => Some(method),
-            StartPlaces::Response { .. } => None,
+            StartLineSpans::Request { method, .. } => Some(method),
+            StartLineSpans::Response { .. } => None,
         }
     }
 
@@ -325,13 +325,13 @@
 
     /// The fields with their names as written and their values, in order.
     pub fn fields(&self) -> impl Iterator<Item = (Name, &str, &str)> {
-        self.fields.iter().map(|f| (f.name, self.cut(f.raw_name), self.cut(f.value)))
+        self.fields.iter().map(|f| (f.name, self.slice(f.raw_name), self.slice(f.value)))
     }
 
     /// The value of the first field of this name.
     #[must_use]
     pub fn get(&self, name: Name) -> Option<&str> {
-        self.fields.iter().find(|f| f.name == name).map(|f| self.cut(f.value))
+        self.fields.iter().find(|f| f.name == name).map(|f| self.slice(f.value))
     }
 
     /// The value of the first field with this name in any case, known here or not.
@@ -343,13 +343,13 @@
     /// All values of this name: of every field, and of every part between commas (§7.3.1).
     pub fn values(&self, name: Name) -> impl Iterator<Item = &str> {
         let fields = self.fields.iter().filter(move |f| f.name == name);
-        fields.flat_map(|f| value::split_values(self.cut(f.value)))
+        fields.flat_map(|f| value::split_values(self.slice(f.value)))
     }
 
     /// The value of every field of this name as a whole: for those in which commas part no values (§7.3.1), as
     /// Authorization.
     pub fn whole_values(&self, name: Name) -> impl Iterator<Item = &str> {
-        self.fields.iter().filter(move |f| f.name == name).map(|f| self.cut(f.value))
+        self.fields.iter().filter(move |f| f.name == name).map(|f| self.slice(f.value))
     }
 
     /// The body.
@@ -365,7 +365,7 @@
     pub fn content_length(&self) -> Result<Option<usize>, ParseError> {
         let mut found = None;
         for field in self.fields.iter().filter(|f| f.name == Name::ContentLength) {
-            let text = self.cut(field.value);
+            let text = self.slice(field.value);
             let digits = !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit());
             let length = text.parse::<usize>().ok().filter(|_| digits).ok_or(ParseError::ContentLength)?;
             if found.is_some_and(|other| other != length) {
@@ -458,17 +458,17 @@
         }
     }
 
-    fn cut(&self, (start, len): (u32, u32)) -> &str {
+    fn slice(&self, (start, len): (u32, u32)) -> &str {
         &self.head[start as usize..(start + len) as usize]
     }
 }
 
-fn place(start: usize, len: usize) -> (u32, u32) {
+fn span(start: usize, len: usize) -> (u32, u32) {
     // Heads are far below 4 GiB: `Limits::head_bytes` is checked first, and is itself clipped by the settings' schema.
     (u32::try_from(start).unwrap_or(u32::MAX), u32::try_from(len).unwrap_or(0))
 }
 
-fn parse_start(line: &str) -> Option<StartPlaces> {
+fn parse_start_line(line: &str) -> Option<StartLineSpans> {
     if line.bytes().any(|b| b < 0x20 || b == 0x7f) {
         return None;
     }
@@ -483,7 +483,7 @@
             Some(b' ') => version_len + 5..line.len(),
             Some(_) => return None,
         };
-        return Some(StartPlaces::Response { status, phrase });
+        return Some(StartLineSpans::Response { status, phrase });
     }
     // One space between the parts, none inside them (§7.1).
     let first = line.find(' ')?;
@@ -496,8 +496,8 @@
         && !uri.is_empty()
         && !uri.contains([' ', '\t'])
         && version.get(..4).is_some_and(|v| v.eq_ignore_ascii_case("SIP/"));
-    sound.then(|| StartPlaces::Request {
-        method: Method::of(name),
+    sound.then(|| StartLineSpans::Request {
+        method: Method::from_name(name),
         name: 0..first,
         uri: first + 1..last,
         version: last + 1..line.len(),
--- a/crates/fawnrouter-sip/src/stream.rs
+++ b/crates/fawnrouter-sip/src/stream.rs
@@ -16,11 +16,11 @@
 pub struct StreamDecoder {
     limits: Limits,
     buffer: Vec<u8>,
-    read: usize,
+    consumed: usize,
     /// So far no head's end was found before this place.
     searched: usize,
     /// A parsed head that waits for its body of that length.
-    head: Option<(Message, usize)>,
+    pending: Option<(Message, usize)>,
 }
 
 impl StreamDecoder {
@@ -32,10 +32,10 @@
 
     /// Takes bytes from the stream.
     pub fn push(&mut self, bytes: &[u8]) {
-        if self.read > 0 {
-            self.buffer.drain(..self.read);
-            self.searched -= self.read.min(self.searched);
-            self.read = 0;
+        if self.consumed > 0 {
+            self.buffer.drain(..self.consumed);
+            self.searched -= self.consumed.min(self.searched);
+            self.consumed = 0;
         }
         self.buffer.extend_from_slice(bytes);
     }
@@ -43,7 +43,7 @@
     /// Bytes of what is not a whole message yet.
     #[must_use]
     pub fn buffered_bytes(&self) -> usize {
-        self.buffer.len() - self.read
+        self.buffer.len() - self.consumed
     }
 
     /// The next whole message, if there is one.
@@ -51,41 +51,43 @@
     /// # Errors
     /// After an error the stream can't be read on: there is no place to start from.
     pub fn next_item(&mut self) -> Result<Option<StreamItem>, ParseError> {
-        if self.head.is_none() {
-            let rest = &self.buffer[self.read..];
+        if self.pending.is_none() {
+            let rest = &self.buffer[self.consumed..];
             if rest.starts_with(b"\r\n\r\n") {
-                self.read += 4;
+                self.consumed += 4;
                 return Ok(Some(StreamItem::Ping));
             }
             if rest.starts_with(b"\r\n") && rest.len() > 2 && !rest[2..].starts_with(b"\r") {
-                self.read += 2;
+                self.consumed += 2;
             }
-            if self.buffer[self.read..].is_empty() || b"\r\n\r\n".starts_with(&self.buffer[self.read..]) {
+            if self.buffer[self.consumed..].is_empty()
+                || b"\r\n\r\n".starts_with(&self.buffer[self.consumed..])
+            {
                 return Ok(None);
             }
-            let from = self.searched.max(self.read);
-            let Some(end) = message::head_end(&self.buffer, from) else {
-                self.searched = self.buffer.len().saturating_sub(3).max(self.read);
-                if self.buffer.len() - self.read > self.limits.head_bytes {
+            let from = self.searched.max(self.consumed);
+            let Some(end) = message::find_head_end(&self.buffer, from) else {
+                self.searched = self.buffer.len().saturating_sub(3).max(self.consumed);
+                if self.buffer.len() - self.consumed > self.limits.head_bytes {
                     return Err(ParseError::TooLarge { what: "the head", limit: self.limits.head_bytes });
                 }
                 return Ok(None);
             };
-            let head = Message::parse_head(&self.buffer[self.read..end], &self.limits)?;
+            let head = Message::parse_head(&self.buffer[self.consumed..end], &self.limits)?;
             let length = head.content_length()?.ok_or(ParseError::ContentLength)?;
             if length > self.limits.body_bytes {
                 return Err(ParseError::TooLarge { what: "the body", limit: self.limits.body_bytes });
             }
-            self.read = end;
+            self.consumed = end;
             self.searched = end;
-            self.head = Some((head, length));
+            self.pending = Some((head, length));
         }
-        let Some((_, length)) = self.head else { return Ok(None) };
-        let Some(body) = self.buffer.get(self.read..self.read + length) else { return Ok(None) };
+        let Some((_, length)) = self.pending else { return Ok(None) };
+        let Some(body) = self.buffer.get(self.consumed..self.consumed + length) else { return Ok(None) };
         let body = body.to_vec();
-        self.read += length;
-        self.searched = self.read;
-        Ok(self.head.take().map(|(mut message, _)| {
+        self.consumed += length;
+        self.searched = self.consumed;
+        Ok(self.pending.take().map(|(mut message, _)| {
             message.set_body(body);
             StreamItem::Message(Box::new(message))
         }))
--- a/crates/fawnrouter-sip/src/uri.rs
+++ b/crates/fawnrouter-sip/src/uri.rs
@@ -52,7 +52,7 @@
             return Err(UriError::Malformed);
         }
         if text.bytes().any(|b| b <= b' ' || b == 0x7f || matches!(b, b'<' | b'>' | b'"'))
-            || !escapes_sound(rest)
+            || !escapes_are_valid(rest)
         {
             return Err(UriError::Malformed);
         }
@@ -128,7 +128,7 @@
     }
 }
 
-fn escapes_sound(text: &str) -> bool {
+fn escapes_are_valid(text: &str) -> bool {
     let bytes = text.as_bytes();
     memchr::memchr_iter(b'%', bytes)
         .all(|at| bytes.get(at + 1..at + 3).is_some_and(|hex| hex.iter().all(u8::is_ascii_hexdigit)))
--- a/crates/fawnrouter-sip/src/value.rs
+++ b/crates/fawnrouter-sip/src/value.rs
@@ -15,7 +15,7 @@
 }
 
 /// The place of the first `wanted` outside quotes and angle brackets.
-fn find_bare(text: &str, wanted: u8) -> Option<usize> {
+fn find_unquoted(text: &str, wanted: u8) -> Option<usize> {
     let (mut quoted, mut escaped, mut angle) = (false, false, false);
     for (at, b) in text.bytes().enumerate() {
         match b {
@@ -37,7 +37,7 @@
     let mut rest = Some(text);
     std::iter::from_fn(move || {
         let text = rest?;
-        let (value, next) = match find_bare(text, b',') {
+        let (value, next) = match find_unquoted(text, b',') {
             Some(at) => (&text[..at], Some(&text[at + 1..])),
             None => (text, None),
         };
@@ -63,7 +63,7 @@
         let mut rest = self.0;
         std::iter::from_fn(move || {
             let text = rest.trim_start().strip_prefix(';')?;
-            let end = find_bare(text, b';').unwrap_or(text.len());
+            let end = find_unquoted(text, b';').unwrap_or(text.len());
             let one = text[..end].trim();
             rest = &text[end..];
             Some(match one.split_once('=') {
@@ -79,7 +79,7 @@
         self.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.unwrap_or(""))
     }
 
-    fn sound(self) -> bool {
+    fn is_valid(self) -> bool {
         let start = self.0.trim_start();
         (start.is_empty() || start.starts_with(';'))
             && self.iter().all(|(n, _)| !n.is_empty() && n.bytes().all(is_token))
@@ -105,7 +105,7 @@
     pub fn parse(text: &'a str) -> Result<Self, ValueError> {
         let err = ValueError("an address");
         let text = text.trim();
-        let (display, uri, params) = match find_bare(text, b'<') {
+        let (display, uri, params) = match find_unquoted(text, b'<') {
             Some(open) => {
                 let close = open + text[open..].find('>').ok_or(err)?;
                 (text[..open].trim(), &text[open + 1..close], &text[close + 1..])
@@ -119,16 +119,18 @@
         let quotes = display.bytes().filter(|b| *b == b'"').count();
         let display_ok = match display.strip_prefix('"') {
             // A quoted name closes and nothing stands between it and the bracket.
-            Some(rest) => rest.len() > find_closing(rest).unwrap_or(usize::MAX - 1) && rest.ends_with('"'),
+            Some(rest) => {
+                rest.len() > find_closing_quote(rest).unwrap_or(usize::MAX - 1) && rest.ends_with('"')
+            }
             None => quotes == 0 && !display.contains([',', ';', ':', '@', '<', '>']),
         };
-        let sound = !scheme.is_empty()
+        let valid = !scheme.is_empty()
             && scheme.bytes().all(|b| b.is_ascii_alphanumeric() || matches!(b, b'+' | b'-' | b'.'))
             && !uri.bytes().any(|b| b <= b' ' || b == b'"' || b == b'<' || b == b'>')
             && uri.len() > scheme.len() + 1
             && display_ok
-            && Params(params).sound();
-        if sound { Ok(Self { display, uri, params: Params(params) }) } else { Err(err) }
+            && Params(params).is_valid();
+        if valid { Ok(Self { display, uri, params: Params(params) }) } else { Err(err) }
     }
 
     /// The tag parameter.
@@ -138,7 +140,7 @@
     }
 }
 
-fn find_closing(rest: &str) -> Option<usize> {
+fn find_closing_quote(rest: &str) -> Option<usize> {
     let mut escaped = false;
     rest.bytes().position(|b| {
         let hit = b == b'"' && !escaped;
@@ -174,13 +176,13 @@
         let rest = rest.trim_start();
         let gap = rest.find([' ', '\t']).ok_or(err)?;
         let (transport, sent_by) = (&rest[..gap], rest[gap..].trim());
-        let sound = name.trim().eq_ignore_ascii_case("SIP")
+        let valid = name.trim().eq_ignore_ascii_case("SIP")
             && version.trim() == "2.0"
             && !transport.is_empty()
             && transport.bytes().all(is_token)
             && !sent_by.is_empty()
-            && Params(params).sound();
-        if sound { Ok(Self { transport, sent_by, params: Params(params) }) } else { Err(err) }
+            && Params(params).is_valid();
+        if valid { Ok(Self { transport, sent_by, params: Params(params) }) } else { Err(err) }
     }
 
     /// The branch, which names the transaction (§17).
--- a/crates/fawnrouter-ws/src/forwarded.rs
+++ b/crates/fawnrouter-ws/src/forwarded.rs
@@ -9,7 +9,7 @@
 pub struct ForwardedError;
 
 /// Hops that are read; more are an attack or a loop.
-const MOST_HOPS: usize = 32;
+const MAX_HOPS: usize = 32;
 
 /// The `for` of each hop, the first one added first; `None` where it is hidden or unknown (§6.3). `values` are those
 /// of all Forwarded fields, in order.
@@ -21,25 +21,25 @@
 ) -> Result<Vec<Option<IpAddr>>, ForwardedError> {
     let mut hops = Vec::new();
     for value in values {
-        for element in split(value, ',')? {
+        for element in split_unquoted(value, ',')? {
             if element.is_empty() {
                 continue;
             }
             let mut hop = None;
-            let mut named = false;
-            for pair in split(element, ';')? {
+            let mut has_for = false;
+            for pair in split_unquoted(element, ';')? {
                 let (name, value) = pair.split_once('=').ok_or(ForwardedError)?;
                 if name.eq_ignore_ascii_case("for") {
                     // A parameter stands once (§4): two of them would be read in two ways.
-                    if std::mem::replace(&mut named, true) {
+                    if std::mem::replace(&mut has_for, true) {
                         return Err(ForwardedError);
                     }
-                    hop = node(value)?;
+                    hop = parse_node(value)?;
                 } else if name.is_empty() || name.contains([' ', '"']) {
                     return Err(ForwardedError);
                 }
             }
-            if hops.len() >= MOST_HOPS {
+            if hops.len() >= MAX_HOPS {
                 return Err(ForwardedError);
             }
             hops.push(hop);
@@ -49,7 +49,7 @@
 }
 
 /// Parts between separators that stand outside quotes.
-fn split(text: &str, separator: char) -> Result<Vec<&str>, ForwardedError> {
+fn split_unquoted(text: &str, separator: char) -> Result<Vec<&str>, ForwardedError> {
     let (mut parts, mut start, mut quoted, mut escaped) = (Vec::new(), 0, false, false);
     for (at, c) in text.char_indices() {
         match c {
@@ -71,18 +71,18 @@
 }
 
 /// A node (§6): an address with or without a port, or a word that hides it.
-fn node(value: &str) -> Result<Option<IpAddr>, ForwardedError> {
+fn parse_node(value: &str) -> Result<Option<IpAddr>, ForwardedError> {
     let text = match value.strip_prefix('"') {
         Some(rest) => rest.strip_suffix('"').ok_or(ForwardedError)?,
         None => value,
     };
     if let Some(rest) = text.strip_prefix('[') {
         let (address, port) = rest.split_once(']').ok_or(ForwardedError)?;
-        port_or_nothing(port)?;
+        check_optional_port(port)?;
         return Ok(Some(address.parse::<Ipv6Addr>().map_err(|_| ForwardedError)?.into()));
     }
     let (name, port) = text.find(':').map_or((text, ""), |at| text.split_at(at));
-    port_or_nothing(port)?;
+    check_optional_port(port)?;
     if name.eq_ignore_ascii_case("unknown") {
         return Ok(None);
     }
@@ -93,7 +93,7 @@
     name.parse().map(|v4: std::net::Ipv4Addr| Some(v4.into())).map_err(|_| ForwardedError)
 }
 
-fn port_or_nothing(text: &str) -> Result<(), ForwardedError> {
+fn check_optional_port(text: &str) -> Result<(), ForwardedError> {
     let sound = |port: &str| {
         let digits = port.parse::<u16>().is_ok();
         digits || port.strip_prefix('_').is_some_and(|p| !p.is_empty())
--- a/crates/fawnrouter-ws/src/frame.rs
+++ b/crates/fawnrouter-ws/src/frame.rs
@@ -38,7 +38,7 @@
         }
     }
 
-    const fn of(bits: u8) -> Option<Self> {
+    const fn from_bits(bits: u8) -> Option<Self> {
         match bits {
             0 => Some(Self::Continuation),
             1 => Some(Self::Text),
@@ -138,9 +138,9 @@
 }
 
 /// The longest header: two bytes, eight of length, four of mask.
-const HEADER: usize = 14;
+const MAX_HEADER_BYTES: usize = 14;
 /// A message buffer larger than this is given back once it is empty: an idle connection holds little.
-const KEPT: usize = 16 * 1024;
+const MAX_IDLE_BUFFER_BYTES: usize = 16 * 1024;
 
 /// A frame whose payload is coming in.
 #[derive(Clone, Copy, Debug)]
@@ -149,7 +149,7 @@
     opcode: Opcode,
     mask: [u8; 4],
     /// Bytes of the payload so far.
-    seen: usize,
+    received: usize,
     len: usize,
 }
 
@@ -159,15 +159,15 @@
 pub struct FrameDecoder {
     role: Role,
     limit: usize,
-    header: [u8; HEADER],
+    header: [u8; MAX_HEADER_BYTES],
     header_len: usize,
     frame: Option<Frame>,
     /// The kind of the message that is coming in, if it comes in pieces.
-    partial: Option<Opcode>,
+    fragmented: Option<Opcode>,
     message: Vec<u8>,
     control: Vec<u8>,
     /// `message` has been given out.
-    given: bool,
+    message_delivered: bool,
     closed: bool,
 }
 
@@ -178,13 +178,13 @@
         Self {
             role,
             limit,
-            header: [0; HEADER],
+            header: [0; MAX_HEADER_BYTES],
             header_len: 0,
             frame: None,
-            partial: None,
+            fragmented: None,
             message: Vec::new(),
             control: Vec::new(),
-            given: false,
+            message_delivered: false,
             closed: false,
         }
     }
@@ -192,7 +192,7 @@
     /// Bytes of a message that is not whole yet.
     #[must_use]
     pub fn buffered_bytes(&self) -> usize {
-        if self.given { self.control.len() } else { self.message.len() + self.control.len() }
+        if self.message_delivered { self.control.len() } else { self.message.len() + self.control.len() }
     }
 
     /// Takes bytes from the front of `input` up to the end of the next message or control frame. `None` means that
@@ -201,9 +201,9 @@
     /// # Errors
     /// The connection is to be failed; nothing can be read after it.
     pub fn feed(&mut self, input: &mut &[u8]) -> Result<Option<Event<'_>>, FrameError> {
-        if std::mem::take(&mut self.given) {
+        if std::mem::take(&mut self.message_delivered) {
             self.message.clear();
-            if self.message.capacity() > KEPT && input.len() <= KEPT {
+            if self.message.capacity() > MAX_IDLE_BUFFER_BYTES && input.len() <= MAX_IDLE_BUFFER_BYTES {
                 self.message = Vec::new();
             }
         }
@@ -214,54 +214,54 @@
             }
             let mut frame = match self.frame {
                 Some(frame) => frame,
-                None => match self.take_header(input)? {
+                None => match self.collect_header(input)? {
                     Some(frame) => frame,
                     None => return Ok(None),
                 },
             };
-            let (payload, rest) = input.split_at(input.len().min(frame.len - frame.seen));
+            let (payload, rest) = input.split_at(input.len().min(frame.len - frame.received));
             let is_control = frame.opcode.bits() >= 8;
             let target = if is_control { &mut self.control } else { &mut self.message };
-            if frame.seen == 0 && is_control {
+            if frame.received == 0 && is_control {
                 target.clear();
             }
-            extend_unmasked(target, payload, frame.mask, frame.seen);
-            frame.seen += payload.len();
+            extend_unmasked(target, payload, frame.mask, frame.received);
+            frame.received += payload.len();
             *input = rest;
-            if frame.seen < frame.len {
+            if frame.received < frame.len {
                 self.frame = Some(frame);
                 return Ok(None);
             }
             self.frame = None;
             if is_control {
-                return self.give_control(frame.opcode).map(Some);
+                return self.control_event(frame.opcode).map(Some);
             }
-            let kind = self.partial.take().unwrap_or(frame.opcode);
+            let kind = self.fragmented.take().unwrap_or(frame.opcode);
             if frame.fin {
-                self.given = true;
-                return give(kind, &self.message).map(Some);
+                self.message_delivered = true;
+                return message_event(kind, &self.message).map(Some);
             }
-            self.partial = Some(kind);
+            self.fragmented = Some(kind);
         }
     }
 
     /// Collects a header and judges it as soon as its first two bytes are there.
-    fn take_header(&mut self, input: &mut &[u8]) -> Result<Option<Frame>, FrameError> {
+    fn collect_header(&mut self, input: &mut &[u8]) -> Result<Option<Frame>, FrameError> {
         // Mostly a header lies in one piece.
         if self.header_len == 0
-            && let Some(whole) = input.first_chunk::<HEADER>()
+            && let Some(whole) = input.first_chunk::<MAX_HEADER_BYTES>()
         {
             self.header = *whole;
-            let (opcode, wanted) = self.judge_start()?;
+            let (opcode, wanted) = self.parse_header_start()?;
             *input = &input[wanted..];
-            return self.read_header(opcode, wanted).map(Some);
+            return self.parse_header(opcode, wanted).map(Some);
         }
         loop {
-            let wanted = if self.header_len < 2 { 2 } else { self.judge_start()?.1 };
+            let wanted = if self.header_len < 2 { 2 } else { self.parse_header_start()?.1 };
             if self.header_len >= 2 && self.header_len == wanted {
-                let (opcode, _) = self.judge_start()?;
+                let (opcode, _) = self.parse_header_start()?;
                 self.header_len = 0;
-                return self.read_header(opcode, wanted).map(Some);
+                return self.parse_header(opcode, wanted).map(Some);
             }
             let (part, rest) = input.split_at(input.len().min(wanted - self.header_len));
             if part.is_empty() {
@@ -275,9 +275,10 @@
 
     /// What the first two bytes say: the opcode, and how long the header is.
     #[inline]
-    fn judge_start(&self) -> Result<(Opcode, usize), FrameError> {
+    fn parse_header_start(&self) -> Result<(Opcode, usize), FrameError> {
         let [first, second, ..] = self.header;
-        let opcode = Opcode::of(first & 0x0f).filter(|_| first & 0x70 == 0).ok_or(FrameError::Reserved)?;
+        let opcode =
+            Opcode::from_bits(first & 0x0f).filter(|_| first & 0x70 == 0).ok_or(FrameError::Reserved)?;
         if (second & 0x80 != 0) != (self.role == Role::Server) {
             return Err(FrameError::Mask);
         }
@@ -292,14 +293,14 @@
             Opcode::Close | Opcode::Ping | Opcode::Pong if !fin || second & 0x7f > 125 => {
                 Err(FrameError::Control)
             }
-            Opcode::Continuation if self.partial.is_none() => Err(FrameError::Sequence),
-            Opcode::Text | Opcode::Binary if self.partial.is_some() => Err(FrameError::Sequence),
+            Opcode::Continuation if self.fragmented.is_none() => Err(FrameError::Sequence),
+            Opcode::Text | Opcode::Binary if self.fragmented.is_some() => Err(FrameError::Sequence),
             _ => Ok((opcode, size)),
         }
     }
 
     #[inline]
-    fn read_header(&self, opcode: Opcode, size: usize) -> Result<Frame, FrameError> {
+    fn parse_header(&self, opcode: Opcode, size: usize) -> Result<Frame, FrameError> {
         let header = &self.header[..size];
         let (len, rest) = match (header[1] & 0x7f, &header[2..]) {
             (126, [a, b, rest @ ..]) => {
@@ -324,10 +325,10 @@
         }
         // A plain frame is one whose mask changes nothing.
         let mask = <[u8; 4]>::try_from(rest).unwrap_or_default();
-        Ok(Frame { fin: self.header[0] & 0x80 != 0, opcode, mask, seen: 0, len })
+        Ok(Frame { fin: self.header[0] & 0x80 != 0, opcode, mask, received: 0, len })
     }
 
-    fn give_control(&mut self, opcode: Opcode) -> Result<Event<'_>, FrameError> {
+    fn control_event(&mut self, opcode: Opcode) -> Result<Event<'_>, FrameError> {
         match opcode {
             Opcode::Ping => Ok(Event::Ping(&self.control)),
             Opcode::Pong => Ok(Event::Pong(&self.control)),
@@ -351,7 +352,7 @@
     }
 }
 
-fn give(kind: Opcode, message: &[u8]) -> Result<Event<'_>, FrameError> {
+fn message_event(kind: Opcode, message: &[u8]) -> Result<Event<'_>, FrameError> {
     if kind == Opcode::Binary {
         return Ok(Event::Binary(message));
     }
--- a/crates/fawnrouter-ws/src/handshake.rs
+++ b/crates/fawnrouter-ws/src/handshake.rs
@@ -6,7 +6,7 @@
 
 use crate::http::{self, Head, HttpError, HttpLimits, RequestLine};
 
-const GUID: &[u8] = b"258EAFA5-E914-47DA-95CA-C5AB0DC85B11";
+const ACCEPT_GUID: &[u8] = b"258EAFA5-E914-47DA-95CA-C5AB0DC85B11";
 
 /// Which pages may open a connection (§10.2). Programs that are no browser send no Origin.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -92,7 +92,7 @@
 fn accept_key(key: &str) -> String {
     let mut hash = Sha1::new();
     hash.update(key.as_bytes());
-    hash.update(GUID);
+    hash.update(ACCEPT_GUID);
     STANDARD.encode(hash.finalize())
 }
 
@@ -100,9 +100,9 @@
 ///
 /// # Errors
 /// Why it is not agreed to; [`refusal_response`] writes the answer.
-pub fn accept(bytes: &[u8], terms: &ServerOptions) -> Result<Option<AcceptedHandshake>, HandshakeError> {
-    let Some(head) = http::parse_request(bytes, &terms.limits)? else { return Ok(None) };
-    let protocol = agree(&head, terms)?;
+pub fn accept(bytes: &[u8], options: &ServerOptions) -> Result<Option<AcceptedHandshake>, HandshakeError> {
+    let Some(head) = http::parse_request(bytes, &options.limits)? else { return Ok(None) };
+    let protocol = negotiate(&head, options)?;
     let key = head.get("Sec-WebSocket-Key").unwrap_or("");
     let response = format!(
         "HTTP/1.1 101 Switching Protocols\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n\
@@ -113,12 +113,12 @@
     Ok(Some(AcceptedHandshake { response: response.into_bytes(), consumed: head.len, protocol, forwarded }))
 }
 
-fn agree(head: &Head<'_, RequestLine<'_>>, terms: &ServerOptions) -> Result<String, HandshakeError> {
+fn negotiate(head: &Head<'_, RequestLine<'_>>, options: &ServerOptions) -> Result<String, HandshakeError> {
     if head.line.method != "GET" {
         return Err(HandshakeError::NotUpgrade("the method is not GET"));
     }
     let path = head.line.target.split('?').next().unwrap_or("");
-    if !terms.paths.is_empty() && !terms.paths.iter().any(|p| p == path) {
+    if !options.paths.is_empty() && !options.paths.iter().any(|p| p == path) {
         return Err(HandshakeError::Path);
     }
     if !head.has_token("Upgrade", "websocket") || !head.has_token("Connection", "Upgrade") {
@@ -128,17 +128,17 @@
         return Err(HandshakeError::Version);
     }
     let keys = head.values("Sec-WebSocket-Key").collect::<Vec<_>>();
-    let sound = |key: &&str| STANDARD.decode(key).is_ok_and(|raw| raw.len() == 16);
-    if keys.len() != 1 || !keys.iter().all(sound) {
+    let is_valid = |key: &&str| STANDARD.decode(key).is_ok_and(|raw| raw.len() == 16);
+    if keys.len() != 1 || !keys.iter().all(is_valid) {
         return Err(HandshakeError::NotUpgrade("Sec-WebSocket-Key is not 16 bytes in base64"));
     }
-    if let (Origins::Listed(allowed), Some(origin)) = (&terms.origins, head.get("Origin"))
+    if let (Origins::Listed(allowed), Some(origin)) = (&options.origins, head.get("Origin"))
         && !allowed.iter().any(|o| o.eq_ignore_ascii_case(origin))
     {
         return Err(HandshakeError::Origin);
     }
     let offered = head.values("Sec-WebSocket-Protocol").flat_map(|v| v.split(',')).map(str::trim);
-    let common = offered.into_iter().find(|o| terms.protocols.iter().any(|p| p.eq_ignore_ascii_case(o)));
+    let common = offered.into_iter().find(|o| options.protocols.iter().any(|p| p.eq_ignore_ascii_case(o)));
     common.map(str::to_owned).ok_or(HandshakeError::Protocol)
 }
 
