--- a/crates/fawnrouter-audit/src/auditor.rs
+++ b/crates/fawnrouter-audit/src/auditor.rs
@@ -1,35 +1,35 @@
-//! The five rules, judged as things are seen.
+//! Checks the five rules on each observation, in order of time.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
 use std::time::Duration;
 
-use crate::wire::{Sip, TcpReader, WsReader};
+use crate::wire::{SipMessage, TcpReader, WsReader};
 use crate::{Direction, ListState, Observation, Side};
 
-/// The rules by their numbers.
+/// The rules, with the numbers under which they are reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Exactly one final answer in time, nothing afterwards.
+    /// Each call gets exactly one final response, in time, and nothing is sent for it afterwards.
     OneAnswer = 1,
-    /// Never two attempts out at once.
+    /// A call never has two attempts outstanding at once.
     OneAttempt = 2,
-    /// Nothing new to a switch after the grace.
+    /// A switch that drains or is gone gets no new set-ups after the grace.
     DrainGrace = 3,
-    /// No cold switch pushed over.
+    /// A cold switch does not get more set-ups than its budget allows.
     ColdSwitch = 4,
-    /// The guard after a time-out, reset or cancel.
+    /// After a time-out, a reset or a CANCEL the next attempt of the call waits for the guard time.
     RetryGuard = 5,
 }
 
-/// A rule that broke.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Which rule.
+    /// The violated rule.
     pub rule: Rule,
-    /// When, from the start of the record.
+    /// Time since the start of the record.
     pub at: Duration,
-    /// What was seen.
+    /// What was observed.
     pub text: String,
 }
 
@@ -39,70 +39,71 @@
     }
 }
 
-/// The figures of the rules, and how exact the taps are.
+/// The parameters of the rules, and the tolerances for what the taps cannot time exactly.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AuditParameters {
-    /// Rule 3: work may go on for this long after the list told of the end.
+    /// Rule 3: set-ups may still go to a switch for this long after the list announced that it is closed.
     pub drain_grace: Duration,
-    /// Rule 5.
+    /// Rule 5: time between the end of a guarded attempt and the next attempt of the same call.
     pub guard: Duration,
-    /// Rule 4: so many times the present capacity ...
+    /// Rule 4: the budget of a window, as a multiple of what the switch can do in it while it warms up.
     pub fall_multiple: f64,
-    /// ... over a window of this length.
+    /// Rule 4: length of the window.
     pub fall_window: Duration,
-    /// Rule 4: set-ups beyond the budget that count as chance.
+    /// Rule 4: set-ups added to the budget, since arrivals vary at random.
     pub excess_allowance: f64,
-    /// Rule 1: an answer may be this late, and a set-up may be seen this long after the answer: the two are seen on
-    /// different sockets.
+    /// Rule 1: a final response may be this late, and a set-up may be observed this long after it, because
+    /// the two are observed on different sockets.
     pub answer_slack: Duration,
-    /// Rule 5: times are taken at the receiving end.
+    /// Rules 2 and 5: tolerance on times between attempts, because times are taken at the receiving end.
     pub time_tolerance: Duration,
 }
 
-/// What came out.
+/// The result of an audit.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AuditReport {
-    /// The first breaches, in order.
+    /// The first violations, in order of detection.
     pub violations: Vec<Violation>,
-    /// All breaches by rule.
+    /// The number of all violations, by rule.
     pub violation_counts: BTreeMap<Rule, u64>,
-    /// Calls judged.
+    /// Calls observed.
     pub calls: u64,
-    /// Attempts judged.
+    /// Attempts observed.
     pub attempts: u64,
-    /// Calls whose time was not up when the record ended.
+    /// Calls without a final response whose deadline had not passed when the record ended.
     pub undecided_calls: u64,
-    /// The most that a tap was held up.
+    /// The longest delay of a tap.
     pub max_tap_delay: Duration,
-    /// Calls that switches took (200), by the gateway's host in the Via, the switch, and the minute of the record.
+    /// Calls accepted by switches (2xx), by the gateway's host in the Via, the switch, and the minute of the
+    /// record.
     pub accepted_calls: BTreeMap<(String, u32, u64), u64>,
 }
 
 impl AuditReport {
-    /// No rule broke, and there was something to judge.
+    /// Whether no rule was violated and at least one call was observed.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         self.violation_counts.is_empty() && self.calls > 0
     }
 }
 
-/// Breaches that are kept with their text.
-const KEPT: usize = 100;
-/// What is known of a call is forgotten this long after its end.
-const MEMORY: Duration = Duration::from_secs(60);
+/// Violations that are kept with their text; later ones are only counted.
+const MAX_KEPT_VIOLATIONS: usize = 100;
+/// The state of a call is dropped this long after its end.
+const CALL_RETENTION: Duration = Duration::from_secs(60);
 
 #[derive(Debug)]
-enum Reader {
-    Caller { gateway: u32, inward: WsReader, outward: WsReader },
-    Trunk { switch: u32, inward: TcpReader, outward: TcpReader },
+enum ConnectionReader {
+    Caller { gateway: u32, to_gateway: WsReader, from_gateway: WsReader },
+    Trunk { switch: u32, to_gateway: TcpReader, from_gateway: TcpReader },
 }
 
 #[derive(Debug)]
 struct Call {
     session: String,
-    due: Duration,
-    answered: Option<Duration>,
-    caller_gone: bool,
+    deadline: Duration,
+    final_response_at: Option<Duration>,
+    caller_disconnected: bool,
 }
 
 #[derive(Debug)]
@@ -111,234 +112,275 @@
     host: String,
     branch: String,
     sent: Duration,
-    within: Option<Duration>,
-    /// When it ended, and whether the guard counts from then.
-    ended: Option<(Duration, bool)>,
+    timeout: Option<Duration>,
+    ended: Option<AttemptEnd>,
+}
+
+/// The end of an attempt.
+#[derive(Clone, Copy, Debug)]
+struct AttemptEnd {
+    at: Duration,
+    /// Whether the retry guard counts from this time.
+    guarded: bool,
 }
 
 #[derive(Debug)]
-struct Cold {
-    since: Duration,
-    capacity: f64,
-    from: f64,
+struct ColdSwitchState {
+    started_at: Duration,
+    capacity_per_s: f64,
+    initial_share: f64,
     ramp: Duration,
-    told: bool,
+    /// Whether the list has announced the switch as ready since its start.
+    announced: bool,
+    /// Set-ups within the window, each with whether it came after the announcement.
     arrivals: VecDeque<(Duration, bool)>,
-    fallen: bool,
+    /// Whether the violation has been reported; it is reported once for a start.
+    reported: bool,
 }
 
-impl Cold {
-    /// Set-ups that it can do between two times.
-    fn work(&self, from: Duration, to: Duration) -> f64 {
+impl ColdSwitchState {
+    /// Set-ups that the switch can handle between two times.
+    fn set_ups_between(&self, from: Duration, to: Duration) -> f64 {
         let share = |t: Duration| {
-            let warm = t.saturating_sub(self.since).as_secs_f64() / self.ramp.as_secs_f64().max(1e-9);
-            self.from + (1.0 - self.from) * warm.min(1.0)
+            let warm = t.saturating_sub(self.started_at).as_secs_f64() / self.ramp.as_secs_f64().max(1e-9);
+            self.initial_share + (1.0 - self.initial_share) * warm.min(1.0)
         };
         let span = to.saturating_sub(from).as_secs_f64();
-        // The share grows evenly, so that the mean of both ends is exact within the ramp.
-        self.capacity * span * (share(from) + share(to)) / 2.0
+        // The share grows linearly, so that the mean of both ends is exact within the ramp.
+        self.capacity_per_s * span * (share(from) + share(to)) / 2.0
     }
 }
 
-/// Takes what was seen, in order of time, and judges.
+/// Takes observations in order of time and checks the rules.
 #[derive(Debug)]
 pub struct Auditor {
-    figures: AuditParameters,
-    readers: BTreeMap<u64, Reader>,
+    parameters: AuditParameters,
+    readers: BTreeMap<u64, ConnectionReader>,
     /// Calls by connection and branch of their INVITE.
     calls: BTreeMap<(u64, String), Call>,
-    /// The time of the final answer by session.
-    answered: BTreeMap<String, Duration>,
+    /// The time of the final response, by session.
+    final_response_times: BTreeMap<String, Duration>,
+    /// Attempts by session.
     attempts: BTreeMap<String, Vec<Attempt>>,
     /// The session of each attempt, by connection and branch.
-    by_branch: BTreeMap<(u64, String), String>,
-    closed: BTreeMap<u32, Duration>,
-    cold: BTreeMap<u32, Cold>,
-    forget: VecDeque<(Duration, (u64, String), String)>,
-    verdict: AuditReport,
-    last: Duration,
-    /// How much earlier what is judged now may have arrived. Every rule is judged by the time that speaks for the
-    /// gateway: a tap that was held up must not show a breach that was none.
-    late: Duration,
+    session_by_branch: BTreeMap<(u64, String), String>,
+    /// When the list announced a switch as closed, by switch.
+    closed_since: BTreeMap<u32, Duration>,
+    cold_switches: BTreeMap<u32, ColdSwitchState>,
+    /// When the state of a call is dropped: the time, the key of the call and its session.
+    expiries: VecDeque<(Duration, (u64, String), String)>,
+    report: AuditReport,
+    last_observed: Duration,
+    /// How much earlier the current bytes may have arrived. A check uses whichever time, with or without this
+    /// delay, favours the gateway, so that a delayed tap does not cause a false violation.
+    tap_delay: Duration,
 }
 
 impl Auditor {
-    /// An auditor of these figures.
+    /// Creates an auditor with these parameters.
     #[must_use]
-    pub fn new(figures: AuditParameters) -> Self {
+    pub fn new(parameters: AuditParameters) -> Self {
         Self {
-            figures,
+            parameters,
             readers: BTreeMap::new(),
             calls: BTreeMap::new(),
-            answered: BTreeMap::new(),
+            final_response_times: BTreeMap::new(),
             attempts: BTreeMap::new(),
-            by_branch: BTreeMap::new(),
-            closed: BTreeMap::new(),
-            cold: BTreeMap::new(),
-            forget: VecDeque::new(),
-            verdict: AuditReport::default(),
-            last: Duration::ZERO,
-            late: Duration::ZERO,
+            session_by_branch: BTreeMap::new(),
+            closed_since: BTreeMap::new(),
+            cold_switches: BTreeMap::new(),
+            expiries: VecDeque::new(),
+            report: AuditReport::default(),
+            last_observed: Duration::ZERO,
+            tap_delay: Duration::ZERO,
         }
     }
 
-    fn breach(&mut self, rule: Rule, at: Duration, text: String) {
-        *self.verdict.violation_counts.entry(rule).or_default() += 1;
-        if self.verdict.violations.len() < KEPT {
-            self.verdict.violations.push(Violation { rule, at, text });
+    fn record_violation(&mut self, rule: Rule, at: Duration, text: String) {
+        *self.report.violation_counts.entry(rule).or_default() += 1;
+        if self.report.violations.len() < MAX_KEPT_VIOLATIONS {
+            self.report.violations.push(Violation { rule, at, text });
         }
     }
 
-    /// Takes one thing that was seen at this time.
-    pub fn observe(&mut self, at: Duration, seen: Observation) {
-        self.last = self.last.max(at);
-        match seen {
+    /// Takes one observation made at this time.
+    pub fn observe(&mut self, at: Duration, observation: Observation) {
+        self.last_observed = self.last_observed.max(at);
+        match observation {
             Observation::Opened { conn, side } => {
                 let reader = match side {
-                    Side::Caller { gateway } => {
-                        Reader::Caller { gateway, inward: WsReader::default(), outward: WsReader::default() }
-                    }
-                    Side::Trunk { switch } => {
-                        Reader::Trunk { switch, inward: TcpReader::default(), outward: TcpReader::default() }
-                    }
+                    Side::Caller { gateway } => ConnectionReader::Caller {
+                        gateway,
+                        to_gateway: WsReader::default(),
+                        from_gateway: WsReader::default(),
+                    },
+                    Side::Trunk { switch } => ConnectionReader::Trunk {
+                        switch,
+                        to_gateway: TcpReader::default(),
+                        from_gateway: TcpReader::default(),
+                    },
                 };
                 self.readers.insert(conn, reader);
             }
-            Observation::Bytes { conn, direction: way, bytes, tap_delay: late } => {
-                self.verdict.max_tap_delay = self.verdict.max_tap_delay.max(late);
-                self.late = late;
-                self.bytes(at, conn, way, &bytes);
+            Observation::Bytes { conn, direction, bytes, tap_delay } => {
+                self.report.max_tap_delay = self.report.max_tap_delay.max(tap_delay);
+                self.tap_delay = tap_delay;
+                self.on_bytes(at, conn, direction, &bytes);
             }
-            Observation::Closed { conn } => self.conn_closed(at, conn),
-            Observation::ListUpdated { switch, state: listed } => {
-                match listed {
-                    ListState::Ready => drop(self.closed.remove(&switch)),
-                    ListState::Closed => drop(self.closed.entry(switch).or_insert(at)),
+            Observation::Closed { conn } => self.on_connection_closed(at, conn),
+            Observation::ListUpdated { switch, state } => {
+                match state {
+                    ListState::Ready => drop(self.closed_since.remove(&switch)),
+                    ListState::Closed => drop(self.closed_since.entry(switch).or_insert(at)),
                 }
-                if let Some(cold) = self.cold.get_mut(&switch) {
-                    cold.told |= listed == ListState::Ready;
+                if let Some(cold) = self.cold_switches.get_mut(&switch) {
+                    cold.announced |= state == ListState::Ready;
                 }
             }
-            Observation::ColdStart { switch, capacity_per_s: capacity, initial_share: from, ramp } => {
-                let (arrivals, told, fallen) = (VecDeque::new(), false, false);
-                self.cold.insert(switch, Cold { since: at, capacity, from, ramp, told, arrivals, fallen });
+            Observation::ColdStart { switch, capacity_per_s, initial_share, ramp } => {
+                let (arrivals, announced, reported) = (VecDeque::new(), false, false);
+                self.cold_switches.insert(
+                    switch,
+                    ColdSwitchState {
+                        started_at: at,
+                        capacity_per_s,
+                        initial_share,
+                        ramp,
+                        announced,
+                        arrivals,
+                        reported,
+                    },
+                );
             }
         }
-        self.overdue(at);
+        self.forget_expired(at);
     }
 
-    fn bytes(&mut self, at: Duration, conn: u64, way: Direction, bytes: &[u8]) {
-        let (messages, place) = match self.readers.get_mut(&conn) {
-            Some(Reader::Caller { gateway, inward, outward }) => {
-                let reader = if way == Direction::ToGateway { inward } else { outward };
-                (reader.take(bytes), Side::Caller { gateway: *gateway })
+    fn on_bytes(&mut self, at: Duration, conn: u64, direction: Direction, bytes: &[u8]) {
+        let (messages, side) = match self.readers.get_mut(&conn) {
+            Some(ConnectionReader::Caller { gateway, to_gateway, from_gateway }) => {
+                let reader = if direction == Direction::ToGateway { to_gateway } else { from_gateway };
+                (reader.push(bytes), Side::Caller { gateway: *gateway })
             }
-            Some(Reader::Trunk { switch, inward, outward }) => {
-                let reader = if way == Direction::ToGateway { inward } else { outward };
-                (reader.take(bytes), Side::Trunk { switch: *switch })
+            Some(ConnectionReader::Trunk { switch, to_gateway, from_gateway }) => {
+                let reader = if direction == Direction::ToGateway { to_gateway } else { from_gateway };
+                (reader.push(bytes), Side::Trunk { switch: *switch })
             }
             None => return,
         };
         match messages {
             Ok(messages) => {
                 for sip in messages {
-                    match (place, way) {
-                        (Side::Caller { .. }, Direction::ToGateway) => self.caller_sent(at, conn, sip),
-                        (Side::Caller { .. }, Direction::FromGateway) => self.caller_got(at, conn, sip),
+                    match (side, direction) {
+                        (Side::Caller { .. }, Direction::ToGateway) => {
+                            self.on_message_from_caller(at, conn, sip)
+                        }
+                        (Side::Caller { .. }, Direction::FromGateway) => {
+                            self.on_message_to_caller(at, conn, sip)
+                        }
                         (Side::Trunk { switch }, Direction::FromGateway) => {
-                            self.switch_got(at, conn, switch, sip)
+                            self.on_message_to_switch(at, conn, switch, sip)
+                        }
+                        (Side::Trunk { .. }, Direction::ToGateway) => {
+                            self.on_message_from_switch(at, conn, &sip)
                         }
-                        (Side::Trunk { .. }, Direction::ToGateway) => self.switch_sent(at, conn, &sip),
                     }
                 }
             }
-            Err(text) => self.breach(Rule::OneAnswer, at, format!("connection {conn}: {text}")),
+            Err(text) => self.record_violation(Rule::OneAnswer, at, format!("connection {conn}: {text}")),
         }
     }
 
-    fn caller_sent(&mut self, at: Duration, conn: u64, sip: Sip) {
-        if sip.method != "INVITE" || sip.status.is_some() || sip.to_tagged {
+    fn on_message_from_caller(&mut self, at: Duration, conn: u64, sip: SipMessage) {
+        if sip.method != "INVITE" || sip.status.is_some() || sip.has_to_tag {
             return;
         }
         let key = (conn, sip.branch);
         if self.calls.contains_key(&key) {
             return;
         }
-        let due = at + Duration::from_secs(sip.expires_s.unwrap_or(3600)) + self.figures.answer_slack;
-        self.verdict.calls += 1;
-        // A try that was asked who it is (401) comes again under its session, as a transaction of its own.
-        self.answered.remove(&sip.session);
-        self.calls.insert(key, Call { session: sip.session, due, answered: None, caller_gone: false });
+        let deadline = at + Duration::from_secs(sip.expires_s.unwrap_or(3600)) + self.parameters.answer_slack;
+        self.report.calls += 1;
+        // A call that was challenged (401) comes again under its session, as a new transaction.
+        self.final_response_times.remove(&sip.session_id);
+        self.calls.insert(
+            key,
+            Call { session: sip.session_id, deadline, final_response_at: None, caller_disconnected: false },
+        );
     }
 
-    fn caller_got(&mut self, at: Duration, conn: u64, sip: Sip) {
+    fn on_message_to_caller(&mut self, at: Duration, conn: u64, sip: SipMessage) {
         let Some(status) = sip.status.filter(|_| sip.method == "INVITE") else { return };
         let key = (conn, sip.branch);
         let Some(call) = self.calls.get_mut(&key) else { return };
-        if let Some(before) = call.answered {
+        if let Some(before) = call.final_response_at {
             let text = format!(
                 "call {} got {status} after its final answer at {:.3} s",
                 call.session,
                 before.as_secs_f64()
             );
-            return self.breach(Rule::OneAnswer, at, text);
+            return self.record_violation(Rule::OneAnswer, at, text);
         }
         if status < 200 {
             return;
         }
-        call.answered = Some(at);
-        let (session, late) = (call.session.clone(), at.saturating_sub(self.late) > call.due);
+        call.final_response_at = Some(at);
+        let (session, late) = (call.session.clone(), at.saturating_sub(self.tap_delay) > call.deadline);
         if late {
-            self.breach(Rule::OneAnswer, at, format!("call {session} was answered {status} too late"));
+            self.record_violation(
+                Rule::OneAnswer,
+                at,
+                format!("call {session} was answered {status} too late"),
+            );
         }
-        self.answered.insert(session.clone(), at);
-        self.forget.push_back((at + MEMORY, key, session));
+        self.final_response_times.insert(session.clone(), at);
+        self.expiries.push_back((at + CALL_RETENTION, key, session));
     }
 
-    fn switch_got(&mut self, at: Duration, conn: u64, switch: u32, sip: Sip) {
+    fn on_message_to_switch(&mut self, at: Duration, conn: u64, switch: u32, sip: SipMessage) {
         if sip.status.is_some() {
             return;
         }
         if sip.method == "CANCEL" {
             return self.end_attempt(at, conn, &sip.branch, true);
         }
-        if sip.method != "INVITE" || sip.to_tagged {
+        if sip.method != "INVITE" || sip.has_to_tag {
             return;
         }
-        self.verdict.attempts += 1;
-        let session = sip.session.clone();
+        self.report.attempts += 1;
+        let session = sip.session_id.clone();
         if session.is_empty() {
-            return self.breach(
+            return self.record_violation(
                 Rule::OneAttempt,
                 at,
                 format!("a set-up to switch {switch} has no Session-ID"),
             );
         }
         if let Some(answered) = self
-            .answered
+            .final_response_times
             .get(&session)
-            .filter(|t| at.saturating_sub(self.late) > **t + self.figures.answer_slack)
+            .filter(|t| at.saturating_sub(self.tap_delay) > **t + self.parameters.answer_slack)
         {
             let text = format!(
                 "call {session} was sent to switch {switch} after its answer at {:.3} s",
                 answered.as_secs_f64()
             );
-            self.breach(Rule::OneAnswer, at, text);
+            self.record_violation(Rule::OneAnswer, at, text);
         }
-        let (guard, tolerance) = (self.figures.guard, self.figures.time_tolerance);
-        let mut found = Vec::new();
+        let (guard, tolerance) = (self.parameters.guard, self.parameters.time_tolerance);
+        let mut violations = Vec::new();
         for earlier in self.attempts.get(&session).into_iter().flatten() {
-            // A time-out that the gateway announced ends an attempt that nobody answered.
-            let timed_out = earlier.within.map(|w| (earlier.sent + w, true));
+            // An attempt without a response ends with the time-out that the gateway announced for it.
+            let timed_out = earlier.timeout.map(|t| AttemptEnd { at: earlier.sent + t, guarded: true });
             let ended = match (earlier.ended, timed_out) {
-                (Some(a), Some(b)) => Some(if a.0 <= b.0 { a } else { b }),
+                (Some(a), Some(b)) => Some(if a.at <= b.at { a } else { b }),
                 (a, b) => a.or(b),
             };
             match ended {
-                Some((end, guarded)) if end <= at + tolerance => {
-                    if guarded && at + tolerance < end + guard {
-                        let ms = at.saturating_sub(end).as_millis();
-                        found.push((
+                Some(end) if end.at <= at + tolerance => {
+                    if end.guarded && at + tolerance < end.at + guard {
+                        let ms = at.saturating_sub(end.at).as_millis();
+                        violations.push((
                             Rule::RetryGuard,
                             format!("call {session} was sent again {ms} ms after an attempt was given up"),
                         ));
@@ -346,138 +388,144 @@
                 }
                 _ => {
                     let text = format!(
-                        "call {session} was sent to switch {switch} while another attempt was out: sent {:.3} s on \
-                         connection {}, within {:?}, ended {:?}",
+                        "call {session} was sent to switch {switch} while another attempt was out: sent {:.3} s \
+                         on connection {}, within {:?}, ended {:?}",
                         earlier.sent.as_secs_f64(),
                         earlier.conn,
-                        earlier.within,
-                        earlier.ended,
+                        earlier.timeout,
+                        earlier.ended.map(|end| (end.at, end.guarded)),
                     );
-                    found.push((Rule::OneAttempt, text));
+                    violations.push((Rule::OneAttempt, text));
                 }
             }
         }
-        for (rule, text) in found {
-            self.breach(rule, at, text);
+        for (rule, text) in violations {
+            self.record_violation(rule, at, text);
         }
-        if let Some(told) =
-            self.closed.get(&switch).filter(|t| at.saturating_sub(self.late) > **t + self.figures.drain_grace)
+        if let Some(closed_since) = self
+            .closed_since
+            .get(&switch)
+            .filter(|t| at.saturating_sub(self.tap_delay) > **t + self.parameters.drain_grace)
         {
-            let ms = (at - *told).as_millis();
-            self.breach(
+            let ms = (at - *closed_since).as_millis();
+            self.record_violation(
                 Rule::DrainGrace,
                 at,
                 format!("a set-up went to switch {switch} {ms} ms after its end was told"),
             );
         }
-        self.arrive(at, switch);
-        let within = sip.within_ms.map(Duration::from_millis);
-        self.by_branch.insert((conn, sip.branch.clone()), session.clone());
-        let sent = at.saturating_sub(self.late);
-        let attempt = Attempt { conn, host: sip.via_host, branch: sip.branch, sent, within, ended: None };
+        self.check_cold_switch(at, switch);
+        let timeout = sip.fr_within_ms.map(Duration::from_millis);
+        self.session_by_branch.insert((conn, sip.branch.clone()), session.clone());
+        let sent = at.saturating_sub(self.tap_delay);
+        let attempt = Attempt { conn, host: sip.via_host, branch: sip.branch, sent, timeout, ended: None };
         self.attempts.entry(session).or_default().push(attempt);
     }
 
-    /// Rule 4: over every window that ends with this set-up.
-    fn arrive(&mut self, at: Duration, switch: u32) {
-        let AuditParameters { fall_multiple, fall_window: fall_time, excess_allowance: chance, .. } =
-            self.figures;
-        let Some(cold) = self.cold.get_mut(&switch) else { return };
-        if at > cold.since + cold.ramp + fall_time {
-            self.cold.remove(&switch);
+    /// Rule 4: checks the window that ends with this set-up.
+    fn check_cold_switch(&mut self, at: Duration, switch: u32) {
+        let AuditParameters { fall_multiple, fall_window, excess_allowance, .. } = self.parameters;
+        let Some(cold) = self.cold_switches.get_mut(&switch) else { return };
+        if at > cold.started_at + cold.ramp + fall_window {
+            self.cold_switches.remove(&switch);
             return;
         }
-        cold.arrivals.push_back((at, cold.told));
-        while cold.arrivals.front().is_some_and(|(t, _)| *t + fall_time < at) {
+        cold.arrivals.push_back((at, cold.announced));
+        while cold.arrivals.front().is_some_and(|(t, _)| *t + fall_window < at) {
             cold.arrivals.pop_front();
         }
         let count = cold.arrivals.len() as f64;
-        let told = cold.arrivals.iter().filter(|(_, told)| *told).count() as f64;
-        let begin = at.saturating_sub(fall_time).max(cold.since);
-        let budget = fall_multiple * cold.work(begin, begin + fall_time) + chance;
-        // Two thirds must come from gateways that were told of the start.
-        if count > budget && told * 3.0 >= count * 2.0 && !cold.fallen {
-            cold.fallen = true;
+        let announced = cold.arrivals.iter().filter(|(_, announced)| *announced).count() as f64;
+        let begin = at.saturating_sub(fall_window).max(cold.started_at);
+        let budget = fall_multiple * cold.set_ups_between(begin, begin + fall_window) + excess_allowance;
+        // At least two thirds of the set-ups must have been sent after the list announced the switch as
+        // ready: before that the gateways cannot know of its start.
+        if count > budget && announced * 3.0 >= count * 2.0 && !cold.reported {
+            cold.reported = true;
             let text = format!(
                 "cold switch {switch} got {count} set-ups in {:.1} s, its budget is {budget:.1}",
-                fall_time.as_secs_f64()
+                fall_window.as_secs_f64()
             );
-            self.breach(Rule::ColdSwitch, at, text);
+            self.record_violation(Rule::ColdSwitch, at, text);
         }
     }
 
-    fn switch_sent(&mut self, at: Duration, conn: u64, sip: &Sip) {
+    fn on_message_from_switch(&mut self, at: Duration, conn: u64, sip: &SipMessage) {
         if let Some(status) = sip.status.filter(|s| *s >= 200 && sip.method == "INVITE") {
             if status < 300 {
-                self.count_taken(at, conn, &sip.branch);
+                self.count_accepted_call(at, conn, &sip.branch);
             }
-            // 408 and 504 are time-outs of the switch, 487 its word that it was called off.
+            // 408 and 504 are time-outs of the switch; 487 confirms the CANCEL.
             self.end_attempt(at, conn, &sip.branch, matches!(status, 408 | 487 | 504));
         }
     }
 
-    /// A switch took a call: counted for the gateway that its set-up came from.
-    fn count_taken(&mut self, at: Duration, conn: u64, branch: &str) {
-        let Some(Reader::Trunk { switch, .. }) = self.readers.get(&conn) else { return };
-        let session = self.by_branch.get(&(conn, branch.to_owned()));
+    /// Counts a call that a switch accepted, for the gateway that sent its set-up.
+    fn count_accepted_call(&mut self, at: Duration, conn: u64, branch: &str) {
+        let Some(ConnectionReader::Trunk { switch, .. }) = self.readers.get(&conn) else { return };
+        let session = self.session_by_branch.get(&(conn, branch.to_owned()));
         let mut attempts = session.and_then(|s| self.attempts.get(s)).into_iter().flatten();
-        // A repeated 200 finds its attempt ended.
+        // Once an attempt has ended, a repeated 2xx is not counted again.
         if let Some(attempt) = attempts.find(|a| a.conn == conn && a.branch == branch && a.ended.is_none()) {
             let key = (attempt.host.clone(), *switch, at.as_secs() / 60);
-            *self.verdict.accepted_calls.entry(key).or_default() += 1;
+            *self.report.accepted_calls.entry(key).or_default() += 1;
         }
     }
 
     fn end_attempt(&mut self, at: Duration, conn: u64, branch: &str, guarded: bool) {
-        let session = self.by_branch.get(&(conn, branch.to_owned()));
+        let session = self.session_by_branch.get(&(conn, branch.to_owned()));
         let attempts = session.and_then(|s| self.attempts.get_mut(s)).into_iter().flatten();
-        let hit = attempts.into_iter().find(|a| a.conn == conn && a.branch == branch);
-        if let Some(attempt) = hit.filter(|a| a.ended.is_none()) {
-            attempt.ended = Some((at, guarded));
+        let attempt = attempts.into_iter().find(|a| a.conn == conn && a.branch == branch);
+        if let Some(attempt) = attempt.filter(|a| a.ended.is_none()) {
+            attempt.ended = Some(AttemptEnd { at, guarded });
         }
     }
 
-    fn conn_closed(&mut self, at: Duration, conn: u64) {
+    fn on_connection_closed(&mut self, at: Duration, conn: u64) {
         self.readers.remove(&conn);
         for attempt in self.attempts.values_mut().flatten().filter(|a| a.conn == conn && a.ended.is_none()) {
-            attempt.ended = Some((at, true));
+            attempt.ended = Some(AttemptEnd { at, guarded: true });
         }
         let range = (conn, String::new())..(conn + 1, String::new());
         for (key, call) in self.calls.range_mut(range) {
-            call.caller_gone = true;
-            self.forget.push_back((at + MEMORY, key.clone(), call.session.clone()));
+            call.caller_disconnected = true;
+            self.expiries.push_back((at + CALL_RETENTION, key.clone(), call.session.clone()));
         }
     }
 
-    fn overdue(&mut self, at: Duration) {
-        while self.forget.front().is_some_and(|(t, _, _)| *t < at) {
-            if let Some((_, key, session)) = self.forget.pop_front() {
+    fn forget_expired(&mut self, at: Duration) {
+        while self.expiries.front().is_some_and(|(t, _, _)| *t < at) {
+            if let Some((_, key, session)) = self.expiries.pop_front() {
                 self.calls.remove(&key);
-                self.answered.remove(&session);
+                self.final_response_times.remove(&session);
                 for attempt in self.attempts.remove(&session).unwrap_or_default() {
-                    self.by_branch.remove(&(attempt.conn, attempt.branch));
+                    self.session_by_branch.remove(&(attempt.conn, attempt.branch));
                 }
             }
         }
     }
 
-    /// Ends the record: calls that never got their answer are found now.
+    /// Ends the record and reports the calls that never got a final response.
     #[must_use]
     pub fn finish(mut self) -> AuditReport {
         let unanswered: Vec<(String, Duration)> = (self.calls.values())
-            .filter(|c| c.answered.is_none() && !c.caller_gone)
-            .map(|c| (c.session.clone(), c.due))
+            .filter(|c| c.final_response_at.is_none() && !c.caller_disconnected)
+            .map(|c| (c.session.clone(), c.deadline))
             .collect();
-        let mut told = BTreeSet::new();
+        let mut reported = BTreeSet::new();
         for (session, due) in unanswered {
-            if due < self.last {
-                if told.insert(session.clone()) {
-                    self.breach(Rule::OneAnswer, due, format!("call {session} never got a final answer"));
+            if due < self.last_observed {
+                if reported.insert(session.clone()) {
+                    self.record_violation(
+                        Rule::OneAnswer,
+                        due,
+                        format!("call {session} never got a final answer"),
+                    );
                 }
             } else {
-                self.verdict.undecided_calls += 1;
+                self.report.undecided_calls += 1;
             }
         }
-        self.verdict
+        self.report
     }
 }
--- a/crates/fawnrouter-audit/src/lib.rs
+++ b/crates/fawnrouter-audit/src/lib.rs
@@ -1,10 +1,11 @@
 #![forbid(unsafe_code)]
-//! The auditor: it is fed the bytes that callers and switches saw on their sockets, and a few facts of the stand
-//! (when the list told what, which switch started cold), and says which of the five rules broke. It has readers of
-//! its own for WebSocket and SIP, and depends on no package of the gateway.
+//! Checks five rules of the gateway from outside: it takes the bytes that callers and switches observed on
+//! their sockets, with a few facts of the test set-up (updates of the list of switches, cold starts), and
+//! reports the violations. It has its own readers for WebSocket and SIP, and depends on no package of the
+//! gateway.
 //!
-//! What counts as the end of an attempt: its final response, the CANCEL, the end of its connection, or the time-out
-//! that the gateway wrote into its Via (`fr-within`, milliseconds).
+//! An attempt ends with its final response, its CANCEL, the end of its connection, or the time-out that the
+//! gateway wrote into its Via (`fr-within`, milliseconds).
 
 mod auditor;
 mod wire;
@@ -13,7 +14,7 @@
 
 use std::time::Duration;
 
-/// Which end of the gateway a connection belongs to.
+/// The side of the gateway that a connection belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
     /// A caller's WebSocket to this gateway.
@@ -28,66 +29,66 @@
     },
 }
 
-/// Which way bytes went.
+/// The direction of bytes on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// Towards the gateway.
+    /// From a caller or a switch to the gateway.
     ToGateway,
-    /// From the gateway.
+    /// From the gateway to a caller or a switch.
     FromGateway,
 }
 
-/// What the list said of a switch.
+/// The state of a switch in the list of switches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListState {
-    /// It takes calls.
+    /// It accepts calls.
     Ready,
-    /// It drains, or is gone.
+    /// It drains, or is no longer listed.
     Closed,
 }
 
-/// One thing that was seen, or one fact of the stand.
+/// An event on a connection, or a fact of the test set-up.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Observation {
     /// A connection was opened.
     Opened {
         /// The connection.
         conn: u64,
-        /// Whose it is.
+        /// The side of the gateway.
         side: Side,
     },
-    /// Bytes went over it.
+    /// Bytes were transferred on a connection.
     Bytes {
         /// The connection.
         conn: u64,
-        /// Which way.
+        /// Their direction.
         direction: Direction,
         /// The bytes.
         bytes: Vec<u8>,
-        /// They may have arrived up to this much earlier: the tap itself was held up.
+        /// The bytes may have arrived up to this much earlier, because the tap itself was delayed.
         tap_delay: Duration,
     },
-    /// It was closed.
+    /// A connection was closed.
     Closed {
         /// The connection.
         conn: u64,
     },
-    /// All gateways were told of a switch.
+    /// The list of switches announced the state of a switch to all gateways.
     ListUpdated {
         /// The switch.
         switch: u32,
-        /// What.
+        /// Its state.
         state: ListState,
     },
     /// A switch started cold.
     ColdStart {
         /// The switch.
         switch: u32,
-        /// Set-ups a second that it takes when warm.
+        /// Set-ups a second that it can handle when warm.
         capacity_per_s: f64,
-        /// The share of it that it starts with.
+        /// The share of that capacity that it starts with.
         initial_share: f64,
-        /// Time until it is warm; the share grows evenly.
+        /// Time until it is warm; the share grows linearly.
         ramp: Duration,
     },
 }
--- a/crates/fawnrouter-audit/src/wire.rs
+++ b/crates/fawnrouter-audit/src/wire.rs
@@ -1,45 +1,49 @@
-//! The auditor's own readers of WebSocket (RFC 6455) and SIP (RFC 3261): just what the rules need.
+//! Readers of WebSocket (RFC 6455) and SIP (RFC 3261) streams, limited to what the rules need. They share no
+//! code with the gateway, so that an error in its codecs is not repeated here.
 
-/// A SIP message as far as the rules look at it.
+/// The parts of a SIP message that the rules use.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Sip {
+pub struct SipMessage {
     /// The method of a request, or that of the CSeq of a response.
     pub method: String,
-    /// The status of a response.
+    /// The status of a response; `None` for a request.
     pub status: Option<u16>,
     pub call_id: String,
+    /// The branch of the top Via.
     pub branch: String,
-    /// Host of the top Via.
+    /// The sent-by value of the top Via.
     pub via_host: String,
-    /// `fr-within` of the top Via, milliseconds.
-    pub within_ms: Option<u64>,
-    pub session: String,
+    /// `fr-within` of the top Via: the time-out of the attempt in milliseconds.
+    pub fr_within_ms: Option<u64>,
+    /// The Session-ID without its parameters.
+    pub session_id: String,
     pub expires_s: Option<u64>,
-    pub to_tagged: bool,
+    /// Whether the To has a tag, as in requests within a dialog.
+    pub has_to_tag: bool,
 }
 
-fn parse(head: &str) -> Option<Sip> {
+fn parse_head(head: &str) -> Option<SipMessage> {
     let mut lines = head.split("\r\n");
     let first = lines.next()?;
-    let mut sip = Sip::default();
+    let mut sip = SipMessage::default();
     match first.strip_prefix("SIP/2.0 ") {
         Some(rest) => sip.status = Some(rest.get(..3)?.parse().ok()?),
         None => sip.method = first.split(' ').next()?.to_owned(),
     }
-    let mut top = true;
+    let mut is_top_via = true;
     for line in lines {
         let Some((name, value)) = line.split_once(':') else { continue };
         let value = value.trim();
         match name.trim().to_ascii_lowercase().as_str() {
-            "via" | "v" if top => {
-                top = false;
+            "via" | "v" if is_top_via => {
+                is_top_via = false;
                 let via = value.split(',').next().unwrap_or("");
                 let mut parts = via.split(';');
                 sip.via_host = parts.next().unwrap_or("").split_whitespace().last().unwrap_or("").to_owned();
                 for part in parts {
                     match part.split_once('=') {
                         Some((n, v)) if n.trim() == "branch" => sip.branch = v.trim().to_owned(),
-                        Some((n, v)) if n.trim() == "fr-within" => sip.within_ms = v.trim().parse().ok(),
+                        Some((n, v)) if n.trim() == "fr-within" => sip.fr_within_ms = v.trim().parse().ok(),
                         _ => {}
                     }
                 }
@@ -48,114 +52,119 @@
             "cseq" if sip.status.is_some() => {
                 sip.method = value.split_whitespace().last().unwrap_or("").to_owned();
             }
-            "session-id" => sip.session = value.split(';').next().unwrap_or("").trim().to_owned(),
+            "session-id" => sip.session_id = value.split(';').next().unwrap_or("").trim().to_owned(),
             "expires" => sip.expires_s = value.parse().ok(),
-            "to" | "t" => sip.to_tagged = value.to_ascii_lowercase().contains(";tag="),
+            "to" | "t" => sip.has_to_tag = value.to_ascii_lowercase().contains(";tag="),
             _ => {}
         }
     }
     Some(sip)
 }
 
-/// SIP on a TCP stream.
+/// Reads SIP messages from a TCP stream.
 #[derive(Debug, Default)]
 pub struct TcpReader {
-    held: Vec<u8>,
+    buffer: Vec<u8>,
 }
 
 impl TcpReader {
-    pub fn take(&mut self, bytes: &[u8]) -> Result<Vec<Sip>, String> {
-        self.held.extend_from_slice(bytes);
-        let mut all = Vec::new();
+    /// Adds bytes and returns the messages that are complete with them.
+    pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<SipMessage>, String> {
+        self.buffer.extend_from_slice(bytes);
+        let mut messages = Vec::new();
         loop {
-            let skip = self.held.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
-            let Some(end) = self.held[skip..].windows(4).position(|w| w == b"\r\n\r\n") else {
-                return Ok(all);
+            let skip = self.buffer.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
+            let Some(end) = self.buffer[skip..].windows(4).position(|w| w == b"\r\n\r\n") else {
+                return Ok(messages);
             };
-            let head = String::from_utf8_lossy(&self.held[skip..skip + end]).into_owned();
+            let head = String::from_utf8_lossy(&self.buffer[skip..skip + end]).into_owned();
             let length = head.split("\r\n").find_map(|line| {
                 let (name, value) = line.split_once(':')?;
                 let name = name.trim();
-                let fits = name.eq_ignore_ascii_case("content-length") || name.eq_ignore_ascii_case("l");
-                fits.then(|| value.trim().parse::<usize>().ok()).flatten()
+                let is_length = name.eq_ignore_ascii_case("content-length") || name.eq_ignore_ascii_case("l");
+                is_length.then(|| value.trim().parse::<usize>().ok()).flatten()
             });
             let length = length.ok_or("a message on a stream has no Content-Length")?;
             let total = skip + end + 4 + length;
-            if self.held.len() < total {
-                return Ok(all);
+            if self.buffer.len() < total {
+                return Ok(messages);
             }
-            self.held.drain(..total);
-            all.push(parse(&head).ok_or("a message on a stream cannot be read")?);
+            self.buffer.drain(..total);
+            messages.push(parse_head(&head).ok_or("a message on a stream cannot be read")?);
         }
     }
 }
 
-/// SIP in WebSocket messages, behind the HTTP heads of the handshake.
+/// Reads SIP messages from a WebSocket stream, after the HTTP head of the handshake.
 #[derive(Debug, Default)]
 pub struct WsReader {
-    held: Vec<u8>,
-    shaken: bool,
-    /// The upgrade was refused: what follows is no WebSocket.
-    refused: bool,
+    buffer: Vec<u8>,
+    handshake_done: bool,
+    /// The upgrade was refused, so the bytes that follow are not WebSocket frames.
+    upgrade_refused: bool,
     message: Vec<u8>,
 }
 
 impl WsReader {
-    pub fn take(&mut self, bytes: &[u8]) -> Result<Vec<Sip>, String> {
-        if self.refused {
+    /// Adds bytes and returns the messages that are complete with them.
+    pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<SipMessage>, String> {
+        if self.upgrade_refused {
             return Ok(Vec::new());
         }
-        self.held.extend_from_slice(bytes);
-        let mut all = Vec::new();
-        if !self.shaken {
-            let Some(end) = self.held.windows(4).position(|w| w == b"\r\n\r\n") else { return Ok(all) };
-            let status = self.held.strip_prefix(b"HTTP/1.1 ");
-            self.refused = status.is_some_and(|s| !s.starts_with(b"101"));
-            self.held.drain(..end + 4);
-            self.shaken = true;
-            if self.refused {
-                return Ok(all);
+        self.buffer.extend_from_slice(bytes);
+        let mut messages = Vec::new();
+        if !self.handshake_done {
+            let Some(end) = self.buffer.windows(4).position(|w| w == b"\r\n\r\n") else {
+                return Ok(messages);
+            };
+            let status = self.buffer.strip_prefix(b"HTTP/1.1 ");
+            self.upgrade_refused = status.is_some_and(|s| !s.starts_with(b"101"));
+            self.buffer.drain(..end + 4);
+            self.handshake_done = true;
+            if self.upgrade_refused {
+                return Ok(messages);
             }
         }
         loop {
-            let h = &self.held;
+            let h = &self.buffer;
             if h.len() < 2 {
-                return Ok(all);
+                return Ok(messages);
             }
-            let (last, kind, masked) = (h[0] & 0x80 != 0, h[0] & 15, h[1] & 0x80 != 0);
+            let (fin, opcode, masked) = (h[0] & 0x80 != 0, h[0] & 15, h[1] & 0x80 != 0);
             let (len, mut at) = match h[1] & 0x7f {
                 126 if h.len() >= 4 => (usize::from(h[2]) << 8 | usize::from(h[3]), 4),
                 127 if h.len() >= 10 => (h[2..10].iter().fold(0usize, |n, b| n << 8 | usize::from(*b)), 10),
-                126 | 127 => return Ok(all),
+                126 | 127 => return Ok(messages),
                 short => (usize::from(short), 2),
             };
             let mut key = [0u8; 4];
             if masked {
                 if h.len() < at + 4 {
-                    return Ok(all);
+                    return Ok(messages);
                 }
                 key.copy_from_slice(&h[at..at + 4]);
                 at += 4;
             }
             if h.len() < at + len {
-                return Ok(all);
+                return Ok(messages);
             }
             let payload: Vec<u8> = h[at..at + len].iter().enumerate().map(|(n, b)| b ^ key[n % 4]).collect();
-            self.held.drain(..at + len);
-            if kind >= 8 {
+            self.buffer.drain(..at + len);
+            if opcode >= 8 {
                 continue;
             }
             self.message.extend(payload);
-            if last {
+            if fin {
                 let whole = std::mem::take(&mut self.message);
                 if whole.iter().all(|b| matches!(b, b'\r' | b'\n')) {
                     continue;
                 }
                 let end = whole.windows(4).position(|w| w == b"\r\n\r\n").unwrap_or(whole.len());
                 let head = String::from_utf8_lossy(&whole[..end]).into_owned();
-                // What a hostile caller sends need not be SIP; what the gateway sends must.
-                if let Some(sip) = parse(&head) {
-                    all.push(sip);
+                // The gateway must send SIP, but a hostile caller need not: a message that is not SIP is
+                // skipped.
+                if let Some(sip) = parse_head(&head) {
+                    messages.push(sip);
                 }
             }
         }
