--- a/crates/fawnrouter-sip/src/builder.rs
+++ b/crates/fawnrouter-sip/src/builder.rs
@@ -1,33 +1,34 @@
-//! Writing messages: a draft takes fields in order and ends with the length of its body.
+//! Building messages: fields are added in order, and the Content-Length and the body come last.
 
 use crate::message::{Message, Method, Name};
 
-/// A message being written.
+/// Builds a message.
 #[derive(Clone, Debug)]
 pub struct MessageBuilder {
     text: Vec<u8>,
 }
 
 impl MessageBuilder {
-    /// A request to `uri`.
+    /// Begins a request to `uri`.
     #[must_use]
     pub fn request(method: Method, uri: &str) -> Self {
-        let mut draft = Self { text: Vec::with_capacity(768) };
-        draft.append(&[method.name(), " ", uri, " SIP/2.0\r\n"]);
-        draft
+        let mut builder = Self { text: Vec::with_capacity(768) };
+        builder.append(&[method.name(), " ", uri, " SIP/2.0\r\n"]);
+        builder
     }
 
-    /// A response with the usual phrase of its status, or `phrase`.
+    /// Begins a response with `phrase`, or else with the standard reason phrase of its status.
     #[must_use]
     pub fn response(status: u16, phrase: Option<&str>) -> Self {
-        let mut draft = Self { text: Vec::with_capacity(768) };
+        let mut builder = Self { text: Vec::with_capacity(768) };
         let code = status.to_string();
-        draft.append(&["SIP/2.0 ", &code, " ", phrase.unwrap_or(reason_phrase(status)), "\r\n"]);
-        draft
+        builder.append(&["SIP/2.0 ", &code, " ", phrase.unwrap_or(reason_phrase(status)), "\r\n"]);
+        builder
     }
 
-    /// A response to `request` (§8.2.6.2): its Vias, From, To, Call-ID and CSeq, a tag on the To if it has none,
-    /// and `received`/`rport` in the top Via (§18.2.1, RFC 3581 §4) if the peer's address is given.
+    /// Begins a response to `request` (§8.2.6.2) with its Via, From, To, Call-ID and CSeq fields. A To
+    /// without a tag gets `tag`, except in a 100. If the peer's address is given, the top Via gets `received`
+    /// and `rport` (§18.2.1, RFC 3581 §4).
     #[must_use]
     pub fn response_to(
         request: &Message,
@@ -36,32 +37,32 @@
         tag: &str,
         peer: Option<(&str, u16)>,
     ) -> Self {
-        let mut draft = Self::response(status, phrase);
-        let mut first = true;
+        let mut builder = Self::response(status, phrase);
+        let mut is_top = true;
         for via in request.values(Name::Via) {
-            match peer.filter(|_| std::mem::take(&mut first)) {
-                Some((host, port)) => draft.field(Name::Via, &via_with_source(via, host, port)),
-                None => draft.field(Name::Via, via),
+            match peer.filter(|_| std::mem::take(&mut is_top)) {
+                Some((host, port)) => builder.field(Name::Via, &via_with_source(via, host, port)),
+                None => builder.field(Name::Via, via),
             };
         }
-        draft.copy_fields(request, Name::From);
+        builder.copy_fields(request, Name::From);
         let to = request.get(Name::To).unwrap_or("");
-        let tagged = crate::value::Address::parse(to).is_ok_and(|a| a.tag().is_some());
-        if tagged || status == 100 || tag.is_empty() {
-            draft.field(Name::To, to);
+        let has_tag = crate::value::Address::parse(to).is_ok_and(|a| a.tag().is_some());
+        if has_tag || status == 100 || tag.is_empty() {
+            builder.field(Name::To, to);
         } else {
-            draft.append(&["To: ", to, ";tag=", tag, "\r\n"]);
+            builder.append(&["To: ", to, ";tag=", tag, "\r\n"]);
         }
-        draft.copy_fields(request, Name::CallId).copy_fields(request, Name::CSeq);
-        draft
+        builder.copy_fields(request, Name::CallId).copy_fields(request, Name::CSeq);
+        builder
     }
 
-    /// Adds a field. Line ends in the value, which would begin another field, are dropped.
+    /// Adds a field. Line ends in the value are removed, because they would begin another field.
     pub fn field(&mut self, name: Name, value: &str) -> &mut Self {
         self.named_field(name.text(), value)
     }
 
-    /// Adds a field of any name.
+    /// Adds a field of any name; see [`Self::field`].
     pub fn named_field(&mut self, name: &str, value: &str) -> &mut Self {
         if value.contains(['\r', '\n']) {
             let clean: String = value.chars().filter(|c| !matches!(c, '\r' | '\n')).collect();
@@ -70,7 +71,7 @@
         self.append(&[name, ": ", value, "\r\n"])
     }
 
-    /// Adds all fields of this name as `from` has them.
+    /// Copies all fields of this name from another message.
     pub fn copy_fields(&mut self, from: &Message, name: Name) -> &mut Self {
         for (_, _, value) in from.fields().filter(|(n, _, _)| *n == name) {
             self.field(name, value);
@@ -78,7 +79,7 @@
         self
     }
 
-    /// Ends the message.
+    /// Ends the message with its Content-Length and body.
     #[must_use]
     pub fn finish(&mut self, body: &[u8]) -> Vec<u8> {
         let length = body.len().to_string();
@@ -87,7 +88,7 @@
         std::mem::take(&mut self.text)
     }
 
-    /// Ends the message with the body of another, and what describes it.
+    /// Ends the message with the body of another message and the fields that describe this body.
     #[must_use]
     pub fn finish_with_body_of(&mut self, other: &Message) -> Vec<u8> {
         if !other.body().is_empty() {
@@ -107,7 +108,7 @@
     }
 }
 
-/// The Via as its receiver passes it back: with where it really came from.
+/// Returns the top Via of a response: the Via as received, with the source address and port of the request.
 fn via_with_source(via: &str, host: &str, port: u16) -> String {
     let mut out = String::with_capacity(via.len() + 40);
     let mut parts = via.split(';');
@@ -131,7 +132,7 @@
     out
 }
 
-/// The usual phrase of a status (RFC 3261 §21).
+/// The standard reason phrase of a status (RFC 3261 §21).
 #[must_use]
 pub const fn reason_phrase(status: u16) -> &'static str {
     match status {
--- a/crates/fawnrouter-sip/src/dialog.rs
+++ b/crates/fawnrouter-sip/src/dialog.rs
@@ -1,4 +1,4 @@
-//! Dialogs (RFC 3261 §12): what the two ends of a call remember of each other.
+//! Dialogs (RFC 3261 §12): the state that each end of a call keeps about the other.
 
 use crate::builder::MessageBuilder;
 use crate::message::{Message, Method, Name};
@@ -9,38 +9,38 @@
 pub struct Dialog {
     /// The Call-ID.
     pub call_id: String,
-    /// The own From value, with the own tag.
+    /// The local address with its tag: the From of requests sent.
     local: String,
-    /// The other's, with its tag if it gave one.
+    /// The remote address with its tag, if there is one: the To of requests sent.
     remote: String,
-    /// The own tag.
+    /// The local tag.
     pub local_tag: String,
-    /// The other's tag; empty for peers of RFC 2543.
+    /// The remote tag; empty for peers that follow RFC 2543.
     pub remote_tag: String,
-    /// Where requests go.
+    /// The remote target: the URI to which requests are sent.
     target: String,
-    /// Through which proxies.
+    /// The route set: the proxies through which requests are sent.
     routes: Vec<String>,
-    /// CSeq of the last own request.
+    /// CSeq number of the last request sent.
     local_cseq: u32,
-    /// CSeq of the last request of the other side.
+    /// CSeq number of the last request received.
     remote_cseq: Option<u32>,
 }
 
 impl Dialog {
-    /// The callee's view, from the INVITE and the tag it answers with (§12.1.1).
+    /// Creates the callee's dialog from the received INVITE and the tag of the response (§12.1.1).
     ///
     /// # Errors
-    /// Where the INVITE's addresses cannot be read; a validated one has no such fault but a missing Contact.
+    /// If the INVITE's addresses cannot be read. In a validated INVITE this can only be a missing Contact.
     pub fn callee(invite: &Message, local_tag: &str) -> Result<Self, ValueError> {
         let from = invite.get(Name::From).unwrap_or("");
         let remote_tag = Address::parse(from)?.tag().unwrap_or("").to_owned();
         let contact = invite.values(Name::Contact).next().ok_or(ValueError("Contact"))?;
         let to = invite.get(Name::To).unwrap_or("");
-        let tagged = Address::parse(to)?.tag().is_some();
+        let has_tag = Address::parse(to)?.tag().is_some();
         Ok(Self {
             call_id: invite.get(Name::CallId).unwrap_or("").to_owned(),
-            local: if tagged { to.to_owned() } else { format!("{to};tag={local_tag}") },
+            local: if has_tag { to.to_owned() } else { format!("{to};tag={local_tag}") },
             remote: from.to_owned(),
             local_tag: local_tag.to_owned(),
             remote_tag,
@@ -51,21 +51,21 @@
         })
     }
 
-    /// The caller's view, from the own From and CSeq and the answer (§12.1.2). Without a Contact in the answer
-    /// requests go to `uri`, where the INVITE went.
+    /// Creates the caller's dialog from the response and the CSeq number of the INVITE (§12.1.2). If the
+    /// response has no Contact, requests are sent to `uri`, to which the INVITE was sent.
     ///
     /// # Errors
-    /// Where the answer's addresses cannot be read.
-    pub fn caller(answer: &Message, uri: &str, cseq: u32) -> Result<Self, ValueError> {
-        let (from, to) = (answer.get(Name::From).unwrap_or(""), answer.get(Name::To).unwrap_or(""));
+    /// If the response's addresses cannot be read.
+    pub fn caller(response: &Message, uri: &str, cseq: u32) -> Result<Self, ValueError> {
+        let (from, to) = (response.get(Name::From).unwrap_or(""), response.get(Name::To).unwrap_or(""));
         let local_tag = Address::parse(from)?.tag().unwrap_or("").to_owned();
         let remote_tag = Address::parse(to)?.tag().unwrap_or("").to_owned();
-        let contact = answer.values(Name::Contact).next();
+        let contact = response.values(Name::Contact).next();
         let target = contact.map(Address::parse).transpose()?.map_or(uri, |a| a.uri);
-        let mut routes: Vec<String> = answer.values(Name::RecordRoute).map(str::to_owned).collect();
+        let mut routes: Vec<String> = response.values(Name::RecordRoute).map(str::to_owned).collect();
         routes.reverse();
         Ok(Self {
-            call_id: answer.get(Name::CallId).unwrap_or("").to_owned(),
+            call_id: response.get(Name::CallId).unwrap_or("").to_owned(),
             local: from.to_owned(),
             remote: to.to_owned(),
             local_tag,
@@ -77,38 +77,40 @@
         })
     }
 
-    /// Begins a request in the dialog (§12.2.1.1). An ACK repeats the INVITE's CSeq; others take the next one.
+    /// Begins a request within the dialog (§12.2.1.1). An ACK repeats the INVITE's CSeq number; other
+    /// requests take the next one.
     #[must_use]
     pub fn request(&mut self, method: Method, via: &str) -> MessageBuilder {
         if method != Method::Ack {
             self.local_cseq += 1;
         }
-        let strict = self.routes.first().filter(|r| {
+        let strict_router = self.routes.first().filter(|r| {
             Address::parse(r).is_ok_and(|a| !a.uri.split(';').skip(1).any(|p| p.eq_ignore_ascii_case("lr")))
         });
-        // A first proxy without `lr` is a strict router of RFC 2543: it stands in the request line itself.
-        let (uri, routes): (&str, Vec<&str>) = match strict {
+        // A first proxy without `lr` is a strict router of RFC 2543: its URI becomes the request-URI, and the
+        // remote target becomes the last Route.
+        let (uri, routes): (&str, Vec<&str>) = match strict_router {
             Some(first) => {
                 let uri = Address::parse(first).map_or(self.target.as_str(), |a| a.uri);
                 (uri, self.routes[1..].iter().map(String::as_str).collect())
             }
             None => (&self.target, self.routes.iter().map(String::as_str).collect()),
         };
-        let mut draft = MessageBuilder::request(method, uri);
-        draft.field(Name::Via, via).field(Name::MaxForwards, "70");
+        let mut builder = MessageBuilder::request(method, uri);
+        builder.field(Name::Via, via).field(Name::MaxForwards, "70");
         for route in routes {
-            draft.field(Name::Route, route);
+            builder.field(Name::Route, route);
         }
-        if strict.is_some() {
-            draft.field(Name::Route, &format!("<{}>", self.target));
+        if strict_router.is_some() {
+            builder.field(Name::Route, &format!("<{}>", self.target));
         }
         let cseq = format!("{} {}", self.local_cseq, method.name());
-        draft.field(Name::From, &self.local).field(Name::To, &self.remote);
-        draft.field(Name::CallId, &self.call_id).field(Name::CSeq, &cseq);
-        draft
+        builder.field(Name::From, &self.local).field(Name::To, &self.remote);
+        builder.field(Name::CallId, &self.call_id).field(Name::CSeq, &cseq);
+        builder
     }
 
-    /// Whether a request of the other side comes in order (§12.2.2); takes note of its number.
+    /// Returns whether a received request is in order (§12.2.2), and if so records its CSeq number.
     pub fn accept_cseq(&mut self, cseq: u32) -> bool {
         let in_order = self.remote_cseq.is_none_or(|last| cseq > last);
         if in_order {
@@ -117,7 +119,7 @@
         in_order
     }
 
-    /// Whether a request from the other side belongs here: its From tag and To tag (§12.2.2).
+    /// Whether a received request belongs to this dialog by its From tag and To tag (§12.2.2).
     #[must_use]
     pub fn matches(&self, request: &Message) -> bool {
         let tag =
--- a/crates/fawnrouter-sip/src/lib.rs
+++ b/crates/fawnrouter-sip/src/lib.rs
@@ -2,8 +2,8 @@
 //! SIP without I/O: messages (RFC 3261 §7, §25), their framing on a stream (§18.3), URIs (§19.1, RFC 3966,
 //! RFC 4904), transactions over reliable transports (§17, RFC 6026) and dialogs (§12).
 //!
-//! Bytes go in and typed messages come out; every length and count has a limit in [`Limits`]. Nothing here reads
-//! a clock: what expires is told by the caller.
+//! The parsers turn bytes into typed messages; every length and count has a limit in [`Limits`]. The package
+//! reads no clock: its user runs the timers.
 
 mod builder;
 mod dialog;
--- a/crates/fawnrouter-sip/src/message.rs
+++ b/crates/fawnrouter-sip/src/message.rs
@@ -1,11 +1,11 @@
-//! A parsed message: the start line, the fields in their order, and the body (RFC 3261 §7).
+//! A parsed message: the start line, the fields in order, and the body (RFC 3261 §7).
 
 use std::fmt;
 use std::ops::Range;
 
 use crate::value::{self, CSeq, Via};
 
-/// What a parser accepts. A message beyond a limit is refused as a whole.
+/// Limits of the parsers. A message that exceeds one is refused as a whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Bytes of the start line and all fields.
@@ -22,7 +22,7 @@
     }
 }
 
-/// Why bytes are no SIP message. The reason names the place.
+/// Why bytes are not a SIP message, with the line or byte where known.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum ParseError {
@@ -35,35 +35,36 @@
     /// The first line is neither a request line nor a status line.
     #[error("the start line is neither a request line nor a status line")]
     StartLine,
-    /// A field without a colon, with an empty name, or with a character that names may not hold.
+    /// A field without a colon, with an empty name, or with a character that is not allowed in names.
     #[error("line {0} is no header field")]
     Field(usize),
-    /// A control character where none may stand.
+    /// A control character where none is allowed.
     #[error("line {0} holds a control character")]
     ControlCharacter(usize),
-    /// Beyond a limit.
+    /// A limit is exceeded.
     #[error("{what} is over the limit of {limit}")]
     TooLarge {
-        /// What is too large.
+        /// The part that is too large.
         what: &'static str,
         /// The limit.
         limit: usize,
     },
-    /// On a stream: no Content-Length, or one that is no number (RFC 3261 §18.3).
+    /// The Content-Length is missing on a stream, not a number, or repeated with another value (RFC 3261
+    /// §18.3).
     #[error("the Content-Length is missing, repeated or no number")]
     ContentLength,
 }
 
-/// What a well-formed request lacks, with the status to answer it with (RFC 3261 §8.2).
+/// Why a well-formed request cannot be processed, with the status to answer it with (RFC 3261 §8.2).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InvalidRequest {
     /// The status.
     pub status: u16,
-    /// Which part is wrong, to stand in the reason phrase.
+    /// The part that is wrong, for the reason phrase.
     pub what: &'static str,
 }
 
-/// Methods that the gateway knows; others keep their text in the message.
+/// Request methods that the gateway knows. The text of other methods is kept in the message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[allow(missing_docs)]
 pub enum Method {
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Its name; empty for [`Method::Other`].
+    /// The name of the method; empty for [`Method::Other`].
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -108,13 +109,13 @@
 
 macro_rules! header_names {
     ($($(#[$doc:meta])* $variant:ident $text:literal $($compact:literal)?),* $(,)?) => {
-        /// Header field names known here; compact forms (RFC 3261 §7.3.3) are the same names.
+        /// Known names of header fields; a compact form (RFC 3261 §7.3.3) is the same name.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
         #[allow(missing_docs)]
         pub enum Name { $($variant,)* Other }
 
         impl Name {
-            /// The name that a field line begins with, in any case and form.
+            /// The name in any case, in its long or compact form.
             #[must_use]
             pub fn from_name(text: &str) -> Self {
                 match text.len() {
@@ -127,7 +128,7 @@
                 }
             }
 
-            /// As it is written; empty for [`Name::Other`].
+            /// The long form of the name; empty for [`Name::Other`].
             #[must_use]
             pub const fn text(self) -> &'static str {
                 match self { $(Self::$variant => $text,)* Self::Other => "" }
@@ -150,31 +151,31 @@
 /// One field of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Field {
-    /// Its name.
+    /// The name.
     pub name: Name,
     raw_name: (u32, u32),
     value: (u32, u32),
 }
 
-/// The first line.
+/// The start line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartLine<'a> {
     /// A request.
     Request {
-        /// Its method.
+        /// The method.
         method: Method,
         /// The method's text.
         name: &'a str,
         /// The request-URI.
         uri: &'a str,
-        /// The protocol's version as told.
+        /// The protocol version as received.
         version: &'a str,
     },
     /// A response.
     Response {
-        /// Its status, 100 to 699.
+        /// The status, 100 to 699.
         status: u16,
-        /// Its phrase.
+        /// The reason phrase.
         phrase: &'a str,
     },
 }
@@ -185,7 +186,7 @@
     Response { status: u16, phrase: Range<usize> },
 }
 
-/// A message, with its text kept as it came (folded lines are joined by spaces).
+/// A message. Its text is kept as received, except that folded lines are joined by spaces.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Message {
     head: String,
@@ -200,17 +201,18 @@
     }
 }
 
-/// Where the head ends: the place after the empty line. Bare LF line ends are not accepted.
+/// The end of the head: the offset after the empty line. Bare LF line ends are not accepted.
 pub(crate) fn find_head_end(bytes: &[u8], from: usize) -> Option<usize> {
     memchr::memmem::find(bytes.get(from..)?, b"\r\n\r\n").map(|at| from + at + 4)
 }
 
 impl Message {
-    /// Parses a whole message, as a datagram or a WebSocket message holds it (RFC 7118 §5): the body is as long
-    /// as Content-Length says, or else reaches to the end; bytes beyond it are dropped (RFC 3261 §18.3).
+    /// Parses a complete message, as a datagram or a WebSocket message holds it (RFC 7118 §5). The body has
+    /// the length given by Content-Length, or else extends to the end; bytes beyond it are dropped (RFC 3261
+    /// §18.3).
     ///
     /// # Errors
-    /// Where the bytes are no message within the limits; see [`ParseError`].
+    /// If the bytes are not a message within the limits; see [`ParseError`].
     pub fn parse(bytes: &[u8], limits: &Limits) -> Result<Self, ParseError> {
         // Empty lines before the start line are dropped (RFC 3261 §7.5).
         let lead = bytes.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
@@ -225,12 +227,12 @@
         if length > limits.body_bytes {
             return Err(ParseError::TooLarge { what: "the body", limit: limits.body_bytes });
         }
-        // A body shorter than promised is kept; `validate` answers it.
+        // A body shorter than its Content-Length is kept; `validate` reports it.
         message.body = body[..length].to_vec();
         Ok(message)
     }
 
-    /// Parses the start line and the fields up to and with the empty line; the body is empty.
+    /// Parses the start line and the fields, up to and including the empty line. The body is empty.
     ///
     /// # Errors
     /// See [`ParseError`].
@@ -240,8 +242,10 @@
         }
         let mut head =
             std::str::from_utf8(bytes).map_err(|e| ParseError::NotUtf8(e.valid_up_to()))?.to_owned();
-        // A line that begins with white space continues the one before (§7.3.1): joined in place by spaces.
-        if memchr::memmem::find_iter(bytes, b"\r\n").any(|at| matches!(bytes.get(at + 2), Some(b' ' | b'\t')))
+        // A line that begins with white space continues the one before (§7.3.1). Three spaces replace the
+        // line end and the white space, so that the length and all offsets stay the same.
+        if memchr::memmem::find_iter(bytes, b"\r\n")
+            .any(|line_end| matches!(bytes.get(line_end + 2), Some(b' ' | b'\t')))
         {
             head = head.replace("\r\n ", "   ").replace("\r\n\t", "   ");
         }
@@ -314,7 +318,7 @@
         }
     }
 
-    /// The method of a request as written; empty for a response.
+    /// The method of a request as received; empty for a response.
     #[must_use]
     pub fn method_name(&self) -> &str {
         match self.start() {
@@ -323,7 +327,7 @@
         }
     }
 
-    /// The fields with their names as written and their values, in order.
+    /// The fields in order: the name, the name as received, and the value.
     pub fn fields(&self) -> impl Iterator<Item = (Name, &str, &str)> {
         self.fields.iter().map(|f| (f.name, self.slice(f.raw_name), self.slice(f.value)))
     }
@@ -334,20 +338,20 @@
         self.fields.iter().find(|f| f.name == name).map(|f| self.slice(f.value))
     }
 
-    /// The value of the first field with this name in any case, known here or not.
+    /// The value of the first field with this name in any case, whether [`Name`] knows it or not.
     #[must_use]
     pub fn get_named(&self, name: &str) -> Option<&str> {
         self.fields().find(|(_, raw, _)| raw.eq_ignore_ascii_case(name)).map(|(_, _, value)| value)
     }
 
-    /// All values of this name: of every field, and of every part between commas (§7.3.1).
+    /// All values of the fields of this name, which are split at commas (§7.3.1).
     pub fn values(&self, name: Name) -> impl Iterator<Item = &str> {
         let fields = self.fields.iter().filter(move |f| f.name == name);
         fields.flat_map(|f| value::split_values(self.slice(f.value)))
     }
 
-    /// The value of every field of this name as a whole: for those in which commas part no values (§7.3.1), as
-    /// Authorization.
+    /// The value of every field of this name as a whole, for fields in which commas do not separate values
+    /// (§7.3.1), such as Authorization.
     pub fn whole_values(&self, name: Name) -> impl Iterator<Item = &str> {
         self.fields.iter().filter(move |f| f.name == name).map(|f| self.slice(f.value))
     }
@@ -358,10 +362,10 @@
         &self.body
     }
 
-    /// The body's length as told.
+    /// The length of the body according to the Content-Length.
     ///
     /// # Errors
-    /// Where it is no number, or two fields differ.
+    /// If it is not a number, or two fields differ.
     pub fn content_length(&self) -> Result<Option<usize>, ParseError> {
         let mut found = None;
         for field in self.fields.iter().filter(|f| f.name == Name::ContentLength) {
@@ -379,7 +383,7 @@
     /// The top Via.
     ///
     /// # Errors
-    /// Where there is none or it cannot be read.
+    /// If there is none or it cannot be read.
     pub fn via(&self) -> Result<Via<'_>, value::ValueError> {
         Via::parse(self.values(Name::Via).next().unwrap_or(""))
     }
@@ -387,16 +391,16 @@
     /// The CSeq.
     ///
     /// # Errors
-    /// Where there is none or it cannot be read.
+    /// If there is none or it cannot be read.
     pub fn cseq(&self) -> Result<CSeq<'_>, value::ValueError> {
         CSeq::parse(self.get(Name::CSeq).unwrap_or(""))
     }
 
-    /// Tells whether a request can be worked on: the six fields of §8.1.1, each once and readable, the version,
-    /// and a body as long as promised.
+    /// Checks whether a request can be processed: it has the six fields of §8.1.1, each once and readable, a
+    /// known version, and a body of the announced length.
     ///
     /// # Errors
-    /// The status to answer with, and what is wrong.
+    /// The status to answer with, and the part that is wrong.
     pub fn validate(&self) -> Result<(), InvalidRequest> {
         let bad = |what| Err(InvalidRequest { status: 400, what });
         let StartLine::Request { name, uri, version, .. } = self.start() else {
@@ -405,7 +409,7 @@
         if !version.eq_ignore_ascii_case("SIP/2.0") {
             return Err(InvalidRequest { status: 505, what: "Version" });
         }
-        let once = |wanted| self.fields.iter().filter(|f| f.name == wanted).count() == 1;
+        let appears_once = |wanted| self.fields.iter().filter(|f| f.name == wanted).count() == 1;
         for (name, what) in [
             (Name::From, "From"),
             (Name::To, "To"),
@@ -413,8 +417,8 @@
             (Name::CSeq, "CSeq"),
             (Name::MaxForwards, "Max-Forwards"),
         ] {
-            // Max-Forwards is missing from requests of old clients (RFC 2543); it then counts as 70.
-            let present = once(name) || (name == Name::MaxForwards && self.get(name).is_none());
+            // Requests of old clients (RFC 2543) have no Max-Forwards; it then counts as 70.
+            let present = appears_once(name) || (name == Name::MaxForwards && self.get(name).is_none());
             if !present {
                 return bad(what);
             }
@@ -447,8 +451,8 @@
                 return bad(what);
             }
         }
-        let expires = self.get(Name::Expires).is_some_and(|x| x.trim().parse::<u64>().is_err());
-        if expires {
+        let has_bad_expires = self.get(Name::Expires).is_some_and(|x| x.trim().parse::<u64>().is_err());
+        if has_bad_expires {
             return bad("Expires");
         }
         match self.content_length() {
@@ -458,13 +462,16 @@
         }
     }
 
+    /// The part of the head at a span.
     fn slice(&self, (start, len): (u32, u32)) -> &str {
         &self.head[start as usize..(start + len) as usize]
     }
 }
 
+/// An offset and a length within the head.
 fn span(start: usize, len: usize) -> (u32, u32) {
-    // Heads are far below 4 GiB: `Limits::head_bytes` is checked first, and is itself clipped by the settings' schema.
+    // Heads are far below 4 GiB: `Limits::head_bytes` is checked first, and the schema of the settings limits
+    // its value.
     (u32::try_from(start).unwrap_or(u32::MAX), u32::try_from(len).unwrap_or(0))
 }
 
@@ -485,18 +492,18 @@
         };
         return Some(StartLineSpans::Response { status, phrase });
     }
-    // One space between the parts, none inside them (§7.1).
+    // Exactly one space between the parts and none within them (§7.1).
     let first = line.find(' ')?;
     let last = line.rfind(' ')?;
     let name = &line[..first];
     let uri = line.get(first + 1..last)?;
     let version = &line[last + 1..];
-    let sound = !name.is_empty()
+    let is_valid = !name.is_empty()
         && name.bytes().all(value::is_token)
         && !uri.is_empty()
         && !uri.contains([' ', '\t'])
         && version.get(..4).is_some_and(|v| v.eq_ignore_ascii_case("SIP/"));
-    sound.then(|| StartLineSpans::Request {
+    is_valid.then(|| StartLineSpans::Request {
         method: Method::from_name(name),
         name: 0..first,
         uri: first + 1..last,
--- a/crates/fawnrouter-sip/src/stream.rs
+++ b/crates/fawnrouter-sip/src/stream.rs
@@ -1,36 +1,39 @@
-//! Messages on a byte stream, framed by Content-Length (RFC 3261 §18.3), with the keep-alives of RFC 5626 §3.5.1.
+//! Messages on a byte stream, framed by Content-Length (RFC 3261 §18.3), with the keep-alives of RFC 5626
+//! §3.5.1.
 
 use crate::message::{self, Limits, Message, ParseError};
 
-/// What a stream holds.
+/// An item of a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StreamItem {
     /// A message.
     Message(Box<Message>),
-    /// A double CRLF: the peer asks for a single one back.
+    /// A keep-alive ping (double CRLF), to be answered with a single CRLF.
     Ping,
 }
 
-/// Cuts a stream into messages. Holds at most one message beyond what is asked for, within the limits.
+/// Splits a stream into messages. Within the limits, it buffers at most one incomplete message and the bytes
+/// that were pushed and not yet decoded.
 #[derive(Debug, Default)]
 pub struct StreamDecoder {
     limits: Limits,
     buffer: Vec<u8>,
+    /// Bytes at the front of the buffer that have been decoded.
     consumed: usize,
-    /// So far no head's end was found before this place.
+    /// No end of a head begins before this offset, so that the search does not start over with each push.
     searched: usize,
-    /// A parsed head that waits for its body of that length.
+    /// A parsed head whose body, of this length, is not complete.
     pending: Option<(Message, usize)>,
 }
 
 impl StreamDecoder {
-    /// A decoder with these limits.
+    /// Creates a decoder with these limits.
     #[must_use]
     pub fn new(limits: Limits) -> Self {
         Self { limits, ..Self::default() }
     }
 
-    /// Takes bytes from the stream.
+    /// Adds bytes of the stream.
     pub fn push(&mut self, bytes: &[u8]) {
         if self.consumed > 0 {
             self.buffer.drain(..self.consumed);
@@ -40,16 +43,17 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Bytes of what is not a whole message yet.
+    /// Bytes that have not been returned as part of a message.
     #[must_use]
     pub fn buffered_bytes(&self) -> usize {
         self.buffer.len() - self.consumed
     }
 
-    /// The next whole message, if there is one.
+    /// Returns the next complete message or ping, if there is one.
     ///
     /// # Errors
-    /// After an error the stream can't be read on: there is no place to start from.
+    /// If the bytes are not a message within the limits. The stream cannot be decoded any further after that,
+    /// because the start of the next message is unknown.
     pub fn next_item(&mut self) -> Result<Option<StreamItem>, ParseError> {
         if self.pending.is_none() {
             let rest = &self.buffer[self.consumed..];
--- a/crates/fawnrouter-sip/src/uri.rs
+++ b/crates/fawnrouter-sip/src/uri.rs
@@ -4,36 +4,36 @@
 
 use crate::value::Params;
 
-/// Why a URI cannot be used, with the status that answers it (RFC 3261 §8.2.2.1, §16.3).
+/// Why a URI cannot be used, with the status of the response (RFC 3261 §8.2.2.1, §16.3).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UriError {
     /// It does not follow the grammar: 400.
     #[error("the URI cannot be read")]
     Malformed,
-    /// Its scheme is none that the gateway routes: 416.
+    /// The gateway does not route URIs of this scheme: 416.
     #[error("the URI's scheme is not known")]
     Scheme,
 }
 
-/// A trunk group as RFC 4904 §4 names it.
+/// A trunk group (RFC 4904 §4).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TrunkGroup<'a> {
     /// `tgrp`: the group's label.
     pub label: &'a str,
-    /// `trunk-context`: in whose numbering; the parameter must be there with `tgrp`.
+    /// `trunk-context`: the context in which the label is unique; required with `tgrp`.
     pub context: &'a str,
 }
 
-/// A request's target, as far as routing looks at it. Nothing is unescaped until asked for.
+/// The parts of a URI that routing uses. They are not unescaped; see [`Uri::number`] and [`unescape`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Uri<'a> {
-    /// `sips` was used.
+    /// Whether the scheme is `sips`.
     pub secure: bool,
-    /// A tel URI: `user` is its number and `host` is empty.
+    /// Whether the scheme is `tel`; then `user` is the number and `host` is empty.
     pub is_tel: bool,
-    /// The user part without its password, with its own parameters (RFC 3261 §19.1.6) still in it.
+    /// The user part without its password, but with its own parameters (RFC 3261 §19.1.6).
     pub user: &'a str,
-    /// The host, brackets of an IPv6 address included.
+    /// The host; an IPv6 address keeps its brackets.
     pub host: &'a str,
     /// The port.
     pub port: Option<u16>,
@@ -59,8 +59,8 @@
         if scheme.eq_ignore_ascii_case("tel") {
             let end = rest.find(';').unwrap_or(rest.len());
             let (user, params) = rest.split_at(end);
-            let digits = |b: u8| b.is_ascii_hexdigit() || b"+-.()*#".contains(&b);
-            if user.is_empty() || !user.bytes().all(digits) {
+            let is_tel_char = |b: u8| b.is_ascii_hexdigit() || b"+-.()*#".contains(&b);
+            if user.is_empty() || !user.bytes().all(is_tel_char) {
                 return Err(UriError::Malformed);
             }
             return Ok(Self {
@@ -77,16 +77,16 @@
             return Err(UriError::Scheme);
         }
         let rest = rest.split_once('?').map_or(rest, |(r, headers)| {
-            // An '@' after '?' belongs to a user part that holds a question mark (§25.1 user-unreserved).
+            // If an '@' follows, the '?' is part of the user part (§25.1 user-unreserved).
             if headers.contains('@') { rest } else { r }
         });
-        let (user, place) = match rest.rsplit_once('@') {
-            Some((user, place)) => (user.split_once(':').map_or(user, |(u, _)| u), place),
+        let (user, host_part) = match rest.rsplit_once('@') {
+            Some((user, host_part)) => (user.split_once(':').map_or(user, |(u, _)| u), host_part),
             None => ("", rest),
         };
-        let place = place.split_once('?').map_or(place, |(p, _)| p);
-        let end = place.find(';').unwrap_or(place.len());
-        let (host_port, params) = place.split_at(end);
+        let host_part = host_part.split_once('?').map_or(host_part, |(p, _)| p);
+        let end = host_part.find(';').unwrap_or(host_part.len());
+        let (host_port, params) = host_part.split_at(end);
         let (host, port) = match host_port.strip_prefix('[') {
             Some(inner) => {
                 let close = inner.find(']').ok_or(UriError::Malformed)?;
@@ -104,20 +104,20 @@
         Ok(Self { secure, is_tel: false, user, host, port, params: Params(params) })
     }
 
-    /// The number or name called: the user part without its parameters, unescaped, without the visual
-    /// separators of telephone numbers (RFC 3966 §5.1.1) if it is one.
+    /// The number or name that is called: the unescaped user part without its parameters. A telephone number
+    /// also loses its visual separators (RFC 3966 §5.1.1).
     #[must_use]
     pub fn number(&self) -> Cow<'a, str> {
         let user = self.user.split_once(';').map_or(self.user, |(u, _)| u);
         let plain = unescape(user);
-        let phone = plain.bytes().all(|b| b.is_ascii_digit() || b"+-.()*#".contains(&b));
-        if phone && plain.bytes().any(|b| b"-.()".contains(&b)) {
+        let is_phone_number = plain.bytes().all(|b| b.is_ascii_digit() || b"+-.()*#".contains(&b));
+        if is_phone_number && plain.bytes().any(|b| b"-.()".contains(&b)) {
             return Cow::Owned(plain.chars().filter(|c| !"-.()".contains(*c)).collect());
         }
         plain
     }
 
-    /// The trunk group that the caller names, in the user part of a sip URI or the parameters of a tel URI.
+    /// The trunk group that the caller selects, in the user part of a sip URI or the parameters of a tel URI.
     #[must_use]
     pub fn trunk_group(&self) -> Option<TrunkGroup<'a>> {
         let params = if self.is_tel { self.params } else { Params(&self.user[self.user.find(';')?..]) };
@@ -134,7 +134,7 @@
         .all(|at| bytes.get(at + 1..at + 3).is_some_and(|hex| hex.iter().all(u8::is_ascii_hexdigit)))
 }
 
-/// Undoes `%` escapes (RFC 3261 §19.1.2). Text that is not UTF-8 afterwards stays escaped.
+/// Decodes `%` escapes (RFC 3261 §19.1.2). Text that would not be UTF-8 afterwards stays escaped.
 #[must_use]
 pub fn unescape(text: &str) -> Cow<'_, str> {
     if !text.contains('%') {
--- a/crates/fawnrouter-sip/src/value.rs
+++ b/crates/fawnrouter-sip/src/value.rs
@@ -1,10 +1,11 @@
-//! Values of header fields: lists, parameters, addresses, Via, CSeq and Reason (RFC 3261 §20, §25.1; RFC 3326).
+//! Values of header fields: lists, parameters, addresses, Via, CSeq and Reason (RFC 3261 §20, §25.1; RFC
+//! 3326).
 
-/// Why a value cannot be read.
+/// A value of a header field cannot be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0} cannot be read")]
 pub struct ValueError(
-    /// Which value.
+    /// The value that cannot be read.
     pub &'static str,
 );
 
@@ -14,7 +15,7 @@
         || matches!(b, b'-' | b'.' | b'!' | b'%' | b'*' | b'_' | b'+' | b'`' | b'\'' | b'~')
 }
 
-/// The place of the first `wanted` outside quotes and angle brackets.
+/// The offset of the first `wanted` outside quotes and angle brackets.
 fn find_unquoted(text: &str, wanted: u8) -> Option<usize> {
     let (mut quoted, mut escaped, mut angle) = (false, false, false);
     for (at, b) in text.bytes().enumerate() {
@@ -32,7 +33,7 @@
     None
 }
 
-/// The parts of a field that may hold several values between commas.
+/// Splits the value of a field that may hold several values between commas.
 pub fn split_values(text: &str) -> impl Iterator<Item = &str> {
     let mut rest = Some(text);
     std::iter::from_fn(move || {
@@ -53,7 +54,7 @@
     split_values(text).next().unwrap_or("")
 }
 
-/// Parameters after a value: `;name=value;flag`.
+/// The parameters after a value: `;name=value;flag`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Params<'a>(pub &'a str);
 
@@ -64,11 +65,11 @@
         std::iter::from_fn(move || {
             let text = rest.trim_start().strip_prefix(';')?;
             let end = find_unquoted(text, b';').unwrap_or(text.len());
-            let one = text[..end].trim();
+            let param = text[..end].trim();
             rest = &text[end..];
-            Some(match one.split_once('=') {
+            Some(match param.split_once('=') {
                 Some((name, value)) => (name.trim(), Some(value.trim().trim_matches('"'))),
-                None => (one, None),
+                None => (param, None),
             })
         })
     }
@@ -79,6 +80,7 @@
         self.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.unwrap_or(""))
     }
 
+    /// Whether the parameters follow the grammar.
     fn is_valid(self) -> bool {
         let start = self.0.trim_start();
         (start.is_empty() || start.starts_with(';'))
@@ -89,19 +91,19 @@
 /// An address with its parameters: From, To, Contact, Route, Record-Route (§20.10).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Address<'a> {
-    /// The display name, with quotes if it has any.
+    /// The display name, with its quotes if there are any.
     pub display: &'a str,
     /// The URI.
     pub uri: &'a str,
-    /// What follows it.
+    /// The parameters after the URI.
     pub params: Params<'a>,
 }
 
 impl<'a> Address<'a> {
-    /// Reads one address. Without angle brackets, parameters belong to the field and not to the URI (§20).
+    /// Parses one address. Without angle brackets, parameters belong to the field and not to the URI (§20).
     ///
     /// # Errors
-    /// Where quotes or brackets do not close, or there is no URI.
+    /// If quotes or brackets do not close, or there is no URI.
     pub fn parse(text: &'a str) -> Result<Self, ValueError> {
         let err = ValueError("an address");
         let text = text.trim();
@@ -118,7 +120,7 @@
         let scheme = uri.split_once(':').map_or("", |(s, _)| s);
         let quotes = display.bytes().filter(|b| *b == b'"').count();
         let display_ok = match display.strip_prefix('"') {
-            // A quoted name closes and nothing stands between it and the bracket.
+            // A quoted name has a closing quote, and nothing between that quote and the bracket.
             Some(rest) => {
                 rest.len() > find_closing_quote(rest).unwrap_or(usize::MAX - 1) && rest.ends_with('"')
             }
@@ -140,12 +142,13 @@
     }
 }
 
+/// The offset of the first quote that is not escaped.
 fn find_closing_quote(rest: &str) -> Option<usize> {
     let mut escaped = false;
     rest.bytes().position(|b| {
-        let hit = b == b'"' && !escaped;
+        let closes = b == b'"' && !escaped;
         escaped = b == b'\\' && !escaped;
-        hit
+        closes
     })
 }
 
@@ -154,23 +157,23 @@
 pub struct Via<'a> {
     /// The transport: `TCP`, `WS`, ...
     pub transport: &'a str,
-    /// Host and port that sent it.
+    /// Host and port of the sender.
     pub sent_by: &'a str,
     /// Its parameters.
     pub params: Params<'a>,
 }
 
 impl<'a> Via<'a> {
-    /// Reads one value.
+    /// Parses one value.
     ///
     /// # Errors
-    /// Where the protocol, the transport or the sender is missing.
+    /// If the protocol, the transport or the sender is missing.
     pub fn parse(text: &'a str) -> Result<Self, ValueError> {
         let err = ValueError("Via");
         let text = text.trim();
         let end = text.find(';').unwrap_or(text.len());
         let (head, params) = text.split_at(end);
-        // White space may stand around the slashes (RFC 4475 §3.1.1.1).
+        // White space is allowed around the slashes (RFC 4475 §3.1.1.1).
         let (name, rest) = head.split_once('/').ok_or(err)?;
         let (version, rest) = rest.split_once('/').ok_or(err)?;
         let rest = rest.trim_start();
@@ -185,7 +188,7 @@
         if valid { Ok(Self { transport, sent_by, params: Params(params) }) } else { Err(err) }
     }
 
-    /// The branch, which names the transaction (§17).
+    /// The branch, which identifies the transaction (§17).
     #[must_use]
     pub fn branch(&self) -> Option<&'a str> {
         self.params.get("branch").filter(|b| !b.is_empty())
@@ -202,10 +205,10 @@
 }
 
 impl<'a> CSeq<'a> {
-    /// Reads the value.
+    /// Parses the value.
     ///
     /// # Errors
-    /// Where it is not a number below 2^31 and a method.
+    /// If it is not a number below 2^31 followed by a method.
     pub fn parse(text: &'a str) -> Result<Self, ValueError> {
         let err = ValueError("CSeq");
         let (number, method) = text.trim().split_once([' ', '\t']).ok_or(err)?;
@@ -218,7 +221,7 @@
     }
 }
 
-/// A Reason value (RFC 3326): a protocol and a cause in it.
+/// A Reason value (RFC 3326): a protocol and a cause of that protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reason<'a> {
     /// `SIP`, `Q.850`, ...
@@ -228,7 +231,7 @@
 }
 
 impl<'a> Reason<'a> {
-    /// Reads one value.
+    /// Parses one value.
     #[must_use]
     pub fn parse(text: &'a str) -> Self {
         let end = text.find(';').unwrap_or(text.len());
--- a/crates/fawnrouter-sip/tests/messages.rs
+++ b/crates/fawnrouter-sip/tests/messages.rs
@@ -1,12 +1,18 @@
-//! Messages, their framing and their faults. The torture table follows the descriptions of RFC 4475; every message
-//! here is our own.
+//! Parsing, framing, validating and building of messages. The rows of the torture table follow the
+//! descriptions of RFC 4475, with messages of their own.
 
 use fawnrouter_sip::*;
 use proptest::prelude::*;
 
+/// Result of [`status_of`] for a message that is processed.
+const PROCESSED: u16 = 0;
+/// Result of [`status_of`] for bytes that are not a message.
+const NOT_A_MESSAGE: u16 = 1;
+
 const LIMITS: Limits = Limits { head_bytes: 4096, fields: 40, body_bytes: 1024 };
 
-/// An INVITE with a line replaced or added: (`name`, line) replaces the line that begins with `name`.
+/// An INVITE with changed lines: (key, line) replaces the default line of that key, or adds the line under a
+/// new key. An empty line removes the default one.
 fn invite(changes: &[(&str, &str)], body: &str) -> String {
     let mut lines: Vec<(String, String)> = [
         ("INVITE", "INVITE sip:+914842001@gw.example SIP/2.0"),
@@ -30,17 +36,18 @@
     format!("{head}\r\n{body}")
 }
 
-/// What becomes of a message: the status that answers it, 0 if it is worked on, 1 if it is no message at all.
-fn verdict(text: &[u8]) -> u16 {
+/// The status with which a message is answered: [`PROCESSED`] if it is processed, [`NOT_A_MESSAGE`] if it
+/// cannot be parsed at all.
+fn status_of(text: &[u8]) -> u16 {
     match Message::parse(text, &LIMITS) {
-        Err(_) => 1,
-        Ok(m) if m.status().is_some() => 0,
+        Err(_) => NOT_A_MESSAGE,
+        Ok(m) if m.status().is_some() => PROCESSED,
         Ok(m) => match m.validate() {
             Err(invalid) => invalid.status,
             Ok(()) => {
-                let StartLine::Request { uri, .. } = m.start() else { return 0 };
+                let StartLine::Request { uri, .. } = m.start() else { return PROCESSED };
                 match Uri::parse(uri) {
-                    Ok(_) => 0,
+                    Ok(_) => PROCESSED,
                     Err(UriError::Malformed) => 400,
                     Err(UriError::Scheme) => 416,
                 }
@@ -50,13 +57,13 @@
 }
 
 #[test]
-fn the_torture_table_gets_its_expected_answers() {
+fn torture_messages_get_their_expected_status() {
     let long = "x".repeat(900);
     let long_display = format!("From: \"{long}\" <sip:a@c1.invalid>;tag=f1");
     type Row<'a> = (&'a str, Vec<(&'a str, &'a str)>, &'a str, u16);
     let table: Vec<Row> = vec![
-        ("plain", vec![], "", 0),
-        // Valid though odd (§3.1.1).
+        ("plain", vec![], "", PROCESSED),
+        // Valid but unusual messages (RFC 4475 §3.1.1).
         (
             "folding and white space",
             vec![
@@ -64,7 +71,7 @@
                 ("Max-Forwards", "Max-Forwards:\t0068"),
             ],
             "",
-            0,
+            PROCESSED,
         ),
         (
             "compact forms",
@@ -75,56 +82,61 @@
                 ("Via", "v: SIP/2.0/WS c.invalid;branch=z9hG4bKa"),
             ],
             "",
-            0,
+            PROCESSED,
         ),
         (
             "spaces around the slashes of a Via",
             vec![("Via", "Via: SIP  / 2.0\r\n /WS   c1.invalid ;branch=  z9hG4bK30")],
             "",
-            0,
+            PROCESSED,
         ),
         (
             "wide range of characters in tokens",
             vec![("X", "!interesting-Header0123456789_*+`.%indeed'~: a"), ("CSeq", "CSeq: 7 INVITE")],
             "",
-            0,
+            PROCESSED,
         ),
         (
             "escapes in the user part",
             vec![("INVITE", "INVITE sip:sips%3Auser%40example.com@example.net SIP/2.0")],
             "",
-            0,
+            PROCESSED,
         ),
-        ("escaped nulls", vec![("From", "From: sip:null-%00-null@example.com;tag=83")], "", 0),
+        ("escaped nulls", vec![("From", "From: sip:null-%00-null@example.com;tag=83")], "", PROCESSED),
         (
-            "percent that is no escape in a method name",
+            "percent sign that is not an escape, in a method name",
             vec![("INVITE", "RE%47IST sip:a@b SIP/2.0"), ("CSeq", "CSeq: 1 RE%47IST")],
             "",
-            0,
+            PROCESSED,
         ),
         (
             "name-addr without a space before the bracket",
             vec![("Contact", "Contact: caller<sip:a@c1.invalid>")],
             "",
-            0,
+            PROCESSED,
         ),
-        ("long values", vec![("From", &long_display)], "", 0),
-        ("extra octets after the body", vec![("L", "Content-Length: 2")], "abINVITE again", 0),
+        ("long values", vec![("From", &long_display)], "", PROCESSED),
+        ("extra octets after the body", vec![("L", "Content-Length: 2")], "abINVITE again", PROCESSED),
         (
             "semicolon in the user part",
             vec![("INVITE", "INVITE sip:user;par=u%40example.net@example.com SIP/2.0")],
             "",
-            0,
+            PROCESSED,
+        ),
+        (
+            "unknown transport in Via",
+            vec![("Via", "Via: SIP/2.0/UNKNOWN t1.example;branch=z9hG4bK1")],
+            "",
+            PROCESSED,
         ),
-        ("unknown transport in Via", vec![("Via", "Via: SIP/2.0/UNKNOWN t1.example;branch=z9hG4bK1")], "", 0),
         (
             "unusual reason phrase",
             vec![("INVITE", "SIP/2.0 200 = 2**3 * 5**2 \u{43d}\u{43e} \u{441}\u{442}\u{43e}")],
             "",
-            0,
+            PROCESSED,
         ),
-        ("empty reason phrase", vec![("INVITE", "SIP/2.0 100 ")], "", 0),
-        // Invalid (§3.1.2).
+        ("empty reason phrase", vec![("INVITE", "SIP/2.0 100 ")], "", PROCESSED),
+        // Invalid messages (§3.1.2).
         ("extraneous separators in Via", vec![("Via", "Via: SIP/2.0/WS c1.invalid;;,;,,")], "", 400),
         ("Content-Length larger than the message", vec![("L", "Content-Length: 9999")], "short", 400),
         ("negative Content-Length", vec![("L", "Content-Length: -999")], "", 400),
@@ -157,25 +169,25 @@
             "white space inside the request-URI",
             vec![("INVITE", "INVITE sip:user@example.com; lr SIP/2.0")],
             "",
-            1,
+            NOT_A_MESSAGE,
         ),
         (
             "several spaces in the request line",
             vec![("INVITE", "INVITE  sip:user@example.com  SIP/2.0")],
             "",
-            1,
+            NOT_A_MESSAGE,
         ),
         (
             "white space at the end of the request line",
             vec![("INVITE", "INVITE sip:user@example.com SIP/2.0  ")],
             "",
-            1,
+            NOT_A_MESSAGE,
         ),
         (
             "escaped headers in the request-URI",
             vec![("INVITE", "INVITE sip:user@example.com?Route=%3Csip:sip.example.com%3E SIP/2.0")],
             "",
-            0,
+            PROCESSED,
         ),
         ("unknown protocol version", vec![("INVITE", "INVITE sip:t@example.com SIP/7.0")], "", 505),
         ("start line and CSeq differ", vec![("CSeq", "CSeq: 8 OPTIONS")], "", 400),
@@ -185,8 +197,13 @@
             "",
             400,
         ),
-        ("response with a status over 699", vec![("INVITE", "SIP/2.0 4294967301 better not break")], "", 1),
-        // Faults of the transaction and the application (§3.2, §3.3).
+        (
+            "response with a status over 699",
+            vec![("INVITE", "SIP/2.0 4294967301 better not break")],
+            "",
+            NOT_A_MESSAGE,
+        ),
+        // Transaction and application layer semantics (§3.2, §3.3).
         ("missing fields", vec![("Call-ID", ""), ("From", "")], "", 400),
         (
             "unknown scheme",
@@ -195,7 +212,7 @@
             416,
         ),
         (
-            "known scheme that routes nothing",
+            "registered scheme that is not routed",
             vec![("INVITE", "INVITE soap.beep://192.0.2.103:3002 SIP/2.0")],
             "",
             416,
@@ -204,7 +221,7 @@
             "unknown schemes in the address fields",
             vec![("To", "To: <http://example.com>"), ("From", "From: <isbn:2983792873>;tag=3")],
             "",
-            0,
+            PROCESSED,
         ),
         (
             "several values in single fields",
@@ -218,22 +235,32 @@
             "abc",
             400,
         ),
-        ("a URI as To without brackets, with a question mark", vec![("To", "To: sip:a@b?Route=x")], "", 0),
-        ("no empty request-URI", vec![("INVITE", "INVITE  SIP/2.0")], "", 1),
-        ("field line without a colon", vec![("X", "nonsense")], "", 1),
-        ("control character in the start line", vec![("INVITE", "INVITE sip:a\u{1}b@c SIP/2.0")], "", 1),
-        ("bare carriage return in a value", vec![("X", "Subject: a\rb")], "", 1),
+        (
+            "a URI as To without brackets, with a question mark",
+            vec![("To", "To: sip:a@b?Route=x")],
+            "",
+            PROCESSED,
+        ),
+        ("empty request-URI", vec![("INVITE", "INVITE  SIP/2.0")], "", NOT_A_MESSAGE),
+        ("field line without a colon", vec![("X", "nonsense")], "", NOT_A_MESSAGE),
+        (
+            "control character in the start line",
+            vec![("INVITE", "INVITE sip:a\u{1}b@c SIP/2.0")],
+            "",
+            NOT_A_MESSAGE,
+        ),
+        ("bare carriage return in a value", vec![("X", "Subject: a\rb")], "", NOT_A_MESSAGE),
     ];
     for (name, changes, body, expected) in table {
         let text = invite(&changes, body);
-        assert_eq!(verdict(text.as_bytes()), expected, "{name}:\n{text}");
+        assert_eq!(status_of(text.as_bytes()), expected, "{name}:\n{text}");
     }
-    assert_eq!(verdict(b"\xff\xfe\r\n\r\n"), 1);
-    assert_eq!(verdict(b""), 1);
+    assert_eq!(status_of(b"\xff\xfe\r\n\r\n"), NOT_A_MESSAGE);
+    assert_eq!(status_of(b""), NOT_A_MESSAGE);
 }
 
 #[test]
-fn folded_compact_and_repeated_fields_read_as_one_list() {
+fn folded_compact_and_repeated_fields_form_one_list() {
     let text = invite(
         &[
             ("S", "k: 100rel,\r\n timer"),
@@ -265,7 +292,7 @@
 }
 
 #[test]
-fn an_answer_repeats_what_names_the_transaction_and_tells_where_it_came_from() {
+fn response_copies_the_transaction_fields_and_adds_the_source_address() {
     let m = Message::parse(invite(&[], "").as_bytes(), &LIMITS).unwrap();
     let bytes = MessageBuilder::response_to(&m, 503, None, "t9", Some(("127.0.0.1", 4711)))
         .field(Name::RetryAfter, "2")
@@ -279,7 +306,7 @@
 }
 
 #[test]
-fn requests_in_a_dialog_go_to_the_contact_through_the_routes() {
+fn requests_in_a_dialog_are_sent_to_the_contact_through_the_route_set() {
     let m =
         Message::parse(invite(&[("R", "Record-Route: <sip:p1;lr>, <sip:p2;lr>")], "").as_bytes(), &LIMITS)
             .unwrap();
@@ -294,14 +321,14 @@
 }
 
 #[test]
-fn a_value_with_line_ends_cannot_smuggle_a_field() {
+fn line_ends_in_a_value_do_not_inject_a_field() {
     let bytes =
         MessageBuilder::request(Method::Options, "sip:h").field(Name::Subject, "a\r\nVia: evil").finish(b"");
     assert!(!String::from_utf8(bytes).unwrap().contains("\nVia"));
 }
 
 #[test]
-fn limits_are_kept_on_heads_fields_and_bodies() {
+fn limits_on_heads_fields_and_bodies_are_enforced() {
     let fields: String = (0..60).map(|n| format!("X-{n}: a\r\n")).collect();
     let text = invite(&[], "").replace("\r\n\r\n", &format!("\r\n{fields}\r\n"));
     assert!(matches!(Message::parse(text.as_bytes(), &LIMITS), Err(ParseError::TooLarge { .. })));
@@ -313,24 +340,24 @@
     assert!(matches!(stream.next_item(), Err(ParseError::TooLarge { .. })));
 }
 
-fn drain(stream: &mut StreamDecoder) -> Vec<StreamItem> {
+fn decode_all(stream: &mut StreamDecoder) -> Vec<StreamItem> {
     std::iter::from_fn(|| stream.next_item().unwrap()).collect()
 }
 
 #[test]
-fn a_stream_cut_at_every_byte_gives_the_same_messages() {
+fn stream_split_at_any_byte_yields_the_same_messages() {
     let one = invite(&[("L", "Content-Length: 4")], "body");
     let all = format!("\r\n{one}\r\n\r\n{one}{one}");
     let mut whole = StreamDecoder::new(LIMITS);
     whole.push(all.as_bytes());
-    let expected = drain(&mut whole);
+    let expected = decode_all(&mut whole);
     assert_eq!(expected.len(), 4);
     for cut in 0..all.len() {
         let mut stream = StreamDecoder::new(LIMITS);
         let mut got = Vec::new();
         for part in [&all.as_bytes()[..cut], &all.as_bytes()[cut..]] {
             stream.push(part);
-            got.extend(drain(&mut stream));
+            got.extend(decode_all(&mut stream));
         }
         assert_eq!(got, expected, "cut at {cut}");
     }
@@ -340,20 +367,20 @@
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_bytes_make_the_parsers_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
-        let _ = verdict(&bytes);
+    fn arbitrary_bytes_do_not_make_the_parsers_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
+        let _ = status_of(&bytes);
         let mut stream = StreamDecoder::new(LIMITS);
         stream.push(&bytes);
         while let Ok(Some(_)) = stream.next_item() {}
     }
 
     #[test]
-    fn no_change_of_a_good_message_makes_the_parsers_panic(at in 0usize..300, with in any::<u8>(), cut in 0usize..300) {
+    fn changed_valid_messages_do_not_make_the_parsers_panic(at in 0usize..300, with in any::<u8>(), cut in 0usize..300) {
         let mut bytes = invite(&[("L", "Content-Length: 3")], "abc").into_bytes();
         let len = bytes.len();
         bytes[at % len] = with;
         bytes.truncate(len - cut % len);
-        let _ = verdict(&bytes);
+        let _ = status_of(&bytes);
         for text in bytes.split(|b| *b == b'\n').filter_map(|l| std::str::from_utf8(l).ok()) {
             let _ = (Uri::parse(text).map(|u| (u.number().len(), u.trunk_group().is_some())), Address::parse(text), Via::parse(text));
             let _ = (CSeq::parse(text), Reason::parse(text), split_values(text).count(), unescape(text).len());
@@ -361,7 +388,7 @@
     }
 
     #[test]
-    fn what_is_written_reads_back(user in "[a-z0-9.]{1,12}", subject in "[ -~]{0,40}", body in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn built_message_parses_back_unchanged(user in "[a-z0-9.]{1,12}", subject in "[ -~]{0,40}", body in proptest::collection::vec(any::<u8>(), 0..200)) {
         let uri = format!("sip:{user}@h.example");
         let mut draft = MessageBuilder::request(Method::Invite, &uri);
         let bytes = draft.field(Name::Subject, &subject).finish(&body);
