--- a/crates/fawnrouter-sip/tests/messages.rs
+++ b/crates/fawnrouter-sip/tests/messages.rs
@@ -364,10 +364,16 @@
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
+    #![proptest_config(ProptestConfig {
+        rng_seed: proptest::test_runner::RngSeed::Fixed(7),
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    })]
 
     #[test]
-    fn arbitrary_bytes_do_not_make_the_parsers_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_do_not_make_the_parsers_panic(
+        bytes in proptest::collection::vec(any::<u8>(), 0..400),
+    ) {
         let _ = status_of(&bytes);
         let mut stream = StreamDecoder::new(LIMITS);
         stream.push(&bytes);
@@ -375,20 +381,29 @@
     }
 
     #[test]
-    fn changed_valid_messages_do_not_make_the_parsers_panic(at in 0usize..300, with in any::<u8>(), cut in 0usize..300) {
+    fn changed_valid_messages_do_not_make_the_parsers_panic(
+        at in 0usize..300,
+        with in any::<u8>(),
+        cut in 0usize..300,
+    ) {
         let mut bytes = invite(&[("L", "Content-Length: 3")], "abc").into_bytes();
         let len = bytes.len();
         bytes[at % len] = with;
         bytes.truncate(len - cut % len);
         let _ = status_of(&bytes);
         for text in bytes.split(|b| *b == b'\n').filter_map(|l| std::str::from_utf8(l).ok()) {
-            let _ = (Uri::parse(text).map(|u| (u.number().len(), u.trunk_group().is_some())), Address::parse(text), Via::parse(text));
+            let _ = Uri::parse(text).map(|u| (u.number().len(), u.trunk_group().is_some()));
+            let _ = (Address::parse(text), Via::parse(text));
             let _ = (CSeq::parse(text), Reason::parse(text), split_values(text).count(), unescape(text).len());
         }
     }
 
     #[test]
-    fn built_message_parses_back_unchanged(user in "[a-z0-9.]{1,12}", subject in "[ -~]{0,40}", body in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn built_message_parses_back_unchanged(
+        user in "[a-z0-9.]{1,12}",
+        subject in "[ -~]{0,40}",
+        body in proptest::collection::vec(any::<u8>(), 0..200),
+    ) {
         let uri = format!("sip:{user}@h.example");
         let mut draft = MessageBuilder::request(Method::Invite, &uri);
         let bytes = draft.field(Name::Subject, &subject).finish(&body);
--- a/crates/fawnrouter-ws/src/forwarded.rs
+++ b/crates/fawnrouter-ws/src/forwarded.rs
@@ -1,21 +1,21 @@
-//! The Forwarded field (RFC 7239 §4): where a request comes from, as each proxy on its way says. Whom to believe is
-//! not decided here.
+//! The Forwarded field (RFC 7239 §4): the source of a request as reported by each proxy on its way. Which
+//! proxies to trust is not decided here.
 
 use std::net::{IpAddr, Ipv6Addr};
 
-/// A field that cannot be read.
+/// A Forwarded field cannot be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the Forwarded field cannot be read")]
 pub struct ForwardedError;
 
-/// Hops that are read; more are an attack or a loop.
+/// Limit on the number of hops: more indicate an attack or a loop.
 const MAX_HOPS: usize = 32;
 
-/// The `for` of each hop, the first one added first; `None` where it is hidden or unknown (§6.3). `values` are those
-/// of all Forwarded fields, in order.
+/// Returns the `for` address of each hop, beginning with the one that was added first, or `None` for a hop
+/// whose address is hidden or unknown (§6.3). `values` are the values of all Forwarded fields, in order.
 ///
 /// # Errors
-/// Where one of them does not follow the grammar, or there are too many hops.
+/// If a value does not follow the grammar, or there are too many hops.
 pub fn forwarded_for<'a>(
     values: impl IntoIterator<Item = &'a str>,
 ) -> Result<Vec<Option<IpAddr>>, ForwardedError> {
@@ -30,7 +30,8 @@
             for pair in split_unquoted(element, ';')? {
                 let (name, value) = pair.split_once('=').ok_or(ForwardedError)?;
                 if name.eq_ignore_ascii_case("for") {
-                    // A parameter stands once (§4): two of them would be read in two ways.
+                    // A parameter occurs at most once (§4): readers could choose differently between two of
+                    // them.
                     if std::mem::replace(&mut has_for, true) {
                         return Err(ForwardedError);
                     }
@@ -48,17 +49,17 @@
     Ok(hops)
 }
 
-/// Parts between separators that stand outside quotes.
+/// Splits at the separators outside quotes and trims the parts.
 fn split_unquoted(text: &str, separator: char) -> Result<Vec<&str>, ForwardedError> {
     let (mut parts, mut start, mut quoted, mut escaped) = (Vec::new(), 0, false, false);
-    for (at, c) in text.char_indices() {
+    for (offset, c) in text.char_indices() {
         match c {
             _ if escaped => escaped = false,
             '\\' if quoted => escaped = true,
             '"' => quoted = !quoted,
             c if c == separator && !quoted => {
-                parts.push(text[start..at].trim());
-                start = at + 1;
+                parts.push(text[start..offset].trim());
+                start = offset + 1;
             }
             _ => {}
         }
@@ -70,7 +71,7 @@
     Ok(parts)
 }
 
-/// A node (§6): an address with or without a port, or a word that hides it.
+/// Parses a node (§6): an address with or without a port, or a word that hides the address.
 fn parse_node(value: &str) -> Result<Option<IpAddr>, ForwardedError> {
     let text = match value.strip_prefix('"') {
         Some(rest) => rest.strip_suffix('"').ok_or(ForwardedError)?,
@@ -87,20 +88,21 @@
         return Ok(None);
     }
     if let Some(hidden) = name.strip_prefix('_') {
-        let sound = hidden.bytes().all(|b| b.is_ascii_alphanumeric() || b"._-".contains(&b));
-        return if sound && !hidden.is_empty() { Ok(None) } else { Err(ForwardedError) };
+        let is_valid = hidden.bytes().all(|b| b.is_ascii_alphanumeric() || b"._-".contains(&b));
+        return if is_valid && !hidden.is_empty() { Ok(None) } else { Err(ForwardedError) };
     }
     name.parse().map(|v4: std::net::Ipv4Addr| Some(v4.into())).map_err(|_| ForwardedError)
 }
 
+/// Checks that the text after a node name is empty or a port, which may be obfuscated (§6.3).
 fn check_optional_port(text: &str) -> Result<(), ForwardedError> {
-    let sound = |port: &str| {
-        let digits = port.parse::<u16>().is_ok();
-        digits || port.strip_prefix('_').is_some_and(|p| !p.is_empty())
+    let is_valid = |port: &str| {
+        let is_number = port.parse::<u16>().is_ok();
+        is_number || port.strip_prefix('_').is_some_and(|p| !p.is_empty())
     };
     match text.strip_prefix(':') {
         None if text.is_empty() => Ok(()),
-        Some(port) if sound(port) => Ok(()),
+        Some(port) if is_valid(port) => Ok(()),
         _ => Err(ForwardedError),
     }
 }
@@ -110,7 +112,7 @@
     use super::*;
 
     #[test]
-    fn the_forms_of_the_specification_are_read() {
+    fn all_forms_of_the_specification_are_parsed() {
         let v4 = |text: &str| Some(text.parse::<IpAddr>().expect("an address"));
         let rows: [(&[&str], Vec<Option<IpAddr>>); 9] = [
             (&["for=192.0.2.43"], vec![v4("192.0.2.43")]),
@@ -126,15 +128,15 @@
             (&["host=\"a\\\"b\";for=10.0.0.1"], vec![v4("10.0.0.1")]),
             (&[""], vec![]),
         ];
-        for (values, wanted) in rows {
-            assert_eq!(forwarded_for(values.iter().copied()), Ok(wanted), "{values:?}");
+        for (values, expected) in rows {
+            assert_eq!(forwarded_for(values.iter().copied()), Ok(expected), "{values:?}");
         }
     }
 
     #[test]
-    fn what_is_not_of_the_grammar_is_refused() {
+    fn values_outside_the_grammar_are_refused() {
         let many = vec!["for=10.0.0.1"; 33].join(",");
-        let wrong = [
+        let invalid = [
             "for=\"[::1",
             "for=[::1",
             "for=1.2.3",
@@ -148,7 +150,7 @@
             "for=::1",
             &many,
         ];
-        for text in wrong {
+        for text in invalid {
             assert_eq!(forwarded_for([text]), Err(ForwardedError), "{text}");
         }
     }
--- a/crates/fawnrouter-ws/src/frame.rs
+++ b/crates/fawnrouter-ws/src/frame.rs
@@ -1,28 +1,28 @@
 //! Frames and messages (RFC 6455 §5 to §8).
 
-/// Which side this is: clients mask, servers don't (§5.1).
+/// The side that receives: clients mask their frames, servers do not (§5.1).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// Receives masked frames.
     Server,
-    /// Receives plain frames.
+    /// Receives unmasked frames.
     Client,
 }
 
-/// What a frame holds (§5.2).
+/// The opcode of a frame (§5.2).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Opcode {
-    /// More of a message.
+    /// A further fragment of a message.
     Continuation,
-    /// The start of a text message.
+    /// A text message or its first fragment.
     Text,
-    /// The start of a binary message.
+    /// A binary message or its first fragment.
     Binary,
-    /// The end of the connection.
+    /// Closes the connection.
     Close,
-    /// A question whether the peer is there.
+    /// Checks whether the peer is alive; answered with a pong.
     Ping,
-    /// The answer to it.
+    /// The answer to a ping.
     Pong,
 }
 
@@ -51,67 +51,67 @@
     }
 }
 
-/// A status of a close frame (§7.4).
+/// The status code of a close frame (§7.4).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CloseCode(pub u16);
 
 impl CloseCode {
-    /// The purpose is fulfilled.
+    /// The connection has served its purpose.
     pub const NORMAL: Self = Self(1000);
-    /// The endpoint goes away.
+    /// The endpoint is going away.
     pub const GOING_AWAY: Self = Self(1001);
-    /// The peer broke the protocol.
+    /// The peer violated the protocol.
     pub const PROTOCOL_ERROR: Self = Self(1002);
     /// Data of a type that is not accepted.
     pub const UNSUPPORTED_DATA: Self = Self(1003);
-    /// Text that is not UTF-8.
+    /// Text is not UTF-8.
     pub const INVALID_PAYLOAD: Self = Self(1007);
-    /// The peer broke a policy.
+    /// The peer violated a policy.
     pub const POLICY_VIOLATION: Self = Self(1008);
-    /// A message too large.
+    /// A message is too large.
     pub const MESSAGE_TOO_BIG: Self = Self(1009);
     /// Try again later (IANA registry of close codes).
     pub const TRY_AGAIN_LATER: Self = Self(1013);
 
-    /// Whether a peer may send it (§7.4.1, §7.4.2).
+    /// Whether the code may be sent in a close frame (§7.4.1, §7.4.2).
     #[must_use]
     pub const fn is_allowed_on_wire(self) -> bool {
         matches!(self.0, 1000..=1003 | 1007..=1014 | 3000..=4999)
     }
 }
 
-/// Why a connection fails (§7.1.7), with the status to close it with.
+/// Why a connection must be failed (§7.1.7); see [`Self::close_code`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum FrameError {
-    /// Bits that no extension was agreed for, or an opcode that is not defined.
+    /// A reserved bit without an extension that defines it, or an undefined opcode.
     #[error("a reserved bit or opcode is used")]
     Reserved,
-    /// A client's frame without a mask, or a server's with one.
+    /// A client's frame is not masked, or a server's frame is.
     #[error("a frame is masked the wrong way")]
     Mask,
-    /// A control frame over 125 bytes or in pieces (§5.5).
+    /// A control frame is longer than 125 bytes or fragmented (§5.5).
     #[error("a control frame is in pieces or too long")]
     Control,
-    /// A length not in its shortest form, or with its top bit set.
+    /// A length is not in its shortest form, or has its top bit set.
     #[error("a frame's length is badly written")]
     Length,
-    /// A continuation of nothing, or a new message inside another (§5.4).
+    /// A continuation without a message to continue, or a new message within another (§5.4).
     #[error("a frame is out of sequence")]
     Sequence,
-    /// Over the limit on frames or messages.
+    /// A frame or message exceeds the limit.
     #[error("a message is over the limit of {0} bytes")]
     TooLarge(usize),
-    /// Text, or the reason of a close, that is not UTF-8.
+    /// Text, or the reason in a close frame, is not UTF-8.
     #[error("text is not UTF-8")]
     NotUtf8,
-    /// A close frame with one byte or a status that may not be sent.
+    /// A close frame has a payload of one byte, or a code that may not be sent.
     #[error("a close frame is badly written")]
     Close,
 }
 
 impl FrameError {
-    /// The status to close with.
+    /// The code to close the connection with.
     #[must_use]
     pub const fn close_code(self) -> CloseCode {
         match self {
@@ -122,39 +122,43 @@
     }
 }
 
-/// What a peer sent.
+/// A message or control frame from the peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event<'a> {
-    /// A whole text message.
+    /// A complete text message.
     Text(&'a str),
-    /// A whole binary message.
+    /// A complete binary message.
     Binary(&'a [u8]),
-    /// Answer it with a pong of the same bytes.
+    /// A ping, to be answered with a pong of the same bytes.
     Ping(&'a [u8]),
-    /// An answer to a ping, or unasked.
+    /// An answer to a ping, or an unsolicited pong.
     Pong(&'a [u8]),
-    /// Nothing comes after it; answer it with a close of the same status if none was sent.
+    /// The end of the stream, to be answered with a close frame of the same code if none has been sent.
     Close(Option<CloseCode>),
 }
 
-/// The longest header: two bytes, eight of length, four of mask.
+/// The longest header of a frame: two bytes, eight of length, four of mask.
 const MAX_HEADER_BYTES: usize = 14;
-/// A message buffer larger than this is given back once it is empty: an idle connection holds little.
+/// The longest payload of a control frame (§5.5).
+const MAX_CONTROL_BYTES: usize = 125;
+/// The longest reason in a close frame: what a control frame holds less two bytes of the code.
+const MAX_CLOSE_REASON_BYTES: usize = MAX_CONTROL_BYTES - 2;
+/// A larger message buffer is freed once it is empty, to keep the memory of idle connections small.
 const MAX_IDLE_BUFFER_BYTES: usize = 16 * 1024;
 
-/// A frame whose payload is coming in.
+/// A frame whose payload is being received.
 #[derive(Clone, Copy, Debug)]
 struct Frame {
     fin: bool,
     opcode: Opcode,
     mask: [u8; 4],
-    /// Bytes of the payload so far.
+    /// Payload bytes received so far.
     received: usize,
     len: usize,
 }
 
-/// Cuts a stream into messages. It holds one message and one control frame at the most, within the limit, and copies
-/// each byte once, taking the mask off on the way.
+/// Splits a stream into messages and control frames. It buffers at most one message, within the limit, and
+/// one control frame, and copies each byte once while removing the mask.
 #[derive(Debug)]
 pub struct FrameDecoder {
     role: Role,
@@ -162,17 +166,18 @@
     header: [u8; MAX_HEADER_BYTES],
     header_len: usize,
     frame: Option<Frame>,
-    /// The kind of the message that is coming in, if it comes in pieces.
+    /// The type of the fragmented message that is being received.
     fragmented: Option<Opcode>,
     message: Vec<u8>,
     control: Vec<u8>,
-    /// `message` has been given out.
+    /// `message` has been returned, and is cleared with the next call.
     message_delivered: bool,
     closed: bool,
 }
 
 impl FrameDecoder {
-    /// A decoder for what `role` receives, with a limit in bytes on a message and on each of its frames.
+    /// Creates a decoder for the frames that `role` receives, with a limit in bytes on a message and on each
+    /// of its frames.
     #[must_use]
     pub fn new(role: Role, limit: usize) -> Self {
         Self {
@@ -189,17 +194,17 @@
         }
     }
 
-    /// Bytes of a message that is not whole yet.
+    /// Bytes that are buffered for an incomplete message or control frame.
     #[must_use]
     pub fn buffered_bytes(&self) -> usize {
         if self.message_delivered { self.control.len() } else { self.message.len() + self.control.len() }
     }
 
-    /// Takes bytes from the front of `input` up to the end of the next message or control frame. `None` means that
-    /// all of it was taken, or that the connection has been closed.
+    /// Consumes bytes from the front of `input` up to the end of the next message or control frame. `None`
+    /// means that all of `input` was consumed and more is needed, or that the peer has sent a close frame.
     ///
     /// # Errors
-    /// The connection is to be failed; nothing can be read after it.
+    /// The connection must be failed; nothing can be decoded after an error.
     pub fn feed(&mut self, input: &mut &[u8]) -> Result<Option<Event<'_>>, FrameError> {
         if std::mem::take(&mut self.message_delivered) {
             self.message.clear();
@@ -245,25 +250,25 @@
         }
     }
 
-    /// Collects a header and judges it as soon as its first two bytes are there.
+    /// Collects a header, which is checked as soon as its first two bytes have arrived.
     fn collect_header(&mut self, input: &mut &[u8]) -> Result<Option<Frame>, FrameError> {
-        // Mostly a header lies in one piece.
+        // Fast path: usually the whole header is in `input`.
         if self.header_len == 0
             && let Some(whole) = input.first_chunk::<MAX_HEADER_BYTES>()
         {
             self.header = *whole;
-            let (opcode, wanted) = self.parse_header_start()?;
-            *input = &input[wanted..];
-            return self.parse_header(opcode, wanted).map(Some);
+            let (opcode, header_size) = self.parse_header_start()?;
+            *input = &input[header_size..];
+            return self.parse_header(opcode, header_size).map(Some);
         }
         loop {
-            let wanted = if self.header_len < 2 { 2 } else { self.parse_header_start()?.1 };
-            if self.header_len >= 2 && self.header_len == wanted {
+            let header_size = if self.header_len < 2 { 2 } else { self.parse_header_start()?.1 };
+            if self.header_len >= 2 && self.header_len == header_size {
                 let (opcode, _) = self.parse_header_start()?;
                 self.header_len = 0;
-                return self.parse_header(opcode, wanted).map(Some);
+                return self.parse_header(opcode, header_size).map(Some);
             }
-            let (part, rest) = input.split_at(input.len().min(wanted - self.header_len));
+            let (part, rest) = input.split_at(input.len().min(header_size - self.header_len));
             if part.is_empty() {
                 return Ok(None);
             }
@@ -273,7 +278,7 @@
         }
     }
 
-    /// What the first two bytes say: the opcode, and how long the header is.
+    /// Checks the first two bytes, and returns the opcode and the length of the header.
     #[inline]
     fn parse_header_start(&self) -> Result<(Opcode, usize), FrameError> {
         let [first, second, ..] = self.header;
@@ -283,22 +288,25 @@
             return Err(FrameError::Mask);
         }
         let fin = first & 0x80 != 0;
-        let length = match second & 0x7f {
+        let length_size = match second & 0x7f {
             126 => 2,
             127 => 8,
             _ => 0,
         };
-        let size = 2 + length + if second & 0x80 != 0 { 4 } else { 0 };
+        let header_size = 2 + length_size + if second & 0x80 != 0 { 4 } else { 0 };
         match opcode {
-            Opcode::Close | Opcode::Ping | Opcode::Pong if !fin || second & 0x7f > 125 => {
+            Opcode::Close | Opcode::Ping | Opcode::Pong
+                if !fin || usize::from(second & 0x7f) > MAX_CONTROL_BYTES =>
+            {
                 Err(FrameError::Control)
             }
             Opcode::Continuation if self.fragmented.is_none() => Err(FrameError::Sequence),
             Opcode::Text | Opcode::Binary if self.fragmented.is_some() => Err(FrameError::Sequence),
-            _ => Ok((opcode, size)),
+            _ => Ok((opcode, header_size)),
         }
     }
 
+    /// Parses a complete header of this length.
     #[inline]
     fn parse_header(&self, opcode: Opcode, size: usize) -> Result<Frame, FrameError> {
         let header = &self.header[..size];
@@ -319,15 +327,16 @@
             }
             (short, rest) => (usize::from(short), rest),
         };
-        let joined = if opcode == Opcode::Continuation { self.message.len() } else { 0 };
-        if len.saturating_add(joined) > self.limit && opcode.bits() < 8 {
+        let buffered = if opcode == Opcode::Continuation { self.message.len() } else { 0 };
+        if len.saturating_add(buffered) > self.limit && opcode.bits() < 8 {
             return Err(FrameError::TooLarge(self.limit));
         }
-        // A plain frame is one whose mask changes nothing.
+        // An unmasked frame gets the zero mask, which changes nothing.
         let mask = <[u8; 4]>::try_from(rest).unwrap_or_default();
         Ok(Frame { fin: self.header[0] & 0x80 != 0, opcode, mask, received: 0, len })
     }
 
+    /// Converts the complete control frame to an event.
     fn control_event(&mut self, opcode: Opcode) -> Result<Event<'_>, FrameError> {
         match opcode {
             Opcode::Ping => Ok(Event::Ping(&self.control)),
@@ -352,6 +361,7 @@
     }
 }
 
+/// Converts a complete message to an event.
 fn message_event(kind: Opcode, message: &[u8]) -> Result<Event<'_>, FrameError> {
     if kind == Opcode::Binary {
         return Ok(Event::Binary(message));
@@ -359,15 +369,15 @@
     simdutf8::basic::from_utf8(message).map(Event::Text).map_err(|_| FrameError::NotUtf8)
 }
 
-/// Appends a payload without its mask, whose bytes before it were `seen`.
-fn extend_unmasked(target: &mut Vec<u8>, payload: &[u8], mask: [u8; 4], seen: usize) {
+/// Unmasks a part of a payload and appends it; `offset` bytes of the payload came before it.
+fn extend_unmasked(target: &mut Vec<u8>, payload: &[u8], mask: [u8; 4], offset: usize) {
     if mask == [0; 4] {
         return target.extend_from_slice(payload);
     }
     let start = target.len();
     target.resize(start + payload.len(), 0);
-    // Sixteen bytes at a time, which compilers turn into vector instructions.
-    let word = u32::from_le_bytes(mask).rotate_right(8 * (seen as u32 % 4));
+    // Sixteen bytes at a time: the compiler generates vector instructions for this.
+    let word = u32::from_le_bytes(mask).rotate_right(8 * (offset as u32 % 4));
     let wide = u128::from(word) * 0x0000_0001_0000_0001_0000_0001_0000_0001;
     let (from, from_rest) = payload.as_chunks::<16>();
     let (to, to_rest) = target[start..].as_chunks_mut::<16>();
@@ -379,25 +389,25 @@
     }
 }
 
-/// Appends a frame that is a whole message or control frame. Clients give a fresh random mask (§5.3).
+/// Appends a complete message or control frame. Clients pass a fresh random mask (§5.3).
 pub fn encode_frame(opcode: Opcode, payload: &[u8], mask: Option<[u8; 4]>, out: &mut Vec<u8>) {
     encode_fragment(opcode, true, payload, mask, out);
 }
 
-/// Appends a frame that may be a piece of a message.
+/// Appends a frame that may be a fragment of a message; `fin` marks the last one.
 pub fn encode_fragment(opcode: Opcode, fin: bool, payload: &[u8], mask: Option<[u8; 4]>, out: &mut Vec<u8>) {
     out.reserve(payload.len() + 14);
     out.push(opcode.bits() | if fin { 0x80 } else { 0 });
-    let bit = if mask.is_some() { 0x80 } else { 0 };
+    let mask_bit = if mask.is_some() { 0x80 } else { 0 };
     let len = payload.len() as u64;
     match payload.len() {
-        short @ 0..126 => out.push(bit | short as u8),
+        short @ 0..126 => out.push(mask_bit | short as u8),
         126..=0xffff => {
-            out.push(bit | 126);
+            out.push(mask_bit | 126);
             out.extend_from_slice(&(len as u16).to_be_bytes());
         }
         _ => {
-            out.push(bit | 127);
+            out.push(mask_bit | 127);
             out.extend_from_slice(&len.to_be_bytes());
         }
     }
@@ -410,10 +420,11 @@
     }
 }
 
-/// The payload of a close frame; the reason is cut to what a control frame holds, at a character's end.
+/// The payload of a close frame. A reason that is too long for a control frame is truncated at a character
+/// boundary.
 #[must_use]
 pub fn close_payload(code: CloseCode, reason: &str) -> Vec<u8> {
-    let mut end = reason.len().min(123);
+    let mut end = reason.len().min(MAX_CLOSE_REASON_BYTES);
     while !reason.is_char_boundary(end) {
         end -= 1;
     }
--- a/crates/fawnrouter-ws/src/handshake.rs
+++ b/crates/fawnrouter-ws/src/handshake.rs
@@ -1,4 +1,4 @@
-//! The opening handshake (RFC 6455 §4) with the sub-protocol that RFC 7118 §4 asks for.
+//! The opening handshake (RFC 6455 §4) with the sub-protocol that RFC 7118 §4 requires.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
@@ -6,63 +6,65 @@
 
 use crate::http::{self, Head, HttpError, HttpLimits, RequestLine};
 
+/// Appended to the key of a request to compute Sec-WebSocket-Accept (§1.3).
 const ACCEPT_GUID: &[u8] = b"258EAFA5-E914-47DA-95CA-C5AB0DC85B11";
 
-/// Which pages may open a connection (§10.2). Programs that are no browser send no Origin.
+/// The web pages that may open a connection (§10.2). Programs other than browsers send no Origin.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum Origins {
-    /// Any, and none.
+    /// Requests from any origin, and requests without an Origin.
     #[default]
     Any,
-    /// These, compared without case, and none.
+    /// Requests from these origins, compared without case, and requests without an Origin.
     Listed(Vec<String>),
 }
 
-/// What a server agrees to.
+/// What a server accepts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServerOptions {
-    /// Limits on the request's head.
+    /// Limits on the head of the request.
     pub limits: HttpLimits,
-    /// Sub-protocols that it speaks; one must be offered, the client's order counts.
+    /// Supported sub-protocols. The client must offer at least one of them; the first supported one in the
+    /// client's order is selected.
     pub protocols: Vec<String>,
-    /// Which origins it lets in.
+    /// The allowed origins.
     pub origins: Origins,
-    /// Paths that it serves; empty: any.
+    /// The paths that are served; if empty, any path.
     pub paths: Vec<String>,
 }
 
-/// Why a handshake fails.
+/// Why a handshake failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum HandshakeError {
-    /// It is no HTTP.
+    /// The head is not valid HTTP.
     #[error(transparent)]
     Http(#[from] HttpError),
-    /// A request other than an upgrade to WebSocket.
+    /// The request is not an upgrade to WebSocket.
     #[error("the request is no upgrade to WebSocket: {0}")]
     NotUpgrade(&'static str),
-    /// Another version than 13 (§4.4).
+    /// The WebSocket version is not 13 (§4.4).
     #[error("the WebSocket version is not 13")]
     Version,
-    /// No sub-protocol in common.
+    /// The client offers no supported sub-protocol.
     #[error("no sub-protocol in common")]
     Protocol,
-    /// A page from elsewhere.
+    /// The Origin is not allowed.
     #[error("the Origin is not allowed")]
     Origin,
-    /// No such path.
+    /// The path is not served.
     #[error("nothing is served at this path")]
     Path,
-    /// The server's answer is not what the client asked for.
+    /// The server's response does not match the client's request.
     #[error("the server's answer does not fit: {0}")]
     InvalidResponse(&'static str),
-    /// The server refused with this status.
+    /// The server refused the upgrade with this status.
     #[error("the server refused with status {0}")]
     Refused(u16),
 }
 
 impl HandshakeError {
-    /// The status that answers it.
+    /// The status of the response to it.
     #[must_use]
     pub const fn status(&self) -> u16 {
         match self {
@@ -76,14 +78,14 @@
     }
 }
 
-/// An agreed upgrade.
+/// An accepted upgrade.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AcceptedHandshake {
-    /// The answer to send.
+    /// The response to send.
     pub response: Vec<u8>,
-    /// Bytes of the request; frames may follow them.
+    /// Length of the request in bytes; frames may follow it.
     pub consumed: usize,
-    /// The sub-protocol.
+    /// The selected sub-protocol.
     pub protocol: String,
     /// Values of the Forwarded fields, in order; see [`crate::forwarded_for`].
     pub forwarded: Vec<String>,
@@ -96,10 +98,10 @@
     STANDARD.encode(hash.finalize())
 }
 
-/// Reads a client's request (§4.2); `None` while it is not all there.
+/// Handles a client's request (§4.2); `None` while its head is incomplete.
 ///
 /// # Errors
-/// Why it is not agreed to; [`refusal_response`] writes the answer.
+/// Why the request is refused; [`refusal_response`] creates the response.
 pub fn accept(bytes: &[u8], options: &ServerOptions) -> Result<Option<AcceptedHandshake>, HandshakeError> {
     let Some(head) = http::parse_request(bytes, &options.limits)? else { return Ok(None) };
     let protocol = negotiate(&head, options)?;
@@ -113,6 +115,7 @@
     Ok(Some(AcceptedHandshake { response: response.into_bytes(), consumed: head.len, protocol, forwarded }))
 }
 
+/// Checks a request against the options and selects the sub-protocol.
 fn negotiate(head: &Head<'_, RequestLine<'_>>, options: &ServerOptions) -> Result<String, HandshakeError> {
     if head.line.method != "GET" {
         return Err(HandshakeError::NotUpgrade("the method is not GET"));
@@ -138,13 +141,13 @@
         return Err(HandshakeError::Origin);
     }
     let offered = head.values("Sec-WebSocket-Protocol").flat_map(|v| v.split(',')).map(str::trim);
-    let common = offered.into_iter().find(|o| options.protocols.iter().any(|p| p.eq_ignore_ascii_case(o)));
-    common.map(str::to_owned).ok_or(HandshakeError::Protocol)
+    let selected = offered.into_iter().find(|o| options.protocols.iter().any(|p| p.eq_ignore_ascii_case(o)));
+    selected.map(str::to_owned).ok_or(HandshakeError::Protocol)
 }
 
-/// The answer to a request that is not agreed to. `retry_after` in seconds goes with a 503.
+/// The response to a refused request. `retry_after`, in seconds, belongs to a 503.
 #[must_use]
-pub fn refusal_response(status: u16, why: &str, retry_after: Option<u64>) -> Vec<u8> {
+pub fn refusal_response(status: u16, reason: &str, retry_after: Option<u64>) -> Vec<u8> {
     let phrase = match status {
         400 => "Bad Request",
         403 => "Forbidden",
@@ -162,7 +165,7 @@
         _ => "",
     };
     let connection = if status == 426 { "Upgrade, close" } else { "close" };
-    let body = format!("{why}\n");
+    let body = format!("{reason}\n");
     format!(
         "HTTP/1.1 {status} {phrase}\r\n{upgrade}{retry}Connection: {connection}\r\n\
          Content-Type: text/plain; charset=utf-8\r\nContent-Length: {}\r\n\r\n{body}",
@@ -171,7 +174,7 @@
     .into_bytes()
 }
 
-/// A client's side of the handshake.
+/// The client's side of the handshake.
 #[derive(Clone, Debug)]
 pub struct ClientHandshake {
     key: String,
@@ -179,13 +182,13 @@
 }
 
 impl ClientHandshake {
-    /// Begins one with a nonce of 16 random bytes (§4.1).
+    /// Creates a handshake with a nonce of 16 random bytes (§4.1).
     #[must_use]
     pub fn new(nonce: [u8; 16], protocol: &str) -> Self {
         Self { key: STANDARD.encode(nonce), protocol: protocol.to_owned() }
     }
 
-    /// The request to send.
+    /// Returns the request to send.
     #[must_use]
     pub fn request(&self, host: &str, path: &str, origin: Option<&str>) -> Vec<u8> {
         let origin = origin.map_or(String::new(), |o| format!("Origin: {o}\r\n"));
@@ -197,10 +200,10 @@
         .into_bytes()
     }
 
-    /// Reads the answer; `Some` with its length once it is all there and fits.
+    /// Checks the response. Returns its length in bytes, or `None` while its head is incomplete.
     ///
     /// # Errors
-    /// Where the server refuses, or its answer does not fit the request.
+    /// If the server refuses, or its response does not match the request.
     pub fn check(&self, bytes: &[u8], limits: &HttpLimits) -> Result<Option<usize>, HandshakeError> {
         let Some(head) = http::parse_response(bytes, limits)? else { return Ok(None) };
         if head.line.status != 101 {
--- a/crates/fawnrouter-ws/src/http.rs
+++ b/crates/fawnrouter-ws/src/http.rs
@@ -1,6 +1,7 @@
-//! Heads of HTTP/1.1 messages (RFC 9112 §2 to §5), as far as an upgrade and a plain answer need them.
+//! Parser for the heads of HTTP/1.1 messages (RFC 9112 §2 to §5), limited to what an upgrade and a plain
+//! response need.
 
-/// What a head may hold.
+/// Limits of a head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HttpLimits {
     /// Bytes of the whole head.
@@ -15,7 +16,7 @@
     }
 }
 
-/// Why bytes are no head.
+/// Why bytes are not a valid head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum HttpError {
@@ -25,19 +26,19 @@
     /// The version is not 1.1 (RFC 9110 §15.6.6).
     #[error("the version is not HTTP/1.1")]
     Version,
-    /// A field that cannot be read; folding is refused as §5.2 asks.
+    /// A field cannot be read. Folded lines are refused, as §5.2 demands.
     #[error("line {0} is no header field")]
     Field(usize),
-    /// Over a limit (RFC 6585 §5: 431).
+    /// The head exceeds a limit (RFC 6585 §5: 431).
     #[error("the head is over the limit of {0}")]
     TooLarge(usize),
-    /// No Host, or several (§3.2).
+    /// There is no Host field, or more than one (§3.2).
     #[error("there is not exactly one Host field")]
     Host,
 }
 
 impl HttpError {
-    /// The status that answers it.
+    /// The status of the response to it.
     #[must_use]
     pub const fn status(self) -> u16 {
         match self {
@@ -53,7 +54,7 @@
 pub struct RequestLine<'a> {
     /// The method.
     pub method: &'a str,
-    /// The target as sent.
+    /// The request target as received.
     pub target: &'a str,
 }
 
@@ -64,37 +65,37 @@
     pub status: u16,
 }
 
-/// A head: its first line and its fields.
+/// A parsed head: its first line and its fields.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Head<'a, L> {
     /// The first line.
     pub line: L,
-    /// Names and values in order.
+    /// Names and values of the fields, in order.
     pub fields: Vec<(&'a str, &'a str)>,
-    /// Bytes that the head takes, with the empty line.
+    /// Length of the head in bytes, including the empty line.
     pub len: usize,
 }
 
 impl<'a, L> Head<'a, L> {
-    /// All values of a field; names are compared without case.
+    /// The values of all fields of this name; names are compared without case.
     pub fn values<'s>(&'s self, name: &'s str) -> impl Iterator<Item = &'a str> + 's {
         self.fields.iter().filter(move |(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| *v)
     }
 
-    /// The value of a field that may stand once.
+    /// The value of the first field of this name.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<&'a str> {
         self.values(name).next()
     }
 
-    /// Whether a list field holds a token, compared without case.
+    /// Whether a list field contains a token, compared without case.
     #[must_use]
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         self.values(name).flat_map(|v| v.split(',')).any(|t| t.trim().eq_ignore_ascii_case(token))
     }
 }
 
-/// Reads the head of a request; `None` while it is not all there.
+/// Parses the head of a request; `None` while it is incomplete.
 ///
 /// # Errors
 /// See [`HttpError`].
@@ -110,8 +111,8 @@
         return Err(HttpError::FirstLine("request line"));
     }
     if version != "HTTP/1.1" {
-        let known = version.starts_with("HTTP/");
-        return Err(if known { HttpError::Version } else { HttpError::FirstLine("request line") });
+        let is_http = version.starts_with("HTTP/");
+        return Err(if is_http { HttpError::Version } else { HttpError::FirstLine("request line") });
     }
     let head = Head { line: RequestLine { method, target }, fields, len };
     if head.values("Host").count() != 1 {
@@ -120,7 +121,7 @@
     Ok(Some(head))
 }
 
-/// Reads the head of a response; `None` while it is not all there.
+/// Parses the head of a response; `None` while it is incomplete.
 ///
 /// # Errors
 /// See [`HttpError`].
@@ -136,29 +137,32 @@
 
 type Fields<'a> = Vec<(&'a str, &'a str)>;
 
+/// Parses a head into its first line, its fields and its length; `first_line` names the first line in errors.
 fn parse_fields<'a>(
     bytes: &'a [u8],
     limits: &HttpLimits,
-    what: &'static str,
+    first_line: &'static str,
 ) -> Result<Option<(&'a str, Fields<'a>, usize)>, HttpError> {
-    // One empty line before the first line is let pass (§2.2).
-    let lead = if bytes.starts_with(b"\r\n") { 2 } else { 0 };
-    let Some(end) = memchr::memmem::find(&bytes[lead..], b"\r\n\r\n") else {
-        let over = bytes.len() > limits.head_bytes;
-        return if over { Err(HttpError::TooLarge(limits.head_bytes)) } else { Ok(None) };
+    // One empty line before the first line is ignored (§2.2).
+    let blank_len = if bytes.starts_with(b"\r\n") { 2 } else { 0 };
+    let Some(end) = memchr::memmem::find(&bytes[blank_len..], b"\r\n\r\n") else {
+        let too_large = bytes.len() > limits.head_bytes;
+        return if too_large { Err(HttpError::TooLarge(limits.head_bytes)) } else { Ok(None) };
     };
-    let len = lead + end + 4;
+    let len = blank_len + end + 4;
     if len > limits.head_bytes {
         return Err(HttpError::TooLarge(limits.head_bytes));
     }
-    let text = std::str::from_utf8(&bytes[lead..lead + end]).map_err(|_| HttpError::FirstLine(what))?;
+    let text = std::str::from_utf8(&bytes[blank_len..blank_len + end])
+        .map_err(|_| HttpError::FirstLine(first_line))?;
     let mut lines = text.split("\r\n");
     let first = lines.next().unwrap_or("");
     let mut fields = Vec::new();
     for (number, line) in lines.enumerate() {
         let err = HttpError::Field(number + 2);
         let (name, value) = line.split_once(':').ok_or(err)?;
-        // No white space before the colon (§5.1), no folding (§5.2), no control characters (RFC 9110 §5.5).
+        // White space before the colon (§5.1), folding (§5.2) and control characters (RFC 9110 §5.5) are
+        // errors.
         if name.is_empty() || !name.bytes().all(is_token) || value.bytes().any(|b| b < 0x20 && b != b'\t') {
             return Err(err);
         }
--- a/crates/fawnrouter-ws/src/lib.rs
+++ b/crates/fawnrouter-ws/src/lib.rs
@@ -1,6 +1,7 @@
 #![forbid(unsafe_code)]
-//! WebSocket without I/O: the HTTP/1.1 head that asks for it (RFC 9112), the opening handshake of both sides
-//! (RFC 6455 §4) with its sub-protocol and Origin, and the frames (§5, §7) with their limits.
+//! WebSocket without I/O: the HTTP/1.1 head of the upgrade (RFC 9112), the opening handshake of both sides
+//! (RFC 6455 §4) with its sub-protocol and Origin, the frames (§5, §7) with their limits, and the Forwarded
+//! field (RFC 7239).
 
 mod forwarded;
 mod frame;
