--- a/crates/fawnrouter-audit/src/auditor.rs
+++ b/crates/fawnrouter-audit/src/auditor.rs
@@ -92,26 +92,32 @@
 /// The state of a call is dropped this long after its end.
 const CALL_RETENTION: Duration = Duration::from_secs(60);
 
+/// The readers of the two directions of a connection.
 #[derive(Debug)]
 enum ConnectionReader {
     Caller { gateway: u32, to_gateway: WsReader, from_gateway: WsReader },
     Trunk { switch: u32, to_gateway: TcpReader, from_gateway: TcpReader },
 }
 
+/// A call of a caller: an INVITE and its final response.
 #[derive(Debug)]
 struct Call {
     session: String,
+    /// When the final response is due, including the slack.
     deadline: Duration,
     final_response_at: Option<Duration>,
     caller_disconnected: bool,
 }
 
+/// An attempt: an INVITE to a switch.
 #[derive(Debug)]
 struct Attempt {
     conn: u64,
+    /// The host of the gateway, from the Via.
     host: String,
     branch: String,
     sent: Duration,
+    /// The time-out that the gateway announced in the Via.
     timeout: Option<Duration>,
     ended: Option<AttemptEnd>,
 }
@@ -124,6 +130,7 @@
     guarded: bool,
 }
 
+/// A switch that warms up after a cold start: its share of the capacity grows linearly over `ramp`.
 #[derive(Debug)]
 struct ColdSwitchState {
     started_at: Duration,
@@ -472,6 +479,7 @@
         }
     }
 
+    /// Ends an attempt that has not ended yet.
     fn end_attempt(&mut self, at: Duration, conn: u64, branch: &str, guarded: bool) {
         let session = self.session_by_branch.get(&(conn, branch.to_owned()));
         let attempts = session.and_then(|s| self.attempts.get_mut(s)).into_iter().flatten();
@@ -493,6 +501,7 @@
         }
     }
 
+    /// Drops the state of calls that ended long enough ago.
     fn forget_expired(&mut self, at: Duration) {
         while self.expiries.front().is_some_and(|(t, _, _)| *t < at) {
             if let Some((_, key, session)) = self.expiries.pop_front() {
--- a/crates/fawnrouter-audit/src/wire.rs
+++ b/crates/fawnrouter-audit/src/wire.rs
@@ -126,30 +126,33 @@
             }
         }
         loop {
-            let h = &self.buffer;
-            if h.len() < 2 {
+            let frame = &self.buffer;
+            if frame.len() < 2 {
                 return Ok(messages);
             }
-            let (fin, opcode, masked) = (h[0] & 0x80 != 0, h[0] & 15, h[1] & 0x80 != 0);
-            let (len, mut at) = match h[1] & 0x7f {
-                126 if h.len() >= 4 => (usize::from(h[2]) << 8 | usize::from(h[3]), 4),
-                127 if h.len() >= 10 => (h[2..10].iter().fold(0usize, |n, b| n << 8 | usize::from(*b)), 10),
+            let (fin, opcode, masked) = (frame[0] & 0x80 != 0, frame[0] & 15, frame[1] & 0x80 != 0);
+            let (len, mut offset) = match frame[1] & 0x7f {
+                126 if frame.len() >= 4 => (usize::from(frame[2]) << 8 | usize::from(frame[3]), 4),
+                127 if frame.len() >= 10 => {
+                    (frame[2..10].iter().fold(0usize, |n, b| n << 8 | usize::from(*b)), 10)
+                }
                 126 | 127 => return Ok(messages),
                 short => (usize::from(short), 2),
             };
             let mut key = [0u8; 4];
             if masked {
-                if h.len() < at + 4 {
+                if frame.len() < offset + 4 {
                     return Ok(messages);
                 }
-                key.copy_from_slice(&h[at..at + 4]);
-                at += 4;
+                key.copy_from_slice(&frame[offset..offset + 4]);
+                offset += 4;
             }
-            if h.len() < at + len {
+            if frame.len() < offset + len {
                 return Ok(messages);
             }
-            let payload: Vec<u8> = h[at..at + len].iter().enumerate().map(|(n, b)| b ^ key[n % 4]).collect();
-            self.buffer.drain(..at + len);
+            let payload: Vec<u8> =
+                frame[offset..offset + len].iter().enumerate().map(|(n, b)| b ^ key[n % 4]).collect();
+            self.buffer.drain(..offset + len);
             if opcode >= 8 {
                 continue;
             }
--- a/crates/fawnrouter-sip/src/transaction.rs
+++ b/crates/fawnrouter-sip/src/transaction.rs
@@ -90,7 +90,7 @@
 pub enum ClientAction {
     /// A provisional response: may be passed on.
     Provisional,
-    /// The first provisional response after a wish to cancel: send the CANCEL now.
+    /// The first provisional response, when the INVITE is to be cancelled: send the CANCEL now.
     CancelNow,
     /// The first final response, a 2xx.
     Accepted,
--- a/crates/fawnrouter-sip/src/uri.rs
+++ b/crates/fawnrouter-sip/src/uri.rs
@@ -42,7 +42,7 @@
 }
 
 impl<'a> Uri<'a> {
-    /// Reads a URI.
+    /// Parses a URI.
     ///
     /// # Errors
     /// See [`UriError`].
--- a/crates/fawnrouter-sip/tests/messages.rs
+++ b/crates/fawnrouter-sip/tests/messages.rs
@@ -297,12 +297,12 @@
     let bytes = MessageBuilder::response_to(&m, 503, None, "t9", Some(("127.0.0.1", 4711)))
         .field(Name::RetryAfter, "2")
         .finish(b"");
-    let answer = Message::parse(&bytes, &LIMITS).unwrap();
-    assert_eq!(answer.status(), Some(503));
-    assert_eq!(answer.get(Name::To), Some("<sip:+914842001@gw.example>;tag=t9"));
-    let via = answer.via().unwrap();
+    let response = Message::parse(&bytes, &LIMITS).unwrap();
+    assert_eq!(response.status(), Some(503));
+    assert_eq!(response.get(Name::To), Some("<sip:+914842001@gw.example>;tag=t9"));
+    let via = response.via().unwrap();
     assert_eq!((via.params.get("rport"), via.params.get("received")), (Some("4711"), Some("127.0.0.1")));
-    assert_eq!(answer.get(Name::CSeq), Some("1 INVITE"));
+    assert_eq!(response.get(Name::CSeq), Some("1 INVITE"));
 }
 
 #[test]
@@ -405,8 +405,8 @@
         body in proptest::collection::vec(any::<u8>(), 0..200),
     ) {
         let uri = format!("sip:{user}@h.example");
-        let mut draft = MessageBuilder::request(Method::Invite, &uri);
-        let bytes = draft.field(Name::Subject, &subject).finish(&body);
+        let mut builder = MessageBuilder::request(Method::Invite, &uri);
+        let bytes = builder.field(Name::Subject, &subject).finish(&body);
         let m = Message::parse(&bytes, &LIMITS).unwrap();
         let same = matches!(m.start(), StartLine::Request { method: Method::Invite, uri: u, .. } if u == uri);
         prop_assert!(same);
