--- a/benches/codecs/src/main.rs
+++ b/benches/codecs/src/main.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use fawnrouter_sip::{Limits, Message, Name};
-use fawnrouter_ws::{Decoder, Event, Opcode, Role, encode};
+use fawnrouter_ws::{Event, FrameDecoder, Opcode, Role, encode_frame};
 
 const ROUNDS: usize = 61;
 
@@ -99,7 +99,7 @@
         let count = 64;
         let mut masked = Vec::new();
         for n in 0..count {
-            encode(Opcode::Text, payload.as_bytes(), Some([1, 2, n as u8, 4]), &mut masked);
+            encode_frame(Opcode::Text, payload.as_bytes(), Some([1, 2, n as u8, 4]), &mut masked);
         }
         println!("WebSocket: {count} masked text frames of {size} bytes, read and checked for UTF-8");
         let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
@@ -109,7 +109,7 @@
                 (
                     "fawnrouter-ws",
                     Box::new(|| {
-                        let mut decoder = Decoder::new(Role::Server, 1 << 20);
+                        let mut decoder = FrameDecoder::new(Role::Server, 1 << 20);
                         let mut seen = 0;
                         // As a socket gives them: 16 KiB at a time.
                         for part in black_box(&masked).chunks(16 * 1024) {
@@ -165,7 +165,7 @@
                     Box::new(|| {
                         out.clear();
                         for _ in 0..count {
-                            encode(Opcode::Text, black_box(payload.as_bytes()), None, &mut out);
+                            encode_frame(Opcode::Text, black_box(payload.as_bytes()), None, &mut out);
                         }
                         black_box(&out);
                     }),
--- a/crates/fawnrouter-lab/src/load.rs
+++ b/crates/fawnrouter-lab/src/load.rs
@@ -12,8 +12,10 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use fawnrouter_config::{Settings, SwitchEntry, SwitchFile, SwitchState};
-use fawnrouter_sip::{Chunk, Dialog, Draft, Limits, Message, Method, Name, StreamDecoder};
-use fawnrouter_ws::{ClientHandshake, Decoder, Event, HttpLimits, Opcode, Role, Terms, accept, encode};
+use fawnrouter_sip::{Dialog, Limits, Message, MessageBuilder, Method, Name, StreamDecoder, StreamItem};
+use fawnrouter_ws::{
+    ClientHandshake, Event, FrameDecoder, HttpLimits, Opcode, Role, ServerOptions, accept, encode_frame,
+};
 use fawnrouterd::Outbox;
 use futures_lite::{AsyncWriteExt, future};
 use hdrhistogram::Histogram;
@@ -116,9 +118,9 @@
         let reading = async {
             let mut buffer = vec![0; 64 * 1024];
             let mut head = Vec::new();
-            let terms = Terms { protocols: vec!["sip".into()], ..Terms::default() };
+            let terms = ServerOptions { protocols: vec!["sip".into()], ..ServerOptions::default() };
             let mut shaken = !self.web_socket;
-            let mut frames = Decoder::new(Role::Server, 1 << 20);
+            let mut frames = FrameDecoder::new(Role::Server, 1 << 20);
             let mut chunks = StreamDecoder::new(Limits::default());
             while let Ok(n @ 1..) = stream.read_with(|mut s| s.read(&mut buffer)).await {
                 if !shaken {
@@ -138,7 +140,7 @@
                     }
                 } else {
                     chunks.push(&buffer[..n]);
-                    while let Ok(Some(Chunk::Message(message))) = chunks.next_chunk() {
+                    while let Ok(Some(StreamItem::Message(message))) = chunks.next_item() {
                         self.answer(&outbox, *message);
                     }
                 }
@@ -153,11 +155,11 @@
     fn answer(&self, outbox: &Rc<Outbox>, message: Message) {
         let web_socket = self.web_socket;
         let send = move |outbox: &Outbox, status: u16, message: &Message| {
-            let mut draft = Draft::answer(message, status, None, "far", None);
+            let mut draft = MessageBuilder::response_to(message, status, None, "far", None);
             draft.field(Name::Contact, "<sip:far@127.0.0.1:5060;transport=tcp>");
             let bytes = draft.finish(if status == 200 { b"v=0\r\n" } else { b"" });
             match web_socket {
-                true => outbox.push(|out| encode(Opcode::Text, &bytes, None, out)),
+                true => outbox.push(|out| encode_frame(Opcode::Text, &bytes, None, out)),
                 false => outbox.push(|out| out.extend_from_slice(&bytes)),
             }
         };
@@ -188,13 +190,13 @@
 
 impl Load {
     fn send(&self, line: usize, bytes: &[u8]) {
-        self.lines[line].push(|out| encode(Opcode::Text, bytes, Some([3, 1, 4, 1]), out));
+        self.lines[line].push(|out| encode_frame(Opcode::Text, bytes, Some([3, 1, 4, 1]), out));
     }
 
     /// Serves a connection to its end; `take` gets each message.
     async fn serve(self: Rc<Self>, line: usize, stream: &Async<TcpStream>, take: impl Fn(&Message)) {
         let reading = async {
-            let mut frames = Decoder::new(Role::Client, 1 << 20);
+            let mut frames = FrameDecoder::new(Role::Client, 1 << 20);
             let mut buffer = vec![0; 64 * 1024];
             while let Ok(got @ 1..) = stream.read_with(|mut s| s.read(&mut buffer)).await {
                 let mut input = &buffer[..got];
@@ -215,7 +217,7 @@
 
     fn call(&self, n: u64) {
         let line = n as usize % self.lines.len();
-        let mut draft = Draft::request(Method::Invite, &format!("sip:+9148{n:08}@gateway.invalid"));
+        let mut draft = MessageBuilder::request(Method::Invite, &format!("sip:+9148{n:08}@gateway.invalid"));
         draft
             .field(Name::Via, &format!("SIP/2.0/WS c{line}.invalid;branch=z9hG4bKload{n};rport"))
             .field(Name::MaxForwards, "70")
--- a/crates/fawnrouter-lab/tests/common/mod.rs
+++ b/crates/fawnrouter-lab/tests/common/mod.rs
@@ -8,9 +8,9 @@
 use std::sync::mpsc;
 use std::time::Duration;
 
-use fawnrouter_sip::{Chunk, Draft, Limits, Message, Method, Name, StreamDecoder};
+use fawnrouter_sip::{Limits, Message, MessageBuilder, Method, Name, StreamDecoder, StreamItem};
 use fawnrouter_ws::{
-    ClientHandshake, CloseCode, Decoder, Event, HandshakeError, HttpLimits, Opcode, Role, encode,
+    ClientHandshake, CloseCode, Event, FrameDecoder, HandshakeError, HttpLimits, Opcode, Role, encode_frame,
 };
 use rustix::process::{Pid, Signal, kill_process};
 use socket2::{Domain, Socket, Type};
@@ -112,7 +112,7 @@
 
 pub struct Client {
     pub stream: TcpStream,
-    decoder: Decoder,
+    decoder: FrameDecoder,
     /// Bytes that were read and not looked at yet.
     held: Vec<u8>,
 }
@@ -145,14 +145,18 @@
                 other => other.expect("an upgrade"),
             };
             if checked.is_some() {
-                return Ok(Self { stream, decoder: Decoder::new(Role::Client, 1 << 20), held: Vec::new() });
+                return Ok(Self {
+                    stream,
+                    decoder: FrameDecoder::new(Role::Client, 1 << 20),
+                    held: Vec::new(),
+                });
             }
         }
     }
 
     pub fn send(&mut self, bytes: &[u8]) {
         let mut out = Vec::new();
-        encode(Opcode::Text, bytes, MASK, &mut out);
+        encode_frame(Opcode::Text, bytes, MASK, &mut out);
         self.stream.write_all(&out).expect("the gateway reads");
     }
 
@@ -205,7 +209,7 @@
 }
 
 pub fn request(method: Method, n: u32) -> Vec<u8> {
-    let mut draft = Draft::request(method, &format!("sip:+91{n}@gw.example"));
+    let mut draft = MessageBuilder::request(method, &format!("sip:+91{n}@gw.example"));
     draft
         .field(Name::Via, &format!("SIP/2.0/WS c.invalid;branch=z9hG4bKt{n}"))
         .field(Name::MaxForwards, "70")
@@ -233,13 +237,13 @@
             let mut buffer = [0; 4096];
             while let Ok(n @ 1..) = stream.read(&mut buffer) {
                 decoder.push(&buffer[..n]);
-                while let Ok(Some(Chunk::Message(message))) = decoder.next_chunk() {
+                while let Ok(Some(StreamItem::Message(message))) = decoder.next_item() {
                     for status in answer(&message) {
                         if status == 0 {
                             let _ = stream.shutdown(std::net::Shutdown::Both);
                             break;
                         }
-                        let mut draft = Draft::answer(&message, status, None, "sw", None);
+                        let mut draft = MessageBuilder::response_to(&message, status, None, "sw", None);
                         draft.field(Name::Contact, "<sip:sw@127.0.0.1>");
                         let _ = stream.write_all(&draft.finish(b""));
                     }
--- a/crates/fawnrouterd/src/accept.rs
+++ b/crates/fawnrouterd/src/accept.rs
@@ -109,7 +109,7 @@
             let (reason, wait) = core.connection_admission.borrow_mut().refuse_with_spare(core.clock().now());
             // The response fits into the socket's buffer, so this does not block.
             let _ = stream.set_nonblocking(true);
-            let _ = stream.write_all(&client::refusal_response(reason, wait));
+            let _ = stream.write_all(&client::connection_refusal(reason, wait));
             let _ = stream.shutdown(Shutdown::Write);
             discard_received(&mut stream);
             SpareDescriptor::InUse(stream)
--- a/crates/fawnrouterd/src/client.rs
+++ b/crates/fawnrouterd/src/client.rs
@@ -11,8 +11,8 @@
 use fawnrouter_engine::{Input, retry_after_seconds};
 use fawnrouter_sip::Message;
 use fawnrouter_ws::{
-    CloseCode, Decoder, Event, HttpLimits, Opcode, Origins, Role, Terms, accept, close_payload, encode,
-    forwarded_for, refuse,
+    CloseCode, Event, FrameDecoder, HttpLimits, Opcode, Origins, Role, ServerOptions, accept, close_payload,
+    encode_frame, forwarded_for, refusal_response,
 };
 use futures_lite::{AsyncWriteExt, future};
 
@@ -50,10 +50,13 @@
 }
 
 /// Terms on which handshakes are accepted.
-pub fn handshake_terms(core: &Core) -> Terms {
+pub fn handshake_terms(core: &Core) -> ServerOptions {
     let listen = &core.settings.listen;
-    Terms {
-        limits: HttpLimits { head: core.settings.limits.head_bytes, fields: core.settings.limits.fields },
+    ServerOptions {
+        limits: HttpLimits {
+            head_bytes: core.settings.limits.head_bytes,
+            fields: core.settings.limits.fields,
+        },
         protocols: vec!["sip".into()],
         origins: if listen.origins.is_empty() {
             Origins::Any
@@ -70,7 +73,7 @@
     (conn, outbox): (ConnectionId, Rc<Outbox>),
     stream: Async<TcpStream>,
     peer: SocketAddr,
-    terms: Rc<Terms>,
+    terms: Rc<ServerOptions>,
 ) {
     serve(&core, conn, &outbox, stream, peer, &terms).await;
     core.connections.borrow_mut().remove(conn);
@@ -78,8 +81,8 @@
 }
 
 /// The HTTP response to a refused connection.
-pub fn refusal_response(reason: RefusalReason, wait: Duration) -> Vec<u8> {
-    refuse(503, reason.text(), Some(retry_after_seconds(wait)))
+pub fn connection_refusal(reason: RefusalReason, wait: Duration) -> Vec<u8> {
+    refusal_response(503, reason.text(), Some(retry_after_seconds(wait)))
 }
 
 /// Refuses a connection with a Retry-After. The response is sent before the request is read. Then the
@@ -92,7 +95,7 @@
     reason: RefusalReason,
     wait: Duration,
 ) {
-    let answer = refusal_response(reason, wait);
+    let answer = connection_refusal(reason, wait);
     let refused = future::or(send_final_response(&core, &stream, &answer), async {
         Timer::after(FLUSH_TIMEOUT).await;
     });
@@ -114,18 +117,18 @@
     outbox: &Rc<Outbox>,
     stream: Async<TcpStream>,
     peer: SocketAddr,
-    terms: &Terms,
+    terms: &ServerOptions,
 ) {
     let _ = stream.get_ref().set_nodelay(true);
     let limit = Duration::from_millis(core.settings.listen.handshake_ms);
     let timed_out = async {
         Timer::after(limit).await;
-        Err(refuse(408, "the handshake took too long", None))
+        Err(refusal_response(408, "the handshake took too long", None))
     };
     // The connection may be closed during the handshake to make room for another.
     let evicted = async {
         let why = outbox.finished().await.unwrap_or("the gateway ends");
-        Err(refuse(
+        Err(refusal_response(
             503,
             why,
             Some(retry_after_seconds(Duration::from_millis(core.settings.limits.retry_after_ms))),
@@ -136,8 +139,8 @@
     let completed = match handshake_result {
         Ok(Some(completed)) => completed,
         Ok(None) => return,
-        Err(answer) => {
-            return future::or(send_final_response(core, &stream, &answer), async {
+        Err(response_to) => {
+            return future::or(send_final_response(core, &stream, &response_to), async {
                 Timer::after(FLUSH_TIMEOUT).await;
             })
             .await;
@@ -148,7 +151,12 @@
     // away and it is no longer counted, so only the reason is still sent.
     if !outbox.is_open() {
         let mut close_frame = Vec::new();
-        encode(Opcode::Close, &close_payload(CloseCode::LATER, "others want in"), None, &mut close_frame);
+        encode_frame(
+            Opcode::Close,
+            &close_payload(CloseCode::TRY_AGAIN_LATER, "others want in"),
+            None,
+            &mut close_frame,
+        );
         return future::or(send_final_response(core, &stream, &close_frame), async {
             Timer::after(FLUSH_TIMEOUT).await;
         })
@@ -160,7 +168,7 @@
     let last_received = Cell::new(Instant::now());
     let reading = async {
         let limits = &core.settings.limits;
-        let mut decoder = Decoder::new(Role::Server, limits.head_bytes + limits.body_bytes);
+        let mut decoder = FrameDecoder::new(Role::Server, limits.head_bytes + limits.body_bytes);
         let held = BufferShare::of_budget(&core.buffer_budget, BufferOwner::Client);
         let mut session = Session { core, client, outbox, held: &held, consecutive_invalid: 0, messages: 0 };
         let mut stays_open = session.process_input(&mut decoder, &rest);
@@ -219,7 +227,7 @@
     conn: ConnectionId,
     stream: &Async<TcpStream>,
     peer: SocketAddr,
-    terms: &Terms,
+    terms: &ServerOptions,
 ) -> Result<Option<CompletedHandshake>, Vec<u8>> {
     let mut bytes = Vec::new();
     let held = BufferShare::of_budget(&core.buffer_budget, BufferOwner::Client);
@@ -229,20 +237,20 @@
             return Ok(None);
         }
         if !held.resize(bytes.len()) {
-            return Err(refuse(503, "no memory is left for the request", Some(1)));
+            return Err(refusal_response(503, "no memory is left for the request", Some(1)));
         }
         match accept(&bytes, terms) {
             Ok(None) => {}
             Ok(Some(accepted)) => break accepted,
-            Err(error) => return Err(refuse(error.status(), &error.to_string(), None)),
+            Err(error) => return Err(refusal_response(error.status(), &error.to_string(), None)),
         }
     };
-    let refused = |(reason, wait): Refusal| refusal_response(reason, wait);
+    let refused = |(reason, wait): Refusal| connection_refusal(reason, wait);
     let now = core.clock().now();
     let mut origin = peer.ip();
     if core.connection_admission.borrow().is_forwarder(origin) {
         let hops = forwarded_for(accepted.forwarded.iter().map(String::as_str));
-        let hops = hops.map_err(|error| refuse(400, &error.to_string(), None))?;
+        let hops = hops.map_err(|error| refusal_response(400, &error.to_string(), None))?;
         let believed =
             core.connection_admission.borrow_mut().apply_forwarded(now, conn, &hops).map_err(refused)?;
         origin = believed.unwrap_or(origin);
@@ -268,7 +276,7 @@
             return outbox.abort();
         }
         if silent >= pause {
-            outbox.push(|out| encode(Opcode::Ping, b"", None, out));
+            outbox.push(|out| encode_frame(Opcode::Ping, b"", None, out));
             Timer::at(last_received.get() + pause * 2).await;
         } else {
             Timer::at(last_received.get() + pause).await;
@@ -291,13 +299,13 @@
 
 impl Session<'_> {
     /// Processes all input; `false` if the connection is to be closed.
-    fn process_input(&mut self, decoder: &mut Decoder, mut input: &[u8]) -> bool {
+    fn process_input(&mut self, decoder: &mut FrameDecoder, mut input: &[u8]) -> bool {
         loop {
             if input.is_empty() {
-                if self.held.resize(decoder.held()) {
+                if self.held.resize(decoder.buffered_bytes()) {
                     return true;
                 }
-                return self.close(CloseCode::LATER, "no memory is left for the message");
+                return self.close(CloseCode::TRY_AGAIN_LATER, "no memory is left for the message");
             }
             self.messages += 1;
             let (code, reason) = match decoder.feed(&mut input) {
@@ -306,15 +314,15 @@
                     return true;
                 }
                 Ok(Some(Event::Text(text))) => match self.handle_message(text.as_bytes()) {
-                    Some(reason) => (CloseCode::POLICY, reason),
+                    Some(reason) => (CloseCode::POLICY_VIOLATION, reason),
                     None => continue,
                 },
                 Ok(Some(Event::Binary(bytes))) => match self.handle_message(bytes) {
-                    Some(reason) => (CloseCode::POLICY, reason),
+                    Some(reason) => (CloseCode::POLICY_VIOLATION, reason),
                     None => continue,
                 },
                 Ok(Some(Event::Ping(payload))) => {
-                    self.outbox.push(|out| encode(Opcode::Pong, payload, None, out));
+                    self.outbox.push(|out| encode_frame(Opcode::Pong, payload, None, out));
                     continue;
                 }
                 Ok(Some(Event::Pong(_))) => continue,
@@ -331,7 +339,7 @@
             tracing::warn!(client = self.client.0, code = code.0, "connection closed: {reason}");
         }
         let payload = close_payload(code, reason);
-        self.outbox.push(|out| encode(Opcode::Close, &payload, None, out));
+        self.outbox.push(|out| encode_frame(Opcode::Close, &payload, None, out));
         false
     }
 
@@ -340,7 +348,7 @@
     fn handle_message(&mut self, bytes: &[u8]) -> Option<String> {
         // Keep-alive of clients that follow RFC 5626 §3.5.1.
         if bytes == b"\r\n\r\n" || bytes == b"\r\n" {
-            self.outbox.push(|out| encode(Opcode::Text, b"\r\n", None, out));
+            self.outbox.push(|out| encode_frame(Opcode::Text, b"\r\n", None, out));
             return None;
         }
         match Message::parse(bytes, &self.core.sip_limits()) {
--- a/crates/fawnrouterd/src/connections.rs
+++ b/crates/fawnrouterd/src/connections.rs
@@ -6,7 +6,7 @@
 use fawnrouter_admission::ConnectionId;
 use fawnrouter_engine::ClientId;
 use fawnrouter_engine::fawnrouter::ServerId;
-use fawnrouter_ws::{CloseCode, Opcode, close_payload, encode};
+use fawnrouter_ws::{CloseCode, Opcode, close_payload, encode_frame};
 
 use crate::outbox::Outbox;
 
@@ -126,6 +126,6 @@
 /// Sends a close frame to a client; its outbox then accepts nothing more.
 pub fn send_close(outbox: &Outbox, code: CloseCode, reason: &str) {
     let payload = close_payload(code, reason);
-    outbox.push(|out| encode(Opcode::Close, &payload, None, out));
+    outbox.push(|out| encode_frame(Opcode::Close, &payload, None, out));
     outbox.finish();
 }
--- a/crates/fawnrouterd/src/core.rs
+++ b/crates/fawnrouterd/src/core.rs
@@ -12,7 +12,7 @@
 use fawnrouter_engine::fawnrouter::ServerId;
 use fawnrouter_engine::{Engine, Input, Output};
 use fawnrouter_sip::Limits;
-use fawnrouter_ws::{CloseCode, Opcode, encode};
+use fawnrouter_ws::{CloseCode, Opcode, encode_frame};
 
 use crate::buffer_share::{BufferBudget, BufferShare, new_buffer_budget};
 use crate::clock::Clock;
@@ -86,7 +86,7 @@
     /// Size limits of SIP messages.
     pub fn sip_limits(&self) -> Limits {
         let limits = &self.settings.limits;
-        Limits { head: limits.head_bytes, fields: limits.fields, body: limits.body_bytes }
+        Limits { head_bytes: limits.head_bytes, fields: limits.fields, body_bytes: limits.body_bytes }
     }
 
     /// Creates an outbox for a connection.
@@ -108,7 +108,7 @@
                 if let Some((conn, outbox)) = connections_ref.client(client) {
                     // A message to a client means that the state of one of its calls has changed.
                     admission_ref.record_activity(now, conn, engine.client_call_count(client));
-                    outbox.push(|out| encode(Opcode::Text, &bytes, None, out));
+                    outbox.push(|out| encode_frame(Opcode::Text, &bytes, None, out));
                 }
             }
             Output::ToTrunk { server, bytes } => {
@@ -131,13 +131,13 @@
                 let outbox = outbox.clone();
                 tracing::debug!(client = client.0, name = &*name, "client known");
                 if let Err(reason) = admission_ref.client_identified(now, connections_ref, conn, &name) {
-                    send_close(&outbox, CloseCode::LATER, reason.text());
+                    send_close(&outbox, CloseCode::TRY_AGAIN_LATER, reason.text());
                 }
             }
             Output::CloseClient { client, reason } => {
                 if let Some((_, outbox)) = connections_ref.client(client) {
                     tracing::warn!(client = client.0, "connection closed: {reason}");
-                    send_close(outbox, CloseCode::POLICY, reason);
+                    send_close(outbox, CloseCode::POLICY_VIOLATION, reason);
                 }
             }
             Output::Log(line) => tracing::info!("{line}"),
--- a/crates/fawnrouterd/src/serve.rs
+++ b/crates/fawnrouterd/src/serve.rs
@@ -133,7 +133,7 @@
             },
         );
         let clean = clean.await;
-        core.connections.borrow().close_all_clients(CloseCode::AWAY, "gateway ends");
+        core.connections.borrow().close_all_clients(CloseCode::GOING_AWAY, "gateway ends");
         let flushed = async {
             while core.connections.borrow().has_pending_work() {
                 Timer::after(Duration::from_millis(5)).await;
