--- a/crates/fawnrouterd/tests/crossings.rs
+++ b/crates/fawnrouterd/tests/concurrent_events.rs
@@ -2,7 +2,7 @@
 //! both against time. The order is forced: the gateway is stopped (SIGSTOP) while both lie in its sockets, or a peer does
 //! not read. Pauses only let a time limit pass while the gateway is held; no verdict depends on their length.
 
-mod platform;
+mod common;
 
 use std::fmt::Debug;
 use std::io::{BufRead, BufReader, Write};
@@ -12,7 +12,7 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, Instant};
 
-use platform::{Caller, Gateway, NameServer, Zone, config, free_address, say};
+use common::{Caller, Gateway, NameServer, Zone, config, free_address, say};
 use rustix::process::Signal;
 use serde_json::{Value, json};
 
--- a/crates/fawnrouterd/tests/deploy.rs
+++ b/crates/fawnrouterd/tests/deploy.rs
@@ -1,8 +1,8 @@
 //! The deploy file, and what it starts, as the users' page on the full fleet asks.
 
-mod platform;
+mod common;
 
-use platform::*;
+use common::*;
 use serde_json::json;
 
 fn deploy() -> toml::Table {
--- a/crates/fawnrouterd/tests/famine.rs
+++ b/crates/fawnrouterd/tests/descriptor_exhaustion.rs
@@ -2,7 +2,7 @@
 //! more than its configuration says, while the name server is down. The gateway must go on asking, take lists, connect
 //! to core switches and read its file.
 
-mod platform;
+mod common;
 
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,7 +12,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use platform::{NameServer, Zone, config, free_address};
+use common::{NameServer, Zone, config, free_address};
 use rustix::process::{Pid, Resource, Signal, getrlimit, kill_process, setrlimit};
 use serde_json::{Value, json};
 
--- a/crates/fawnrouterd/tests/node.rs
+++ b/crates/fawnrouterd/tests/node.rs
@@ -1,12 +1,12 @@
 //! The real program on the platform's protocol, between stand-ins on loopback.
 
-mod platform;
+mod common;
 
 use std::io::{Read, Write};
 use std::net::Shutdown;
 use std::process::Command;
 
-use platform::*;
+use common::*;
 use rustix::process::Signal;
 use serde_json::json;
 
--- a/crates/fawnrouterd/tests/settings.rs
+++ b/crates/fawnrouterd/tests/settings.rs
@@ -1,11 +1,11 @@
 //! The program and settings that are wrong: at the start it ends with one line, on SIGHUP it goes on with the old ones.
 
-mod platform;
+mod common;
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-use platform::*;
+use common::*;
 use rustix::process::Signal;
 use serde_json::{Value, json};
 
--- a/crates/fawnrouterd/tests/shutdown.rs
+++ b/crates/fawnrouterd/tests/shutdown.rs
@@ -4,7 +4,7 @@
 //! pass, so that it finds both at once when it goes on. What is written to loopback lies in the other socket when the
 //! write returns.
 
-mod platform;
+mod common;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
@@ -15,7 +15,7 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-use platform::*;
+use common::*;
 use rustix::process::Signal;
 use serde_json::{Value, json};
 
--- a/crates/fawnrouterd/tests/list.rs
+++ b/crates/fawnrouterd/tests/switch_list.rs
@@ -2,7 +2,7 @@
 //! configuration: the real program, its name server and its core switches on loopback. The order is forced by what the
 //! stand-ins hold back; a pause is only ever taken to let the grace of a drain pass while something is held.
 
-mod platform;
+mod common;
 
 use std::collections::BTreeSet;
 use std::io::{BufRead, BufReader, ErrorKind, Read};
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use platform::{Caller, Gateway, Row, answer, config, free_address, say};
+use common::{Caller, Gateway, Row, answer, config, free_address, say};
 use rustix::net::{AddressFamily, SocketType, sockopt};
 use rustix::process::Signal;
 use serde_json::{Value, json};
