--- a/crates/fawnrouterd/tests/common/mod.rs
+++ b/crates/fawnrouterd/tests/common/mod.rs
@@ -13,41 +13,41 @@
 
 use serde_json::{Value, json};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A core switch: what is said to it, with the connection it was said on.
 pub struct Switch {
     pub address: SocketAddr,
-    lines: Receiver<(TcpStream, Value)>,
+    received: Receiver<(TcpStream, Value)>,
 }
 
 impl Switch {
     pub fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (send, lines) = channel();
+        let (sender, received) = channel();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let send = send.clone();
+                let sender = sender.clone();
                 std::thread::spawn(move || {
                     let reader = BufReader::new(stream.try_clone().unwrap());
                     for line in reader.lines().map_while(Result::ok) {
                         let line = serde_json::from_str(&line).expect("the gateway writes JSON");
-                        if send.send((stream.try_clone().unwrap(), line)).is_err() {
+                        if sender.send((stream.try_clone().unwrap(), line)).is_err() {
                             return;
                         }
                     }
                 });
             }
         });
-        Self { address, lines }
+        Self { address, received }
     }
 
     /// The next message of this type.
-    pub fn next(&self, verb: &str) -> (TcpStream, Value) {
+    pub fn next_message(&self, verb: &str) -> (TcpStream, Value) {
         loop {
             let (stream, line) =
-                self.lines.recv_timeout(PATIENCE).unwrap_or_else(|_| panic!("no {verb} came"));
+                self.received.recv_timeout(TIMEOUT).unwrap_or_else(|_| panic!("no {verb} came"));
             if line["verb"] == verb {
                 return (stream, line);
             }
@@ -55,7 +55,7 @@
     }
 }
 
-pub fn say(mut stream: &TcpStream, line: &Value) {
+pub fn send_line(mut stream: &TcpStream, line: &Value) {
     stream.write_all(format!("{line}\n").as_bytes()).unwrap();
 }
 
@@ -66,24 +66,24 @@
 }
 
 impl Caller {
-    pub fn says(&self, line: &Value) {
-        say(&self.stream, line);
+    pub fn send(&self, line: &Value) {
+        send_line(&self.stream, line);
     }
 
-    pub fn calls(&self, tag: &str, left_ms: u64) {
-        self.says(&json!({"verb": "START", "tag": tag, "blob": format!("offer\r\n{tag}"),
+    pub fn send_set_up(&self, tag: &str, left_ms: u64) {
+        self.send(&json!({"verb": "START", "tag": tag, "blob": format!("offer\r\n{tag}"),
             "opts": {"class": "voice", "left": left_ms.to_string(), "key": "7f3a", "extras": "dest:0;width:1;via:-1"}}));
     }
 
     /// The next line; `None` at the end.
-    pub fn hears(&mut self) -> Option<Value> {
+    pub fn receive(&mut self) -> Option<Value> {
         let mut line = String::new();
         let n = self.reader.read_line(&mut line).expect("a line or an orderly end");
         (n > 0).then(|| serde_json::from_str(&line).expect("the gateway writes JSON"))
     }
 
     /// Whether nothing more comes but the end.
-    pub fn ends(&mut self) -> bool {
+    pub fn reads_only_eof(&mut self) -> bool {
         let mut rest = Vec::new();
         self.reader.read_to_end(&mut rest).is_ok() && rest.is_empty()
     }
@@ -91,23 +91,23 @@
 
 /// What the name server says.
 #[derive(Clone, Default)]
-pub struct Zone {
+pub struct DnsZone {
     pub serial: u32,
     /// Id and address.
     pub switches: Vec<(String, SocketAddr)>,
     /// RCODE.
-    pub code: u8,
+    pub response_code: u8,
     /// Answers under another id.
-    pub other_id: bool,
+    pub mismatched_id: bool,
 }
 
 pub struct NameServer {
     pub address: SocketAddr,
-    pub zone: Arc<Mutex<Zone>>,
-    asked: Receiver<()>,
+    pub zone: Arc<Mutex<DnsZone>>,
+    queries: Receiver<()>,
 }
 
-fn name(out: &mut Vec<u8>, text: &str) {
+fn write_name(out: &mut Vec<u8>, text: &str) {
     for label in text.split('.') {
         out.push(label.len() as u8);
         out.extend(label.as_bytes());
@@ -115,9 +115,9 @@
     out.push(0);
 }
 
-fn record(out: &mut Vec<u8>, owner: &str, kind: u16, data: &[u8]) {
-    name(out, owner);
-    out.extend(kind.to_be_bytes());
+fn write_record(out: &mut Vec<u8>, owner: &str, record_type: u16, data: &[u8]) {
+    write_name(out, owner);
+    out.extend(record_type.to_be_bytes());
     out.extend([0, 1, 0, 0, 0, 5]);
     out.extend((data.len() as u16).to_be_bytes());
     out.extend(data);
@@ -125,52 +125,53 @@
 
 /// A core switch as the list has it.
 #[derive(Clone)]
-pub struct Row {
+pub struct SwitchRecord {
     pub id: String,
     pub address: SocketAddr,
     pub draining: bool,
     /// When it last started, in Unix milliseconds; 0: long ago.
-    pub started: u64,
+    pub started_ms: u64,
 }
 
 /// The answer to this question (RFC 1035 §4.1).
-pub fn answer(question: &[u8], code: u8, serial: u32, rows: &[Row]) -> Vec<u8> {
-    let count = rows.len() as u8;
-    let mut out = question.to_vec();
-    (out[2], out[3], out[7], out[9], out[11]) = (0x84, code, count, 1, 2 * count);
-    for row in rows {
-        let mut data = [[0, u8::from(row.draining)], [0, 10], row.address.port().to_be_bytes()].concat();
-        name(&mut data, &format!("{}.kochi.hosts", row.id));
-        record(&mut out, "_app._tcp.cluster.lan", 33, &data);
+pub fn dns_response(query: &[u8], response_code: u8, serial: u32, records: &[SwitchRecord]) -> Vec<u8> {
+    let count = records.len() as u8;
+    let mut out = query.to_vec();
+    (out[2], out[3], out[7], out[9], out[11]) = (0x84, response_code, count, 1, 2 * count);
+    for record in records {
+        let mut data =
+            [[0, u8::from(record.draining)], [0, 10], record.address.port().to_be_bytes()].concat();
+        write_name(&mut data, &format!("{}.kochi.hosts", record.id));
+        write_record(&mut out, "_app._tcp.cluster.lan", 33, &data);
     }
     let mut soa = Vec::new();
-    name(&mut soa, "ns.cluster.lan");
-    name(&mut soa, "admin.cluster.lan");
+    write_name(&mut soa, "ns.cluster.lan");
+    write_name(&mut soa, "admin.cluster.lan");
     soa.extend(serial.to_be_bytes());
     soa.extend([0; 16]);
-    record(&mut out, "cluster.lan", 6, &soa);
-    for row in rows {
-        let host = format!("{}.kochi.hosts", row.id);
-        record(&mut out, &host, 1, &[127, 0, 0, 1]);
-        let started = format!("started={}", row.started);
+    write_record(&mut out, "cluster.lan", 6, &soa);
+    for record in records {
+        let host = format!("{}.kochi.hosts", record.id);
+        write_record(&mut out, &host, 1, &[127, 0, 0, 1]);
+        let started = format!("started={}", record.started_ms);
         let texts = ["kind=std", "cell=0", &started];
         let data: Vec<u8> = texts.iter().flat_map(|t| [&[t.len() as u8], t.as_bytes()].concat()).collect();
-        record(&mut out, &host, 16, &data);
+        write_record(&mut out, &host, 16, &data);
     }
     out
 }
 
-impl Zone {
-    fn answer(&self, question: &[u8]) -> Vec<u8> {
-        let row = |(id, address): &(String, SocketAddr)| Row {
+impl DnsZone {
+    fn response_to(&self, query: &[u8]) -> Vec<u8> {
+        let record = |(id, address): &(String, SocketAddr)| SwitchRecord {
             id: id.clone(),
             address: *address,
             draining: false,
-            started: 0,
+            started_ms: 0,
         };
-        let rows: Vec<Row> = self.switches.iter().map(row).collect();
-        let mut out = answer(question, self.code, self.serial, &rows);
-        if self.other_id {
+        let records: Vec<SwitchRecord> = self.switches.iter().map(record).collect();
+        let mut out = dns_response(query, self.response_code, self.serial, &records);
+        if self.mismatched_id {
             out[0] ^= 0xff;
         }
         out
@@ -178,35 +179,35 @@
 }
 
 impl NameServer {
-    pub fn new(zone: Zone) -> Self {
-        Self::at(SocketAddr::from(([127, 0, 0, 1], 0)), zone)
+    pub fn new(zone: DnsZone) -> Self {
+        Self::listening_at(SocketAddr::from(([127, 0, 0, 1], 0)), zone)
     }
 
     /// One at this address.
-    pub fn at(address: SocketAddr, zone: Zone) -> Self {
+    pub fn listening_at(address: SocketAddr, zone: DnsZone) -> Self {
         let socket = UdpSocket::bind(address).unwrap();
         let address = socket.local_addr().unwrap();
         let zone = Arc::new(Mutex::new(zone));
-        let (send, asked) = channel();
-        let answers = zone.clone();
+        let (sender, queries) = channel();
+        let responses = zone.clone();
         std::thread::spawn(move || {
             let mut buffer = [0; 1500];
             while let Ok((n, from)) = socket.recv_from(&mut buffer) {
-                let answer = answers.lock().unwrap().answer(&buffer[..n]);
-                let _ = socket.send_to(&answer, from);
-                if send.send(()).is_err() {
+                let response = responses.lock().unwrap().response_to(&buffer[..n]);
+                let _ = socket.send_to(&response, from);
+                if sender.send(()).is_err() {
                     return;
                 }
             }
         });
-        Self { address, zone, asked }
+        Self { address, zone, queries }
     }
 
     /// Waits for questions that are asked from now on.
-    pub fn asked(&self, times: usize) {
-        while self.asked.try_recv().is_ok() {}
+    pub fn wait_for_queries(&self, times: usize) {
+        while self.queries.try_recv().is_ok() {}
         for _ in 0..times {
-            self.asked.recv_timeout(PATIENCE).expect("the gateway asks");
+            self.queries.recv_timeout(TIMEOUT).expect("the gateway asks");
         }
     }
 }
@@ -219,7 +220,7 @@
     log: Receiver<String>,
 }
 
-pub fn config(listen: SocketAddr, names: SocketAddr, switches: &[(&str, SocketAddr)]) -> Value {
+pub fn node_config(listen: SocketAddr, names: SocketAddr, switches: &[(&str, SocketAddr)]) -> Value {
     let instances: Vec<Value> = switches
         .iter()
         .map(|(id, address)| {
@@ -251,65 +252,65 @@
 
 impl Gateway {
     pub fn start(test: &str, config: &Value) -> Self {
-        let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("node-{test}"));
-        std::fs::create_dir_all(&folder).unwrap();
-        let file = folder.join("config.json");
+        let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("node-{test}"));
+        std::fs::create_dir_all(&directory).unwrap();
+        let file = directory.join("config.json");
         std::fs::write(&file, config.to_string()).unwrap();
-        Self::start_with(file, config["listen"].as_str().unwrap().parse().unwrap())
+        Self::spawn(file, config["listen"].as_str().unwrap().parse().unwrap())
     }
 
-    fn start_with(file: PathBuf, address: SocketAddr) -> Self {
+    fn spawn(file: PathBuf, address: SocketAddr) -> Self {
         let mut command = Command::new(env!("CARGO_BIN_EXE_fawnrouter"));
         command.arg("node").env("BALANCER_CONFIG", &file).env("BALANCER_NAME", "n0");
         command.env("BALANCER_LISTEN", address.to_string());
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
         let stderr = BufReader::new(child.stderr.take().unwrap());
-        let (send, log) = channel();
+        let (sender, log) = channel();
         std::thread::spawn(move || {
             for line in stderr.lines().map_while(Result::ok) {
-                if send.send(line).is_err() {
+                if sender.send(line).is_err() {
                     return;
                 }
             }
         });
         let gateway = Self { child, address, file, log };
-        gateway.logs("gateway ready");
+        gateway.wait_for_log("gateway ready");
         gateway
     }
 
-    pub fn id(&self) -> u32 {
+    pub fn process_id(&self) -> u32 {
         self.child.id()
     }
 
     /// The same gateway once more, after its end.
-    pub fn again(mut self) -> Self {
+    pub fn restart(mut self) -> Self {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
-        Self::start_with(self.file.clone(), self.address)
+        Self::spawn(self.file.clone(), self.address)
     }
 
     /// Waits for a line of the log.
-    pub fn logs(&self, part: &str) -> String {
+    pub fn wait_for_log(&self, part: &str) -> String {
         loop {
-            let line = self.log.recv_timeout(PATIENCE).unwrap_or_else(|_| panic!("no line with {part:?}"));
+            let line = self.log.recv_timeout(TIMEOUT).unwrap_or_else(|_| panic!("no line with {part:?}"));
             if line.contains(part) {
                 return line;
             }
         }
     }
 
-    pub fn caller(&self) -> Caller {
+    pub fn connect_caller(&self) -> Caller {
         let stream = TcpStream::connect(self.address).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         Caller { reader: BufReader::new(stream.try_clone().unwrap()), stream }
     }
 
-    pub fn signal(&self, signal: rustix::process::Signal) {
+    pub fn send_signal(&self, signal: rustix::process::Signal) {
         let id = rustix::process::Pid::from_child(&self.child);
         rustix::process::kill_process(id, signal).unwrap();
     }
 
-    pub fn end(mut self) -> ExitStatus {
+    pub fn wait(mut self) -> ExitStatus {
         self.child.wait().unwrap()
     }
 }
--- a/crates/fawnrouterd/tests/concurrent_events.rs
+++ b/crates/fawnrouterd/tests/concurrent_events.rs
@@ -12,11 +12,11 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, Instant};
 
-use common::{Caller, Gateway, NameServer, Zone, config, free_address, say};
+use common::{Caller, DnsZone, Gateway, NameServer, free_address, node_config, send_line};
 use rustix::process::Signal;
 use serde_json::{Value, json};
 
-const PATIENCE: Duration = Duration::from_secs(6);
+const TIMEOUT: Duration = Duration::from_secs(6);
 /// A caller has gone for good: the page's 0.1 s and a margin.
 const GONE: Duration = Duration::from_millis(150);
 /// The guard of the settings.
@@ -76,7 +76,7 @@
     fn up_to(&self, verb: &str, tag: &str) -> Vec<Heard> {
         let mut all: Vec<Heard> = Vec::new();
         while all.last().is_none_or(|h| !h.is(verb, tag)) {
-            let heard = self.heard.recv_timeout(PATIENCE);
+            let heard = self.heard.recv_timeout(TIMEOUT);
             let before = || all.iter().map(|h| h.line.to_string()).collect::<Vec<_>>();
             all.push(heard.unwrap_or_else(|_| panic!("no {verb} of {tag} came, but {:?}", before())));
         }
@@ -157,18 +157,18 @@
 }
 
 fn caller(gateway: &Gateway) -> Caller {
-    let caller = gateway.caller();
-    caller.stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    let caller = gateway.connect_caller();
+    caller.stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     caller
 }
 
 /// What the caller has been told up to now. The gateway has then read all that the caller said.
 fn told(caller: &mut Caller) -> Vec<Value> {
     let test = fresh();
-    caller.says(&json!({"verb": "ECHO", "tag": test, "opts": {}, "rc": 0}));
+    caller.send(&json!({"verb": "ECHO", "tag": test, "opts": {}, "rc": 0}));
     let mut told = Vec::new();
     loop {
-        let line = caller.hears().expect("the connection stays open");
+        let line = caller.receive().expect("the connection stays open");
         if line["verb"] == "ECHOED" && line["tag"] == test {
             return told;
         }
@@ -195,7 +195,7 @@
 fn leave(caller: Caller, tag: &str, how: Leave) -> Option<Caller> {
     match how {
         Leave::Finish => {
-            caller.says(&finish(tag, 16));
+            caller.send(&finish(tag, 16));
             return Some(caller);
         }
         // A child that is being started beside holds a copy of each descriptor until it is on its way, so that a close
@@ -207,7 +207,7 @@
             drop(caller);
             let begun = Instant::now();
             while queue(&table(), ours, theirs, 0).is_some() {
-                assert!(begun.elapsed() < PATIENCE, "it is reset");
+                assert!(begun.elapsed() < TIMEOUT, "it is reset");
                 std::thread::yield_now();
             }
         }
@@ -235,8 +235,8 @@
     let ids = ["s-1", "s-2"];
     let known: Vec<(&str, SocketAddr)> = ids.into_iter().zip(switches.iter().copied()).collect();
     let switches = known.iter().map(|(id, address)| ((*id).to_owned(), *address)).collect();
-    let names = NameServer::new(Zone { serial: 1, switches, ..Zone::default() });
-    let mut config = config(free_address(), names.address, &known);
+    let names = NameServer::new(DnsZone { serial: 1, switches, ..DnsZone::default() });
+    let mut config = node_config(free_address(), names.address, &known);
     config["settings"]["policyLimits"]["dialTimeoutNs"] = json!(5_000_000_000u64);
     House { gateway: Gateway::start(&format!("crossings-{test}-{}", fresh()), &config), _names: names }
 }
@@ -250,18 +250,18 @@
 impl House {
     /// Holds the gateway, and what is sent to it from now on in its sockets.
     fn stop(&self) {
-        self.gateway.signal(Signal::STOP);
-        let stat = format!("/proc/{}/stat", self.gateway.id());
+        self.gateway.send_signal(Signal::STOP);
+        let stat = format!("/proc/{}/stat", self.gateway.process_id());
         let begun = Instant::now();
         let state = |stat: String| stat.rsplit(") ").next().and_then(|s| s.chars().next());
         while state(std::fs::read_to_string(&stat).unwrap()) != Some('T') {
-            assert!(begun.elapsed() < PATIENCE, "it stops");
+            assert!(begun.elapsed() < TIMEOUT, "it stops");
             std::thread::yield_now();
         }
     }
 
     fn go_on(&self) {
-        self.gateway.signal(Signal::CONT);
+        self.gateway.send_signal(Signal::CONT);
     }
 
     /// Further calls are set up, now and when the decisions have looked at what they hold; all that the core switch
@@ -270,12 +270,12 @@
         let mut all = Vec::new();
         for pause in [PAST_GUARD, Duration::ZERO] {
             let (mut caller, tag) = (caller(&self.gateway), fresh());
-            caller.says(&set_up(&tag, 6000));
+            caller.send(&set_up(&tag, 6000));
             all.extend(peer.up_to("START", &tag));
-            say(&all.last().unwrap().link, &started(&tag));
-            assert_eq!(caller.hears().unwrap()["verb"], "STARTED");
+            send_line(&all.last().unwrap().link, &started(&tag));
+            assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
             std::thread::sleep(pause);
-            caller.says(&finish(&tag, 16));
+            caller.send(&finish(&tag, 16));
             all.extend(peer.up_to("FINISH", &tag));
             all.retain(|h| h.line["tag"] != *tag);
         }
@@ -286,7 +286,7 @@
 /// The gateway has handled all that was said on this connection.
 fn handled(peer: &Peer, link: &TcpStream) {
     let unknown = fresh();
-    say(link, &finish(&unknown, 16));
+    send_line(link, &finish(&unknown, 16));
     none_set_up(&peer.up_to("FINISHED", &unknown));
 }
 
@@ -295,7 +295,7 @@
 /// table is read can hide others from it, so that it is looked at again where one is missing.
 fn in_flight(from: SocketAddr, to: SocketAddr) -> usize {
     let begun = Instant::now();
-    while begun.elapsed() < PATIENCE {
+    while begun.elapsed() < TIMEOUT {
         let table = table();
         if let Some((sent, unread)) = queue(&table, from, to, 0).zip(queue(&table, to, from, 1)) {
             return sent + unread;
@@ -401,22 +401,22 @@
         let (house, peer) = house_with_peer("held");
         let (mut first, mut second) = (caller(&house.gateway), caller(&house.gateway));
         let (out, held) = (fresh(), fresh());
-        first.says(&set_up(&out, 8000));
+        first.send(&set_up(&out, 8000));
         let link = peer.start(&out).link;
-        say(&link, &started(&out));
+        send_line(&link, &started(&out));
         // Nothing more is sent to a switch that has told that no circuit is free.
-        say(&link, &circuits(0));
+        send_line(&link, &circuits(0));
         handled(&peer, &link);
-        second.says(&set_up(&held, 8000));
+        second.send(&set_up(&held, 8000));
         told(&mut second);
         house.stop();
-        say(&link, &finish(&out, 16));
-        say(&link, &circuits(9));
+        send_line(&link, &finish(&out, 16));
+        send_line(&link, &circuits(9));
         talk(&second);
         let _gone = leave(second, &held, how);
         std::thread::sleep(GONE);
         house.go_on();
-        let told = [first.hears().unwrap(), first.hears().unwrap()];
+        let told = [first.receive().unwrap(), first.receive().unwrap()];
         assert_eq!(of(&told, &out), ["STARTED", "FINISH"]);
         none_set_up(&house.serves_on(&peer));
     });
@@ -427,9 +427,9 @@
     each(&LEAVES, |how| {
         let (house, peer) = house_with_peer("guard");
         let (caller, tag) = (caller(&house.gateway), fresh());
-        caller.says(&set_up(&tag, 8000));
+        caller.send(&set_up(&tag, 8000));
         let link = peer.start(&tag).link;
-        say(&link, &finish(&tag, 41));
+        send_line(&link, &finish(&tag, 41));
         handled(&peer, &link);
         house.stop();
         talk(&caller);
@@ -446,7 +446,7 @@
         let (shut, address) = ShutDoor::new();
         let house = house("dialled", &[address]);
         let (mut caller, tag) = (caller(&house.gateway), fresh());
-        caller.says(&set_up(&tag, 8000));
+        caller.send(&set_up(&tag, 8000));
         told(&mut caller);
         let mut gone = leave(caller, &tag, how);
         if let Some(caller) = &mut gone {
@@ -463,7 +463,7 @@
         let (shut, address) = ShutDoor::new();
         let house = house("comes-up", &[address]);
         let (mut caller, tag) = (caller(&house.gateway), fresh());
-        caller.says(&set_up(&tag, 8000));
+        caller.send(&set_up(&tag, 8000));
         told(&mut caller);
         house.stop();
         let (listener, link) = shut.open();
@@ -485,7 +485,7 @@
         let (mut caller, tag) = (caller(&house.gateway), fresh());
         let mut long = set_up(&tag, 8000);
         long["blob"] = json!("x".repeat(15_000));
-        caller.says(&long);
+        caller.send(&long);
         told(&mut caller);
         let _gone = leave(caller, &tag, how);
         // The caller has left for longer than the page's time, and the gateway knows.
@@ -501,16 +501,16 @@
     each(variants.as_flattened(), |(switch_first, how)| {
         let (house, peer) = house_with_peer("answer");
         let (caller, tag) = (caller(&house.gateway), fresh());
-        caller.says(&set_up(&tag, 8000));
+        caller.send(&set_up(&tag, 8000));
         let link = peer.start(&tag).link;
         house.stop();
         if switch_first {
-            say(&link, &started(&tag));
+            send_line(&link, &started(&tag));
             talk(&caller);
         }
         let gone = leave(caller, &tag, how);
         if !switch_first {
-            say(&link, &started(&tag));
+            send_line(&link, &started(&tag));
         }
         std::thread::sleep(GONE);
         house.go_on();
@@ -533,9 +533,9 @@
         let held = (0..10).find_map(|_| {
             let (caller, tag) = (caller(&house.gateway), fresh());
             let filled = fill_caller(&house.gateway, &caller);
-            caller.says(&set_up(&tag, 8000));
+            caller.send(&set_up(&tag, 8000));
             let link = peer.start(&tag).link;
-            say(&link, &started(&tag));
+            send_line(&link, &started(&tag));
             handled(&peer, &link);
             let (ours, theirs) = (caller.stream.local_addr().unwrap(), caller.stream.peer_addr().unwrap());
             (in_flight(theirs, ours) < filled).then_some((caller, tag))
@@ -552,7 +552,7 @@
 fn a_caller_that_reads_nothing_and_is_given_up_has_left() {
     let (house, peer) = house_with_peer("unread");
     let (caller, tag) = (caller(&house.gateway), fresh());
-    caller.says(&set_up(&tag, 8000));
+    caller.send(&set_up(&tag, 8000));
     let start = peer.start(&tag);
     // Given up, or, where the gateway stops reading, gone of its own accord.
     caller.stream.set_write_timeout(Some(GUARD)).unwrap();
@@ -621,11 +621,11 @@
 fn the_id_of_a_call_that_was_just_withdrawn_is_not_sent_again_within_the_guard() {
     let (house, peer) = house_with_peer("same-id");
     let (mut caller, tag) = (caller(&house.gateway), fresh());
-    caller.says(&set_up(&tag, 8000));
+    caller.send(&set_up(&tag, 8000));
     let first = peer.start(&tag);
     let withdrawn = Instant::now();
     (&caller.stream).write_all(lines([&finish(&tag, 16), &set_up(&tag, 8000)]).as_bytes()).unwrap();
-    assert_eq!(caller.hears().unwrap()["verb"], "FINISHED");
+    assert_eq!(caller.receive().unwrap()["verb"], "FINISHED");
     // Refused, or sent later.
     if of(&told(&mut caller), &tag).contains(&"FINISH") {
         return;
@@ -649,11 +649,11 @@
         let (house, peer) = house_with_peer("time-out");
         let mut caller = caller(&house.gateway);
         // An attempt may take 1.8 s of these, so that an answer comes in time.
-        caller.says(&set_up(tag, 2400));
+        caller.send(&set_up(tag, 2400));
         let link = peer.start(tag).link;
         let begun = Instant::now();
         house.stop();
-        say(&link, &word);
+        send_line(&link, &word);
         std::thread::sleep(Duration::from_millis(1860).saturating_sub(begun.elapsed()));
         house.go_on();
         let heard = house.serves_on(&peer);
@@ -675,9 +675,9 @@
 fn an_answer_after_its_attempt_timed_out_is_not_passed_on_and_its_call_is_released() {
     let (house, peer) = house_with_peer("late");
     let (mut caller, tag) = (caller(&house.gateway), fresh());
-    caller.says(&set_up(&tag, 400));
+    caller.send(&set_up(&tag, 400));
     let start = peer.start(&tag);
-    assert_eq!(caller.hears().unwrap()["verb"], "FINISH");
+    assert_eq!(caller.receive().unwrap()["verb"], "FINISH");
     (&*start.link).write_all(lines([&started(&tag), &started(&tag)]).as_bytes()).unwrap();
     let heard = peer.up_to("FINISH", &tag);
     assert!(heard.last().unwrap().beside(&start));
@@ -689,15 +689,15 @@
 fn an_answer_behind_the_reset_of_its_attempt_is_released_there_and_the_next_attempt_goes_on() {
     let (house, peer) = house_with_peer("reset-answer");
     let (mut caller, tag) = (caller(&house.gateway), fresh());
-    caller.says(&set_up(&tag, 8000));
+    caller.send(&set_up(&tag, 8000));
     let first = peer.start(&tag);
     let reset = Instant::now();
     (&*first.link).write_all(lines([&finish(&tag, 41), &started(&tag)]).as_bytes()).unwrap();
     let mut heard = peer.up_to("START", &tag);
     let second = heard.pop().unwrap();
     assert!(second.at - reset >= GUARD && !second.beside(&first));
-    say(&second.link, &started(&tag));
-    assert_eq!(caller.hears().unwrap()["verb"], "STARTED");
+    send_line(&second.link, &started(&tag));
+    assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
     heard.extend(house.serves_on(&peer));
     let released: Vec<bool> =
         heard.iter().filter(|h| h.is("FINISH", &tag)).map(|h| h.beside(&first)).collect();
@@ -711,7 +711,7 @@
     let house = house("left-behind", &[at_one, at_two]);
     let peers = [Peer::on(one, Vec::new()), Peer::on(two, Vec::new())];
     let (mut caller, tag) = (caller(&house.gateway), fresh());
-    caller.says(&set_up(&tag, 8000));
+    caller.send(&set_up(&tag, 8000));
     // Either may be first; a further attempt goes to the other.
     let begun = Instant::now();
     let (first, at) = loop {
@@ -719,16 +719,16 @@
         if let Some(came) = came.filter(|(h, _)| h.is("START", &tag)) {
             break came;
         }
-        assert!(begun.elapsed() < PATIENCE, "no set-up came");
+        assert!(begun.elapsed() < TIMEOUT, "no set-up came");
         std::thread::yield_now();
     };
-    say(&first.link, &finish(&tag, 41));
+    send_line(&first.link, &finish(&tag, 41));
     let second = peers[1 - at].start(&tag);
-    say(&second.link, &started(&tag));
-    assert_eq!(caller.hears().unwrap()["verb"], "STARTED");
-    say(&first.link, &started(&tag));
+    send_line(&second.link, &started(&tag));
+    assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
+    send_line(&first.link, &started(&tag));
     peers[at].up_to("FINISH", &tag);
-    say(&second.link, &finish(&tag, 16));
+    send_line(&second.link, &finish(&tag, 16));
     let heard = peers[1 - at].up_to("FINISHED", &tag);
     assert!(!heard.iter().any(|h| h.is("FINISH", &tag)), "it stood at the second all the time");
     assert_eq!(of(&told(&mut caller), &tag), ["FINISH"], "its release and no second answer");
@@ -738,11 +738,11 @@
 fn a_second_copy_of_an_answer_neither_reaches_the_caller_nor_ends_the_call() {
     let (house, peer) = house_with_peer("copy");
     let (mut caller, tag, link) = standing(&house, &peer);
-    say(&link, &started(&tag));
+    send_line(&link, &started(&tag));
     let heard = house.serves_on(&peer);
     assert!(!heard.iter().any(|h| h.is("FINISH", &tag)), "it stands");
     assert_eq!(of(&told(&mut caller), &tag), [""; 0], "one answer");
-    caller.says(&finish(&tag, 16));
+    caller.send(&finish(&tag, 16));
     peer.up_to("FINISH", &tag);
     assert_eq!(of(&told(&mut caller), &tag), ["FINISHED"]);
 }
@@ -751,17 +751,17 @@
 fn a_guard_that_ends_as_the_time_of_its_call_does_ends_in_one_answer_and_no_further_attempt() {
     let (house, peer) = house_with_peer("guard-end");
     let (mut caller, tag) = (caller(&house.gateway), fresh());
-    caller.says(&set_up(&tag, 2400));
+    caller.send(&set_up(&tag, 2400));
     let link = peer.start(&tag).link;
     let begun = Instant::now();
     // Attempts may be made for 1.8 s; the guard ends then.
     std::thread::sleep(Duration::from_millis(1600).saturating_sub(begun.elapsed()));
-    say(&link, &finish(&tag, 41));
+    send_line(&link, &finish(&tag, 41));
     handled(&peer, &link);
     house.stop();
     std::thread::sleep(Duration::from_millis(1860).saturating_sub(begun.elapsed()));
     house.go_on();
-    assert_eq!(caller.hears().unwrap()["verb"], "FINISH");
+    assert_eq!(caller.receive().unwrap()["verb"], "FINISH");
     none_set_up(&house.serves_on(&peer));
     assert_eq!(of(&told(&mut caller), &tag), [""; 0], "one answer");
 }
@@ -771,8 +771,8 @@
     let (shut, address) = ShutDoor::new();
     let house = house("stale", &[address]);
     let (mut caller, tag) = (caller(&house.gateway), fresh());
-    caller.says(&set_up(&tag, 400));
-    assert_eq!(caller.hears().unwrap()["verb"], "FINISH");
+    caller.send(&set_up(&tag, 400));
+    assert_eq!(caller.receive().unwrap()["verb"], "FINISH");
     let (listener, link) = shut.open();
     none_set_up(&house.serves_on(&Peer::on(listener, vec![link])));
     assert_eq!(of(&told(&mut caller), &tag), [""; 0], "one answer");
@@ -785,7 +785,7 @@
         let (shut, address) = ShutDoor::new();
         let house = house("stale-held", &[address]);
         let (mut caller, tag) = (caller(&house.gateway), fresh());
-        caller.says(&set_up(&tag, 800));
+        caller.send(&set_up(&tag, 800));
         told(&mut caller);
         let begun = Instant::now();
         house.stop();
@@ -801,10 +801,10 @@
 /// A call that stands.
 fn standing(house: &House, peer: &Peer) -> (Caller, String, Arc<TcpStream>) {
     let (mut caller, tag) = (caller(&house.gateway), fresh());
-    caller.says(&set_up(&tag, 6000));
+    caller.send(&set_up(&tag, 6000));
     let link = peer.start(&tag).link;
-    say(&link, &started(&tag));
-    assert_eq!(caller.hears().unwrap()["verb"], "STARTED");
+    send_line(&link, &started(&tag));
+    assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
     (caller, tag, link)
 }
 
@@ -815,12 +815,12 @@
         let (mut caller, tag, link) = standing(&house, &peer);
         house.stop();
         if switch_first {
-            say(&link, &finish(&tag, 16));
+            send_line(&link, &finish(&tag, 16));
             talk(&caller);
         }
-        caller.says(&finish(&tag, 16));
+        caller.send(&finish(&tag, 16));
         if !switch_first {
-            say(&link, &finish(&tag, 16));
+            send_line(&link, &finish(&tag, 16));
         }
         house.go_on();
         let heard = house.serves_on(&peer);
@@ -841,31 +841,31 @@
         let (link, _) = listener.accept().unwrap();
         let peer = Peer::on(listener.try_clone().unwrap(), Vec::new());
         let (mut caller, tag) = (caller(&house.gateway), fresh());
-        caller.says(&set_up(&tag, 6000));
+        caller.send(&set_up(&tag, 6000));
         let mut reader = BufReader::new(&link);
         let mut line = String::new();
         reader.read_line(&mut line).unwrap();
         assert!(line.contains(&tag));
-        say(&link, &started(&tag));
-        assert_eq!(caller.hears().unwrap()["verb"], "STARTED");
+        send_line(&link, &started(&tag));
+        assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
         house.stop();
-        say(&link, &finish(&tag, 16));
+        send_line(&link, &finish(&tag, 16));
         if reset {
             rustix::net::sockopt::set_socket_linger(&link, Some(Duration::ZERO)).unwrap();
         }
         drop(link);
         // Something to be written there at the same time.
         let next = fresh();
-        caller.says(&set_up(&next, 6000));
+        caller.send(&set_up(&next, 6000));
         house.go_on();
         // What a reset may have thrown away comes again on the next connection, as the page has it.
         let start = peer.start(&next);
         if reset {
-            say(&start.link, &finish(&tag, 16));
+            send_line(&start.link, &finish(&tag, 16));
         }
-        let heard = caller.hears().unwrap();
+        let heard = caller.receive().unwrap();
         assert_eq!((&heard["verb"], &heard["tag"]), (&json!("FINISH"), &json!(tag)));
-        say(&start.link, &started(&next));
+        send_line(&start.link, &started(&next));
         let told = told(&mut caller);
         assert_eq!(of(&told, &tag), [""; 0], "once");
         house.serves_on(&peer);
@@ -875,9 +875,9 @@
 /// The release of a call whose caller has closed its connection is told on the next on which a call stands.
 fn is_told_next(house: &House, peer: &Peer, tag: &str) {
     let (mut other, next) = (caller(&house.gateway), fresh());
-    other.says(&set_up(&next, 6000));
+    other.send(&set_up(&next, 6000));
     let link = peer.start(&next).link;
-    say(&link, &started(&next));
+    send_line(&link, &started(&next));
     handled(peer, &link);
     let told = told(&mut other);
     assert_eq!(of(&told, &next), ["STARTED"]);
@@ -891,7 +891,7 @@
         let (caller, tag, link) = standing(&house, &peer);
         leave(caller, &tag, how);
         told(&mut self::caller(&house.gateway));
-        say(&link, &finish(&tag, 16));
+        send_line(&link, &finish(&tag, 16));
         peer.up_to("FINISHED", &tag);
         is_told_next(&house, &peer, &tag);
     });
@@ -905,12 +905,12 @@
         let (caller, tag, link) = standing(&house, &peer);
         house.stop();
         if switch_first {
-            say(&link, &finish(&tag, 16));
+            send_line(&link, &finish(&tag, 16));
             talk(&caller);
         }
         leave(caller, &tag, how);
         if !switch_first {
-            say(&link, &finish(&tag, 16));
+            send_line(&link, &finish(&tag, 16));
         }
         house.go_on();
         peer.up_to("FINISHED", &tag);
@@ -928,20 +928,20 @@
         let (house, peer) = house_with_peer("at-other");
         let (mut caller, mut other) = (caller(&house.gateway), caller(&house.gateway));
         let tag = fresh();
-        caller.says(&set_up(&tag, 6000));
+        caller.send(&set_up(&tag, 6000));
         let link = peer.start(&tag).link;
         house.stop();
         if switch_first {
-            say(&link, &started(&tag));
+            send_line(&link, &started(&tag));
         }
-        other.says(&told_to_stand(&tag));
+        other.send(&told_to_stand(&tag));
         if !switch_first {
-            say(&link, &started(&tag));
+            send_line(&link, &started(&tag));
         }
         house.go_on();
-        assert_eq!(caller.hears().unwrap()["verb"], "STARTED");
+        assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
         assert_eq!(of(&told(&mut other), &tag), [""; 0], "what is told so expects no answer");
-        say(&link, &finish(&tag, 16));
+        send_line(&link, &finish(&tag, 16));
         peer.up_to("FINISHED", &tag);
         let (caller, other) = (told(&mut caller), told(&mut other));
         // Callers are one party.
@@ -954,15 +954,15 @@
 fn a_call_that_is_told_to_stand_on_the_connection_of_its_open_set_up_gets_its_one_answer() {
     let (house, peer) = house_with_peer("at-same");
     let (mut caller, tag) = (caller(&house.gateway), fresh());
-    caller.says(&set_up(&tag, 6000));
+    caller.send(&set_up(&tag, 6000));
     let link = peer.start(&tag).link;
     // It expects no answer, and may name what the gateway holds.
-    caller.says(&told_to_stand(&tag));
+    caller.send(&told_to_stand(&tag));
     assert_eq!(of(&told(&mut caller), &tag), [""; 0]);
-    say(&link, &started(&tag));
-    assert_eq!(caller.hears().unwrap()["verb"], "STARTED");
-    say(&link, &finish(&tag, 16));
-    assert_eq!(of(&[caller.hears().unwrap()], &tag), ["FINISH"]);
+    send_line(&link, &started(&tag));
+    assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
+    send_line(&link, &finish(&tag, 16));
+    assert_eq!(of(&[caller.receive().unwrap()], &tag), ["FINISH"]);
     let heard = house.serves_on(&peer);
     assert!(!heard.iter().any(|h| h.is("FINISH", &tag)), "the core switch has released it itself");
 }
--- a/crates/fawnrouterd/tests/deploy.rs
+++ b/crates/fawnrouterd/tests/deploy.rs
@@ -36,20 +36,20 @@
 #[test]
 fn the_gateway_at_work_has_no_child_no_ring_and_listens_on_its_address_alone() {
     let switch = Switch::new();
-    let names = NameServer::new(Zone {
+    let names = NameServer::new(DnsZone {
         serial: 1,
         switches: vec![("s-1".into(), switch.address)],
-        ..Zone::default()
+        ..DnsZone::default()
     });
-    let config = config(free_address(), names.address, &[("s-1", switch.address)]);
+    let config = node_config(free_address(), names.address, &[("s-1", switch.address)]);
     let gateway = Gateway::start("deploy", &config);
-    let mut caller = gateway.caller();
-    caller.calls("9b1f03aa5c7e2d41", 3000);
-    let (link, start) = switch.next("START");
-    say(&link, &json!({"verb": "STARTED", "tag": start["tag"], "opts": {}, "blob": "answer"}));
-    assert_eq!(caller.hears().unwrap()["verb"], "STARTED");
+    let mut caller = gateway.connect_caller();
+    caller.send_set_up("9b1f03aa5c7e2d41", 3000);
+    let (link, start) = switch.next_message("START");
+    send_line(&link, &json!({"verb": "STARTED", "tag": start["tag"], "opts": {}, "blob": "answer"}));
+    assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
 
-    let process = std::path::PathBuf::from(format!("/proc/{}", gateway.id()));
+    let process = std::path::PathBuf::from(format!("/proc/{}", gateway.process_id()));
     for task in std::fs::read_dir(process.join("task")).unwrap() {
         let children = std::fs::read_to_string(task.unwrap().path().join("children")).unwrap_or_default();
         assert_eq!(children, "", "a child process");
--- a/crates/fawnrouterd/tests/descriptor_exhaustion.rs
+++ b/crates/fawnrouterd/tests/descriptor_exhaustion.rs
@@ -12,12 +12,12 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use common::{NameServer, Zone, config, free_address};
+use common::{DnsZone, NameServer, free_address, node_config};
 use rustix::process::{Pid, Resource, Signal, getrlimit, kill_process, setrlimit};
 use serde_json::{Value, json};
 
 /// Ends a test that would hang.
-const PATIENCE: Duration = Duration::from_secs(15);
+const TIMEOUT: Duration = Duration::from_secs(15);
 /// The page owes those that are turned away an end within 3 s; the rest is for a machine that is busy.
 const SOON: Duration = Duration::from_secs(6);
 
@@ -69,7 +69,7 @@
             most: Arc::default(),
             over: Arc::default(),
         };
-        gateway.logs("gateway ready");
+        gateway.wait_for_log("gateway ready");
         let folder = format!("/proc/{}/fd", gateway.child.id());
         let (most, over) = (gateway.most.clone(), gateway.over.clone());
         std::thread::spawn(move || {
@@ -82,7 +82,7 @@
     }
 
     /// Waits for a line of the log.
-    fn logs(&self, part: &str) {
+    fn wait_for_log(&self, part: &str) {
         eventually(&format!("a line with {part:?}"), || self.said(part).is_some());
     }
 
@@ -111,11 +111,11 @@
     fn reloads(&self, config: &Value) {
         std::fs::write(&self.file, config.to_string()).unwrap();
         kill_process(Pid::from_child(&self.child), Signal::HUP).unwrap();
-        self.logs("new configuration");
+        self.wait_for_log("new configuration");
     }
 
     fn client(&self) -> TcpStream {
-        let stream = TcpStream::connect_timeout(&self.address, PATIENCE).unwrap();
+        let stream = TcpStream::connect_timeout(&self.address, TIMEOUT).unwrap();
         stream.set_read_timeout(Some(SOON)).unwrap();
         stream
     }
@@ -134,7 +134,7 @@
 }
 
 fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TIMEOUT;
     while !holds() {
         assert!(Instant::now() < end, "never: {what}");
         std::thread::sleep(Duration::from_millis(2));
@@ -202,7 +202,7 @@
 fn famine_config(limit: usize, names: SocketAddr, switches: &[(String, TcpListener)]) -> Value {
     let known: Vec<(&str, SocketAddr)> =
         switches.iter().map(|(id, l)| (id.as_str(), l.local_addr().unwrap())).collect();
-    let mut config = config(free_address(), names, &known);
+    let mut config = node_config(free_address(), names, &known);
     config["limits"]["sockets"] = json!(limit);
     config
 }
@@ -296,12 +296,12 @@
     assert!(matches!(fared, Fate::Served | Fate::TurnedAway), "{fared:?}: a newcomer hears a word");
     gateway.was_never_out_of_descriptors(limit);
     let new = Ready::new();
-    let zone = Zone { serial: 2, switches: vec![("s-new".to_owned(), new.address)], ..Zone::default() };
+    let zone = DnsZone { serial: 2, switches: vec![("s-new".to_owned(), new.address)], ..DnsZone::default() };
     let names = NameServer::new(zone);
     let mut changed = config.clone();
     changed["nameserver"] = json!(names.address.to_string());
     gateway.reloads(&changed);
-    names.asked(3);
+    names.wait_for_queries(3);
     a_new_caller_is_served(&gateway, 1);
     assert!(new.has_had() > 0, "at the new one");
     gateway.was_never_out_of_descriptors(limit);
@@ -390,7 +390,7 @@
 /// A gateway with 64 descriptors, one core switch and a caller whose call stands, while discovery is down.
 fn small_gateway(test: &str) -> (Gateway, Ready, TcpStream) {
     let switch = Ready::new();
-    let mut config = config(free_address(), free_address(), &[("s-1", switch.address)]);
+    let mut config = node_config(free_address(), free_address(), &[("s-1", switch.address)]);
     config["limits"]["sockets"] = json!(64);
     let gateway = Gateway::start(test, &config);
     let caller = a_new_caller_is_served(&gateway, 0xffff);
--- a/crates/fawnrouterd/tests/settings.rs
+++ b/crates/fawnrouterd/tests/settings.rs
@@ -57,7 +57,7 @@
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("settings-start");
     std::fs::create_dir_all(&folder).unwrap();
     let file = folder.join("config.json");
-    let good = config(free_address(), free_address(), &[("s-1", free_address())]);
+    let good = node_config(free_address(), free_address(), &[("s-1", free_address())]);
     for (place, value, told) in wrong() {
         std::fs::write(&file, with(&good, place, value).to_string()).unwrap();
         let output = start(&file);
@@ -70,30 +70,30 @@
 #[test]
 fn sighup_with_wrong_settings_leaves_the_old_ones_in_force_and_says_why() {
     let switch = Switch::new();
-    let zone = Zone { serial: 1, switches: vec![("s-1".into(), switch.address)], ..Zone::default() };
-    let (names, other) = (NameServer::new(zone.clone()), NameServer::new(Zone { serial: 9, ..zone }));
-    let good = config(free_address(), names.address, &[("s-1", switch.address)]);
+    let zone = DnsZone { serial: 1, switches: vec![("s-1".into(), switch.address)], ..DnsZone::default() };
+    let (names, other) = (NameServer::new(zone.clone()), NameServer::new(DnsZone { serial: 9, ..zone }));
+    let good = node_config(free_address(), names.address, &[("s-1", switch.address)]);
     let gateway = Gateway::start("settings-sighup", &good);
-    let mut caller = gateway.caller();
+    let mut caller = gateway.connect_caller();
     for (n, (place, value, told)) in wrong().into_iter().enumerate() {
         // Another name server in the same file: nothing of a wrong configuration may be taken.
         let moved = with(&good, "/nameserver", json!(other.address.to_string()));
         std::fs::write(&gateway.file, with(&moved, place, value).to_string()).unwrap();
-        gateway.signal(Signal::HUP);
-        let line = gateway.logs("the configuration stays as it was");
+        gateway.send_signal(Signal::HUP);
+        let line = gateway.wait_for_log("the configuration stays as it was");
         // The log escapes quotes or not, as its form is.
         assert!(line.replace('\\', "").contains(told), "{line}");
-        names.asked(2);
+        names.wait_for_queries(2);
         let tag = format!("9b1f03aa5c7e2d4{n}");
-        caller.calls(&tag, 8000);
-        let (link, start) = switch.next("START");
+        caller.send_set_up(&tag, 8000);
+        let (link, start) = switch.next_message("START");
         assert_eq!(start["tag"], json!(tag));
-        say(&link, &json!({"verb": "STARTED", "tag": tag, "opts": {}, "blob": "answer"}));
-        assert_eq!(caller.hears().unwrap()["verb"], "STARTED");
+        send_line(&link, &json!({"verb": "STARTED", "tag": tag, "opts": {}, "blob": "answer"}));
+        assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
     }
     std::fs::write(&gateway.file, with(&good, "/nameserver", json!(other.address.to_string())).to_string())
         .unwrap();
-    gateway.signal(Signal::HUP);
-    gateway.logs("new configuration");
-    other.asked(1);
+    gateway.send_signal(Signal::HUP);
+    gateway.wait_for_log("new configuration");
+    other.wait_for_queries(1);
 }
--- a/crates/fawnrouterd/tests/shutdown.rs
+++ b/crates/fawnrouterd/tests/shutdown.rs
@@ -26,7 +26,7 @@
 /// No further attempt of a call within this time of a reset (`guardNs` of the settings).
 const GUARD: Duration = Duration::from_millis(200);
 /// What any test waits for takes less.
-const PATIENCE: Duration = Duration::from_secs(8);
+const TIMEOUT: Duration = Duration::from_secs(8);
 
 // ---- The stand-ins --------------------------------------------------------------------------------------------
 
@@ -78,8 +78,8 @@
     }
 
     /// The next message of this type.
-    fn next(&self, verb: &str) -> Told {
-        let until = Instant::now() + PATIENCE;
+    fn next_message(&self, verb: &str) -> Told {
+        let until = Instant::now() + TIMEOUT;
         loop {
             let left = until.saturating_duration_since(Instant::now());
             let told = self.told.recv_timeout(left).unwrap_or_else(|_| panic!("no {verb} came"));
@@ -141,16 +141,16 @@
 
 fn house_of(test: &str, sockets: usize, core: Core) -> House {
     let switches = vec![("s-1".to_owned(), core.address)];
-    let names = NameServer::new(Zone { serial: 1, switches, ..Zone::default() });
-    let mut config = config(free_address(), names.address, &[("s-1", core.address)]);
+    let names = NameServer::new(DnsZone { serial: 1, switches, ..DnsZone::default() });
+    let mut config = node_config(free_address(), names.address, &[("s-1", core.address)]);
     config["limits"]["sockets"] = json!(sockets);
     House { gateway: Gateway::start(&format!("shutdown-{test}"), &config), core, names }
 }
 
 impl House {
     /// A caller's connection that the gateway has read from.
-    fn caller(&self) -> Caller {
-        let mut caller = self.gateway.caller();
+    fn connect_caller(&self) -> Caller {
+        let mut caller = self.gateway.connect_caller();
         caller.stream.set_nodelay(true).unwrap();
         assert_eq!(passes_test(&mut caller), 1);
         caller
@@ -158,18 +158,18 @@
 
     /// A call that stands, and its caller.
     fn standing(&self, tag: &str) -> Caller {
-        let mut caller = self.caller();
-        caller.calls(tag, 5000);
-        assert_eq!(caller.hears().unwrap()["verb"], "STARTED");
-        self.core.next("START");
+        let mut caller = self.connect_caller();
+        caller.send_set_up(tag, 5000);
+        assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
+        self.core.next_message("START");
         caller
     }
 
     /// The gateway is told to end, and has understood: it fails the test of the connection that comes back.
     fn is_told_to_end(&self) -> Caller {
-        let mut asks = self.caller();
-        self.gateway.signal(Signal::TERM);
-        self.gateway.logs("ending");
+        let mut asks = self.connect_caller();
+        self.gateway.send_signal(Signal::TERM);
+        self.gateway.wait_for_log("ending");
         while passes_test(&mut asks) == 1 {}
         asks
     }
@@ -179,32 +179,32 @@
     fn crosses_the_end(&self, meanwhile: impl FnOnce()) {
         let asks = self.is_told_to_end();
         self.stands_still(|| {
-            asks.says(&echo());
+            asks.send(&echo());
             meanwhile();
             sleep(SERVING_TIME);
         });
     }
 
     fn stands_still(&self, meanwhile: impl FnOnce()) {
-        self.gateway.signal(Signal::STOP);
-        let tasks = format!("/proc/{}/task", self.gateway.id());
+        self.gateway.send_signal(Signal::STOP);
+        let tasks = format!("/proc/{}/task", self.gateway.process_id());
         wait_until("the gateway stands still", || {
             let tasks = std::fs::read_dir(&tasks).unwrap();
             tasks.flatten().all(|task| state(&task.path().join("stat")) == Some('T'))
         });
         meanwhile();
-        self.gateway.signal(Signal::CONT);
+        self.gateway.send_signal(Signal::CONT);
     }
 
     /// The process exits by itself within this time, and well.
     fn exits_within(self, limit: Duration) {
         let began = Instant::now();
-        let stat = std::path::PathBuf::from(format!("/proc/{}/stat", self.gateway.id()));
+        let stat = std::path::PathBuf::from(format!("/proc/{}/stat", self.gateway.process_id()));
         while state(&stat) != Some('Z') {
             assert!(began.elapsed() < limit, "the gateway still runs after {limit:?}");
             sleep(Duration::from_millis(5));
         }
-        assert!(self.gateway.end().success());
+        assert!(self.gateway.wait().success());
     }
 }
 
@@ -214,8 +214,8 @@
 
 /// The cause that a test is answered with.
 fn passes_test(caller: &mut Caller) -> i64 {
-    caller.says(&echo());
-    let line = caller.hears().unwrap();
+    caller.send(&echo());
+    let line = caller.receive().unwrap();
     assert_eq!(line["verb"], "ECHOED");
     line["rc"].as_i64().unwrap()
 }
@@ -227,7 +227,7 @@
 }
 
 fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     while !holds() {
         assert!(Instant::now() < until, "waited in vain until {what}");
         sleep(Duration::from_millis(1));
@@ -236,7 +236,7 @@
 
 /// Descriptors that the gateway holds.
 fn descriptors(gateway: &Gateway) -> usize {
-    std::fs::read_dir(format!("/proc/{}/fd", gateway.id())).unwrap().count()
+    std::fs::read_dir(format!("/proc/{}/fd", gateway.process_id())).unwrap().count()
 }
 
 /// Bytes that lie between the gateway's and a caller's ends of a connection, in either kernel queue.
@@ -262,7 +262,7 @@
 
 /// What a caller hears of each call until the end of its connection, and whether that is an orderly one.
 fn heard_to_the_end(caller: &Caller) -> (BTreeMap<String, Vec<Value>>, bool) {
-    caller.stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    caller.stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     let mut heard = BTreeMap::<_, Vec<_>>::new();
     for line in BufReader::new(&caller.stream).lines() {
         let line: Value = match line {
@@ -312,73 +312,73 @@
 #[test]
 fn a_set_up_half_read_when_the_gateway_is_told_to_end_is_answered_once() {
     let house = house("half", 256, answer);
-    let mut caller = house.caller();
+    let mut caller = house.connect_caller();
     let (tag, line) = (tag(1), set_up(&tag(1), 3000));
     let (half, rest) = line.split_at(line.len() / 2);
     // The answer to the test says that the half line behind it has been read too.
     write(&caller.stream, &format!("{}\n{half}", json!({"verb": "ECHO", "tag": tag, "opts": {}, "rc": 0})));
-    assert_eq!(caller.hears().unwrap()["verb"], "ECHOED");
+    assert_eq!(caller.receive().unwrap()["verb"], "ECHOED");
     house.crosses_the_end(|| write(&caller.stream, rest));
     hear_each_once([&caller], [&tag]);
-    house.exits_within(PATIENCE);
+    house.exits_within(TIMEOUT);
 }
 
 #[test]
 fn set_ups_unread_when_the_serving_time_is_over_are_each_answered_once() {
     let house = house("unread", 256, answer);
-    let callers: Vec<_> = (0..5).map(|_| house.caller()).collect();
+    let callers: Vec<_> = (0..5).map(|_| house.connect_caller()).collect();
     let tags: Vec<_> = (0..callers.len()).map(tag).collect();
     house.crosses_the_end(|| {
         for (caller, tag) in callers.iter().zip(&tags) {
-            caller.calls(tag, 3000);
+            caller.send_set_up(tag, 3000);
         }
     });
     hear_each_once(&callers, &tags);
-    house.exits_within(PATIENCE);
+    house.exits_within(TIMEOUT);
 }
 
 #[test]
 fn set_ups_unread_when_sigterm_itself_is_unread_are_each_answered_once() {
     let house = house("unread-term", 256, answer);
-    let callers: Vec<_> = (0..5).map(|_| house.caller()).collect();
+    let callers: Vec<_> = (0..5).map(|_| house.connect_caller()).collect();
     let tags: Vec<_> = (0..callers.len()).map(tag).collect();
     house.stands_still(|| {
-        house.gateway.signal(Signal::TERM);
+        house.gateway.send_signal(Signal::TERM);
         for (caller, tag) in callers.iter().zip(&tags) {
-            caller.calls(tag, 3000);
+            caller.send_set_up(tag, 3000);
         }
         sleep(SERVING_TIME);
     });
     hear_each_once(&callers, &tags);
-    house.exits_within(PATIENCE);
+    house.exits_within(TIMEOUT);
 }
 
 #[test]
 fn a_set_up_behind_three_hundred_others_on_one_connection_is_answered_once_like_them() {
     let house = house("behind", 256, answer);
-    let caller = house.caller();
+    let caller = house.connect_caller();
     let tags: Vec<_> = (0..301).map(tag).collect();
     let lines: String = tags.iter().map(|tag| set_up(tag, 3000)).collect();
     house.crosses_the_end(|| write(&caller.stream, &lines));
     hear_each_once([&caller], &tags);
-    house.exits_within(PATIENCE);
+    house.exits_within(TIMEOUT);
 }
 
 #[test]
 fn a_set_up_behind_many_other_lines_is_answered_once_though_the_last_call_ends_meanwhile() {
     let house = house("behind-lines", 256, keep_silent);
-    let (caller, other) = (house.caller(), house.caller());
+    let (caller, other) = (house.connect_caller(), house.connect_caller());
     let (first, behind) = (tag(1), tag(2));
-    caller.calls(&first, 5000);
-    let attempt = house.core.next("START");
+    caller.send_set_up(&first, 5000);
+    let attempt = house.core.next_message("START");
     let heard = format!("{}\n", json!({"verb": "FINISHED", "tag": tag(3), "opts": {}}));
     house.crosses_the_end(|| {
         write(&other.stream, &(heard.repeat(300) + &set_up(&behind, 3000)));
-        say(&attempt.link, &started(&first));
+        send_line(&attempt.link, &started(&first));
     });
     hear_each_once([&caller], [&first]);
     hear_each_once([&other], [&behind]);
-    house.exits_within(PATIENCE);
+    house.exits_within(TIMEOUT);
 }
 
 #[test]
@@ -386,15 +386,15 @@
     let house = house("accepted", 256, answer);
     let asks = house.is_told_to_end();
     let before = descriptors(&house.gateway);
-    let caller = house.gateway.caller();
+    let caller = house.gateway.connect_caller();
     wait_until("the connection is accepted", || descriptors(&house.gateway) > before);
     house.stands_still(|| {
-        asks.says(&echo());
-        caller.calls(&tag(1), 3000);
+        asks.send(&echo());
+        caller.send_set_up(&tag(1), 3000);
         sleep(SERVING_TIME);
     });
     hear_each_once([&caller], [&tag(1)]);
-    house.exits_within(PATIENCE);
+    house.exits_within(TIMEOUT);
 }
 
 #[test]
@@ -405,12 +405,12 @@
     let mut callers = Vec::new();
     house.crosses_the_end(|| {
         for tag in &tags {
-            callers.push(house.gateway.caller());
-            callers.last().unwrap().calls(tag, 3000);
+            callers.push(house.gateway.connect_caller());
+            callers.last().unwrap().send_set_up(tag, 3000);
         }
     });
     hear_each_once(&callers, &tags);
-    house.exits_within(PATIENCE);
+    house.exits_within(TIMEOUT);
 }
 
 #[test]
@@ -419,48 +419,48 @@
     let tags: Vec<_> = (0..5).map(tag).collect();
     let mut callers = Vec::new();
     house.stands_still(|| {
-        house.gateway.signal(Signal::TERM);
+        house.gateway.send_signal(Signal::TERM);
         for tag in &tags {
-            callers.push(house.gateway.caller());
-            callers.last().unwrap().calls(tag, 3000);
+            callers.push(house.gateway.connect_caller());
+            callers.last().unwrap().send_set_up(tag, 3000);
         }
         sleep(SERVING_TIME);
     });
     hear_each_once(&callers, &tags);
-    house.exits_within(PATIENCE);
+    house.exits_within(TIMEOUT);
 }
 
 #[test]
 fn set_ups_unread_on_a_hundred_connections_at_the_end_are_each_answered_once() {
     // More than may be closed in order at once.
     let house = house("hundred", 256, answer);
-    let callers: Vec<_> = (0..100).map(|_| house.caller()).collect();
+    let callers: Vec<_> = (0..100).map(|_| house.connect_caller()).collect();
     let tags: Vec<_> = (0..callers.len()).map(tag).collect();
     house.crosses_the_end(|| {
         for (caller, tag) in callers.iter().zip(&tags) {
-            caller.calls(tag, 3000);
+            caller.send_set_up(tag, 3000);
         }
     });
     hear_each_once(&callers, &tags);
-    house.exits_within(PATIENCE);
+    house.exits_within(TIMEOUT);
 }
 
 #[test]
 fn a_set_up_unread_at_the_end_is_answered_once_beside_one_whose_attempt_is_out() {
     let house = house("out", 256, keep_silent);
-    let (caller, other) = (house.caller(), house.caller());
+    let (caller, other) = (house.connect_caller(), house.connect_caller());
     let [out, same, on_other] = [tag(1), tag(2), tag(3)];
-    caller.calls(&out, 5000);
-    let attempt = house.core.next("START");
+    caller.send_set_up(&out, 5000);
+    let attempt = house.core.next_message("START");
     house.crosses_the_end(|| {
         // Its answer lies unread as well, so that nothing may be owed at the first look.
-        say(&attempt.link, &started(&out));
-        caller.calls(&same, 3000);
-        other.calls(&on_other, 3000);
+        send_line(&attempt.link, &started(&out));
+        caller.send_set_up(&same, 3000);
+        other.send_set_up(&on_other, 3000);
     });
     hear_each_once([&caller], [&out, &same]);
     hear_each_once([&other], [&on_other]);
-    house.exits_within(PATIENCE);
+    house.exits_within(TIMEOUT);
 }
 
 #[test]
@@ -471,9 +471,9 @@
             answer(link, line);
         }
     });
-    let caller = house.caller();
-    caller.calls(&tag(1), 5000);
-    let attempt = house.core.next("START");
+    let caller = house.connect_caller();
+    caller.send_set_up(&tag(1), 5000);
+    let attempt = house.core.next_message("START");
     let mut broke = Instant::now();
     house.crosses_the_end(|| {
         attempt.link.shutdown(Shutdown::Both).unwrap();
@@ -483,23 +483,23 @@
     assert_eq!(heard[&tag(1)][0]["verb"], "STARTED", "there was time for another attempt");
     let again = house.core.attempts(&tag(1));
     assert!(again.len() == 1 && again[0].at >= broke + GUARD);
-    house.exits_within(PATIENCE);
+    house.exits_within(TIMEOUT);
 }
 
 #[test]
 fn a_call_whose_core_switch_never_answers_is_failed_in_its_time_and_the_gateway_ends() {
     let house = house("mute", 256, keep_silent);
-    let mut caller = house.caller();
-    caller.calls(&tag(1), 1500);
-    house.core.next("START");
+    let mut caller = house.connect_caller();
+    caller.send_set_up(&tag(1), 1500);
+    house.core.next_message("START");
     let asked = Instant::now();
     house.is_told_to_end();
-    let line = caller.hears().expect("an answer");
+    let line = caller.receive().expect("an answer");
     assert_eq!((&line["verb"], &line["tag"]), (&json!("FINISH"), &json!(tag(1))));
     // Its time and the half second in which an answer only earns nothing.
     assert!(asked.elapsed() < Duration::from_millis(2000));
-    assert!(caller.ends());
-    house.exits_within(PATIENCE);
+    assert!(caller.reads_only_eof());
+    house.exits_within(TIMEOUT);
 }
 
 #[test]
@@ -508,18 +508,18 @@
         if line["verb"] == "START" {
             let mut full = finish(line["tag"].as_str().unwrap(), 34);
             full["opts"] = json!({"note": "group_full"});
-            say(link, &full);
+            send_line(link, &full);
         }
     });
-    let caller = house.caller();
+    let caller = house.connect_caller();
     let tags: Vec<_> = (0..3).map(tag).collect();
     for tag in &tags[..2] {
-        caller.calls(tag, 4000);
+        caller.send_set_up(tag, 4000);
     }
-    house.core.next("START");
-    house.crosses_the_end(|| caller.calls(&tags[2], 4000));
+    house.core.next_message("START");
+    house.crosses_the_end(|| caller.send_set_up(&tags[2], 4000));
     hear_each_once([&caller], &tags);
-    house.exits_within(PATIENCE);
+    house.exits_within(TIMEOUT);
 }
 
 /// The call that is released behind the answer to this one.
@@ -542,40 +542,40 @@
 #[test]
 fn answers_half_written_at_the_end_come_whole_to_a_caller_that_reads_on() {
     let house = house("half-written", 256, answer_at_length);
-    let mut caller = house.caller();
+    let mut caller = house.connect_caller();
     let tags = fill(&house, &mut caller);
     house.crosses_the_end(|| {});
     hear_each_once([&caller], &tags[1..]);
-    house.exits_within(PATIENCE);
+    house.exits_within(TIMEOUT);
 }
 
 #[test]
 fn a_set_up_unread_behind_an_answer_half_written_at_the_end_is_answered_once() {
     let house = house("half-written-more", 256, answer_at_length);
-    let mut caller = house.caller();
+    let mut caller = house.connect_caller();
     let mut tags = fill(&house, &mut caller);
     tags.push(tag(tags.len()));
-    house.crosses_the_end(|| caller.calls(&tags[tags.len() - 1], 3000));
+    house.crosses_the_end(|| caller.send_set_up(&tags[tags.len() - 1], 3000));
     hear_each_once([&caller], &tags[1..]);
-    house.exits_within(PATIENCE);
+    house.exits_within(TIMEOUT);
 }
 
 /// Has calls answered that the caller does not read until the kernel takes no more: an answer is half written. The
 /// first of the calls has been heard.
 fn fill(house: &House, caller: &mut Caller) -> Vec<String> {
     let local = caller.stream.local_addr().unwrap();
-    let mut marks = house.caller();
+    let mut marks = house.connect_caller();
     let mut tags = vec![tag(0)];
-    caller.calls(&tags[0], 5000);
-    let length = caller.hears().unwrap().to_string().len() + 1;
+    caller.send_set_up(&tags[0], 5000);
+    let length = caller.receive().unwrap().to_string().len() + 1;
     let mut written = 0;
     while queued(house.gateway.address, local) >= written {
         let next = tag(tags.len());
-        marks.calls(&marker(&next), 5000);
-        assert_eq!(marks.hears().unwrap()["verb"], "STARTED");
-        caller.calls(&next, 5000);
+        marks.send_set_up(&marker(&next), 5000);
+        assert_eq!(marks.receive().unwrap()["verb"], "STARTED");
+        caller.send_set_up(&next, 5000);
         // What was answered before this has been given to the kernel as far as that took it.
-        assert_eq!(marks.hears().unwrap(), finish(&marker(&next), 16));
+        assert_eq!(marks.receive().unwrap(), finish(&marker(&next), 16));
         tags.push(next);
         written += length;
     }
@@ -588,20 +588,20 @@
 fn a_callers_release_unread_at_the_end_reaches_the_core_switch() {
     let house = house("release", 256, answer);
     let caller = house.standing(&tag(1));
-    house.crosses_the_end(|| caller.says(&finish(&tag(1), 16)));
-    assert_eq!(house.core.next("FINISH").line, finish(&tag(1), 16));
+    house.crosses_the_end(|| caller.send(&finish(&tag(1), 16)));
+    assert_eq!(house.core.next_message("FINISH").line, finish(&tag(1), 16));
     drop(caller);
-    house.exits_within(PATIENCE);
+    house.exits_within(TIMEOUT);
 }
 
 #[test]
 fn callers_releases_behind_others_and_on_a_connection_not_accepted_yet_reach_the_core_switch() {
     let house = house("releases", 256, answer);
     let tags: BTreeSet<_> = (0..40).map(tag).collect();
-    let mut caller = house.caller();
+    let mut caller = house.connect_caller();
     for tag in &tags {
-        caller.calls(tag, 5000);
-        assert_eq!(caller.hears().unwrap()["verb"], "STARTED");
+        caller.send_set_up(tag, 5000);
+        assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
     }
     let (last, others) = (tag(39), &tags);
     let mut late = None;
@@ -609,11 +609,11 @@
         let lines = others.iter().filter(|tag| **tag != last).map(|tag| format!("{}\n", finish(tag, 16)));
         write(&caller.stream, &lines.collect::<String>());
         // A standing call is bound to no connection.
-        late = Some(house.gateway.caller());
-        late.as_ref().unwrap().says(&finish(&last, 16));
+        late = Some(house.gateway.connect_caller());
+        late.as_ref().unwrap().send(&finish(&last, 16));
     });
     let mut missing = tags.clone();
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     while !missing.is_empty() {
         let left = until.saturating_duration_since(Instant::now());
         match house.core.told.recv_timeout(left) {
@@ -623,39 +623,39 @@
         };
     }
     drop((caller, late));
-    house.exits_within(PATIENCE);
+    house.exits_within(TIMEOUT);
 }
 
 #[test]
 fn a_callers_release_at_the_end_reaches_a_core_switch_that_has_closed_its_connection() {
     let house = house("release-closed", 256, answer);
-    let mut caller = house.caller();
-    caller.calls(&tag(1), 5000);
-    assert_eq!(caller.hears().unwrap()["verb"], "STARTED");
-    let link = house.core.next("START").link;
+    let mut caller = house.connect_caller();
+    caller.send_set_up(&tag(1), 5000);
+    assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
+    let link = house.core.next_message("START").link;
     house.crosses_the_end(|| {
         // It reads on: whether the release goes there before the close is seen or on a new one, it is heard.
         link.shutdown(Shutdown::Write).unwrap();
-        caller.says(&finish(&tag(1), 16));
+        caller.send(&finish(&tag(1), 16));
     });
-    assert_eq!(house.core.next("FINISH").line, finish(&tag(1), 16));
+    assert_eq!(house.core.next_message("FINISH").line, finish(&tag(1), 16));
     drop(caller);
-    house.exits_within(PATIENCE);
+    house.exits_within(TIMEOUT);
 }
 
 /// A call stood and was released by its caller while its core switch was away: the release waits for a connection.
 fn release_that_waits(test: &str) -> House {
     let core = Core::at(SocketAddr::from(([127, 0, 0, 1], 0)), 1, answer);
     let house = house_of(test, 256, core);
-    let mut caller = house.caller();
-    caller.calls(&tag(1), 5000);
-    assert_eq!(caller.hears().unwrap()["verb"], "STARTED");
-    let link = house.core.next("START").link;
+    let mut caller = house.connect_caller();
+    caller.send_set_up(&tag(1), 5000);
+    assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
+    let link = house.core.next_message("START").link;
     let before = descriptors(&house.gateway);
     link.shutdown(Shutdown::Both).unwrap();
     wait_until("the gateway has seen the close", || descriptors(&house.gateway) < before);
-    caller.says(&finish(&tag(1), 16));
-    assert_eq!(caller.hears().unwrap()["verb"], "FINISHED");
+    caller.send(&finish(&tag(1), 16));
+    assert_eq!(caller.receive().unwrap()["verb"], "FINISHED");
     house
 }
 
@@ -664,8 +664,8 @@
     let house = release_that_waits("release-waits");
     let mut back = None;
     house.crosses_the_end(|| back = Some(Core::at(house.core.address, usize::MAX, answer)));
-    assert_eq!(back.unwrap().next("FINISH").line, finish(&tag(1), 16));
-    house.exits_within(PATIENCE);
+    assert_eq!(back.unwrap().next_message("FINISH").line, finish(&tag(1), 16));
+    house.exits_within(TIMEOUT);
 }
 
 #[test]
@@ -675,8 +675,8 @@
     // All callers' connections are gone: nothing else keeps the gateway.
     sleep(Duration::from_millis(150));
     let back = Core::at(house.core.address, usize::MAX, answer);
-    assert_eq!(back.next("FINISH").line, finish(&tag(1), 16));
-    house.exits_within(PATIENCE);
+    assert_eq!(back.next_message("FINISH").line, finish(&tag(1), 16));
+    house.exits_within(TIMEOUT);
 }
 
 #[test]
@@ -690,15 +690,15 @@
 #[test]
 fn a_core_switchs_release_unread_at_the_end_is_told_to_the_caller() {
     let house = house("released", 256, answer);
-    let mut caller = house.caller();
-    caller.calls(&tag(1), 5000);
-    assert_eq!(caller.hears().unwrap()["verb"], "STARTED");
-    let link = house.core.next("START").link;
-    house.crosses_the_end(|| say(&link, &finish(&tag(1), 16)));
-    assert_eq!(caller.hears(), Some(finish(&tag(1), 16)));
-    assert_eq!(caller.hears(), None);
+    let mut caller = house.connect_caller();
+    caller.send_set_up(&tag(1), 5000);
+    assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
+    let link = house.core.next_message("START").link;
+    house.crosses_the_end(|| send_line(&link, &finish(&tag(1), 16)));
+    assert_eq!(caller.receive(), Some(finish(&tag(1), 16)));
+    assert_eq!(caller.receive(), None);
     drop(caller);
-    house.exits_within(PATIENCE);
+    house.exits_within(TIMEOUT);
 }
 
 // ---- Signals --------------------------------------------------------------------------------------------------
@@ -706,56 +706,56 @@
 #[test]
 fn a_second_sigterm_cuts_nothing_short() {
     let house = house("twice", 256, keep_silent);
-    let (caller, other) = (house.caller(), house.caller());
+    let (caller, other) = (house.connect_caller(), house.connect_caller());
     let (out, late) = (tag(1), tag(2));
-    caller.calls(&out, 5000);
-    let attempt = house.core.next("START");
+    caller.send_set_up(&out, 5000);
+    let attempt = house.core.next_message("START");
     house.crosses_the_end(|| {
-        house.gateway.signal(Signal::TERM);
-        other.calls(&late, 3000);
+        house.gateway.send_signal(Signal::TERM);
+        other.send_set_up(&late, 3000);
     });
     // Refused or served: no matter, but once.
-    house.gateway.signal(Signal::TERM);
-    house.gateway.signal(Signal::INT);
-    say(&attempt.link, &started(&out));
+    house.gateway.send_signal(Signal::TERM);
+    house.gateway.send_signal(Signal::INT);
+    send_line(&attempt.link, &started(&out));
     hear_each_once([&caller], [&out]);
     hear_each_once([&other], [&late]);
-    house.exits_within(PATIENCE);
+    house.exits_within(TIMEOUT);
 }
 
 #[test]
 fn a_sighup_just_before_sigterm_and_one_just_after_disturb_no_call() {
     let house = house("hup", 256, keep_silent);
-    let mut caller = house.caller();
+    let mut caller = house.connect_caller();
     let [out, between, late] = [tag(1), tag(2), tag(3)];
-    caller.calls(&out, 5000);
-    let attempt = house.core.next("START");
+    caller.send_set_up(&out, 5000);
+    let attempt = house.core.next_message("START");
     let zone = house.names.zone.lock().unwrap().clone();
-    let other = NameServer::new(Zone { serial: 2, ..zone });
-    let told = config(house.gateway.address, other.address, &[("s-1", house.core.address)]);
+    let other = NameServer::new(DnsZone { serial: 2, ..zone });
+    let told = node_config(house.gateway.address, other.address, &[("s-1", house.core.address)]);
     std::fs::write(&house.gateway.file, told.to_string()).unwrap();
     // Both signals are there when the gateway goes on.
     house.stands_still(|| {
-        house.gateway.signal(Signal::HUP);
-        house.gateway.signal(Signal::TERM);
-        caller.calls(&between, 3000);
+        house.gateway.send_signal(Signal::HUP);
+        house.gateway.send_signal(Signal::TERM);
+        caller.send_set_up(&between, 3000);
     });
-    house.gateway.logs("ending");
-    other.asked(1);
+    house.gateway.wait_for_log("ending");
+    other.wait_for_queries(1);
     while passes_test(&mut caller) == 1 {}
     // And again while the serving time passes, half a configuration this time.
     std::fs::write(&house.gateway.file, "{\"name\":").unwrap();
     house.stands_still(|| {
-        house.gateway.signal(Signal::HUP);
-        caller.calls(&late, 3000);
+        house.gateway.send_signal(Signal::HUP);
+        caller.send_set_up(&late, 3000);
         sleep(SERVING_TIME);
     });
-    house.gateway.logs("the configuration stays as it was");
+    house.gateway.wait_for_log("the configuration stays as it was");
     for tag in [&out, &between] {
-        say(&attempt.link, &finish(tag, 17));
+        send_line(&attempt.link, &finish(tag, 17));
     }
     hear_each_once([&caller], [&out, &between, &late]);
-    house.exits_within(PATIENCE);
+    house.exits_within(TIMEOUT);
 }
 
 // ---- To the last instant --------------------------------------------------------------------------------------
@@ -809,11 +809,11 @@
     let number = Arc::new(AtomicUsize::new(0));
     let callers: Vec<_> = (0..4)
         .map(|_| {
-            let (caller, number) = (house.caller(), number.clone());
+            let (caller, number) = (house.connect_caller(), number.clone());
             spawn(move || {
                 let (began, mut ear, mut sent) = (Instant::now(), Ear::new(&caller.stream), Vec::new());
                 while ear.ended.is_none() {
-                    assert!(began.elapsed() < PATIENCE, "it ends");
+                    assert!(began.elapsed() < TIMEOUT, "it ends");
                     let tag = tag(number.fetch_add(1, Ordering::Relaxed));
                     if { &caller.stream }.write_all(set_up(&tag, 3000).as_bytes()).is_ok() {
                         sent.push((tag, Instant::now()));
@@ -842,7 +842,7 @@
     house.stands_still(|| sleep(Duration::from_millis(500)));
     let crossed: Vec<_> = callers.into_iter().map(|c| c.join().expect("as it should be")).collect();
     eprintln!("{crossed:?} set-ups crossed the close");
-    house.exits_within(PATIENCE);
+    house.exits_within(TIMEOUT);
 }
 
 #[test]
@@ -852,7 +852,7 @@
     let (mut served, mut crossed) = (0, 0);
     let began = Instant::now();
     loop {
-        assert!(began.elapsed() < PATIENCE, "it ends");
+        assert!(began.elapsed() < TIMEOUT, "it ends");
         let Ok(stream) = TcpStream::connect(house.gateway.address) else { break };
         let tag = tag(served + crossed);
         if { &stream }.write_all(set_up(&tag, 3000).as_bytes()).is_err() {
@@ -861,7 +861,7 @@
         }
         let (written, mut ear) = (Instant::now(), Ear::new(&stream));
         while ear.ended.is_none() && !ear.heard.ends_with(b"\n") {
-            assert!(began.elapsed() < PATIENCE, "an answer or an end");
+            assert!(began.elapsed() < TIMEOUT, "an answer or an end");
             ear.listens();
         }
         if ear.heard.is_empty() {
@@ -874,16 +874,16 @@
     }
     eprintln!("{served} answered, {crossed} crossed the close");
     assert!(served > 0, "it serves until then");
-    house.exits_within(PATIENCE);
+    house.exits_within(TIMEOUT);
 }
 
 #[test]
 fn peers_that_never_close_and_read_nothing_do_not_keep_the_gateway_from_its_end() {
     let house = house("never", 256, answer_at_length);
-    let mut reads_nothing = house.caller();
+    let mut reads_nothing = house.connect_caller();
     fill(&house, &mut reads_nothing);
-    let never_close: Vec<_> = (0..40).map(|_| house.caller()).collect();
-    let half = house.caller();
+    let never_close: Vec<_> = (0..40).map(|_| house.connect_caller()).collect();
+    let half = house.connect_caller();
     write(&half.stream, "{\"verb\":\"START\",\"tag\"");
     house.is_told_to_end();
     // The platform kills 3.7 s after SIGTERM at the soonest.
@@ -901,20 +901,20 @@
 /// A small gateway whose seats are all taken by idle callers, the longest idle first.
 fn full_house(test: &str) -> (House, Vec<Caller>) {
     let house = house(test, SMALL, answer);
-    let callers = (0..SEATS).map(|_| house.caller()).collect();
+    let callers = (0..SEATS).map(|_| house.connect_caller()).collect();
     (house, callers)
 }
 
 /// Newcomers that have said something: none of them is pushed out by the next.
 fn come(house: &House, number: usize) -> Vec<Caller> {
-    let callers: Vec<_> = (0..number).map(|_| house.gateway.caller()).collect();
-    callers.iter().for_each(|caller| caller.says(&echo()));
+    let callers: Vec<_> = (0..number).map(|_| house.gateway.connect_caller()).collect();
+    callers.iter().for_each(|caller| caller.send(&echo()));
     callers
 }
 
 /// The answer to a set-up on a connection that may be closed for room afterwards.
 fn one_answer(caller: &mut Caller, tag: &str) {
-    let line = caller.hears().expect("an answer before the end");
+    let line = caller.receive().expect("an answer before the end");
     assert!(line["verb"] == "STARTED" || line["verb"] == "FINISH", "{line}");
     assert_eq!(line["tag"], tag);
 }
@@ -924,7 +924,7 @@
     let (house, mut idle) = full_house("room-before");
     let mut newcomers = Vec::new();
     house.stands_still(|| {
-        idle[0].calls(&tag(1), 3000);
+        idle[0].send_set_up(&tag(1), 3000);
         newcomers = come(&house, 4);
         sleep(2 * CROSSING);
     });
@@ -937,7 +937,7 @@
     let mut newcomers = Vec::new();
     house.stands_still(|| {
         newcomers = come(&house, 4);
-        (0..4).for_each(|n| idle[n].calls(&tag(n), 3000));
+        (0..4).for_each(|n| idle[n].send_set_up(&tag(n), 3000));
         sleep(2 * CROSSING);
     });
     (0..4).for_each(|n| one_answer(&mut idle[n], &tag(n)));
@@ -950,7 +950,7 @@
     let (half, rest) = line.split_at(line.len() / 2);
     let ping = json!({"verb": "ECHO", "tag": tag(2), "opts": {}, "rc": 0});
     write(&idle[0].stream, &format!("{ping}\n{half}"));
-    assert_eq!(idle[0].hears().unwrap()["verb"], "ECHOED");
+    assert_eq!(idle[0].receive().unwrap()["verb"], "ECHOED");
     // The others spoke later.
     assert!(idle[1..].iter_mut().all(|caller| passes_test(caller) == 1));
     let mut newcomers = Vec::new();
@@ -968,14 +968,14 @@
     let mut crowd = Vec::new();
     house.stands_still(|| {
         for n in 0..2 * SEATS {
-            crowd.push(house.gateway.caller());
-            crowd[n].calls(&tag(n), 3000);
+            crowd.push(house.gateway.connect_caller());
+            crowd[n].send_set_up(&tag(n), 3000);
         }
         sleep(2 * CROSSING);
     });
     for (n, caller) in crowd.iter_mut().enumerate() {
         // Beyond the seats: told so without the id, or refused under it.
-        let line = caller.hears().unwrap_or_else(|| panic!("newcomer {n} got an end and no word"));
+        let line = caller.receive().unwrap_or_else(|| panic!("newcomer {n} got an end and no word"));
         assert!(line["verb"] == "STARTED" || line["verb"] == "FINISH", "{line}");
     }
 }
@@ -984,12 +984,12 @@
 fn a_set_up_completed_in_time_and_unread_is_answered_though_its_connection_is_overdue() {
     let house = house("overdue", 256, answer);
     // One has said nothing whole yet, the other has.
-    let (mut silent, mut half) = (house.gateway.caller(), house.caller());
+    let (mut silent, mut half) = (house.gateway.connect_caller(), house.connect_caller());
     let lines = [set_up(&tag(1), 3000), set_up(&tag(2), 3000)];
     let (begin, rest) = lines[1].split_at(30);
     write(&half.stream, begin);
     // Read, as the connection that was accepted later is answered.
-    house.caller();
+    house.connect_caller();
     house.stands_still(|| {
         write(&silent.stream, &lines[0]);
         write(&half.stream, rest);
@@ -1024,15 +1024,15 @@
             link.shutdown(Shutdown::Both).unwrap();
         }
     });
-    let mut caller = house.caller();
-    caller.calls(&tag(1), 5000);
-    assert_eq!(caller.hears().unwrap()["verb"], "STARTED");
+    let mut caller = house.connect_caller();
+    caller.send_set_up(&tag(1), 5000);
+    assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
     let attempts: Vec<_> = house.core.attempts(&tag(1)).iter().map(|t| t.at).collect();
     one_at_a_time(&attempts, &closes.lock().unwrap());
     house.is_told_to_end();
-    assert_eq!(caller.hears(), None, "one answer");
+    assert_eq!(caller.receive(), None, "one answer");
     drop(caller);
-    house.exits_within(PATIENCE);
+    house.exits_within(TIMEOUT);
 }
 
 #[test]
@@ -1068,34 +1068,34 @@
         }
     });
     let house = house_of("link-reset", 256, Core { address, told });
-    let mut caller = house.caller();
-    caller.calls(&tag(1), 5000);
-    let line = caller.hears().unwrap();
+    let mut caller = house.connect_caller();
+    caller.send_set_up(&tag(1), 5000);
+    let line = caller.receive().unwrap();
     assert_eq!((&line["verb"], &line["tag"]), (&json!("STARTED"), &json!(tag(1))));
     let (attempts, closes) = &*attempts.lock().unwrap();
     one_at_a_time(attempts, closes);
     house.is_told_to_end();
-    assert_eq!(caller.hears(), None, "one answer");
+    assert_eq!(caller.receive(), None, "one answer");
     drop(caller);
-    house.exits_within(PATIENCE);
+    house.exits_within(TIMEOUT);
 }
 
 #[test]
 fn a_set_up_that_crosses_the_core_switchs_close_of_an_idle_connection_is_served_once() {
     let house = house("link-idle", 256, answer);
-    let mut caller = house.caller();
-    caller.calls(&tag(1), 5000);
-    assert_eq!(caller.hears().unwrap()["tag"], tag(1));
-    let idle = house.core.next("START").link;
+    let mut caller = house.connect_caller();
+    caller.send_set_up(&tag(1), 5000);
+    assert_eq!(caller.receive().unwrap()["tag"], tag(1));
+    let idle = house.core.next_message("START").link;
     house.stands_still(|| {
         idle.shutdown(Shutdown::Both).unwrap();
-        caller.calls(&tag(2), 5000);
+        caller.send_set_up(&tag(2), 5000);
     });
-    let line = caller.hears().unwrap();
+    let line = caller.receive().unwrap();
     assert_eq!((&line["verb"], &line["tag"]), (&json!("STARTED"), &json!(tag(2))));
     assert_eq!(house.core.attempts(&tag(2)).len(), 1);
     house.is_told_to_end();
-    assert_eq!(caller.hears(), None, "one answer");
+    assert_eq!(caller.receive(), None, "one answer");
     drop(caller);
-    house.exits_within(PATIENCE);
+    house.exits_within(TIMEOUT);
 }
--- a/crates/fawnrouterd/tests/switch_list.rs
+++ b/crates/fawnrouterd/tests/switch_list.rs
@@ -11,13 +11,13 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use common::{Caller, Gateway, Row, answer, config, free_address, say};
+use common::{Caller, Gateway, SwitchRecord, dns_response, free_address, node_config, send_line};
 use rustix::net::{AddressFamily, SocketType, sockopt};
 use rustix::process::Signal;
 use serde_json::{Value, json};
 
 /// Ends a test that would hang.
-const PATIENCE: Duration = Duration::from_secs(15);
+const TIMEOUT: Duration = Duration::from_secs(15);
 /// The grace of a drain in these tests.
 const GRACE: Duration = Duration::from_millis(250);
 /// The gateway asks four times a second; a second and a half without a question is a pause whatever the machine does.
@@ -27,27 +27,27 @@
 
 // ---- A name server that can say all that the protocol knows, late and wrongly ---------------------------------------
 
-fn ready(id: &str, address: SocketAddr) -> Row {
-    Row { id: id.to_owned(), address, draining: false, started: 0 }
+fn ready(id: &str, address: SocketAddr) -> SwitchRecord {
+    SwitchRecord { id: id.to_owned(), address, draining: false, started_ms: 0 }
 }
 
-fn draining(id: &str, address: SocketAddr) -> Row {
-    Row { draining: true, ..ready(id, address) }
+fn draining(id: &str, address: SocketAddr) -> SwitchRecord {
+    SwitchRecord { draining: true, ..ready(id, address) }
 }
 
 #[derive(Clone)]
 struct List {
     serial: u32,
-    rows: Vec<Row>,
+    rows: Vec<SwitchRecord>,
 }
 
-fn list(serial: u32, rows: impl Into<Vec<Row>>) -> List {
+fn list(serial: u32, rows: impl Into<Vec<SwitchRecord>>) -> List {
     List { serial, rows: rows.into() }
 }
 
 impl List {
     fn answer(&self, question: &[u8]) -> Vec<u8> {
-        answer(question, 0, self.serial, &self.rows)
+        dns_response(question, 0, self.serial, &self.rows)
     }
 }
 
@@ -109,7 +109,7 @@
     /// The next questions that are asked from now on.
     fn questions(&self, times: usize) -> Vec<Question> {
         while self.asked.try_recv().is_ok() {}
-        (0..times).map(|_| self.asked.recv_timeout(PATIENCE).expect("the gateway asks")).collect()
+        (0..times).map(|_| self.asked.recv_timeout(TIMEOUT).expect("the gateway asks")).collect()
     }
 
     /// Waits until the gateway has read whatever was sent to it before this call: it looks for datagrams before it
@@ -122,7 +122,7 @@
     /// answered.
     fn stops(&self, gateway: &Gateway, after: usize) -> Vec<Question> {
         let mut asked = self.questions(after);
-        gateway.signal(Signal::STOP);
+        gateway.send_signal(Signal::STOP);
         while let Ok(question) = self.asked.recv_timeout(Duration::from_millis(300)) {
             asked.push(question);
         }
@@ -190,7 +190,7 @@
     }
 
     fn start(&self) -> Said {
-        self.start_within(PATIENCE).expect("a set-up")
+        self.start_within(TIMEOUT).expect("a set-up")
     }
 
     /// No set-up has come since the last that was taken.
@@ -209,7 +209,7 @@
 impl Said {
     fn stands(&self) {
         let tag = &self.line["tag"];
-        say(
+        send_line(
             &self.stream,
             &json!({"verb": "STARTED", "tag": tag, "opts": {}, "blob": format!("answer\r\n{tag}")}),
         );
@@ -218,7 +218,7 @@
 
 /// A call to be set up on this connection that must stand at this switch.
 fn stands_at(caller: &mut Caller, tag: &str, switch: &Switch) {
-    caller.calls(tag, 8000);
+    caller.send_set_up(tag, 8000);
     let start = switch.start();
     assert_eq!(start.line["tag"], tag);
     start.stands();
@@ -226,14 +226,14 @@
 }
 
 fn hears_started(caller: &mut Caller, tag: &str) {
-    let heard = caller.hears().expect("an answer");
+    let heard = caller.receive().expect("an answer");
     assert_eq!((&heard["verb"], &heard["tag"]), (&json!("STARTED"), &json!(tag)), "{heard}");
 }
 
 /// The gateway has handled all that this caller has said.
 fn is_heard(caller: &mut Caller) {
-    caller.says(&json!({"verb": "ECHO", "tag": "00000000000000aa", "opts": {}, "rc": 0}));
-    assert_eq!(caller.hears().unwrap()["verb"], "ECHOED");
+    caller.send(&json!({"verb": "ECHO", "tag": "00000000000000aa", "opts": {}, "rc": 0}));
+    assert_eq!(caller.receive().unwrap()["verb"], "ECHOED");
 }
 
 fn release(tag: &str) -> Value {
@@ -276,7 +276,7 @@
 
 /// A configuration with a short grace and time enough for a connection that is held back.
 fn settings(names: &Names, switches: &[(&str, SocketAddr)]) -> Value {
-    let mut config = config(free_address(), names.address, switches);
+    let mut config = node_config(free_address(), names.address, switches);
     config["settings"]["contract"]["drainGraceNs"] = json!(GRACE.as_nanos() as u64);
     config["settings"]["policyLimits"]["dialTimeoutNs"] = json!(6_000_000_000u64);
     config
@@ -293,8 +293,8 @@
     let at = crowded.address;
     let names = Names::telling(list(1, [ready("s-1", at)]));
     let gateway = Gateway::start("list-dial-drain", &settings(&names, &[("s-1", at)]));
-    let mut caller = gateway.caller();
-    caller.calls(TAG, 8000);
+    let mut caller = gateway.connect_caller();
+    caller.send_set_up(TAG, 8000);
     is_heard(&mut caller);
     names.tells(list(2, [draining("s-1", at), ready("s-2", other.address)]));
     let start = other.start();
@@ -316,8 +316,8 @@
     let at = crowded.address;
     let names = Names::telling(list(1, [ready("s-1", at)]));
     let gateway = Gateway::start("list-dial-gone", &settings(&names, &[("s-1", at)]));
-    let mut caller = gateway.caller();
-    caller.calls(TAG, 8000);
+    let mut caller = gateway.connect_caller();
+    caller.send_set_up(TAG, 8000);
     is_heard(&mut caller);
     names.tells(list(2, [ready("s-2", at)]));
     names.is_heard();
@@ -358,7 +358,7 @@
 /// Waits until the kernel takes nothing more of what is written there. What has arrived counts at both ends until it is
 /// acknowledged, some 40 ms later.
 fn settled(address: SocketAddr) -> usize {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TIMEOUT;
     let (mut before, mut same) = (in_the_kernel(address), 0);
     while same < 4 {
         std::thread::sleep(Duration::from_millis(40));
@@ -372,7 +372,7 @@
 
 /// Set-ups that lie in the gateway when their switch, which doesn't read, is told to be on its way out; `after` is what
 /// the list says of it then.
-fn unwritten_set_ups(test: &str, after: fn(SocketAddr) -> Option<Row>) {
+fn unwritten_set_ups(test: &str, after: fn(SocketAddr) -> Option<SwitchRecord>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     sockopt::set_socket_recv_buffer_size(&listener, 4096).unwrap();
     let (at, other) = (listener.local_addr().unwrap(), Switch::new());
@@ -381,7 +381,7 @@
     let nobody = free_address();
     let mut known = vec![("s-1", at)];
     known.extend(others.iter().map(|id| (id.as_str(), nobody)));
-    let rows = |own: Vec<Row>| -> Vec<Row> {
+    let rows = |own: Vec<SwitchRecord>| -> Vec<SwitchRecord> {
         own.into_iter().chain(others.iter().map(|id| draining(id, nobody))).collect()
     };
     let names = Names::telling(list(1, rows(vec![ready("s-1", at)])));
@@ -394,30 +394,30 @@
     }
     let gateway = Gateway::start(test, &config);
     let (mut link, _) = listener.accept().unwrap();
-    let mut caller = gateway.caller();
+    let mut caller = gateway.connect_caller();
     caller.stream.set_nodelay(true).unwrap();
     let start = |tag: &str, size: usize| {
         json!({"verb": "START", "tag": tag, "blob": "x".repeat(size),
             "opts": {"class": "voice", "left": "8000", "key": "7f3a", "extras": "dest:0;width:1;via:-1"}})
     };
     // The connection is up on the gateway's side too once something has come on it.
-    caller.says(&start("f111000000000000", 10));
+    caller.send(&start("f111000000000000", 10));
     let mut byte = [0];
     while byte != *b"\n" {
         link.read_exact(&mut byte).unwrap();
     }
-    caller.says(&release("f111000000000000"));
-    assert_eq!(caller.hears().unwrap()["verb"], "FINISHED");
+    caller.send(&release("f111000000000000"));
+    assert_eq!(caller.receive().unwrap()["verb"], "FINISHED");
     // Given up once written, so that nothing but their bytes is left of them.
     let big = 15_000;
     let before = settled(at);
     let mut pair = 0;
     for n in 1.. {
         let tag = format!("f1110000{n:08x}");
-        caller.says(&start(&tag, big));
+        caller.send(&start(&tag, big));
         is_heard(&mut caller);
-        caller.says(&release(&tag));
-        assert_eq!(caller.hears().unwrap(), json!({"verb": "FINISHED", "tag": tag, "opts": {}}));
+        caller.send(&release(&tag));
+        assert_eq!(caller.receive().unwrap(), json!({"verb": "FINISHED", "tag": tag, "opts": {}}));
         if n == 1 {
             pair = settled(at) - before;
             assert!(pair > big, "it is up");
@@ -431,7 +431,7 @@
     let held = settled(at);
     let tags: BTreeSet<String> = (0..3).map(|n| format!("0000000000000c0{n}")).collect();
     for tag in &tags {
-        caller.says(&start(tag, 1000));
+        caller.send(&start(tag, 1000));
     }
     is_heard(&mut caller);
     assert_eq!(settled(at), held, "nothing of these has been written");
@@ -476,7 +476,7 @@
             break;
         }
     }
-    let answered = tags.iter().map(|_| caller.hears().unwrap()["tag"].as_str().unwrap().to_owned());
+    let answered = tags.iter().map(|_| caller.receive().unwrap()["tag"].as_str().unwrap().to_owned());
     assert_eq!(answered.collect::<BTreeSet<_>>(), tags, "each is answered");
 }
 
@@ -495,13 +495,16 @@
     let (old, new) = (Switch::new(), Switch::new());
     let names = Names::telling(list(1, [ready("s-1", old.address)]));
     let gateway = Gateway::start("list-turned", &settings(&names, &[("s-1", old.address)]));
-    let mut caller = gateway.caller();
-    caller.calls(TAG, 8000);
+    let mut caller = gateway.connect_caller();
+    caller.send_set_up(TAG, 8000);
     let start = old.start();
     names.tells(list(2, [draining("s-1", old.address), ready("s-2", new.address)]));
     names.is_heard();
     std::thread::sleep(GRACE);
-    say(&start.stream, &json!({"verb": "FINISH", "tag": TAG, "opts": {"note": "group_full"}, "rc": 34}));
+    send_line(
+        &start.stream,
+        &json!({"verb": "FINISH", "tag": TAG, "opts": {"note": "group_full"}, "rc": 34}),
+    );
     let again = new.start();
     assert_eq!(again.line["tag"], TAG);
     again.stands();
@@ -521,12 +524,12 @@
     names.tells(list(2, [draining("s-1", old.address)]));
     names.is_heard();
     std::thread::sleep(GRACE);
-    let mut caller = gateway.caller();
+    let mut caller = gateway.connect_caller();
     for n in 0..4 {
-        caller.calls(&format!("000000000000000{n}"), 700);
+        caller.send_set_up(&format!("000000000000000{n}"), 700);
     }
     for _ in 0..4 {
-        let heard = caller.hears().unwrap();
+        let heard = caller.receive().unwrap();
         assert_eq!(heard["verb"], "FINISH", "{heard}");
     }
     names.is_heard();
@@ -547,30 +550,33 @@
     let at = switch.address;
     let names = Names::telling(list(1, [ready("s-1", at)]));
     let gateway = Gateway::start("list-same-address", &settings(&names, &[("s-1", at)]));
-    let (mut caller, other) = (gateway.caller(), gateway.caller());
+    let (mut caller, other) = (gateway.connect_caller(), gateway.connect_caller());
     stands_at(&mut caller, TAG, &switch);
-    other.calls(NEXT, 8000);
+    other.send_set_up(NEXT, 8000);
     let held = switch.start();
-    names.tells(list(2, [Row { started: 1_700_000_000_000, ..ready("s-2", at) }]));
-    let heard = caller.hears().unwrap();
+    names.tells(list(2, [SwitchRecord { started_ms: 1_700_000_000_000, ..ready("s-2", at) }]));
+    let heard = caller.receive().unwrap();
     assert_eq!((&heard["verb"], &heard["tag"]), (&json!("FINISH"), &json!(TAG)), "it went with the old one");
     let last = switch.links.try_iter().last().unwrap_or(held.link);
     // The old one's connections are still open here, as they are until the kernel learns that it has gone.
     let third = "9b1f03aa5c7e2d43";
-    caller.calls(third, 8000);
+    caller.send_set_up(third, 8000);
     let mut links = Vec::new();
     while links.last().is_none_or(|(tag, _)| tag != third) {
         let start = switch.start();
         let tag = start.line["tag"].as_str().unwrap().to_owned();
         // An answer on an old connection is none of the new one's.
-        say(&held.stream, &json!({"verb": "STARTED", "tag": third, "opts": {}, "blob": "not the new one's"}));
+        send_line(
+            &held.stream,
+            &json!({"verb": "STARTED", "tag": third, "opts": {}, "blob": "not the new one's"}),
+        );
         if tag == third {
             start.stands();
         }
         links.push((tag, start.link));
     }
     assert!(links.iter().all(|(_, link)| *link > held.link), "{links:?} after {last}");
-    let heard = caller.hears().unwrap();
+    let heard = caller.receive().unwrap();
     assert_eq!((&heard["tag"], &heard["blob"]), (&json!(third), &json!(format!("answer\r\n\"{third}\""))));
     let again = links.iter().filter(|(tag, _)| tag == NEXT).count();
     assert!(again <= 1, "what was open at the old one is sent to the new one once at the most");
@@ -581,7 +587,7 @@
     std::thread::spawn(move || {
         for said in switch.lines.iter().filter(|said| said.line["verb"] == "ECHO") {
             let tag = &said.line["tag"];
-            say(&said.stream, &json!({"verb": "ECHOED", "tag": tag, "opts": {}, "rc": 1}));
+            send_line(&said.stream, &json!({"verb": "ECHOED", "tag": tag, "opts": {}, "rc": 1}));
         }
     });
 }
@@ -593,14 +599,14 @@
     let (first, second) = (one.address, two.address);
     let names = Names::telling(list(1, [ready("s-1", first)]));
     let gateway = Gateway::start(test, &settings(&names, &[("s-1", first)]));
-    let mut caller = gateway.caller();
+    let mut caller = gateway.connect_caller();
     stands_at(&mut caller, TAG, &one);
     passes_tests(one);
     names.tells(list(2, [ready("s-2", second)]));
     names.is_heard();
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
     let started = if anew { now.as_millis() as u64 } else { 0 };
-    names.tells(list(3, [Row { started, ..ready("s-1", first) }, ready("s-2", second)]));
+    names.tells(list(3, [SwitchRecord { started_ms: started, ..ready("s-1", first) }, ready("s-2", second)]));
     names.is_heard();
     (gateway, names, caller)
 }
@@ -608,7 +614,7 @@
 #[test]
 fn calls_of_a_switch_that_leaves_the_list_and_is_back_with_a_new_start_are_over() {
     let (_gateway, _names, mut caller) = leaves_the_list_and_is_back("list-back-anew", true);
-    let heard = caller.hears().expect("the call stood before the start");
+    let heard = caller.receive().expect("the call stood before the start");
     assert_eq!((&heard["verb"], &heard["tag"]), (&json!("FINISH"), &json!(TAG)), "{heard}");
 }
 
@@ -616,8 +622,8 @@
 fn calls_of_a_switch_that_leaves_the_list_and_is_back_without_a_new_start_stand_on() {
     let (_gateway, _names, mut caller) = leaves_the_list_and_is_back("list-back", false);
     is_heard(&mut caller);
-    caller.says(&release(TAG));
-    assert_eq!(caller.hears().unwrap()["verb"], "FINISHED", "it stood until its caller released it");
+    caller.send(&release(TAG));
+    assert_eq!(caller.receive().unwrap()["verb"], "FINISHED", "it stood until its caller released it");
 }
 
 #[test]
@@ -627,22 +633,23 @@
     let gateway = Gateway::start("list-brief", &settings(&names, &[("s-1", one.address)]));
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
     let started = now.as_millis() as u64;
-    let both = [ready("s-1", one.address), Row { started, ..draining("s-2", brief.address) }];
+    let both =
+        [ready("s-1", one.address), SwitchRecord { started_ms: started, ..draining("s-2", brief.address) }];
     names.tells(list(2, both));
     names.is_heard();
-    let mut caller = gateway.caller();
+    let mut caller = gateway.connect_caller();
     for n in 0..8 {
         stands_at(&mut caller, &format!("000000000000000{n}"), &one);
     }
     names.is_heard();
     brief.had_no_link("it has only ever drained");
     // Even where nobody else is left.
-    names.tells(list(3, [Row { started, ..draining("s-2", brief.address) }]));
+    names.tells(list(3, [SwitchRecord { started_ms: started, ..draining("s-2", brief.address) }]));
     names.is_heard();
     std::thread::sleep(GRACE);
-    let mut last = gateway.caller();
-    last.calls(TAG, 700);
-    assert_eq!(last.hears().unwrap()["verb"], "FINISH");
+    let mut last = gateway.connect_caller();
+    last.send_set_up(TAG, 700);
+    assert_eq!(last.receive().unwrap()["verb"], "FINISH");
     names.is_heard();
     brief.had_no_link("it has only ever drained");
 }
@@ -664,7 +671,7 @@
         answer
     };
     let mut tag = 0;
-    let mut caller = gateway.caller();
+    let mut caller = gateway.connect_caller();
     for kind in
         ["older", "same", "oldest", "empty", "cut", "failed", "other id", "no serial", "no address", "noise"]
     {
@@ -728,7 +735,7 @@
         vec![whole[..whole.len() / 2].to_vec(), failed, vec![0; 3], whole]
     });
     names.is_heard();
-    stands_at(&mut gateway.caller(), TAG, &two);
+    stands_at(&mut gateway.connect_caller(), TAG, &two);
 }
 
 #[test]
@@ -738,7 +745,7 @@
     let gateway = Gateway::start("list-silence", &settings(&names, &[("s-1", one.address)]));
     names.is_heard();
     names.answers(|_| Vec::new());
-    let mut caller = gateway.caller();
+    let mut caller = gateway.connect_caller();
     stands_at(&mut caller, TAG, &one);
     let held = names.stops(&gateway, 13);
     for pair in held.windows(2) {
@@ -756,7 +763,7 @@
         names.send(question.from, &answer);
         names.send(question.from, &answer);
     }
-    gateway.signal(Signal::CONT);
+    gateway.send_signal(Signal::CONT);
     names.is_heard();
     for n in 0..6 {
         stands_at(&mut caller, &format!("000000000000000{n}"), &three);
@@ -774,18 +781,18 @@
     let gateway = Gateway::start("list-order", &settings(&names, &[("s-0", switches[0].address)]));
     names.is_heard();
     names.answers(|_| Vec::new());
-    let mut caller = gateway.caller();
+    let mut caller = gateway.connect_caller();
     for (round, order) in [[1, 0, 1], [2, 1, 0], [1, 3, 2]].into_iter().enumerate() {
         let questions = names.stops(&gateway, 4);
         for (question, n) in questions[questions.len() - 3..].iter().zip(order) {
             names.send(question.from, &only(n).answer(&question.datagram));
         }
-        gateway.signal(Signal::CONT);
+        gateway.send_signal(Signal::CONT);
         names.is_heard();
         let tag = format!("{:016x}", round + 1);
         stands_at(&mut caller, &tag, &switches[round + 1]);
-        caller.says(&release(&tag));
-        assert_eq!(caller.hears().unwrap()["verb"], "FINISHED");
+        caller.send(&release(&tag));
+        assert_eq!(caller.receive().unwrap()["verb"], "FINISHED");
     }
 }
 
@@ -796,7 +803,7 @@
     let mut config = config.clone();
     config["nameserver"] = json!(names.address.to_string());
     std::fs::write(&gateway.file, config.to_string()).unwrap();
-    gateway.signal(Signal::HUP);
+    gateway.send_signal(Signal::HUP);
 }
 
 #[test]
@@ -811,11 +818,11 @@
     let new = Names::telling(list(4, [draining("s-1", one.address), ready("s-2", two.address)]));
     reload(&gateway, &config, &new);
     let hup = Instant::now();
-    gateway.logs("new configuration");
+    gateway.wait_for_log("new configuration");
     let first = new.questions(1);
     assert!(first[0].at - hup < Duration::from_secs(3), "asked in time");
     new.is_heard();
-    let mut caller = gateway.caller();
+    let mut caller = gateway.connect_caller();
     stands_at(&mut caller, TAG, &two);
     // The old one speaks again: of what was, and as if of what comes. It is not the name server any more.
     let late = [list(2, [ready("s-1", one.address)]), list(9, [ready("s-3", three.address)])];
@@ -848,11 +855,11 @@
     for (question, serial) in held[held.len() - 3..].iter().zip([2, 4, 3]) {
         old.send(question.from, &list(serial, [ready("s-1", one.address)]).answer(&question.datagram));
     }
-    gateway.signal(Signal::CONT);
-    gateway.logs("new configuration");
+    gateway.send_signal(Signal::CONT);
+    gateway.wait_for_log("new configuration");
     new.questions(1);
     new.is_heard();
-    let mut caller = gateway.caller();
+    let mut caller = gateway.connect_caller();
     for tag in [TAG, NEXT] {
         stands_at(&mut caller, tag, &two);
     }
@@ -868,13 +875,13 @@
     let config = settings(&first, &[("s-0", free_address())]);
     let gateway = Gateway::start("list-sighups", &config);
     first.is_heard();
-    let mut caller = gateway.caller();
+    let mut caller = gateway.connect_caller();
     stands_at(&mut caller, TAG, &one);
     let (second, third) = (Names::silent(), Names::silent());
     third.tells(list(8, [ready("s-2", two.address)]));
     for names in [&second, &first, &second, &third] {
         reload(&gateway, &config, names);
-        gateway.logs("new configuration");
+        gateway.wait_for_log("new configuration");
     }
     third.questions(1);
     third.is_heard();
@@ -901,10 +908,10 @@
     newer["known"]["results"][0]["fleet"]["instances"][0]["lifecycle"] = json!("Terminating");
     newer["listen"] = config["listen"].clone();
     reload(&gateway, &newer, &silent);
-    gateway.logs("new configuration");
+    gateway.wait_for_log("new configuration");
     silent.is_heard();
     std::thread::sleep(GRACE);
-    let mut caller = gateway.caller();
+    let mut caller = gateway.connect_caller();
     for tag in [TAG, NEXT] {
         stands_at(&mut caller, tag, &two);
     }
