--- a/crates/fawnrouterd/tests/common/mod.rs
+++ b/crates/fawnrouterd/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for what surrounds the gateway on the users' platform, one of each, on loopback: callers, core switches, a
-//! name server. Events are waited for; the time limits only end a test that would hang.
-#![allow(dead_code, reason = "each test file uses its part")]
+//! Test doubles on loopback for the peers of a gateway: callers, core switches and a name server. Tests wait
+//! for events; the time limits only end a test that would hang.
+#![allow(dead_code, reason = "no test file uses every item")]
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -15,7 +15,7 @@
 
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A core switch: what is said to it, with the connection it was said on.
+/// A core switch that records each message it receives and the connection it came on.
 pub struct Switch {
     pub address: SocketAddr,
     received: Receiver<(TcpStream, Value)>,
@@ -43,7 +43,7 @@
         Self { address, received }
     }
 
-    /// The next message of this type.
+    /// Waits for the next message with this verb and skips all others.
     pub fn next_message(&self, verb: &str) -> (TcpStream, Value) {
         loop {
             let (stream, line) =
@@ -55,11 +55,12 @@
     }
 }
 
+/// Writes one message as a line of JSON.
 pub fn send_line(mut stream: &TcpStream, line: &Value) {
     stream.write_all(format!("{line}\n").as_bytes()).unwrap();
 }
 
-/// A caller's connection.
+/// A caller's connection to the gateway.
 pub struct Caller {
     pub stream: TcpStream,
     reader: BufReader<TcpStream>,
@@ -70,43 +71,46 @@
         send_line(&self.stream, line);
     }
 
+    /// Sends the set-up of a call whose caller waits for this many milliseconds.
     pub fn send_set_up(&self, tag: &str, left_ms: u64) {
         self.send(&json!({"verb": "START", "tag": tag, "blob": format!("offer\r\n{tag}"),
             "opts": {"class": "voice", "left": left_ms.to_string(), "key": "7f3a", "extras": "dest:0;width:1;via:-1"}}));
     }
 
-    /// The next line; `None` at the end.
+    /// Waits for the next line; `None` at the end of the stream.
     pub fn receive(&mut self) -> Option<Value> {
         let mut line = String::new();
         let n = self.reader.read_line(&mut line).expect("a line or an orderly end");
         (n > 0).then(|| serde_json::from_str(&line).expect("the gateway writes JSON"))
     }
 
-    /// Whether nothing more comes but the end.
+    /// Whether the stream ends in order without further data.
     pub fn reads_only_eof(&mut self) -> bool {
         let mut rest = Vec::new();
         self.reader.read_to_end(&mut rest).is_ok() && rest.is_empty()
     }
 }
 
-/// What the name server says.
+/// The records that the name server serves, and how it answers.
 #[derive(Clone, Default)]
 pub struct DnsZone {
     pub serial: u32,
-    /// Id and address.
+    /// The id and address of each core switch.
     pub switches: Vec<(String, SocketAddr)>,
-    /// RCODE.
+    /// The RCODE of the response (RFC 1035 §4.1.1).
     pub response_code: u8,
-    /// Answers under another id.
+    /// Whether the response has another message id than its query.
     pub mismatched_id: bool,
 }
 
+/// A name server that answers each query from its zone.
 pub struct NameServer {
     pub address: SocketAddr,
     pub zone: Arc<Mutex<DnsZone>>,
     queries: Receiver<()>,
 }
 
+/// Appends a domain name as a sequence of labels (RFC 1035 §3.1).
 fn write_name(out: &mut Vec<u8>, text: &str) {
     for label in text.split('.') {
         out.push(label.len() as u8);
@@ -115,6 +119,7 @@
     out.push(0);
 }
 
+/// Appends a resource record of class IN with a time to live of 5 s.
 fn write_record(out: &mut Vec<u8>, owner: &str, record_type: u16, data: &[u8]) {
     write_name(out, owner);
     out.extend(record_type.to_be_bytes());
@@ -123,17 +128,18 @@
     out.extend(data);
 }
 
-/// A core switch as the list has it.
+/// The records of one core switch in the DNS list.
 #[derive(Clone)]
 pub struct SwitchRecord {
     pub id: String,
     pub address: SocketAddr,
     pub draining: bool,
-    /// When it last started, in Unix milliseconds; 0: long ago.
+    /// Time of its last start in milliseconds since the Unix epoch; 0 stands for a start long ago.
     pub started_ms: u64,
 }
 
-/// The answer to this question (RFC 1035 §4.1).
+/// Builds the response to a query (RFC 1035 §4.1) with an SRV, an A and a TXT record for each switch and one
+/// SOA record.
 pub fn dns_response(query: &[u8], response_code: u8, serial: u32, records: &[SwitchRecord]) -> Vec<u8> {
     let count = records.len() as u8;
     let mut out = query.to_vec();
@@ -183,7 +189,7 @@
         Self::listening_at(SocketAddr::from(([127, 0, 0, 1], 0)), zone)
     }
 
-    /// One at this address.
+    /// Starts a name server that listens on this address.
     pub fn listening_at(address: SocketAddr, zone: DnsZone) -> Self {
         let socket = UdpSocket::bind(address).unwrap();
         let address = socket.local_addr().unwrap();
@@ -203,11 +209,11 @@
         Self { address, zone, queries }
     }
 
-    /// Waits for questions that are asked from now on.
+    /// Discards the queries received so far and waits for so many further ones.
     pub fn wait_for_queries(&self, times: usize) {
         while self.queries.try_recv().is_ok() {}
         for _ in 0..times {
-            self.queries.recv_timeout(TIMEOUT).expect("the gateway asks");
+            self.queries.recv_timeout(TIMEOUT).expect("the gateway sends a query");
         }
     }
 }
@@ -220,6 +226,7 @@
     log: Receiver<String>,
 }
 
+/// A configuration of one gateway in front of these core switches, each given by id and address.
 pub fn node_config(listen: SocketAddr, names: SocketAddr, switches: &[(&str, SocketAddr)]) -> Value {
     let instances: Vec<Value> = switches
         .iter()
@@ -242,8 +249,9 @@
                              "multiplex": 100, "retryAfter": true}}})
 }
 
-/// An address where nothing listens: each is on a host of its own on loopback. A port that was found free by taking it
-/// may still be held as it is needed: a child that is started beside holds a copy of each descriptor for a moment.
+/// An address where nothing listens. Each call uses another loopback host. Binding a port to find a free one
+/// and closing it again would not do: a child process that another test is starting holds copies of all
+/// descriptors for a moment, so that the port can still be in use when it is needed.
 pub fn free_address() -> SocketAddr {
     static HOSTS: AtomicU32 = AtomicU32::new(0);
     let host = HOSTS.fetch_add(1, Ordering::Relaxed) + 256 * (std::process::id() % 60_000) + 0x7f01_0000;
@@ -251,6 +259,8 @@
 }
 
 impl Gateway {
+    /// Writes the configuration to a directory named after the test, starts the gateway and waits until it is
+    /// ready.
     pub fn start(test: &str, config: &Value) -> Self {
         let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("node-{test}"));
         std::fs::create_dir_all(&directory).unwrap();
@@ -282,23 +292,24 @@
         self.child.id()
     }
 
-    /// The same gateway once more, after its end.
+    /// Kills the process and starts it again with the same configuration and address.
     pub fn restart(mut self) -> Self {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
         Self::spawn(self.file.clone(), self.address)
     }
 
-    /// Waits for a line of the log.
+    /// Waits for a log line that contains this text and returns it.
     pub fn wait_for_log(&self, part: &str) -> String {
         loop {
-            let line = self.log.recv_timeout(TIMEOUT).unwrap_or_else(|_| panic!("no line with {part:?}"));
+            let line = self.log.recv_timeout(TIMEOUT).unwrap_or_else(|_| panic!("no log line with {part:?}"));
             if line.contains(part) {
                 return line;
             }
         }
     }
 
+    /// Opens a caller's connection.
     pub fn connect_caller(&self) -> Caller {
         let stream = TcpStream::connect(self.address).unwrap();
         stream.set_read_timeout(Some(TIMEOUT)).unwrap();
@@ -310,6 +321,7 @@
         rustix::process::kill_process(id, signal).unwrap();
     }
 
+    /// Waits for the process to exit.
     pub fn wait(mut self) -> ExitStatus {
         self.child.wait().unwrap()
     }
