--- a/crates/fawnrouterd/tests/shutdown.rs
+++ b/crates/fawnrouterd/tests/shutdown.rs
@@ -1,8 +1,9 @@
-//! What crosses the end of a gateway, the close of an idle connection and the loss of a connection to a core switch.
+//! Messages that cross the shutdown of a gateway, the close of an idle connection or the loss of a connection
+//! to a core switch.
 //!
-//! Order is forced by events: while the gateway is stopped (SIGSTOP), bytes are put into its sockets and its time limits
-//! pass, so that it finds both at once when it goes on. What is written to loopback lies in the other socket when the
-//! write returns.
+//! The order of events is forced: while the gateway is stopped (SIGSTOP), tests write to its sockets and its
+//! time limits pass, so that it finds both at once when it resumes. A write to loopback has reached the
+//! peer's socket when it returns.
 
 mod common;
 
@@ -19,91 +20,96 @@
 use rustix::process::Signal;
 use serde_json::{Value, json};
 
-/// Longer than a gateway serves set-ups after SIGTERM.
-const SERVING_TIME: Duration = Duration::from_millis(900);
-/// A set-up that crosses a close within this time is sent once more by its caller.
-const CROSSING: Duration = Duration::from_millis(50);
+/// Longer than the time in which a gateway still serves set-ups after SIGTERM.
+const PAST_SERVING_TIME: Duration = Duration::from_millis(900);
+/// A caller sends a set-up again if it was written within this time before the close of its connection.
+const CROSSING_WINDOW: Duration = Duration::from_millis(50);
 /// No further attempt of a call within this time of a reset (`guardNs` of the settings).
 const GUARD: Duration = Duration::from_millis(200);
-/// What any test waits for takes less.
+/// Ends a test that would hang.
 const TIMEOUT: Duration = Duration::from_secs(8);
 
-// ---- The stand-ins --------------------------------------------------------------------------------------------
+// ---- Test doubles
+// ---------------------------------------------------------------------------------------------
 
-/// A line that a core switch was told: when, on which connection, what.
-struct Told {
+/// A message that a core switch received, with its time of arrival and its connection.
+struct Received {
     at: Instant,
-    link: TcpStream,
+    connection: TcpStream,
     line: Value,
 }
 
-/// A core switch that does with each line what the test says.
-struct Core {
+/// A core switch that calls a function of the test for each message.
+struct CoreSwitch {
     address: SocketAddr,
-    told: Receiver<Told>,
+    received: Receiver<Received>,
 }
 
-impl Core {
-    fn new(act: impl Fn(&TcpStream, &Value) + Send + Sync + 'static) -> Self {
-        Self::at(SocketAddr::from(([127, 0, 0, 1], 0)), usize::MAX, act)
+impl CoreSwitch {
+    fn new(on_line: impl Fn(&TcpStream, &Value) + Send + Sync + 'static) -> Self {
+        Self::listening_at(SocketAddr::from(([127, 0, 0, 1], 0)), usize::MAX, on_line)
     }
 
-    /// One at this address that takes so many connections and then refuses all others.
-    fn at(
+    /// Starts one at this address that accepts so many connections and then refuses all others.
+    fn listening_at(
         address: SocketAddr,
-        links: usize,
-        act: impl Fn(&TcpStream, &Value) + Send + Sync + 'static,
+        max_connections: usize,
+        on_line: impl Fn(&TcpStream, &Value) + Send + Sync + 'static,
     ) -> Self {
         let listener = TcpListener::bind(address).unwrap();
         let address = listener.local_addr().unwrap();
-        let (send, told) = channel();
-        let act = Arc::new(act);
+        let (sender, received) = channel();
+        let on_line = Arc::new(on_line);
         spawn(move || {
-            for link in listener.incoming().take(links).flatten() {
-                link.set_nodelay(true).unwrap();
-                let (send, act) = (send.clone(), act.clone());
+            for connection in listener.incoming().take(max_connections).flatten() {
+                connection.set_nodelay(true).unwrap();
+                let (sender, on_line) = (sender.clone(), on_line.clone());
                 spawn(move || {
-                    let reader = BufReader::new(link.try_clone().unwrap());
+                    let reader = BufReader::new(connection.try_clone().unwrap());
                     for line in reader.lines().map_while(Result::ok) {
                         let line: Value = serde_json::from_str(&line).expect("the gateway writes JSON");
-                        let told = Told { at: Instant::now(), link: link.try_clone().unwrap(), line };
-                        let line = told.line.clone();
-                        let _ = send.send(told);
-                        act(&link, &line);
+                        let received = Received {
+                            at: Instant::now(),
+                            connection: connection.try_clone().unwrap(),
+                            line,
+                        };
+                        let line = received.line.clone();
+                        let _ = sender.send(received);
+                        on_line(&connection, &line);
                     }
                 });
             }
         });
-        Self { address, told }
+        Self { address, received }
     }
 
-    /// The next message of this type.
-    fn next_message(&self, verb: &str) -> Told {
+    /// Waits for the next message with this verb and skips all others.
+    fn next_message(&self, verb: &str) -> Received {
         let until = Instant::now() + TIMEOUT;
         loop {
             let left = until.saturating_duration_since(Instant::now());
-            let told = self.told.recv_timeout(left).unwrap_or_else(|_| panic!("no {verb} came"));
-            if told.line["verb"] == verb {
-                return told;
+            let received = self.received.recv_timeout(left).unwrap_or_else(|_| panic!("no {verb} came"));
+            if received.line["verb"] == verb {
+                return received;
             }
         }
     }
 
-    /// Set-ups of this call that came and were not asked for yet.
-    fn attempts(&self, tag: &str) -> Vec<Told> {
-        self.told.try_iter().filter(|t| t.line["verb"] == "START" && t.line["tag"] == tag).collect()
+    /// Removes all received messages that wait and returns the set-ups of this call among them.
+    fn pending_set_ups(&self, tag: &str) -> Vec<Received> {
+        self.received.try_iter().filter(|t| t.line["verb"] == "START" && t.line["tag"] == tag).collect()
     }
 }
 
-fn answer(link: &TcpStream, line: &Value) {
+fn answer_set_up(connection: &TcpStream, line: &Value) {
     if line["verb"] == "START" {
         let tag = line["tag"].as_str().unwrap();
-        // A peer that is gone is the test's affair.
-        let _ = { link }.write_all(format!("{}\n", started(tag)).as_bytes());
+        // A write error is ignored: the test itself checks whether the gateway is still there.
+        let _ = { connection }.write_all(format!("{}\n", started(tag)).as_bytes());
     }
 }
 
-fn keep_silent(_: &TcpStream, _: &Value) {}
+fn never_answer(_: &TcpStream, _: &Value) {}
 
 fn started(tag: &str) -> Value {
     json!({"verb": "STARTED", "tag": tag, "opts": {}, "blob": format!("answer\r\n{tag}")})
@@ -113,94 +119,100 @@
     json!({"verb": "FINISH", "tag": tag, "opts": {}, "rc": rc})
 }
 
-fn tag(number: usize) -> String {
+fn call_id(number: usize) -> String {
     format!("5d0000000000{number:04x}")
 }
 
 /// The line of a set-up.
-fn set_up(tag: &str, left_ms: u64) -> String {
+fn set_up_line(tag: &str, left_ms: u64) -> String {
     let line = json!({"verb": "START", "tag": tag, "blob": format!("offer\r\n{tag}"),
         "opts": {"class": "voice", "left": left_ms.to_string(), "key": "7f3a", "extras": "dest:0;width:1;via:-1"}});
     format!("{line}\n")
 }
 
-fn write(mut stream: &TcpStream, text: &str) {
+fn write_text(mut stream: &TcpStream, text: &str) {
     stream.write_all(text.as_bytes()).unwrap();
 }
 
-/// A gateway in front of one core switch.
-struct House {
+/// A gateway in front of one core switch, and its name server.
+struct Fixture {
     gateway: Gateway,
-    core: Core,
-    names: NameServer,
+    switch: CoreSwitch,
+    name_server: NameServer,
 }
 
-fn house(test: &str, sockets: usize, act: impl Fn(&TcpStream, &Value) + Send + Sync + 'static) -> House {
-    house_of(test, sockets, Core::new(act))
+fn start_fixture(
+    test: &str,
+    sockets: usize,
+    on_line: impl Fn(&TcpStream, &Value) + Send + Sync + 'static,
+) -> Fixture {
+    start_fixture_with(test, sockets, CoreSwitch::new(on_line))
 }
 
-fn house_of(test: &str, sockets: usize, core: Core) -> House {
-    let switches = vec![("s-1".to_owned(), core.address)];
-    let names = NameServer::new(DnsZone { serial: 1, switches, ..DnsZone::default() });
-    let mut config = node_config(free_address(), names.address, &[("s-1", core.address)]);
+fn start_fixture_with(test: &str, sockets: usize, switch: CoreSwitch) -> Fixture {
+    let switches = vec![("s-1".to_owned(), switch.address)];
+    let name_server = NameServer::new(DnsZone { serial: 1, switches, ..DnsZone::default() });
+    let mut config = node_config(free_address(), name_server.address, &[("s-1", switch.address)]);
     config["limits"]["sockets"] = json!(sockets);
-    House { gateway: Gateway::start(&format!("shutdown-{test}"), &config), core, names }
+    Fixture { gateway: Gateway::start(&format!("shutdown-{test}"), &config), switch, name_server }
 }
 
-impl House {
-    /// A caller's connection that the gateway has read from.
+impl Fixture {
+    /// Opens a caller's connection and waits until the gateway has read from it.
     fn connect_caller(&self) -> Caller {
         let mut caller = self.gateway.connect_caller();
         caller.stream.set_nodelay(true).unwrap();
-        assert_eq!(passes_test(&mut caller), 1);
+        assert_eq!(health_check_result(&mut caller), 1);
         caller
     }
 
-    /// A call that stands, and its caller.
-    fn standing(&self, tag: &str) -> Caller {
+    /// Establishes a call and returns its caller.
+    fn establish_call(&self, tag: &str) -> Caller {
         let mut caller = self.connect_caller();
         caller.send_set_up(tag, 5000);
         assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
-        self.core.next_message("START");
+        self.switch.next_message("START");
         caller
     }
 
-    /// The gateway is told to end, and has understood: it fails the test of the connection that comes back.
-    fn is_told_to_end(&self) -> Caller {
-        let mut asks = self.connect_caller();
+    /// Sends SIGTERM and waits until the gateway fails the health check. Returns the connection of the check.
+    fn begin_shutdown(&self) -> Caller {
+        let mut checker = self.connect_caller();
         self.gateway.send_signal(Signal::TERM);
         self.gateway.wait_for_log("ending");
-        while passes_test(&mut asks) == 1 {}
-        asks
+        while health_check_result(&mut checker) == 1 {}
+        checker
     }
 
-    /// The gateway is told to end and then stands still while `meanwhile` happens and its serving time passes. What it
-    /// finds first when it goes on is a test by somebody else: the earliest occasion to see that the time is over.
-    fn crosses_the_end(&self, meanwhile: impl FnOnce()) {
-        let asks = self.is_told_to_end();
-        self.stands_still(|| {
-            asks.send(&echo());
+    /// Sends SIGTERM, then stops the gateway while `meanwhile` runs and its serving time passes. The first
+    /// thing that the gateway finds when it resumes is a health check on another connection, so that it
+    /// learns at the earliest possible point that the time is over.
+    fn shut_down_while_stopped(&self, meanwhile: impl FnOnce()) {
+        let checker = self.begin_shutdown();
+        self.while_stopped(|| {
+            checker.send(&echo());
             meanwhile();
-            sleep(SERVING_TIME);
+            sleep(PAST_SERVING_TIME);
         });
     }
 
-    fn stands_still(&self, meanwhile: impl FnOnce()) {
+    /// Stops the process (SIGSTOP) while `meanwhile` runs, then resumes it.
+    fn while_stopped(&self, meanwhile: impl FnOnce()) {
         self.gateway.send_signal(Signal::STOP);
         let tasks = format!("/proc/{}/task", self.gateway.process_id());
         wait_until("the gateway stands still", || {
             let tasks = std::fs::read_dir(&tasks).unwrap();
-            tasks.flatten().all(|task| state(&task.path().join("stat")) == Some('T'))
+            tasks.flatten().all(|task| process_state(&task.path().join("stat")) == Some('T'))
         });
         meanwhile();
         self.gateway.send_signal(Signal::CONT);
     }
 
-    /// The process exits by itself within this time, and well.
-    fn exits_within(self, limit: Duration) {
+    /// Asserts that the process exits by itself within this time and with code 0.
+    fn assert_exits_within(self, limit: Duration) {
         let began = Instant::now();
         let stat = std::path::PathBuf::from(format!("/proc/{}/stat", self.gateway.process_id()));
-        while state(&stat) != Some('Z') {
+        while process_state(&stat) != Some('Z') {
             assert!(began.elapsed() < limit, "the gateway still runs after {limit:?}");
             sleep(Duration::from_millis(5));
         }
@@ -212,38 +224,38 @@
     json!({"verb": "ECHO", "tag": "00000000000000aa", "opts": {}, "rc": 0})
 }
 
-/// The cause that a test is answered with.
-fn passes_test(caller: &mut Caller) -> i64 {
+/// The `rc` in the answer to a health check: 1 while the gateway accepts set-ups.
+fn health_check_result(caller: &mut Caller) -> i64 {
     caller.send(&echo());
     let line = caller.receive().unwrap();
     assert_eq!(line["verb"], "ECHOED");
     line["rc"].as_i64().unwrap()
 }
 
-/// The state of a process or thread: what follows its name in brackets.
-fn state(stat: &std::path::Path) -> Option<char> {
+/// The state of a process or thread: the letter after its name in brackets (proc_pid_stat(5)).
+fn process_state(stat: &std::path::Path) -> Option<char> {
     let text = std::fs::read_to_string(stat).ok()?;
     text.rsplit_once(") ")?.1.chars().next()
 }
 
-fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
+fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let until = Instant::now() + TIMEOUT;
-    while !holds() {
+    while !condition() {
         assert!(Instant::now() < until, "waited in vain until {what}");
         sleep(Duration::from_millis(1));
     }
 }
 
-/// Descriptors that the gateway holds.
-fn descriptors(gateway: &Gateway) -> usize {
+/// The number of descriptors that the gateway has open.
+fn open_descriptors(gateway: &Gateway) -> usize {
     std::fs::read_dir(format!("/proc/{}/fd", gateway.process_id())).unwrap().count()
 }
 
-/// Bytes that lie between the gateway's and a caller's ends of a connection, in either kernel queue.
-fn queued(gateway: SocketAddr, caller: SocketAddr) -> usize {
+/// Bytes from the gateway to a caller that wait in the send queue or the receive queue of the kernel.
+fn queued_bytes(gateway: SocketAddr, caller: SocketAddr) -> usize {
     let end = |address: SocketAddr| match address {
         SocketAddr::V4(v4) => format!("{:08X}:{:04X}", u32::from_le_bytes(v4.ip().octets()), v4.port()),
-        SocketAddr::V6(_) => unreachable!("the platform speaks IPv4"),
+        SocketAddr::V6(_) => unreachable!("the protocol runs over IPv4"),
     };
     let (gateway, caller) = (end(gateway), end(caller));
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
@@ -260,750 +272,774 @@
     .sum()
 }
 
-/// What a caller hears of each call until the end of its connection, and whether that is an orderly one.
-fn heard_to_the_end(caller: &Caller) -> (BTreeMap<String, Vec<Value>>, bool) {
+/// The final answers to each call up to the end of the connection, and whether it ended without a reset.
+fn answers_until_eof(caller: &Caller) -> (BTreeMap<String, Vec<Value>>, bool) {
     caller.stream.set_read_timeout(Some(TIMEOUT)).unwrap();
-    let mut heard = BTreeMap::<_, Vec<_>>::new();
+    let mut answers = BTreeMap::<_, Vec<_>>::new();
     for line in BufReader::new(&caller.stream).lines() {
         let line: Value = match line {
             Ok(line) => serde_json::from_str(&line).expect("the gateway writes JSON"),
             Err(error) if error.kind() == ErrorKind::WouldBlock => panic!("neither a line nor an end came"),
-            Err(_) => return (heard, false),
+            Err(_) => return (answers, false),
         };
         if line["verb"] == "STARTED" || line["verb"] == "FINISH" {
-            heard.entry(line["tag"].as_str().unwrap_or_default().to_owned()).or_default().push(line);
+            answers.entry(line["tag"].as_str().unwrap_or_default().to_owned()).or_default().push(line);
         }
     }
-    (heard, true)
+    (answers, true)
 }
 
-/// These callers hear one final answer to each of these set-ups, and an orderly end. What they heard.
-fn hear_each_once<'a>(
+/// Asserts that these callers get one final answer to each of these set-ups and then an orderly end. Returns
+/// the answers.
+fn expect_one_answer_each<'a>(
     callers: impl IntoIterator<Item = &'a Caller>,
     tags: impl IntoIterator<Item = &'a String>,
 ) -> BTreeMap<String, Vec<Value>> {
-    let (mut heard, mut resets) = (BTreeMap::new(), 0);
+    let (mut answers, mut resets) = (BTreeMap::new(), 0);
     for caller in callers {
-        let (more, orderly) = heard_to_the_end(caller);
-        heard.extend(more);
+        let (more, orderly) = answers_until_eof(caller);
+        answers.extend(more);
         resets += usize::from(!orderly);
     }
-    each_once(&heard, resets, tags);
-    heard
+    assert_one_answer_each(&answers, resets, tags);
+    answers
 }
 
-fn each_once<'a>(
-    heard: &BTreeMap<String, Vec<Value>>,
+fn assert_one_answer_each<'a>(
+    answers: &BTreeMap<String, Vec<Value>>,
     resets: usize,
     tags: impl IntoIterator<Item = &'a String>,
 ) {
-    let counts: Vec<_> = tags.into_iter().map(|tag| heard.get(tag).map_or(0, Vec::len)).collect();
-    let (without, twice) =
+    let counts: Vec<_> = tags.into_iter().map(|tag| answers.get(tag).map_or(0, Vec::len)).collect();
+    let (unanswered, answered_twice) =
         (counts.iter().filter(|n| **n == 0).count(), counts.iter().filter(|n| **n > 1).count());
     assert!(
-        without + twice + resets == 0,
-        "of {} set-ups {without} got no answer, {twice} more than one; connections reset: {resets}",
+        unanswered + answered_twice + resets == 0,
+        "of {} set-ups {unanswered} got no answer, {answered_twice} more than one; connections reset: {resets}",
         counts.len()
     );
 }
 
-// ---- Set-ups that cross the end -------------------------------------------------------------------------------
+// ---- Set-ups that cross the shutdown
+// --------------------------------------------------------------------------
 
 #[test]
-fn a_set_up_half_read_when_the_gateway_is_told_to_end_is_answered_once() {
-    let house = house("half", 256, answer);
-    let mut caller = house.connect_caller();
-    let (tag, line) = (tag(1), set_up(&tag(1), 3000));
+fn set_up_half_read_at_sigterm_is_answered_once() {
+    let fixture = start_fixture("half", 256, answer_set_up);
+    let mut caller = fixture.connect_caller();
+    let (tag, line) = (call_id(1), set_up_line(&call_id(1), 3000));
     let (half, rest) = line.split_at(line.len() / 2);
-    // The answer to the test says that the half line behind it has been read too.
-    write(&caller.stream, &format!("{}\n{half}", json!({"verb": "ECHO", "tag": tag, "opts": {}, "rc": 0})));
+    // Once the health check is answered, the half line behind it has been read too.
+    write_text(
+        &caller.stream,
+        &format!("{}\n{half}", json!({"verb": "ECHO", "tag": tag, "opts": {}, "rc": 0})),
+    );
     assert_eq!(caller.receive().unwrap()["verb"], "ECHOED");
-    house.crosses_the_end(|| write(&caller.stream, rest));
-    hear_each_once([&caller], [&tag]);
-    house.exits_within(TIMEOUT);
+    fixture.shut_down_while_stopped(|| write_text(&caller.stream, rest));
+    expect_one_answer_each([&caller], [&tag]);
+    fixture.assert_exits_within(TIMEOUT);
 }
 
 #[test]
-fn set_ups_unread_when_the_serving_time_is_over_are_each_answered_once() {
-    let house = house("unread", 256, answer);
-    let callers: Vec<_> = (0..5).map(|_| house.connect_caller()).collect();
-    let tags: Vec<_> = (0..callers.len()).map(tag).collect();
-    house.crosses_the_end(|| {
+fn set_ups_unread_after_serving_time_are_each_answered_once() {
+    let fixture = start_fixture("unread", 256, answer_set_up);
+    let callers: Vec<_> = (0..5).map(|_| fixture.connect_caller()).collect();
+    let tags: Vec<_> = (0..callers.len()).map(call_id).collect();
+    fixture.shut_down_while_stopped(|| {
         for (caller, tag) in callers.iter().zip(&tags) {
             caller.send_set_up(tag, 3000);
         }
     });
-    hear_each_once(&callers, &tags);
-    house.exits_within(TIMEOUT);
+    expect_one_answer_each(&callers, &tags);
+    fixture.assert_exits_within(TIMEOUT);
 }
 
 #[test]
-fn set_ups_unread_when_sigterm_itself_is_unread_are_each_answered_once() {
-    let house = house("unread-term", 256, answer);
-    let callers: Vec<_> = (0..5).map(|_| house.connect_caller()).collect();
-    let tags: Vec<_> = (0..callers.len()).map(tag).collect();
-    house.stands_still(|| {
-        house.gateway.send_signal(Signal::TERM);
+fn set_ups_pending_together_with_sigterm_are_each_answered_once() {
+    let fixture = start_fixture("unread-term", 256, answer_set_up);
+    let callers: Vec<_> = (0..5).map(|_| fixture.connect_caller()).collect();
+    let tags: Vec<_> = (0..callers.len()).map(call_id).collect();
+    fixture.while_stopped(|| {
+        fixture.gateway.send_signal(Signal::TERM);
         for (caller, tag) in callers.iter().zip(&tags) {
             caller.send_set_up(tag, 3000);
         }
-        sleep(SERVING_TIME);
+        sleep(PAST_SERVING_TIME);
     });
-    hear_each_once(&callers, &tags);
-    house.exits_within(TIMEOUT);
+    expect_one_answer_each(&callers, &tags);
+    fixture.assert_exits_within(TIMEOUT);
 }
 
 #[test]
-fn a_set_up_behind_three_hundred_others_on_one_connection_is_answered_once_like_them() {
-    let house = house("behind", 256, answer);
-    let caller = house.connect_caller();
-    let tags: Vec<_> = (0..301).map(tag).collect();
-    let lines: String = tags.iter().map(|tag| set_up(tag, 3000)).collect();
-    house.crosses_the_end(|| write(&caller.stream, &lines));
-    hear_each_once([&caller], &tags);
-    house.exits_within(TIMEOUT);
+fn three_hundred_and_one_set_ups_on_one_connection_are_each_answered_once() {
+    let fixture = start_fixture("behind", 256, answer_set_up);
+    let caller = fixture.connect_caller();
+    let tags: Vec<_> = (0..301).map(call_id).collect();
+    let lines: String = tags.iter().map(|tag| set_up_line(tag, 3000)).collect();
+    fixture.shut_down_while_stopped(|| write_text(&caller.stream, &lines));
+    expect_one_answer_each([&caller], &tags);
+    fixture.assert_exits_within(TIMEOUT);
 }
 
 #[test]
-fn a_set_up_behind_many_other_lines_is_answered_once_though_the_last_call_ends_meanwhile() {
-    let house = house("behind-lines", 256, keep_silent);
-    let (caller, other) = (house.connect_caller(), house.connect_caller());
-    let (first, behind) = (tag(1), tag(2));
+fn set_up_behind_many_other_lines_is_answered_once_although_last_open_call_ends() {
+    let fixture = start_fixture("behind-lines", 256, never_answer);
+    let (caller, other) = (fixture.connect_caller(), fixture.connect_caller());
+    let (first, behind) = (call_id(1), call_id(2));
     caller.send_set_up(&first, 5000);
-    let attempt = house.core.next_message("START");
-    let heard = format!("{}\n", json!({"verb": "FINISHED", "tag": tag(3), "opts": {}}));
-    house.crosses_the_end(|| {
-        write(&other.stream, &(heard.repeat(300) + &set_up(&behind, 3000)));
-        send_line(&attempt.link, &started(&first));
+    let attempt = fixture.switch.next_message("START");
+    let finished_line = format!("{}\n", json!({"verb": "FINISHED", "tag": call_id(3), "opts": {}}));
+    fixture.shut_down_while_stopped(|| {
+        write_text(&other.stream, &(finished_line.repeat(300) + &set_up_line(&behind, 3000)));
+        send_line(&attempt.connection, &started(&first));
     });
-    hear_each_once([&caller], [&first]);
-    hear_each_once([&other], [&behind]);
-    house.exits_within(TIMEOUT);
+    expect_one_answer_each([&caller], [&first]);
+    expect_one_answer_each([&other], [&behind]);
+    fixture.assert_exits_within(TIMEOUT);
 }
 
 #[test]
-fn a_set_up_unread_on_a_connection_just_accepted_is_answered_once() {
-    let house = house("accepted", 256, answer);
-    let asks = house.is_told_to_end();
-    let before = descriptors(&house.gateway);
-    let caller = house.gateway.connect_caller();
-    wait_until("the connection is accepted", || descriptors(&house.gateway) > before);
-    house.stands_still(|| {
-        asks.send(&echo());
-        caller.send_set_up(&tag(1), 3000);
-        sleep(SERVING_TIME);
+fn set_up_unread_on_just_accepted_connection_is_answered_once() {
+    let fixture = start_fixture("accepted", 256, answer_set_up);
+    let checker = fixture.begin_shutdown();
+    let before = open_descriptors(&fixture.gateway);
+    let caller = fixture.gateway.connect_caller();
+    wait_until("the connection is accepted", || open_descriptors(&fixture.gateway) > before);
+    fixture.while_stopped(|| {
+        checker.send(&echo());
+        caller.send_set_up(&call_id(1), 3000);
+        sleep(PAST_SERVING_TIME);
     });
-    hear_each_once([&caller], [&tag(1)]);
-    house.exits_within(TIMEOUT);
+    expect_one_answer_each([&caller], [&call_id(1)]);
+    fixture.assert_exits_within(TIMEOUT);
 }
 
 #[test]
-fn set_ups_on_connections_that_are_not_accepted_yet_at_the_end_are_each_answered_once() {
-    let house = house("backlog", 256, answer);
-    // More than the gateway accepts before it looks at anything else.
-    let tags: Vec<_> = (0..100).map(tag).collect();
+fn set_ups_on_unaccepted_connections_at_shutdown_are_each_answered_once() {
+    let fixture = start_fixture("backlog", 256, answer_set_up);
+    // More than the gateway accepts in one turn of its event loop.
+    let tags: Vec<_> = (0..100).map(call_id).collect();
     let mut callers = Vec::new();
-    house.crosses_the_end(|| {
+    fixture.shut_down_while_stopped(|| {
         for tag in &tags {
-            callers.push(house.gateway.connect_caller());
+            callers.push(fixture.gateway.connect_caller());
             callers.last().unwrap().send_set_up(tag, 3000);
         }
     });
-    hear_each_once(&callers, &tags);
-    house.exits_within(TIMEOUT);
+    expect_one_answer_each(&callers, &tags);
+    fixture.assert_exits_within(TIMEOUT);
 }
 
 #[test]
-fn set_ups_on_connections_that_are_not_accepted_when_sigterm_is_unread_are_each_answered_once() {
-    let house = house("backlog-term", 256, answer);
-    let tags: Vec<_> = (0..5).map(tag).collect();
+fn set_ups_on_unaccepted_connections_pending_together_with_sigterm_are_each_answered_once() {
+    let fixture = start_fixture("backlog-term", 256, answer_set_up);
+    let tags: Vec<_> = (0..5).map(call_id).collect();
     let mut callers = Vec::new();
-    house.stands_still(|| {
-        house.gateway.send_signal(Signal::TERM);
+    fixture.while_stopped(|| {
+        fixture.gateway.send_signal(Signal::TERM);
         for tag in &tags {
-            callers.push(house.gateway.connect_caller());
+            callers.push(fixture.gateway.connect_caller());
             callers.last().unwrap().send_set_up(tag, 3000);
         }
-        sleep(SERVING_TIME);
+        sleep(PAST_SERVING_TIME);
     });
-    hear_each_once(&callers, &tags);
-    house.exits_within(TIMEOUT);
+    expect_one_answer_each(&callers, &tags);
+    fixture.assert_exits_within(TIMEOUT);
 }
 
 #[test]
-fn set_ups_unread_on_a_hundred_connections_at_the_end_are_each_answered_once() {
-    // More than may be closed in order at once.
-    let house = house("hundred", 256, answer);
-    let callers: Vec<_> = (0..100).map(|_| house.connect_caller()).collect();
-    let tags: Vec<_> = (0..callers.len()).map(tag).collect();
-    house.crosses_the_end(|| {
+fn set_ups_unread_on_hundred_connections_at_shutdown_are_each_answered_once() {
+    // More than the gateway closes in order at the same time.
+    let fixture = start_fixture("hundred", 256, answer_set_up);
+    let callers: Vec<_> = (0..100).map(|_| fixture.connect_caller()).collect();
+    let tags: Vec<_> = (0..callers.len()).map(call_id).collect();
+    fixture.shut_down_while_stopped(|| {
         for (caller, tag) in callers.iter().zip(&tags) {
             caller.send_set_up(tag, 3000);
         }
     });
-    hear_each_once(&callers, &tags);
-    house.exits_within(TIMEOUT);
+    expect_one_answer_each(&callers, &tags);
+    fixture.assert_exits_within(TIMEOUT);
 }
 
 #[test]
-fn a_set_up_unread_at_the_end_is_answered_once_beside_one_whose_attempt_is_out() {
-    let house = house("out", 256, keep_silent);
-    let (caller, other) = (house.connect_caller(), house.connect_caller());
-    let [out, same, on_other] = [tag(1), tag(2), tag(3)];
-    caller.send_set_up(&out, 5000);
-    let attempt = house.core.next_message("START");
-    house.crosses_the_end(|| {
-        // Its answer lies unread as well, so that nothing may be owed at the first look.
-        send_line(&attempt.link, &started(&out));
+fn set_up_with_open_attempt_and_set_ups_unread_at_shutdown_are_each_answered_once() {
+    let fixture = start_fixture("out", 256, never_answer);
+    let (caller, other) = (fixture.connect_caller(), fixture.connect_caller());
+    let [open, same, on_other] = [call_id(1), call_id(2), call_id(3)];
+    caller.send_set_up(&open, 5000);
+    let attempt = fixture.switch.next_message("START");
+    fixture.shut_down_while_stopped(|| {
+        // The answer to the open attempt is unread as well, so that no call may be open any more after the
+        // first read.
+        send_line(&attempt.connection, &started(&open));
         caller.send_set_up(&same, 3000);
         other.send_set_up(&on_other, 3000);
     });
-    hear_each_once([&caller], [&out, &same]);
-    hear_each_once([&other], [&on_other]);
-    house.exits_within(TIMEOUT);
+    expect_one_answer_each([&caller], [&open, &same]);
+    expect_one_answer_each([&other], [&on_other]);
+    fixture.assert_exits_within(TIMEOUT);
 }
 
 #[test]
-fn a_call_whose_connection_to_the_core_switch_breaks_at_the_end_is_answered_once() {
+fn call_whose_switch_connection_breaks_at_shutdown_is_answered_once() {
     let first = AtomicBool::new(true);
-    let house = house("out-broken", 256, move |link, line| {
+    let fixture = start_fixture("out-broken", 256, move |connection, line| {
         if line["verb"] != "START" || !first.swap(false, Ordering::Relaxed) {
-            answer(link, line);
+            answer_set_up(connection, line);
         }
     });
-    let caller = house.connect_caller();
-    caller.send_set_up(&tag(1), 5000);
-    let attempt = house.core.next_message("START");
+    let caller = fixture.connect_caller();
+    caller.send_set_up(&call_id(1), 5000);
+    let attempt = fixture.switch.next_message("START");
     let mut broke = Instant::now();
-    house.crosses_the_end(|| {
-        attempt.link.shutdown(Shutdown::Both).unwrap();
+    fixture.shut_down_while_stopped(|| {
+        attempt.connection.shutdown(Shutdown::Both).unwrap();
         broke = Instant::now();
     });
-    let heard = hear_each_once([&caller], [&tag(1)]);
-    assert_eq!(heard[&tag(1)][0]["verb"], "STARTED", "there was time for another attempt");
-    let again = house.core.attempts(&tag(1));
+    let answers = expect_one_answer_each([&caller], [&call_id(1)]);
+    assert_eq!(answers[&call_id(1)][0]["verb"], "STARTED", "there was time for another attempt");
+    let again = fixture.switch.pending_set_ups(&call_id(1));
     assert!(again.len() == 1 && again[0].at >= broke + GUARD);
-    house.exits_within(TIMEOUT);
+    fixture.assert_exits_within(TIMEOUT);
 }
 
 #[test]
-fn a_call_whose_core_switch_never_answers_is_failed_in_its_time_and_the_gateway_ends() {
-    let house = house("mute", 256, keep_silent);
-    let mut caller = house.connect_caller();
-    caller.send_set_up(&tag(1), 1500);
-    house.core.next_message("START");
+fn call_without_switch_answer_fails_in_time_and_gateway_exits() {
+    let fixture = start_fixture("mute", 256, never_answer);
+    let mut caller = fixture.connect_caller();
+    caller.send_set_up(&call_id(1), 1500);
+    fixture.switch.next_message("START");
     let asked = Instant::now();
-    house.is_told_to_end();
+    fixture.begin_shutdown();
     let line = caller.receive().expect("an answer");
-    assert_eq!((&line["verb"], &line["tag"]), (&json!("FINISH"), &json!(tag(1))));
-    // Its time and the half second in which an answer only earns nothing.
+    assert_eq!((&line["verb"], &line["tag"]), (&json!("FINISH"), &json!(call_id(1))));
+    // The time of the call and half a second, after which an answer is of no use.
     assert!(asked.elapsed() < Duration::from_millis(2000));
     assert!(caller.reads_only_eof());
-    house.exits_within(TIMEOUT);
+    fixture.assert_exits_within(TIMEOUT);
 }
 
 #[test]
-fn a_call_held_while_no_circuit_is_free_is_answered_once_and_the_gateway_ends() {
-    let house = house("held", 256, |link, line| {
+fn call_held_while_no_circuit_is_free_is_answered_once_and_gateway_exits() {
+    let fixture = start_fixture("held", 256, |connection, line| {
         if line["verb"] == "START" {
             let mut full = finish(line["tag"].as_str().unwrap(), 34);
             full["opts"] = json!({"note": "group_full"});
-            send_line(link, &full);
+            send_line(connection, &full);
         }
     });
-    let caller = house.connect_caller();
-    let tags: Vec<_> = (0..3).map(tag).collect();
+    let caller = fixture.connect_caller();
+    let tags: Vec<_> = (0..3).map(call_id).collect();
     for tag in &tags[..2] {
         caller.send_set_up(tag, 4000);
     }
-    house.core.next_message("START");
-    house.crosses_the_end(|| caller.send_set_up(&tags[2], 4000));
-    hear_each_once([&caller], &tags);
-    house.exits_within(TIMEOUT);
+    fixture.switch.next_message("START");
+    fixture.shut_down_while_stopped(|| caller.send_set_up(&tags[2], 4000));
+    expect_one_answer_each([&caller], &tags);
+    fixture.assert_exits_within(TIMEOUT);
 }
 
-/// The call that is released behind the answer to this one.
-fn marker(tag: &str) -> String {
+/// The id of the marker call that `answer_at_length` releases right after the answer to this call.
+fn marker_of(tag: &str) -> String {
     format!("6d{}", &tag[2..])
 }
 
-/// Answers at length, and releases the call's marker behind that on the same connection.
-fn answer_at_length(link: &TcpStream, line: &Value) {
+/// Answers a set-up with a long body and then releases the marker of the call on the same connection.
+fn answer_at_length(connection: &TcpStream, line: &Value) {
     let tag = line["tag"].as_str().unwrap();
     if line["verb"] == "START" && tag.starts_with("5d") {
         let long = json!({"verb": "STARTED", "tag": tag, "opts": {}, "blob": "x".repeat(15_000)});
-        // A peer that is gone is the test's affair.
-        let _ = { link }.write_all(format!("{long}\n{}\n", finish(&marker(tag), 16)).as_bytes());
+        // A write error is ignored: the test itself checks whether the gateway is still there.
+        let _ = { connection }.write_all(format!("{long}\n{}\n", finish(&marker_of(tag), 16)).as_bytes());
     } else {
-        answer(link, line);
+        answer_set_up(connection, line);
     }
 }
 
 #[test]
-fn answers_half_written_at_the_end_come_whole_to_a_caller_that_reads_on() {
-    let house = house("half-written", 256, answer_at_length);
-    let mut caller = house.connect_caller();
-    let tags = fill(&house, &mut caller);
-    house.crosses_the_end(|| {});
-    hear_each_once([&caller], &tags[1..]);
-    house.exits_within(TIMEOUT);
+fn answers_half_written_at_shutdown_are_completed_for_reading_caller() {
+    let fixture = start_fixture("half-written", 256, answer_at_length);
+    let mut caller = fixture.connect_caller();
+    let tags = fill_connection(&fixture, &mut caller);
+    fixture.shut_down_while_stopped(|| {});
+    expect_one_answer_each([&caller], &tags[1..]);
+    fixture.assert_exits_within(TIMEOUT);
 }
 
 #[test]
-fn a_set_up_unread_behind_an_answer_half_written_at_the_end_is_answered_once() {
-    let house = house("half-written-more", 256, answer_at_length);
-    let mut caller = house.connect_caller();
-    let mut tags = fill(&house, &mut caller);
-    tags.push(tag(tags.len()));
-    house.crosses_the_end(|| caller.send_set_up(&tags[tags.len() - 1], 3000));
-    hear_each_once([&caller], &tags[1..]);
-    house.exits_within(TIMEOUT);
-}
-
-/// Has calls answered that the caller does not read until the kernel takes no more: an answer is half written. The
-/// first of the calls has been heard.
-fn fill(house: &House, caller: &mut Caller) -> Vec<String> {
+fn set_up_unread_behind_half_written_answer_at_shutdown_is_answered_once() {
+    let fixture = start_fixture("half-written-more", 256, answer_at_length);
+    let mut caller = fixture.connect_caller();
+    let mut tags = fill_connection(&fixture, &mut caller);
+    tags.push(call_id(tags.len()));
+    fixture.shut_down_while_stopped(|| caller.send_set_up(&tags[tags.len() - 1], 3000));
+    expect_one_answer_each([&caller], &tags[1..]);
+    fixture.assert_exits_within(TIMEOUT);
+}
+
+/// Sets up calls and leaves their answers unread until the kernel buffers are full and an answer is half
+/// written. Only the answer to the first call has been read. Returns the ids of the calls.
+fn fill_connection(fixture: &Fixture, caller: &mut Caller) -> Vec<String> {
     let local = caller.stream.local_addr().unwrap();
-    let mut marks = house.connect_caller();
-    let mut tags = vec![tag(0)];
+    let mut marker_caller = fixture.connect_caller();
+    let mut tags = vec![call_id(0)];
     caller.send_set_up(&tags[0], 5000);
     let length = caller.receive().unwrap().to_string().len() + 1;
     let mut written = 0;
-    while queued(house.gateway.address, local) >= written {
-        let next = tag(tags.len());
-        marks.send_set_up(&marker(&next), 5000);
-        assert_eq!(marks.receive().unwrap()["verb"], "STARTED");
+    while queued_bytes(fixture.gateway.address, local) >= written {
+        let next = call_id(tags.len());
+        marker_caller.send_set_up(&marker_of(&next), 5000);
+        assert_eq!(marker_caller.receive().unwrap()["verb"], "STARTED");
         caller.send_set_up(&next, 5000);
-        // What was answered before this has been given to the kernel as far as that took it.
-        assert_eq!(marks.receive().unwrap(), finish(&marker(&next), 16));
+        // The gateway has by now written all earlier answers, as far as the kernel accepted them.
+        assert_eq!(marker_caller.receive().unwrap(), finish(&marker_of(&next), 16));
         tags.push(next);
         written += length;
     }
     tags
 }
 
-// ---- Releases that cross the end ------------------------------------------------------------------------------
+// ---- Releases that cross the shutdown
+// -------------------------------------------------------------------------
 
 #[test]
-fn a_callers_release_unread_at_the_end_reaches_the_core_switch() {
-    let house = house("release", 256, answer);
-    let caller = house.standing(&tag(1));
-    house.crosses_the_end(|| caller.send(&finish(&tag(1), 16)));
-    assert_eq!(house.core.next_message("FINISH").line, finish(&tag(1), 16));
+fn caller_release_unread_at_shutdown_reaches_core_switch() {
+    let fixture = start_fixture("release", 256, answer_set_up);
+    let caller = fixture.establish_call(&call_id(1));
+    fixture.shut_down_while_stopped(|| caller.send(&finish(&call_id(1), 16)));
+    assert_eq!(fixture.switch.next_message("FINISH").line, finish(&call_id(1), 16));
     drop(caller);
-    house.exits_within(TIMEOUT);
+    fixture.assert_exits_within(TIMEOUT);
 }
 
 #[test]
-fn callers_releases_behind_others_and_on_a_connection_not_accepted_yet_reach_the_core_switch() {
-    let house = house("releases", 256, answer);
-    let tags: BTreeSet<_> = (0..40).map(tag).collect();
-    let mut caller = house.connect_caller();
+fn caller_releases_behind_others_and_on_unaccepted_connection_reach_core_switch() {
+    let fixture = start_fixture("releases", 256, answer_set_up);
+    let tags: BTreeSet<_> = (0..40).map(call_id).collect();
+    let mut caller = fixture.connect_caller();
     for tag in &tags {
         caller.send_set_up(tag, 5000);
         assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
     }
-    let (last, others) = (tag(39), &tags);
-    let mut late = None;
-    house.crosses_the_end(|| {
+    let (last, others) = (call_id(39), &tags);
+    let mut later = None;
+    fixture.shut_down_while_stopped(|| {
         let lines = others.iter().filter(|tag| **tag != last).map(|tag| format!("{}\n", finish(tag, 16)));
-        write(&caller.stream, &lines.collect::<String>());
-        // A standing call is bound to no connection.
-        late = Some(house.gateway.connect_caller());
-        late.as_ref().unwrap().send(&finish(&last, 16));
+        write_text(&caller.stream, &lines.collect::<String>());
+        // An established call can be released on any connection.
+        later = Some(fixture.gateway.connect_caller());
+        later.as_ref().unwrap().send(&finish(&last, 16));
     });
     let mut missing = tags.clone();
     let until = Instant::now() + TIMEOUT;
     while !missing.is_empty() {
         let left = until.saturating_duration_since(Instant::now());
-        match house.core.told.recv_timeout(left) {
-            Ok(told) if told.line["verb"] == "FINISH" => missing.remove(told.line["tag"].as_str().unwrap()),
+        match fixture.switch.received.recv_timeout(left) {
+            Ok(received) if received.line["verb"] == "FINISH" => {
+                missing.remove(received.line["tag"].as_str().unwrap())
+            }
             Ok(_) => continue,
             Err(_) => panic!("{} of {} releases did not come: {missing:?}", missing.len(), tags.len()),
         };
     }
-    drop((caller, late));
-    house.exits_within(TIMEOUT);
+    drop((caller, later));
+    fixture.assert_exits_within(TIMEOUT);
 }
 
 #[test]
-fn a_callers_release_at_the_end_reaches_a_core_switch_that_has_closed_its_connection() {
-    let house = house("release-closed", 256, answer);
-    let mut caller = house.connect_caller();
-    caller.send_set_up(&tag(1), 5000);
+fn caller_release_at_shutdown_reaches_core_switch_that_closed_its_connection() {
+    let fixture = start_fixture("release-closed", 256, answer_set_up);
+    let mut caller = fixture.connect_caller();
+    caller.send_set_up(&call_id(1), 5000);
     assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
-    let link = house.core.next_message("START").link;
-    house.crosses_the_end(|| {
-        // It reads on: whether the release goes there before the close is seen or on a new one, it is heard.
-        link.shutdown(Shutdown::Write).unwrap();
-        caller.send(&finish(&tag(1), 16));
+    let connection = fixture.switch.next_message("START").connection;
+    fixture.shut_down_while_stopped(|| {
+        // Only the writing side is closed, so that the release arrives in either case: on this connection if
+        // the gateway writes it before it sees the close, else on a new one.
+        connection.shutdown(Shutdown::Write).unwrap();
+        caller.send(&finish(&call_id(1), 16));
     });
-    assert_eq!(house.core.next_message("FINISH").line, finish(&tag(1), 16));
+    assert_eq!(fixture.switch.next_message("FINISH").line, finish(&call_id(1), 16));
     drop(caller);
-    house.exits_within(TIMEOUT);
+    fixture.assert_exits_within(TIMEOUT);
 }
 
-/// A call stood and was released by its caller while its core switch was away: the release waits for a connection.
-fn release_that_waits(test: &str) -> House {
-    let core = Core::at(SocketAddr::from(([127, 0, 0, 1], 0)), 1, answer);
-    let house = house_of(test, 256, core);
-    let mut caller = house.connect_caller();
-    caller.send_set_up(&tag(1), 5000);
+/// A gateway with a release that waits for a connection: the caller has released the call while the core
+/// switch accepts no connections.
+fn fixture_with_waiting_release(test: &str) -> Fixture {
+    let switch = CoreSwitch::listening_at(SocketAddr::from(([127, 0, 0, 1], 0)), 1, answer_set_up);
+    let fixture = start_fixture_with(test, 256, switch);
+    let mut caller = fixture.connect_caller();
+    caller.send_set_up(&call_id(1), 5000);
     assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
-    let link = house.core.next_message("START").link;
-    let before = descriptors(&house.gateway);
-    link.shutdown(Shutdown::Both).unwrap();
-    wait_until("the gateway has seen the close", || descriptors(&house.gateway) < before);
-    caller.send(&finish(&tag(1), 16));
+    let connection = fixture.switch.next_message("START").connection;
+    let before = open_descriptors(&fixture.gateway);
+    connection.shutdown(Shutdown::Both).unwrap();
+    wait_until("the gateway has seen the close", || open_descriptors(&fixture.gateway) < before);
+    caller.send(&finish(&call_id(1), 16));
     assert_eq!(caller.receive().unwrap()["verb"], "FINISHED");
-    house
+    fixture
 }
 
 #[test]
-fn a_release_that_waits_for_a_connection_at_the_end_reaches_a_core_switch_that_is_back() {
-    let house = release_that_waits("release-waits");
-    let mut back = None;
-    house.crosses_the_end(|| back = Some(Core::at(house.core.address, usize::MAX, answer)));
-    assert_eq!(back.unwrap().next_message("FINISH").line, finish(&tag(1), 16));
-    house.exits_within(TIMEOUT);
+fn release_waiting_for_connection_reaches_core_switch_that_returns_within_serving_time() {
+    let fixture = fixture_with_waiting_release("release-waits");
+    let mut returned = None;
+    fixture.shut_down_while_stopped(|| {
+        returned = Some(CoreSwitch::listening_at(fixture.switch.address, usize::MAX, answer_set_up))
+    });
+    assert_eq!(returned.unwrap().next_message("FINISH").line, finish(&call_id(1), 16));
+    fixture.assert_exits_within(TIMEOUT);
 }
 
 #[test]
-fn a_release_that_waits_for_a_connection_at_the_end_reaches_a_core_switch_that_comes_back() {
-    let house = release_that_waits("release-later");
-    house.crosses_the_end(|| {});
-    // All callers' connections are gone: nothing else keeps the gateway.
+fn release_waiting_for_connection_reaches_core_switch_that_returns_after_serving_time() {
+    let fixture = fixture_with_waiting_release("release-later");
+    fixture.shut_down_while_stopped(|| {});
+    // All callers' connections are closed by now: nothing else keeps the gateway from exiting.
     sleep(Duration::from_millis(150));
-    let back = Core::at(house.core.address, usize::MAX, answer);
-    assert_eq!(back.next_message("FINISH").line, finish(&tag(1), 16));
-    house.exits_within(TIMEOUT);
+    let returned = CoreSwitch::listening_at(fixture.switch.address, usize::MAX, answer_set_up);
+    assert_eq!(returned.next_message("FINISH").line, finish(&call_id(1), 16));
+    fixture.assert_exits_within(TIMEOUT);
 }
 
 #[test]
-fn a_release_that_no_connection_comes_up_for_does_not_keep_the_gateway_from_its_end() {
-    let house = release_that_waits("release-never");
-    house.is_told_to_end();
-    // The platform kills 3.7 s after SIGTERM at the soonest.
-    house.exits_within(Duration::from_millis(3500));
+fn undeliverable_release_does_not_keep_gateway_from_exiting() {
+    let fixture = fixture_with_waiting_release("release-never");
+    fixture.begin_shutdown();
+    // The process manager sends SIGKILL no earlier than 3.7 s after SIGTERM.
+    fixture.assert_exits_within(Duration::from_millis(3500));
 }
 
 #[test]
-fn a_core_switchs_release_unread_at_the_end_is_told_to_the_caller() {
-    let house = house("released", 256, answer);
-    let mut caller = house.connect_caller();
-    caller.send_set_up(&tag(1), 5000);
+fn switch_release_unread_at_shutdown_is_forwarded_to_caller() {
+    let fixture = start_fixture("released", 256, answer_set_up);
+    let mut caller = fixture.connect_caller();
+    caller.send_set_up(&call_id(1), 5000);
     assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
-    let link = house.core.next_message("START").link;
-    house.crosses_the_end(|| send_line(&link, &finish(&tag(1), 16)));
-    assert_eq!(caller.receive(), Some(finish(&tag(1), 16)));
+    let connection = fixture.switch.next_message("START").connection;
+    fixture.shut_down_while_stopped(|| send_line(&connection, &finish(&call_id(1), 16)));
+    assert_eq!(caller.receive(), Some(finish(&call_id(1), 16)));
     assert_eq!(caller.receive(), None);
     drop(caller);
-    house.exits_within(TIMEOUT);
+    fixture.assert_exits_within(TIMEOUT);
 }
 
-// ---- Signals --------------------------------------------------------------------------------------------------
+// ---- Signals
+// --------------------------------------------------------------------------------------------------
 
 #[test]
-fn a_second_sigterm_cuts_nothing_short() {
-    let house = house("twice", 256, keep_silent);
-    let (caller, other) = (house.connect_caller(), house.connect_caller());
-    let (out, late) = (tag(1), tag(2));
-    caller.send_set_up(&out, 5000);
-    let attempt = house.core.next_message("START");
-    house.crosses_the_end(|| {
-        house.gateway.send_signal(Signal::TERM);
-        other.send_set_up(&late, 3000);
+fn second_sigterm_does_not_shorten_shutdown() {
+    let fixture = start_fixture("twice", 256, never_answer);
+    let (caller, other) = (fixture.connect_caller(), fixture.connect_caller());
+    let (open, later) = (call_id(1), call_id(2));
+    caller.send_set_up(&open, 5000);
+    let attempt = fixture.switch.next_message("START");
+    fixture.shut_down_while_stopped(|| {
+        fixture.gateway.send_signal(Signal::TERM);
+        other.send_set_up(&later, 3000);
     });
-    // Refused or served: no matter, but once.
-    house.gateway.send_signal(Signal::TERM);
-    house.gateway.send_signal(Signal::INT);
-    send_line(&attempt.link, &started(&out));
-    hear_each_once([&caller], [&out]);
-    hear_each_once([&other], [&late]);
-    house.exits_within(TIMEOUT);
+    // Each set-up may be refused or served, but is answered once.
+    fixture.gateway.send_signal(Signal::TERM);
+    fixture.gateway.send_signal(Signal::INT);
+    send_line(&attempt.connection, &started(&open));
+    expect_one_answer_each([&caller], [&open]);
+    expect_one_answer_each([&other], [&later]);
+    fixture.assert_exits_within(TIMEOUT);
 }
 
 #[test]
-fn a_sighup_just_before_sigterm_and_one_just_after_disturb_no_call() {
-    let house = house("hup", 256, keep_silent);
-    let mut caller = house.connect_caller();
-    let [out, between, late] = [tag(1), tag(2), tag(3)];
-    caller.send_set_up(&out, 5000);
-    let attempt = house.core.next_message("START");
-    let zone = house.names.zone.lock().unwrap().clone();
+fn sighup_just_before_or_after_sigterm_disturbs_no_call() {
+    let fixture = start_fixture("hup", 256, never_answer);
+    let mut caller = fixture.connect_caller();
+    let [open, between, later] = [call_id(1), call_id(2), call_id(3)];
+    caller.send_set_up(&open, 5000);
+    let attempt = fixture.switch.next_message("START");
+    let zone = fixture.name_server.zone.lock().unwrap().clone();
     let other = NameServer::new(DnsZone { serial: 2, ..zone });
-    let told = node_config(house.gateway.address, other.address, &[("s-1", house.core.address)]);
-    std::fs::write(&house.gateway.file, told.to_string()).unwrap();
-    // Both signals are there when the gateway goes on.
-    house.stands_still(|| {
-        house.gateway.send_signal(Signal::HUP);
-        house.gateway.send_signal(Signal::TERM);
+    let new_config = node_config(fixture.gateway.address, other.address, &[("s-1", fixture.switch.address)]);
+    std::fs::write(&fixture.gateway.file, new_config.to_string()).unwrap();
+    // Both signals are pending when the gateway resumes.
+    fixture.while_stopped(|| {
+        fixture.gateway.send_signal(Signal::HUP);
+        fixture.gateway.send_signal(Signal::TERM);
         caller.send_set_up(&between, 3000);
     });
-    house.gateway.wait_for_log("ending");
+    fixture.gateway.wait_for_log("ending");
     other.wait_for_queries(1);
-    while passes_test(&mut caller) == 1 {}
-    // And again while the serving time passes, half a configuration this time.
-    std::fs::write(&house.gateway.file, "{\"name\":").unwrap();
-    house.stands_still(|| {
-        house.gateway.send_signal(Signal::HUP);
-        caller.send_set_up(&late, 3000);
-        sleep(SERVING_TIME);
+    while health_check_result(&mut caller) == 1 {}
+    // A second SIGHUP while the serving time passes, with a truncated configuration.
+    std::fs::write(&fixture.gateway.file, "{\"name\":").unwrap();
+    fixture.while_stopped(|| {
+        fixture.gateway.send_signal(Signal::HUP);
+        caller.send_set_up(&later, 3000);
+        sleep(PAST_SERVING_TIME);
     });
-    house.gateway.wait_for_log("the configuration stays as it was");
-    for tag in [&out, &between] {
-        send_line(&attempt.link, &finish(tag, 17));
+    fixture.gateway.wait_for_log("the configuration stays as it was");
+    for tag in [&open, &between] {
+        send_line(&attempt.connection, &finish(tag, 17));
     }
-    hear_each_once([&caller], [&out, &between, &late]);
-    house.exits_within(TIMEOUT);
+    expect_one_answer_each([&caller], [&open, &between, &later]);
+    fixture.assert_exits_within(TIMEOUT);
 }
 
-// ---- To the last instant --------------------------------------------------------------------------------------
+// ---- Traffic until the exit
+// -----------------------------------------------------------------------------------
 
-/// A connection that is looked at again and again.
-struct Ear<'a> {
+/// A connection that is polled for data and its end.
+struct PolledConnection<'a> {
     stream: &'a TcpStream,
-    heard: Vec<u8>,
-    /// The end was not to be seen yet then.
-    looked: Instant,
-    /// Whether the end was an orderly one.
+    received: Vec<u8>,
+    /// The start of the last poll that did not see the end.
+    last_seen_open: Instant,
+    /// Whether the connection ended without a reset; `None` while it is open.
     ended: Option<bool>,
 }
 
-impl<'a> Ear<'a> {
+impl<'a> PolledConnection<'a> {
     fn new(stream: &'a TcpStream) -> Self {
         stream.set_read_timeout(Some(Duration::from_millis(3))).unwrap();
-        Self { stream, heard: Vec::new(), looked: Instant::now(), ended: None }
+        Self { stream, received: Vec::new(), last_seen_open: Instant::now(), ended: None }
     }
 
-    fn listens(&mut self) {
+    fn poll(&mut self) {
         let (looked, mut bytes) = (Instant::now(), [0; 16 * 1024]);
         match self.stream.read(&mut bytes) {
             Ok(0) => self.ended = Some(true),
             Ok(n) => {
-                self.heard.extend(&bytes[..n]);
-                self.looked = looked;
+                self.received.extend(&bytes[..n]);
+                self.last_seen_open = looked;
             }
-            Err(error) if error.kind() == ErrorKind::WouldBlock => self.looked = looked,
+            Err(error) if error.kind() == ErrorKind::WouldBlock => self.last_seen_open = looked,
             Err(_) => self.ended = Some(false),
         }
     }
 
-    /// Whether what was written then can have crossed the close. A caller that was kept waiting for its processor does
-    /// not know since when the end was there, so that the time counts up to where it was certainly not.
+    /// Whether a line written at this time can have crossed the close. A thread that was not scheduled for a
+    /// while does not know when the end arrived, so the time counts up to the last poll at which the
+    /// connection was surely open.
     fn may_have_crossed(&self, written: Instant) -> bool {
-        self.looked.saturating_duration_since(written) < CROSSING
+        self.last_seen_open.saturating_duration_since(written) < CROSSING_WINDOW
     }
 
-    /// The calls of all lines.
+    /// The call ids of all lines.
     fn tags(&self) -> Vec<String> {
-        let lines = self.heard.split(|b| *b == b'\n').filter(|line| !line.is_empty());
+        let lines = self.received.split(|b| *b == b'\n').filter(|line| !line.is_empty());
         let read = |line| serde_json::from_slice::<Value>(line).expect("the gateway writes whole lines");
         lines.map(|line| read(line)["tag"].as_str().unwrap().to_owned()).collect()
     }
 }
 
 #[test]
-fn callers_that_send_to_the_last_instant_get_one_answer_to_each_set_up_but_what_crossed_the_close() {
-    let house = house("last", 256, answer);
+fn each_set_up_sent_until_exit_gets_one_answer_unless_it_crossed_the_close() {
+    let fixture = start_fixture("last", 256, answer_set_up);
     let number = Arc::new(AtomicUsize::new(0));
     let callers: Vec<_> = (0..4)
         .map(|_| {
-            let (caller, number) = (house.connect_caller(), number.clone());
+            let (caller, number) = (fixture.connect_caller(), number.clone());
             spawn(move || {
-                let (began, mut ear, mut sent) = (Instant::now(), Ear::new(&caller.stream), Vec::new());
-                while ear.ended.is_none() {
+                let (began, mut connection, mut sent) =
+                    (Instant::now(), PolledConnection::new(&caller.stream), Vec::new());
+                while connection.ended.is_none() {
                     assert!(began.elapsed() < TIMEOUT, "it ends");
-                    let tag = tag(number.fetch_add(1, Ordering::Relaxed));
-                    if { &caller.stream }.write_all(set_up(&tag, 3000).as_bytes()).is_ok() {
+                    let tag = call_id(number.fetch_add(1, Ordering::Relaxed));
+                    if { &caller.stream }.write_all(set_up_line(&tag, 3000).as_bytes()).is_ok() {
                         sent.push((tag, Instant::now()));
                     }
                     sleep(Duration::from_millis(3));
-                    ear.listens();
+                    connection.poll();
                 }
-                // The gateway waits some tenths of a second for the caller to end its side.
-                let kept_waiting = ear.looked.elapsed() > Duration::from_millis(200);
-                assert!(ear.ended == Some(true) || kept_waiting, "an end and no reset");
-                let tags = ear.tags();
+                // The gateway waits some tenths of a second for the caller to close its side; a caller that
+                // polls later than that may see a reset.
+                let kept_waiting = connection.last_seen_open.elapsed() > Duration::from_millis(200);
+                assert!(connection.ended == Some(true) || kept_waiting, "an end and no reset");
+                let tags = connection.tags();
                 let mut answers = BTreeMap::<_, u32>::new();
                 tags.iter().for_each(|tag| *answers.entry(tag).or_default() += 1);
                 assert!(answers.values().all(|n| *n == 1), "one answer to each");
-                let without = sent.iter().filter(|(tag, _)| !answers.contains_key(tag));
+                let unanswered = sent.iter().filter(|(tag, _)| !answers.contains_key(tag));
                 let (crossed, lost): (Vec<_>, Vec<_>) =
-                    without.partition(|(_, at)| ear.may_have_crossed(*at));
+                    unanswered.partition(|(_, at)| connection.may_have_crossed(*at));
                 assert!(lost.is_empty(), "{} of {} set-ups got no answer", lost.len(), sent.len());
                 crossed.len()
             })
         })
         .collect();
-    house.is_told_to_end();
-    // It is kept from its processor while the serving time runs out, as on a busy machine.
+    fixture.begin_shutdown();
+    // The gateway is stopped while the serving time runs out, as if it were not scheduled on a busy machine.
     sleep(Duration::from_millis(400));
-    house.stands_still(|| sleep(Duration::from_millis(500)));
-    let crossed: Vec<_> = callers.into_iter().map(|c| c.join().expect("as it should be")).collect();
+    fixture.while_stopped(|| sleep(Duration::from_millis(500)));
+    let crossed: Vec<_> =
+        callers.into_iter().map(|c| c.join().expect("the caller's assertions hold")).collect();
     eprintln!("{crossed:?} set-ups crossed the close");
-    house.exits_within(TIMEOUT);
+    fixture.assert_exits_within(TIMEOUT);
 }
 
 #[test]
-fn newcomers_to_the_last_instant_get_an_answer_or_a_close_that_they_crossed_or_are_refused() {
-    let house = house("newcomers", 256, answer);
-    house.is_told_to_end();
+fn newcomers_until_exit_are_answered_or_refused_unless_their_set_up_crossed_the_close() {
+    let fixture = start_fixture("newcomers", 256, answer_set_up);
+    fixture.begin_shutdown();
     let (mut served, mut crossed) = (0, 0);
     let began = Instant::now();
     loop {
         assert!(began.elapsed() < TIMEOUT, "it ends");
-        let Ok(stream) = TcpStream::connect(house.gateway.address) else { break };
-        let tag = tag(served + crossed);
-        if { &stream }.write_all(set_up(&tag, 3000).as_bytes()).is_err() {
-            // Reset before anything was written.
+        let Ok(stream) = TcpStream::connect(fixture.gateway.address) else { break };
+        let tag = call_id(served + crossed);
+        if { &stream }.write_all(set_up_line(&tag, 3000).as_bytes()).is_err() {
+            // The connection was reset before anything was written.
             continue;
         }
-        let (written, mut ear) = (Instant::now(), Ear::new(&stream));
-        while ear.ended.is_none() && !ear.heard.ends_with(b"\n") {
+        let (written, mut connection) = (Instant::now(), PolledConnection::new(&stream));
+        while connection.ended.is_none() && !connection.received.ends_with(b"\n") {
             assert!(began.elapsed() < TIMEOUT, "an answer or an end");
-            ear.listens();
+            connection.poll();
         }
-        if ear.heard.is_empty() {
-            assert!(ear.may_have_crossed(written), "no answer after {:?}", written.elapsed());
+        if connection.received.is_empty() {
+            assert!(connection.may_have_crossed(written), "no answer after {:?}", written.elapsed());
             crossed += 1;
         } else {
-            assert_eq!(ear.tags(), [tag]);
+            assert_eq!(connection.tags(), [tag]);
             served += 1;
         }
     }
     eprintln!("{served} answered, {crossed} crossed the close");
     assert!(served > 0, "it serves until then");
-    house.exits_within(TIMEOUT);
+    fixture.assert_exits_within(TIMEOUT);
 }
 
 #[test]
-fn peers_that_never_close_and_read_nothing_do_not_keep_the_gateway_from_its_end() {
-    let house = house("never", 256, answer_at_length);
-    let mut reads_nothing = house.connect_caller();
-    fill(&house, &mut reads_nothing);
-    let never_close: Vec<_> = (0..40).map(|_| house.connect_caller()).collect();
-    let half = house.connect_caller();
-    write(&half.stream, "{\"verb\":\"START\",\"tag\"");
-    house.is_told_to_end();
-    // The platform kills 3.7 s after SIGTERM at the soonest.
-    house.exits_within(Duration::from_millis(3500));
+fn peers_that_neither_close_nor_read_do_not_keep_gateway_from_exiting() {
+    let fixture = start_fixture("never", 256, answer_at_length);
+    let mut reads_nothing = fixture.connect_caller();
+    fill_connection(&fixture, &mut reads_nothing);
+    let never_close: Vec<_> = (0..40).map(|_| fixture.connect_caller()).collect();
+    let half = fixture.connect_caller();
+    write_text(&half.stream, "{\"verb\":\"START\",\"tag\"");
+    fixture.begin_shutdown();
+    // The process manager sends SIGKILL no earlier than 3.7 s after SIGTERM.
+    fixture.assert_exits_within(Duration::from_millis(3500));
     drop((reads_nothing, never_close, half));
 }
 
-// ---- Idle connections that make room --------------------------------------------------------------------------
+// ---- Idle connections that are closed for newcomers
+// -----------------------------------------------------------
 
-/// Descriptors of a small gateway, and those of them that are seats of callers: a quarter is the core switches', an eighth
-/// that of connections on their way out, 16 are kept back.
-const SMALL: usize = 64;
-const SEATS: usize = SMALL - SMALL / 4 - SMALL / 8 - 16;
+/// Descriptors of a small gateway.
+const DESCRIPTORS: usize = 64;
+/// Callers' connections that a small gateway holds: a quarter of its descriptors belongs to core switches, an
+/// eighth to connections that are being closed, and 16 are reserved.
+const CALLER_SLOTS: usize = DESCRIPTORS - DESCRIPTORS / 4 - DESCRIPTORS / 8 - 16;
 
-/// A small gateway whose seats are all taken by idle callers, the longest idle first.
-fn full_house(test: &str) -> (House, Vec<Caller>) {
-    let house = house(test, SMALL, answer);
-    let callers = (0..SEATS).map(|_| house.connect_caller()).collect();
-    (house, callers)
+/// A small gateway whose slots are all taken by idle callers, the longest idle first.
+fn fixture_without_free_slots(test: &str) -> (Fixture, Vec<Caller>) {
+    let fixture = start_fixture(test, DESCRIPTORS, answer_set_up);
+    let callers = (0..CALLER_SLOTS).map(|_| fixture.connect_caller()).collect();
+    (fixture, callers)
 }
 
-/// Newcomers that have said something: none of them is pushed out by the next.
-fn come(house: &House, number: usize) -> Vec<Caller> {
-    let callers: Vec<_> = (0..number).map(|_| house.gateway.connect_caller()).collect();
+/// Opens connections and sends a health check on each: a connection that has sent something is not closed for
+/// the next.
+fn connect_newcomers(fixture: &Fixture, number: usize) -> Vec<Caller> {
+    let callers: Vec<_> = (0..number).map(|_| fixture.gateway.connect_caller()).collect();
     callers.iter().for_each(|caller| caller.send(&echo()));
     callers
 }
 
-/// The answer to a set-up on a connection that may be closed for room afterwards.
-fn one_answer(caller: &mut Caller, tag: &str) {
+/// Waits for the final answer to a set-up on a connection that may be closed for a newcomer afterwards.
+fn expect_answer(caller: &mut Caller, tag: &str) {
     let line = caller.receive().expect("an answer before the end");
     assert!(line["verb"] == "STARTED" || line["verb"] == "FINISH", "{line}");
     assert_eq!(line["tag"], tag);
 }
 
 #[test]
-fn a_set_up_unread_on_the_longest_idle_connection_is_answered_though_newcomers_need_its_place() {
-    let (house, mut idle) = full_house("room-before");
+fn unread_set_up_on_longest_idle_connection_is_answered_although_newcomers_need_its_slot() {
+    let (fixture, mut idle) = fixture_without_free_slots("room-before");
     let mut newcomers = Vec::new();
-    house.stands_still(|| {
-        idle[0].send_set_up(&tag(1), 3000);
-        newcomers = come(&house, 4);
-        sleep(2 * CROSSING);
+    fixture.while_stopped(|| {
+        idle[0].send_set_up(&call_id(1), 3000);
+        newcomers = connect_newcomers(&fixture, 4);
+        sleep(2 * CROSSING_WINDOW);
     });
-    one_answer(&mut idle[0], &tag(1));
+    expect_answer(&mut idle[0], &call_id(1));
 }
 
 #[test]
-fn a_set_up_written_after_newcomers_came_for_its_place_and_unread_is_answered() {
-    let (house, mut idle) = full_house("room-after");
+fn unread_set_up_written_after_newcomers_connected_is_answered() {
+    let (fixture, mut idle) = fixture_without_free_slots("room-after");
     let mut newcomers = Vec::new();
-    house.stands_still(|| {
-        newcomers = come(&house, 4);
-        (0..4).for_each(|n| idle[n].send_set_up(&tag(n), 3000));
-        sleep(2 * CROSSING);
+    fixture.while_stopped(|| {
+        newcomers = connect_newcomers(&fixture, 4);
+        (0..4).for_each(|n| idle[n].send_set_up(&call_id(n), 3000));
+        sleep(2 * CROSSING_WINDOW);
     });
-    (0..4).for_each(|n| one_answer(&mut idle[n], &tag(n)));
+    (0..4).for_each(|n| expect_answer(&mut idle[n], &call_id(n)));
 }
 
 #[test]
-fn a_set_up_half_unread_on_the_longest_idle_connection_is_answered_though_its_place_is_needed() {
-    let (house, mut idle) = full_house("room-half");
-    let line = set_up(&tag(1), 3000);
+fn half_read_set_up_on_longest_idle_connection_is_answered_although_its_slot_is_needed() {
+    let (fixture, mut idle) = fixture_without_free_slots("room-half");
+    let line = set_up_line(&call_id(1), 3000);
     let (half, rest) = line.split_at(line.len() / 2);
-    let ping = json!({"verb": "ECHO", "tag": tag(2), "opts": {}, "rc": 0});
-    write(&idle[0].stream, &format!("{ping}\n{half}"));
+    let ping = json!({"verb": "ECHO", "tag": call_id(2), "opts": {}, "rc": 0});
+    write_text(&idle[0].stream, &format!("{ping}\n{half}"));
     assert_eq!(idle[0].receive().unwrap()["verb"], "ECHOED");
-    // The others spoke later.
-    assert!(idle[1..].iter_mut().all(|caller| passes_test(caller) == 1));
+    // The other connections have sent something later.
+    assert!(idle[1..].iter_mut().all(|caller| health_check_result(caller) == 1));
     let mut newcomers = Vec::new();
-    house.stands_still(|| {
-        newcomers = come(&house, 4);
-        write(&idle[0].stream, rest);
-        sleep(2 * CROSSING);
+    fixture.while_stopped(|| {
+        newcomers = connect_newcomers(&fixture, 4);
+        write_text(&idle[0].stream, rest);
+        sleep(2 * CROSSING_WINDOW);
     });
-    one_answer(&mut idle[0], &tag(1));
+    expect_answer(&mut idle[0], &call_id(1));
 }
 
 #[test]
-fn set_ups_of_a_crowd_of_newcomers_beyond_the_seats_are_each_answered() {
-    let (house, _idle) = full_house("crowd");
+fn set_ups_of_more_newcomers_than_slots_are_each_answered() {
+    let (fixture, _idle) = fixture_without_free_slots("crowd");
     let mut crowd = Vec::new();
-    house.stands_still(|| {
-        for n in 0..2 * SEATS {
-            crowd.push(house.gateway.connect_caller());
-            crowd[n].send_set_up(&tag(n), 3000);
+    fixture.while_stopped(|| {
+        for n in 0..2 * CALLER_SLOTS {
+            crowd.push(fixture.gateway.connect_caller());
+            crowd[n].send_set_up(&call_id(n), 3000);
         }
-        sleep(2 * CROSSING);
+        sleep(2 * CROSSING_WINDOW);
     });
     for (n, caller) in crowd.iter_mut().enumerate() {
-        // Beyond the seats: told so without the id, or refused under it.
-        let line = caller.receive().unwrap_or_else(|| panic!("newcomer {n} got an end and no word"));
+        // Those beyond the slots are refused, with the call's id or without it.
+        let line = caller.receive().unwrap_or_else(|| panic!("newcomer {n} got an end and no answer"));
         assert!(line["verb"] == "STARTED" || line["verb"] == "FINISH", "{line}");
     }
 }
 
 #[test]
-fn a_set_up_completed_in_time_and_unread_is_answered_though_its_connection_is_overdue() {
-    let house = house("overdue", 256, answer);
-    // One has said nothing whole yet, the other has.
-    let (mut silent, mut half) = (house.gateway.connect_caller(), house.connect_caller());
-    let lines = [set_up(&tag(1), 3000), set_up(&tag(2), 3000)];
+fn unread_set_up_completed_in_time_is_answered_although_its_connection_is_overdue() {
+    let fixture = start_fixture("overdue", 256, answer_set_up);
+    // One connection has not sent a whole line yet, the other has.
+    let (mut silent, mut half) = (fixture.gateway.connect_caller(), fixture.connect_caller());
+    let lines = [set_up_line(&call_id(1), 3000), set_up_line(&call_id(2), 3000)];
     let (begin, rest) = lines[1].split_at(30);
-    write(&half.stream, begin);
-    // Read, as the connection that was accepted later is answered.
-    house.connect_caller();
-    house.stands_still(|| {
-        write(&silent.stream, &lines[0]);
-        write(&half.stream, rest);
+    write_text(&half.stream, begin);
+    // The half line has been read once a connection that was accepted later is answered.
+    fixture.connect_caller();
+    fixture.while_stopped(|| {
+        write_text(&silent.stream, &lines[0]);
+        write_text(&half.stream, rest);
         sleep(Duration::from_millis(2600));
     });
-    one_answer(&mut silent, &tag(1));
-    one_answer(&mut half, &tag(2));
+    expect_answer(&mut silent, &call_id(1));
+    expect_answer(&mut half, &call_id(2));
 }
 
-// ---- Core switches that close ---------------------------------------------------------------------------------
+// ---- Core switches that close their connections
+// ---------------------------------------------------------------
 
-/// The attempts kept the guard's distance from the close of the one before, and there was one answer.
-fn one_at_a_time(attempts: &[Instant], closes: &[Instant]) {
-    assert!(attempts.len() > 1, "the call goes again");
+/// Asserts that there was a further attempt and that each came no sooner than the guard after the close of
+/// the one before.
+fn assert_guard_between_attempts(attempts: &[Instant], closes: &[Instant]) {
+    assert!(attempts.len() > 1, "a further attempt is made");
     for (closed, again) in closes.iter().zip(&attempts[1..]) {
         let distance = again.checked_duration_since(*closed);
         assert!(distance.is_some_and(|d| d >= GUARD), "the next attempt came {distance:?} after the close");
@@ -1011,91 +1047,91 @@
 }
 
 #[test]
-fn a_core_switch_that_closes_as_the_set_up_comes_costs_the_guard_and_no_second_answer() {
+fn close_by_switch_on_set_up_causes_retry_after_guard_and_one_answer() {
     let closes = Arc::new(Mutex::new(Vec::new()));
     let closed = closes.clone();
-    let house = house("link-close", 256, move |link, line| {
+    let fixture = start_fixture("link-close", 256, move |connection, line| {
         if line["verb"] == "START" {
             let mut closed = closed.lock().unwrap();
             if closed.len() == 2 {
-                return answer(link, line);
+                return answer_set_up(connection, line);
             }
             closed.push(Instant::now());
-            link.shutdown(Shutdown::Both).unwrap();
+            connection.shutdown(Shutdown::Both).unwrap();
         }
     });
-    let mut caller = house.connect_caller();
-    caller.send_set_up(&tag(1), 5000);
+    let mut caller = fixture.connect_caller();
+    caller.send_set_up(&call_id(1), 5000);
     assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
-    let attempts: Vec<_> = house.core.attempts(&tag(1)).iter().map(|t| t.at).collect();
-    one_at_a_time(&attempts, &closes.lock().unwrap());
-    house.is_told_to_end();
+    let attempts: Vec<_> = fixture.switch.pending_set_ups(&call_id(1)).iter().map(|t| t.at).collect();
+    assert_guard_between_attempts(&attempts, &closes.lock().unwrap());
+    fixture.begin_shutdown();
     assert_eq!(caller.receive(), None, "one answer");
     drop(caller);
-    house.exits_within(TIMEOUT);
+    fixture.assert_exits_within(TIMEOUT);
 }
 
 #[test]
-fn a_core_switch_that_resets_as_the_set_up_comes_costs_the_guard_and_no_second_answer() {
+fn reset_by_switch_on_set_up_causes_retry_after_guard_and_one_answer() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let (send, told) = channel();
+    let (sender, received) = channel();
     let attempts = Arc::new(Mutex::new((Vec::new(), Vec::new())));
     let seen = attempts.clone();
     spawn(move || {
-        let _told = send;
-        for link in listener.incoming().flatten() {
+        let _sender = sender;
+        for connection in listener.incoming().flatten() {
             let seen = seen.clone();
             spawn(move || {
                 let mut bytes = [0; 16 * 1024];
                 loop {
-                    let Ok(n) = link.peek(&mut bytes) else { return };
+                    let Ok(n) = connection.peek(&mut bytes) else { return };
                     let Some(end) = bytes[..n].iter().position(|b| *b == b'\n') else { return };
                     let line: Value = serde_json::from_slice(&bytes[..end]).unwrap();
                     if line["verb"] == "START" {
                         let mut seen = seen.lock().unwrap();
                         seen.0.push(Instant::now());
                         if seen.0.len() < 3 {
-                            // A close with bytes unread is a reset.
+                            // Closing a socket with unread bytes sends a reset.
                             seen.1.push(Instant::now());
                             return;
                         }
                     }
-                    (&link).read_exact(&mut bytes[..=end]).unwrap();
-                    answer(&link, &line);
+                    (&connection).read_exact(&mut bytes[..=end]).unwrap();
+                    answer_set_up(&connection, &line);
                 }
             });
         }
     });
-    let house = house_of("link-reset", 256, Core { address, told });
-    let mut caller = house.connect_caller();
-    caller.send_set_up(&tag(1), 5000);
+    let fixture = start_fixture_with("link-reset", 256, CoreSwitch { address, received });
+    let mut caller = fixture.connect_caller();
+    caller.send_set_up(&call_id(1), 5000);
     let line = caller.receive().unwrap();
-    assert_eq!((&line["verb"], &line["tag"]), (&json!("STARTED"), &json!(tag(1))));
+    assert_eq!((&line["verb"], &line["tag"]), (&json!("STARTED"), &json!(call_id(1))));
     let (attempts, closes) = &*attempts.lock().unwrap();
-    one_at_a_time(attempts, closes);
-    house.is_told_to_end();
+    assert_guard_between_attempts(attempts, closes);
+    fixture.begin_shutdown();
     assert_eq!(caller.receive(), None, "one answer");
     drop(caller);
-    house.exits_within(TIMEOUT);
+    fixture.assert_exits_within(TIMEOUT);
 }
 
 #[test]
-fn a_set_up_that_crosses_the_core_switchs_close_of_an_idle_connection_is_served_once() {
-    let house = house("link-idle", 256, answer);
-    let mut caller = house.connect_caller();
-    caller.send_set_up(&tag(1), 5000);
-    assert_eq!(caller.receive().unwrap()["tag"], tag(1));
-    let idle = house.core.next_message("START").link;
-    house.stands_still(|| {
+fn set_up_that_crosses_switch_close_of_idle_connection_is_served_once() {
+    let fixture = start_fixture("link-idle", 256, answer_set_up);
+    let mut caller = fixture.connect_caller();
+    caller.send_set_up(&call_id(1), 5000);
+    assert_eq!(caller.receive().unwrap()["tag"], call_id(1));
+    let idle = fixture.switch.next_message("START").connection;
+    fixture.while_stopped(|| {
         idle.shutdown(Shutdown::Both).unwrap();
-        caller.send_set_up(&tag(2), 5000);
+        caller.send_set_up(&call_id(2), 5000);
     });
     let line = caller.receive().unwrap();
-    assert_eq!((&line["verb"], &line["tag"]), (&json!("STARTED"), &json!(tag(2))));
-    assert_eq!(house.core.attempts(&tag(2)).len(), 1);
-    house.is_told_to_end();
+    assert_eq!((&line["verb"], &line["tag"]), (&json!("STARTED"), &json!(call_id(2))));
+    assert_eq!(fixture.switch.pending_set_ups(&call_id(2)).len(), 1);
+    fixture.begin_shutdown();
     assert_eq!(caller.receive(), None, "one answer");
     drop(caller);
-    house.exits_within(TIMEOUT);
+    fixture.assert_exits_within(TIMEOUT);
 }
