--- a/crates/fawnrouterd/tests/descriptor_exhaustion.rs
+++ b/crates/fawnrouterd/tests/descriptor_exhaustion.rs
@@ -1,6 +1,6 @@
-//! Descriptors that run short: crowds of clients' connections fill what the gateway may hold, on a process that has no
-//! more than its configuration says, while the name server is down. The gateway must go on asking, take lists, connect
-//! to core switches and read its file.
+//! Descriptor exhaustion: clients' connections use up the descriptors of a process whose limit is that of its
+//! configuration, while the name server is down. The gateway must still query the name server, apply lists,
+//! connect to core switches and read its configuration file.
 
 mod common;
 
@@ -18,29 +18,30 @@
 
 /// Ends a test that would hang.
 const TIMEOUT: Duration = Duration::from_secs(15);
-/// The page owes those that are turned away an end within 3 s; the rest is for a machine that is busy.
-const SOON: Duration = Duration::from_secs(6);
+/// Refused clients must be closed within 3 s; the rest is a margin for a busy machine.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// A gateway process that may hold no more descriptors than its configuration says.
+/// A gateway process whose descriptor limit is that of its configuration.
 struct Gateway {
     child: Child,
     address: SocketAddr,
     file: PathBuf,
     log: Arc<Mutex<Vec<String>>>,
-    /// The most descriptors that it has been seen to hold.
-    most: Arc<AtomicUsize>,
-    over: Arc<AtomicBool>,
+    /// The highest number of open descriptors seen so far.
+    most_descriptors: Arc<AtomicUsize>,
+    /// Ends the thread that counts the descriptors.
+    stopped: Arc<AtomicBool>,
 }
 
 impl Gateway {
     fn start(test: &str, config: &Value) -> Self {
-        // The crowd is this process's own.
-        let mut own = getrlimit(Resource::Nofile);
-        own.current = own.maximum;
-        setrlimit(Resource::Nofile, own).unwrap();
-        let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("famine-{test}"));
-        std::fs::create_dir_all(&folder).unwrap();
-        let file = folder.join("config.json");
+        // The clients' ends of the connections are descriptors of the test process.
+        let mut own_limit = getrlimit(Resource::Nofile);
+        own_limit.current = own_limit.maximum;
+        setrlimit(Resource::Nofile, own_limit).unwrap();
+        let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("descriptors-{test}"));
+        std::fs::create_dir_all(&directory).unwrap();
+        let file = directory.join("config.json");
         std::fs::write(&file, config.to_string()).unwrap();
         let listen = config["listen"].as_str().unwrap();
         let limit = config["limits"]["sockets"].to_string();
@@ -66,76 +67,78 @@
             address: listen.parse().unwrap(),
             file,
             log,
-            most: Arc::default(),
-            over: Arc::default(),
+            most_descriptors: Arc::default(),
+            stopped: Arc::default(),
         };
         gateway.wait_for_log("gateway ready");
-        let folder = format!("/proc/{}/fd", gateway.child.id());
-        let (most, over) = (gateway.most.clone(), gateway.over.clone());
+        let directory = format!("/proc/{}/fd", gateway.child.id());
+        let (most, stopped) = (gateway.most_descriptors.clone(), gateway.stopped.clone());
         std::thread::spawn(move || {
-            while !over.load(Ordering::Relaxed) {
-                most.fetch_max(descriptors(&folder), Ordering::Relaxed);
+            while !stopped.load(Ordering::Relaxed) {
+                most.fetch_max(count_descriptors(&directory), Ordering::Relaxed);
                 std::thread::sleep(Duration::from_millis(2));
             }
         });
         gateway
     }
 
-    /// Waits for a line of the log.
+    /// Waits for a log line that contains this text.
     fn wait_for_log(&self, part: &str) {
-        eventually(&format!("a line with {part:?}"), || self.said(part).is_some());
+        wait_until(&format!("a line with {part:?}"), || self.find_log_line(part).is_some());
     }
 
-    fn said(&self, part: &str) -> Option<String> {
+    fn find_log_line(&self, part: &str) -> Option<String> {
         self.log.lock().unwrap().iter().find(|line| line.contains(part)).cloned()
     }
 
-    fn has_connections(&self) -> usize {
-        descriptors(&format!("/proc/{}/fd", self.child.id()))
+    fn descriptor_count(&self) -> usize {
+        count_descriptors(&format!("/proc/{}/fd", self.child.id()))
     }
 
-    /// It was never refused a descriptor. (How many it held can't be counted exactly while they change.)
-    fn was_never_out_of_descriptors(&self, limit: usize) {
-        let lack = self.said("os error 24").or_else(|| self.said("Too many open files"));
-        let most = self.most.load(Ordering::Relaxed);
-        assert!(lack.is_none(), "about {most} of {limit} descriptors: {lack:?}");
+    /// Asserts that the process was never refused a descriptor. (The number that it held cannot be counted
+    /// exactly while it changes.)
+    fn assert_never_out_of_descriptors(&self, limit: usize) {
+        let error_line =
+            self.find_log_line("os error 24").or_else(|| self.find_log_line("Too many open files"));
+        let most = self.most_descriptors.load(Ordering::Relaxed);
+        assert!(error_line.is_none(), "about {most} of {limit} descriptors: {error_line:?}");
     }
 
-    /// Processor time since its start (proc_pid_stat(5): utime and stime, in ticks of 10 ms).
-    fn ticks(&self) -> u64 {
+    /// The processor time used since the start (proc_pid_stat(5): utime and stime, in ticks of 10 ms).
+    fn cpu_ticks(&self) -> u64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
         let fields = stat.rsplit_once(')').unwrap().1.split_whitespace();
         fields.skip(11).take(2).map(|n| n.parse::<u64>().unwrap()).sum()
     }
 
-    fn reloads(&self, config: &Value) {
+    fn reload(&self, config: &Value) {
         std::fs::write(&self.file, config.to_string()).unwrap();
         kill_process(Pid::from_child(&self.child), Signal::HUP).unwrap();
         self.wait_for_log("new configuration");
     }
 
-    fn client(&self) -> TcpStream {
+    fn connect_client(&self) -> TcpStream {
         let stream = TcpStream::connect_timeout(&self.address, TIMEOUT).unwrap();
-        stream.set_read_timeout(Some(SOON)).unwrap();
+        stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).unwrap();
         stream
     }
 }
 
 impl Drop for Gateway {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stopped.store(true, Ordering::Relaxed);
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-fn descriptors(folder: &str) -> usize {
-    std::fs::read_dir(folder).map_or(0, Iterator::count)
+fn count_descriptors(directory: &str) -> usize {
+    std::fs::read_dir(directory).map_or(0, Iterator::count)
 }
 
-fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
+fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let end = Instant::now() + TIMEOUT;
-    while !holds() {
+    while !condition() {
         assert!(Instant::now() < end, "never: {what}");
         std::thread::sleep(Duration::from_millis(2));
     }
@@ -143,94 +146,99 @@
 
 const ECHO: &str = "{\"verb\":\"ECHO\",\"tag\":\"00000000000000aa\",\"opts\":{},\"rc\":0}\n";
 
-fn call(tag: u64, left_ms: u64) -> String {
+fn set_up_line(tag: u64, left_ms: u64) -> String {
     let opts = json!({"class": "voice", "left": left_ms.to_string(), "key": "7f3a", "extras": "dest:0;width:1;via:-1"});
     let line = json!({"verb": "START", "tag": format!("{tag:016x}"), "blob": "offer", "opts": opts});
     format!("{line}\n")
 }
 
-/// How a client fared.
+/// What a client got in return.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Fate {
-    /// Its call stands, or its test is passed.
+enum Outcome {
+    /// Its call was established, or its health check was passed.
     Served,
-    /// It was told that there is no room; then came the end.
-    TurnedAway,
-    /// An end without a word.
-    Ended,
-    /// A reset.
+    /// Its call was refused, or it got an error message and then the end.
+    Refused,
+    /// The connection ended without a message.
+    ClosedSilently,
+    /// The connection was reset.
     Reset,
-    /// Nothing came in time.
-    Nothing,
+    /// Nothing arrived in time.
+    TimedOut,
 }
 
-/// The fate of one that has said something and now listens.
-fn fate(stream: &TcpStream) -> Fate {
+/// Reads until the outcome is known for a client that has sent its request.
+fn read_outcome(stream: &TcpStream) -> Outcome {
     let mut reader = BufReader::new(stream);
     let mut line = String::new();
     match reader.read_line(&mut line) {
-        Ok(0) => return Fate::Ended,
+        Ok(0) => return Outcome::ClosedSilently,
         Ok(_) => {}
-        Err(error) => return fault(&error),
+        Err(error) => return outcome_of_error(&error),
     }
-    let told: Value = serde_json::from_str(&line).expect("the gateway writes JSON");
-    if told["verb"] != "FINISH" {
-        return Fate::Served;
+    let response: Value = serde_json::from_str(&line).expect("the gateway writes JSON");
+    if response["verb"] != "FINISH" {
+        return Outcome::Served;
     }
-    // A refusal of the call alone leaves the connection as it is.
-    if told["tag"].is_string() {
-        return Fate::TurnedAway;
+    // A refusal of the call leaves the connection open.
+    if response["tag"].is_string() {
+        return Outcome::Refused;
     }
     match reader.read_to_end(&mut Vec::new()) {
-        Ok(_) => Fate::TurnedAway,
-        Err(error) => fault(&error),
+        Ok(_) => Outcome::Refused,
+        Err(error) => outcome_of_error(&error),
     }
 }
 
-fn fault(error: &std::io::Error) -> Fate {
+fn outcome_of_error(error: &std::io::Error) -> Outcome {
     match error.kind() {
-        ErrorKind::WouldBlock | ErrorKind::TimedOut => Fate::Nothing,
-        _ => Fate::Reset,
+        ErrorKind::WouldBlock | ErrorKind::TimedOut => Outcome::TimedOut,
+        _ => Outcome::Reset,
     }
 }
 
-/// Core switches that take connections and say nothing, as many as the gateway may have connections to them.
-fn quiet_switches(limit: usize) -> Vec<(String, TcpListener)> {
+/// Core switches that accept connections and send nothing, as many as the gateway may have connections to
+/// switches.
+fn silent_switches(limit: usize) -> Vec<(String, TcpListener)> {
     (0..limit / 4).map(|n| (format!("q-{n}"), TcpListener::bind("127.0.0.1:0").unwrap())).collect()
 }
 
-fn famine_config(limit: usize, names: SocketAddr, switches: &[(String, TcpListener)]) -> Value {
+fn config_with_descriptor_limit(
+    limit: usize,
+    name_server: SocketAddr,
+    switches: &[(String, TcpListener)],
+) -> Value {
     let known: Vec<(&str, SocketAddr)> =
         switches.iter().map(|(id, l)| (id.as_str(), l.local_addr().unwrap())).collect();
-    let mut config = node_config(free_address(), names, &known);
+    let mut config = node_config(free_address(), name_server, &known);
     config["limits"]["sockets"] = json!(limit);
     config
 }
 
-/// More connections than there are descriptors: some silent, some that passed the test, some with half a line.
-fn crowd(gateway: &Gateway, size: usize) -> Vec<TcpStream> {
-    let kinds = ["", ECHO, "{\"verb\":\"START\",\"tag\""];
+/// Opens so many connections: some silent, some with a health check, some with half a line.
+fn open_crowd(gateway: &Gateway, size: usize) -> Vec<TcpStream> {
+    let first_bytes = ["", ECHO, "{\"verb\":\"START\",\"tag\""];
     (0..size)
         .map(|n| {
-            let mut stream = gateway.client();
-            let _ = stream.write_all(kinds[n % 3].as_bytes());
+            let mut stream = gateway.connect_client();
+            let _ = stream.write_all(first_bytes[n % 3].as_bytes());
             stream
         })
         .collect()
 }
 
-/// A core switch on which every call stands at once.
-struct Ready {
+/// A core switch that answers every set-up with STARTED.
+struct AnsweringSwitch {
     address: SocketAddr,
-    starts: Arc<AtomicUsize>,
+    set_ups: Arc<AtomicUsize>,
 }
 
-impl Ready {
+impl AnsweringSwitch {
     fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let starts = Arc::new(AtomicUsize::new(0));
-        let counts = starts.clone();
+        let set_ups = Arc::new(AtomicUsize::new(0));
+        let counts = set_ups.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let counts = counts.clone();
@@ -240,103 +248,105 @@
                         let line: Value = serde_json::from_str(&line).expect("the gateway writes JSON");
                         if line["verb"] == "START" {
                             counts.fetch_add(1, Ordering::Relaxed);
-                            stands(&stream, &line["tag"]);
+                            answer_started(&stream, &line["tag"]);
                         }
                     }
                 });
             }
         });
-        Self { address, starts }
+        Self { address, set_ups }
     }
 
-    fn has_had(&self) -> usize {
-        self.starts.load(Ordering::Relaxed)
+    fn set_up_count(&self) -> usize {
+        self.set_ups.load(Ordering::Relaxed)
     }
 }
 
-fn stands(mut link: &TcpStream, tag: &Value) {
+fn answer_started(mut connection: &TcpStream, tag: &Value) {
     let line = json!({"verb": "STARTED", "tag": tag, "opts": {}, "blob": "answer"});
-    let _ = link.write_all(format!("{line}\n").as_bytes());
+    let _ = connection.write_all(format!("{line}\n").as_bytes());
 }
 
-/// A new caller's call stands; one that is turned away plainly comes again, a few times.
-fn a_new_caller_is_served(gateway: &Gateway, tag: u64) -> TcpStream {
-    for again in 0..3 {
-        let mut caller = gateway.client();
-        caller.write_all(call(tag + (again << 32), 3000).as_bytes()).unwrap();
-        match fate(&caller) {
-            Fate::Served => return caller,
-            Fate::TurnedAway => std::thread::sleep(Duration::from_millis(200)),
-            fate => panic!("{fate:?} after {again} times: a caller is served or told that there is no room"),
+/// Asserts that the call of a new caller is established. A refused caller tries again, three times in all.
+fn assert_new_caller_served(gateway: &Gateway, tag: u64) -> TcpStream {
+    for attempt in 0..3 {
+        let mut caller = gateway.connect_client();
+        caller.write_all(set_up_line(tag + (attempt << 32), 3000).as_bytes()).unwrap();
+        match read_outcome(&caller) {
+            Outcome::Served => return caller,
+            Outcome::Refused => std::thread::sleep(Duration::from_millis(200)),
+            outcome => panic!("{outcome:?} after {attempt} times: a caller is served or refused"),
         }
     }
-    panic!("three callers have been turned away");
+    panic!("three callers have been refused");
 }
 
-/// Nothing happens, and next to no time is used for it.
-fn is_at_rest(gateway: &Gateway) {
-    let before = gateway.ticks();
+/// Asserts that the gateway uses almost no processor time while there is no traffic.
+fn assert_idle(gateway: &Gateway) {
+    let before = gateway.cpu_ticks();
     std::thread::sleep(Duration::from_secs(1));
-    let used = gateway.ticks() - before;
+    let used = gateway.cpu_ticks() - before;
     assert!(used <= 15, "{used} ticks of 10 ms in a quiet second");
 }
 
-/// A crowd larger than the limit while nobody answers at the name server's address, then a new name server and a new
-/// core switch, then the crowd's end.
-fn crowd_while_discovery_is_down(limit: usize) {
-    let switches = quiet_switches(limit);
-    let nobody = free_address();
-    let config = famine_config(limit, nobody, &switches);
+/// Opens more connections than the descriptor limit while no name server answers, then configures a new name
+/// server, which lists a new core switch, and closes the connections at last.
+fn check_crowd_while_name_server_is_down(limit: usize) {
+    let switches = silent_switches(limit);
+    let unused_address = free_address();
+    let config = config_with_descriptor_limit(limit, unused_address, &switches);
     let gateway = Gateway::start(&format!("crowd-{limit}"), &config);
-    let crowd = crowd(&gateway, limit + 40);
-    // A word of the last says that all before it have been accepted.
-    let mut last = gateway.client();
+    let crowd = open_crowd(&gateway, limit + 40);
+    // Once the last one gets a message, all before it have been accepted.
+    let mut last = gateway.connect_client();
     last.write_all(ECHO.as_bytes()).unwrap();
-    let fared = fate(&last);
-    assert!(matches!(fared, Fate::Served | Fate::TurnedAway), "{fared:?}: a newcomer hears a word");
-    gateway.was_never_out_of_descriptors(limit);
-    let new = Ready::new();
+    let outcome = read_outcome(&last);
+    assert!(matches!(outcome, Outcome::Served | Outcome::Refused), "{outcome:?}: a newcomer gets a message");
+    gateway.assert_never_out_of_descriptors(limit);
+    let new = AnsweringSwitch::new();
     let zone = DnsZone { serial: 2, switches: vec![("s-new".to_owned(), new.address)], ..DnsZone::default() };
-    let names = NameServer::new(zone);
+    let name_server = NameServer::new(zone);
     let mut changed = config.clone();
-    changed["nameserver"] = json!(names.address.to_string());
-    gateway.reloads(&changed);
-    names.wait_for_queries(3);
-    a_new_caller_is_served(&gateway, 1);
-    assert!(new.has_had() > 0, "at the new one");
-    gateway.was_never_out_of_descriptors(limit);
+    changed["nameserver"] = json!(name_server.address.to_string());
+    gateway.reload(&changed);
+    name_server.wait_for_queries(3);
+    assert_new_caller_served(&gateway, 1);
+    assert!(new.set_up_count() > 0, "the call was set up at the new switch");
+    gateway.assert_never_out_of_descriptors(limit);
     drop(crowd);
     drop(last);
-    let callers: Vec<TcpStream> = (0..10).map(|n| a_new_caller_is_served(&gateway, 100 + n)).collect();
-    eventually("all that the crowd held is freed", || gateway.has_connections() < callers.len() + 24);
-    is_at_rest(&gateway);
-    a_new_caller_is_served(&gateway, 200);
-    gateway.was_never_out_of_descriptors(limit);
+    let callers: Vec<TcpStream> = (0..10).map(|n| assert_new_caller_served(&gateway, 100 + n)).collect();
+    wait_until("the descriptors of the closed connections are released", || {
+        gateway.descriptor_count() < callers.len() + 24
+    });
+    assert_idle(&gateway);
+    assert_new_caller_served(&gateway, 200);
+    gateway.assert_never_out_of_descriptors(limit);
 }
 
 #[test]
-fn a_crowd_that_fills_64_descriptors_keeps_no_list_no_file_and_no_new_switch_from_the_gateway() {
-    crowd_while_discovery_is_down(64);
+fn crowd_that_fills_64_descriptors_prevents_neither_reload_nor_list_nor_new_switch() {
+    check_crowd_while_name_server_is_down(64);
 }
 
 #[test]
-fn a_crowd_that_fills_96_descriptors_keeps_no_list_no_file_and_no_new_switch_from_the_gateway() {
-    crowd_while_discovery_is_down(96);
+fn crowd_that_fills_96_descriptors_prevents_neither_reload_nor_list_nor_new_switch() {
+    check_crowd_while_name_server_is_down(96);
 }
 
 #[test]
-fn a_crowd_that_fills_256_descriptors_keeps_no_list_no_file_and_no_new_switch_from_the_gateway() {
-    crowd_while_discovery_is_down(256);
+fn crowd_that_fills_256_descriptors_prevents_neither_reload_nor_list_nor_new_switch() {
+    check_crowd_while_name_server_is_down(256);
 }
 
 #[test]
-fn idle_connections_to_switches_that_drain_make_room_for_one_to_a_new_switch() {
-    let switches = quiet_switches(64);
-    let config = famine_config(64, free_address(), &switches);
+fn idle_connection_to_draining_switch_is_closed_for_new_switch() {
+    let switches = silent_switches(64);
+    let config = config_with_descriptor_limit(64, free_address(), &switches);
     let gateway = Gateway::start("drain", &config);
-    // Each has its one connection, and that is all there may be.
-    let links: Vec<_> = switches.iter().map(|(_, switch)| switch.accept().unwrap()).collect();
-    let new = Ready::new();
+    // Each switch has its one connection, and no more are allowed.
+    let connections: Vec<_> = switches.iter().map(|(_, switch)| switch.accept().unwrap()).collect();
+    let new = AnsweringSwitch::new();
     let mut changed = config.clone();
     changed["known"]["seq"] = json!(2);
     let instances = changed["known"]["results"][0]["fleet"]["instances"].as_array_mut().unwrap();
@@ -347,94 +357,103 @@
     added["instanceId"] = json!("s-new");
     added["hostPort"] = json!(new.address.to_string());
     instances.push(added);
-    gateway.reloads(&changed);
-    a_new_caller_is_served(&gateway, 1);
-    assert_eq!(new.has_had(), 1);
-    drop(links);
-    gateway.was_never_out_of_descriptors(64);
+    gateway.reload(&changed);
+    assert_new_caller_served(&gateway, 1);
+    assert_eq!(new.set_up_count(), 1);
+    drop(connections);
+    gateway.assert_never_out_of_descriptors(64);
 }
 
-/// So many at once, from some threads; what each of them says, and how it fared.
-fn burst(gateway: &Gateway, size: u64, says: impl Fn(u64) -> String + Sync) -> Vec<Fate> {
-    let (says, threads) = (&says, 10);
+/// Opens so many connections at once from ten threads and sends each its text. Returns the outcomes.
+fn connect_burst(gateway: &Gateway, size: u64, text_of: impl Fn(u64) -> String + Sync) -> Vec<Outcome> {
+    let (text_of, threads) = (&text_of, 10);
     std::thread::scope(|scope| {
-        let some = |first: u64| {
+        let start_thread = |first: u64| {
             scope.spawn(move || {
-                let mine = (first..size).step_by(threads);
-                let streams = mine.map(|n| {
-                    let mut stream = gateway.client();
-                    let said = stream.write_all(says(n).as_bytes());
-                    (stream, said)
+                let numbers = (first..size).step_by(threads);
+                let streams = numbers.map(|n| {
+                    let mut stream = gateway.connect_client();
+                    let written = stream.write_all(text_of(n).as_bytes());
+                    (stream, written)
                 });
                 let streams: Vec<_> = streams.collect();
                 streams
                     .iter()
-                    .map(|(s, said)| said.as_ref().map_or_else(fault, |()| fate(s)))
+                    .map(|(s, written)| written.as_ref().map_or_else(outcome_of_error, |()| read_outcome(s)))
                     .collect::<Vec<_>>()
             })
         };
-        let running: Vec<_> = (0..threads as u64).map(some).collect();
+        let running: Vec<_> = (0..threads as u64).map(start_thread).collect();
         running.into_iter().flat_map(|thread| thread.join().unwrap()).collect()
     })
 }
 
-/// How many fared how.
-fn counts(fates: &[Fate]) -> [(Fate, usize); 5] {
-    let all = [Fate::Served, Fate::TurnedAway, Fate::Ended, Fate::Reset, Fate::Nothing];
-    all.map(|fate| {
-        let count = fates.iter().filter(|f| **f == fate).count();
-        (fate, count)
+/// The number of clients with each outcome.
+fn count_outcomes(outcomes: &[Outcome]) -> [(Outcome, usize); 5] {
+    let all = [Outcome::Served, Outcome::Refused, Outcome::ClosedSilently, Outcome::Reset, Outcome::TimedOut];
+    all.map(|outcome| {
+        let count = outcomes.iter().filter(|f| **f == outcome).count();
+        (outcome, count)
     })
 }
 
-/// A gateway with 64 descriptors, one core switch and a caller whose call stands, while discovery is down.
-fn small_gateway(test: &str) -> (Gateway, Ready, TcpStream) {
-    let switch = Ready::new();
+/// A gateway with 64 descriptors, one core switch and a caller with an established call, while the name
+/// server is down.
+fn small_gateway(test: &str) -> (Gateway, AnsweringSwitch, TcpStream) {
+    let switch = AnsweringSwitch::new();
     let mut config = node_config(free_address(), free_address(), &[("s-1", switch.address)]);
     config["limits"]["sockets"] = json!(64);
     let gateway = Gateway::start(test, &config);
-    let caller = a_new_caller_is_served(&gateway, 0xffff);
+    let caller = assert_new_caller_served(&gateway, 0xffff);
     (gateway, switch, caller)
 }
 
-fn goes_on(gateway: &Gateway, mut caller: &TcpStream) {
+/// Asserts that this caller's connection is still served, that a new caller is served and that the gateway is
+/// idle then.
+fn assert_still_serving(gateway: &Gateway, mut caller: &TcpStream) {
     caller.write_all(ECHO.as_bytes()).unwrap();
-    assert_eq!(fate(caller), Fate::Served, "the caller with a standing call keeps its connection");
-    a_new_caller_is_served(gateway, 0xeeee);
-    is_at_rest(gateway);
-    gateway.was_never_out_of_descriptors(64);
+    assert_eq!(
+        read_outcome(caller),
+        Outcome::Served,
+        "the caller with an established call keeps its connection"
+    );
+    assert_new_caller_served(gateway, 0xeeee);
+    assert_idle(gateway);
+    gateway.assert_never_out_of_descriptors(64);
 }
 
 #[test]
-fn of_500_callers_at_once_on_64_descriptors_each_is_served_or_turned_away_in_order() {
+fn each_of_500_simultaneous_callers_on_64_descriptors_is_served_or_refused_in_order() {
     let (gateway, _switch, caller) = small_gateway("burst-calls");
-    let fates = burst(&gateway, 500, |n| call(n + 1, 3000));
-    let counts = counts(&fates);
-    // An end without a word is a close that the set-up crossed: its connection had said nothing yet.
-    let bad = fates.iter().any(|f| matches!(f, Fate::Reset | Fate::Nothing));
-    let ended = fates.iter().filter(|f| **f == Fate::Ended).count();
-    assert!(!bad && ended <= 50, "{counts:?}");
-    // All seats hold calls that stand, and the longest idle of them has made room: it comes again.
+    let outcomes = connect_burst(&gateway, 500, |n| set_up_line(n + 1, 3000));
+    let counts = count_outcomes(&outcomes);
+    // An end without a message is a close that crossed the set-up: the gateway had read nothing on that
+    // connection yet.
+    let any_failed = outcomes.iter().any(|f| matches!(f, Outcome::Reset | Outcome::TimedOut));
+    let closed = outcomes.iter().filter(|f| **f == Outcome::ClosedSilently).count();
+    assert!(!any_failed && closed <= 50, "{counts:?}");
+    // All connection slots belong to callers with established calls, and the longest idle one has been closed
+    // for a newcomer: it connects again.
     drop(caller);
-    goes_on(&gateway, &a_new_caller_is_served(&gateway, 0xdddd));
+    assert_still_serving(&gateway, &assert_new_caller_served(&gateway, 0xdddd));
 }
 
 #[test]
-fn of_500_that_pass_the_test_at_once_on_64_descriptors_none_meets_a_reset() {
+fn none_of_500_simultaneous_health_checks_on_64_descriptors_is_reset() {
     let (gateway, _switch, caller) = small_gateway("burst-tests");
-    let fates = burst(&gateway, 500, |_| ECHO.to_owned());
-    let counts = counts(&fates);
-    let bad = fates.iter().any(|f| matches!(f, Fate::Reset | Fate::Nothing));
-    assert!(!bad, "{counts:?}");
-    goes_on(&gateway, &caller);
+    let outcomes = connect_burst(&gateway, 500, |_| ECHO.to_owned());
+    let counts = count_outcomes(&outcomes);
+    let any_failed = outcomes.iter().any(|f| matches!(f, Outcome::Reset | Outcome::TimedOut));
+    assert!(!any_failed, "{counts:?}");
+    assert_still_serving(&gateway, &caller);
 }
 
 #[test]
-fn of_500_silent_ones_at_once_on_64_descriptors_each_comes_to_an_orderly_end() {
+fn each_of_500_simultaneous_silent_connections_on_64_descriptors_is_closed_in_order() {
     let (gateway, _switch, caller) = small_gateway("burst-silent");
-    let fates = burst(&gateway, 500, |_| String::new());
-    let counts = counts(&fates);
-    let bad = fates.iter().any(|f| matches!(f, Fate::Reset | Fate::Nothing));
-    assert!(!bad, "{counts:?}");
-    goes_on(&gateway, &caller);
+    let outcomes = connect_burst(&gateway, 500, |_| String::new());
+    let counts = count_outcomes(&outcomes);
+    let any_failed = outcomes.iter().any(|f| matches!(f, Outcome::Reset | Outcome::TimedOut));
+    assert!(!any_failed, "{counts:?}");
+    assert_still_serving(&gateway, &caller);
 }
