--- a/crates/fawnrouterd/tests/concurrent_events.rs
+++ b/crates/fawnrouterd/tests/concurrent_events.rs
@@ -26,8 +26,7 @@
 /// Longer than the guard and the interval at which the gateway checks the calls that wait.
 const PAST_GUARD: Duration = Duration::from_millis(500);
 
-// ---- Core switches
-// ----------------------------------------------------------------------------------------------
+// ---- Core switches ----
 /// A message that a core switch received, with its connection and time of arrival.
 struct Received {
     connection: Arc<TcpStream>,
@@ -134,8 +133,7 @@
     }
 }
 
-// ---- Callers
-// ------------------------------------------------------------------------------------------------------
+// ---- Callers ----
 fn new_call_id() -> String {
     static NEXT: AtomicU64 = AtomicU64::new(0xca11_0000_0000_0000);
     format!("{:016x}", NEXT.fetch_add(1, Ordering::Relaxed))
@@ -147,11 +145,11 @@
         "opts": {"class": "voice", "left": left_ms.to_string(), "key": tag}})
 }
 
-fn started(tag: &str) -> Value {
+fn started_message(tag: &str) -> Value {
     json!({"verb": "STARTED", "tag": tag, "opts": {}, "blob": format!("answer\r\n{tag}")})
 }
 
-fn finish(tag: &str, rc: i64) -> Value {
+fn finish_message(tag: &str, rc: i64) -> Value {
     json!({"verb": "FINISH", "tag": tag, "opts": {}, "rc": rc})
 }
 
@@ -204,7 +202,7 @@
 fn withdraw(caller: Caller, tag: &str, how: Withdrawal) -> Option<Caller> {
     match how {
         Withdrawal::Finish => {
-            caller.send(&finish(tag, 16));
+            caller.send(&finish_message(tag, 16));
             return Some(caller);
         }
         // A child process that another test is starting holds copies of all descriptors until it executes its
@@ -235,8 +233,7 @@
     (&caller.stream).write_all(health_checks(400).as_bytes()).unwrap();
 }
 
-// ---- The gateway
-// --------------------------------------------------------------------------------------------------
+// ---- The gateway ----
 /// A gateway and its name server.
 struct Fixture {
     gateway: Gateway,
@@ -287,10 +284,10 @@
             let (mut caller, tag) = (connect_caller(&self.gateway), new_call_id());
             caller.send(&set_up_message(&tag, 6000));
             all.extend(switch.receive_until("START", &tag));
-            send_line(&all.last().unwrap().connection, &started(&tag));
+            send_line(&all.last().unwrap().connection, &started_message(&tag));
             assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
             std::thread::sleep(pause);
-            caller.send(&finish(&tag, 16));
+            caller.send(&finish_message(&tag, 16));
             all.extend(switch.receive_until("FINISH", &tag));
             all.retain(|h| h.line["tag"] != *tag);
         }
@@ -301,7 +298,7 @@
 /// Waits until the gateway has handled all that the switch sent on this connection.
 fn wait_until_handled(switch: &CoreSwitch, connection: &TcpStream) {
     let unknown = new_call_id();
-    send_line(connection, &finish(&unknown, 16));
+    send_line(connection, &finish_message(&unknown, 16));
     assert_no_set_up(&switch.receive_until("FINISHED", &unknown));
 }
 
@@ -344,15 +341,15 @@
     let (line, answer) = (to_lines([line]).repeat(500), 500 * to_lines([answer]).len());
     let mut other = connect_caller(gateway);
     let (local, remote) = (connection.local_addr().unwrap(), connection.peer_addr().unwrap());
-    for said in 1..1200 {
+    for rounds in 1..1200 {
         connection.write_all(line.as_bytes()).unwrap();
         // Checked again once the received bytes have been acknowledged, which may free buffer space.
-        let full = is_full(&mut other, local, remote, said * answer) && {
+        let full = is_full(&mut other, local, remote, rounds * answer) && {
             std::thread::sleep(Duration::from_millis(100));
-            is_full(&mut other, local, remote, said * answer)
+            is_full(&mut other, local, remote, rounds * answer)
         };
         if full {
-            return said * answer;
+            return rounds * answer;
         }
     }
     panic!("the kernel buffers of the connection do not fill up");
@@ -362,7 +359,7 @@
 fn fill_switch(gateway: &Gateway, connection: &TcpStream) {
     let tag = new_call_id();
     let answer = json!({"verb": "FINISHED", "tag": tag, "opts": {}});
-    fill_connection(gateway, connection, &finish(&tag, 16), &answer);
+    fill_connection(gateway, connection, &finish_message(&tag, 16), &answer);
 }
 
 /// Fills the connection of a caller that does not read with answers to health checks.
@@ -413,8 +410,7 @@
     assert!(failed.is_empty(), "fails for {failed:?}");
 }
 
-// ---- Callers that leave
-// ------------------------------------------------------------------------------------------
+// ---- Callers that leave ----
 #[test]
 fn held_call_is_not_set_up_when_circuits_become_free_as_its_caller_leaves() {
     for_each_variant(&WITHDRAWALS, |how| {
@@ -423,14 +419,14 @@
         let (open, held) = (new_call_id(), new_call_id());
         first.send(&set_up_message(&open, 8000));
         let connection = switch.next_set_up(&open).connection;
-        send_line(&connection, &started(&open));
+        send_line(&connection, &started_message(&open));
         // The gateway sends nothing more to a switch that has reported that no circuit is free.
         send_line(&connection, &load_report(0));
         wait_until_handled(&switch, &connection);
         second.send(&set_up_message(&held, 8000));
         received_so_far(&mut second);
         fixture.stop();
-        send_line(&connection, &finish(&open, 16));
+        send_line(&connection, &finish_message(&open, 16));
         send_line(&connection, &load_report(9));
         send_health_checks(&second);
         let _remaining_caller = withdraw(second, &held, how);
@@ -449,7 +445,7 @@
         let (caller, tag) = (connect_caller(&fixture.gateway), new_call_id());
         caller.send(&set_up_message(&tag, 8000));
         let connection = switch.next_set_up(&tag).connection;
-        send_line(&connection, &finish(&tag, 41));
+        send_line(&connection, &finish_message(&tag, 41));
         wait_until_handled(&switch, &connection);
         fixture.stop();
         send_health_checks(&caller);
@@ -531,12 +527,12 @@
         let connection = switch.next_set_up(&tag).connection;
         fixture.stop();
         if switch_first {
-            send_line(&connection, &started(&tag));
+            send_line(&connection, &started_message(&tag));
             send_health_checks(&caller);
         }
         let remaining_caller = withdraw(caller, &tag, how);
         if !switch_first {
-            send_line(&connection, &started(&tag));
+            send_line(&connection, &started_message(&tag));
         }
         std::thread::sleep(CALLER_GONE_DELAY);
         fixture.resume();
@@ -562,7 +558,7 @@
             let filled = fill_caller(&fixture.gateway, &caller);
             caller.send(&set_up_message(&tag, 8000));
             let connection = switch.next_set_up(&tag).connection;
-            send_line(&connection, &started(&tag));
+            send_line(&connection, &started_message(&tag));
             wait_until_handled(&switch, &connection);
             let (local, remote) = (caller.stream.local_addr().unwrap(), caller.stream.peer_addr().unwrap());
             (unread_bytes(remote, local) < filled).then_some((caller, tag))
@@ -617,7 +613,7 @@
     let (mut caller, tag) = (connect_caller(&fixture.gateway), new_call_id());
     fixture.stop();
     (&caller.stream)
-        .write_all(to_lines([&set_up_message(&tag, 8000), &finish(&tag, 16)]).as_bytes())
+        .write_all(to_lines([&set_up_message(&tag, 8000), &finish_message(&tag, 16)]).as_bytes())
         .unwrap();
     std::thread::sleep(CALLER_GONE_DELAY);
     fixture.resume();
@@ -634,7 +630,7 @@
         let tags: Vec<String> = (0..500).map(|_| new_call_id()).collect();
         let mut all = to_lines(&tags.iter().map(|t| set_up_message(t, 8000)).collect::<Vec<_>>());
         if how == Withdrawal::Finish {
-            all += &to_lines(&tags.iter().map(|t| finish(t, 16)).collect::<Vec<_>>());
+            all += &to_lines(&tags.iter().map(|t| finish_message(t, 16)).collect::<Vec<_>>());
         }
         fixture.stop();
         (&caller.stream).write_all(all.as_bytes()).unwrap();
@@ -660,7 +656,7 @@
     let first = switch.next_set_up(&tag);
     let withdrawn = Instant::now();
     (&caller.stream)
-        .write_all(to_lines([&finish(&tag, 16), &set_up_message(&tag, 8000)]).as_bytes())
+        .write_all(to_lines([&finish_message(&tag, 16), &set_up_message(&tag, 8000)]).as_bytes())
         .unwrap();
     assert_eq!(caller.receive().unwrap()["verb"], "FINISHED");
     // The gateway may refuse the second set-up or send it later.
@@ -676,16 +672,15 @@
     );
 }
 
-// ---- Further attempts
-// --------------------------------------------------------------------------------------------
+// ---- Further attempts ----
 #[test]
 fn switch_message_that_crosses_attempt_timeout_leads_to_one_consistent_answer() {
     let tag = "0000000000000001";
     for_each_variant(&["STARTED", "error", "reset"], |message| {
         let message = match message {
-            "STARTED" => started(tag),
-            "error" => finish(tag, 17),
-            _ => finish(tag, 41),
+            "STARTED" => started_message(tag),
+            "error" => finish_message(tag, 17),
+            _ => finish_message(tag, 41),
         };
         let (fixture, switch) = fixture_with_switch("time-out");
         let mut caller = connect_caller(&fixture.gateway);
@@ -719,7 +714,9 @@
     caller.send(&set_up_message(&tag, 400));
     let start = switch.next_set_up(&tag);
     assert_eq!(caller.receive().unwrap()["verb"], "FINISH");
-    (&*start.connection).write_all(to_lines([&started(&tag), &started(&tag)]).as_bytes()).unwrap();
+    (&*start.connection)
+        .write_all(to_lines([&started_message(&tag), &started_message(&tag)]).as_bytes())
+        .unwrap();
     let switch_messages = switch.receive_until("FINISH", &tag);
     assert!(switch_messages.last().unwrap().on_same_connection_as(&start));
     assert_no_set_up(&fixture.assert_serves_further_calls(&switch));
@@ -733,11 +730,13 @@
     caller.send(&set_up_message(&tag, 8000));
     let first = switch.next_set_up(&tag);
     let reset = Instant::now();
-    (&*first.connection).write_all(to_lines([&finish(&tag, 41), &started(&tag)]).as_bytes()).unwrap();
+    (&*first.connection)
+        .write_all(to_lines([&finish_message(&tag, 41), &started_message(&tag)]).as_bytes())
+        .unwrap();
     let mut switch_messages = switch.receive_until("START", &tag);
     let second = switch_messages.pop().unwrap();
     assert!(second.at - reset >= GUARD && !second.on_same_connection_as(&first));
-    send_line(&second.connection, &started(&tag));
+    send_line(&second.connection, &started_message(&tag));
     assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
     switch_messages.extend(fixture.assert_serves_further_calls(&switch));
     let released: Vec<bool> = switch_messages
@@ -767,13 +766,13 @@
         assert!(begun.elapsed() < TIMEOUT, "no set-up came");
         std::thread::yield_now();
     };
-    send_line(&first.connection, &finish(&tag, 41));
+    send_line(&first.connection, &finish_message(&tag, 41));
     let second = switches[1 - first_index].next_set_up(&tag);
-    send_line(&second.connection, &started(&tag));
+    send_line(&second.connection, &started_message(&tag));
     assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
-    send_line(&first.connection, &started(&tag));
+    send_line(&first.connection, &started_message(&tag));
     switches[first_index].receive_until("FINISH", &tag);
-    send_line(&second.connection, &finish(&tag, 16));
+    send_line(&second.connection, &finish_message(&tag, 16));
     let switch_messages = switches[1 - first_index].receive_until("FINISHED", &tag);
     assert!(
         !switch_messages.iter().any(|h| h.is_message("FINISH", &tag)),
@@ -790,11 +789,11 @@
 fn duplicate_answer_neither_reaches_caller_nor_ends_call() {
     let (fixture, switch) = fixture_with_switch("copy");
     let (mut caller, tag, connection) = establish_call(&fixture, &switch);
-    send_line(&connection, &started(&tag));
+    send_line(&connection, &started_message(&tag));
     let switch_messages = fixture.assert_serves_further_calls(&switch);
     assert!(!switch_messages.iter().any(|h| h.is_message("FINISH", &tag)), "the call stays established");
     assert_eq!(verbs_of_call(&received_so_far(&mut caller), &tag), [""; 0], "one answer");
-    caller.send(&finish(&tag, 16));
+    caller.send(&finish_message(&tag, 16));
     switch.receive_until("FINISH", &tag);
     assert_eq!(verbs_of_call(&received_so_far(&mut caller), &tag), ["FINISHED"]);
 }
@@ -808,7 +807,7 @@
     let begun = Instant::now();
     // Attempts may be made for 1.8 s of the 2.4 s; the guard ends at that time.
     std::thread::sleep(Duration::from_millis(1600).saturating_sub(begun.elapsed()));
-    send_line(&connection, &finish(&tag, 41));
+    send_line(&connection, &finish_message(&tag, 41));
     wait_until_handled(&switch, &connection);
     fixture.stop();
     std::thread::sleep(Duration::from_millis(1860).saturating_sub(begun.elapsed()));
@@ -851,14 +850,13 @@
     });
 }
 
-// ---- Established calls
-// -------------------------------------------------------------------------------------------
+// ---- Established calls ----
 /// Establishes a call and returns its caller, its id and the connection to the core switch.
 fn establish_call(fixture: &Fixture, switch: &CoreSwitch) -> (Caller, String, Arc<TcpStream>) {
     let (mut caller, tag) = (connect_caller(&fixture.gateway), new_call_id());
     caller.send(&set_up_message(&tag, 6000));
     let connection = switch.next_set_up(&tag).connection;
-    send_line(&connection, &started(&tag));
+    send_line(&connection, &started_message(&tag));
     assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
     (caller, tag, connection)
 }
@@ -870,12 +868,12 @@
         let (mut caller, tag, connection) = establish_call(&fixture, &switch);
         fixture.stop();
         if switch_first {
-            send_line(&connection, &finish(&tag, 16));
+            send_line(&connection, &finish_message(&tag, 16));
             send_health_checks(&caller);
         }
-        caller.send(&finish(&tag, 16));
+        caller.send(&finish_message(&tag, 16));
         if !switch_first {
-            send_line(&connection, &finish(&tag, 16));
+            send_line(&connection, &finish_message(&tag, 16));
         }
         fixture.resume();
         let switch_messages = fixture.assert_serves_further_calls(&switch);
@@ -901,10 +899,10 @@
         let mut line = String::new();
         reader.read_line(&mut line).unwrap();
         assert!(line.contains(&tag));
-        send_line(&connection, &started(&tag));
+        send_line(&connection, &started_message(&tag));
         assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
         fixture.stop();
-        send_line(&connection, &finish(&tag, 16));
+        send_line(&connection, &finish_message(&tag, 16));
         if reset {
             rustix::net::sockopt::set_socket_linger(&connection, Some(Duration::ZERO)).unwrap();
         }
@@ -917,11 +915,11 @@
         // the protocol asks.
         let start = switch.next_set_up(&next);
         if reset {
-            send_line(&start.connection, &finish(&tag, 16));
+            send_line(&start.connection, &finish_message(&tag, 16));
         }
         let release = caller.receive().unwrap();
         assert_eq!((&release["verb"], &release["tag"]), (&json!("FINISH"), &json!(tag)));
-        send_line(&start.connection, &started(&next));
+        send_line(&start.connection, &started_message(&next));
         let caller_messages = received_so_far(&mut caller);
         assert_eq!(verbs_of_call(&caller_messages, &tag), [""; 0], "once");
         fixture.assert_serves_further_calls(&switch);
@@ -934,7 +932,7 @@
     let (mut other, next) = (connect_caller(&fixture.gateway), new_call_id());
     other.send(&set_up_message(&next, 6000));
     let connection = switch.next_set_up(&next).connection;
-    send_line(&connection, &started(&next));
+    send_line(&connection, &started_message(&next));
     wait_until_handled(switch, &connection);
     let caller_messages = received_so_far(&mut other);
     assert_eq!(verbs_of_call(&caller_messages, &next), ["STARTED"]);
@@ -952,7 +950,7 @@
         let (caller, tag, connection) = establish_call(&fixture, &switch);
         withdraw(caller, &tag, how);
         received_so_far(&mut connect_caller(&fixture.gateway));
-        send_line(&connection, &finish(&tag, 16));
+        send_line(&connection, &finish_message(&tag, 16));
         switch.receive_until("FINISHED", &tag);
         assert_release_sent_on_next_connection(&fixture, &switch, &tag);
     });
@@ -971,12 +969,12 @@
         let (caller, tag, connection) = establish_call(&fixture, &switch);
         fixture.stop();
         if switch_first {
-            send_line(&connection, &finish(&tag, 16));
+            send_line(&connection, &finish_message(&tag, 16));
             send_health_checks(&caller);
         }
         withdraw(caller, &tag, how);
         if !switch_first {
-            send_line(&connection, &finish(&tag, 16));
+            send_line(&connection, &finish_message(&tag, 16));
         }
         fixture.resume();
         switch.receive_until("FINISHED", &tag);
@@ -999,11 +997,11 @@
         let connection = switch.next_set_up(&tag).connection;
         fixture.stop();
         if switch_first {
-            send_line(&connection, &started(&tag));
+            send_line(&connection, &started_message(&tag));
         }
         other.send(&established_call_report(&tag));
         if !switch_first {
-            send_line(&connection, &started(&tag));
+            send_line(&connection, &started_message(&tag));
         }
         fixture.resume();
         assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
@@ -1012,7 +1010,7 @@
             [""; 0],
             "a report of an established call gets no answer"
         );
-        send_line(&connection, &finish(&tag, 16));
+        send_line(&connection, &finish_message(&tag, 16));
         switch.receive_until("FINISHED", &tag);
         let (caller, other) = (received_so_far(&mut caller), received_so_far(&mut other));
         // The release may be sent on any caller's connection.
@@ -1030,9 +1028,9 @@
     // The report gets no answer and may name a call that the gateway has in hand.
     caller.send(&established_call_report(&tag));
     assert_eq!(verbs_of_call(&received_so_far(&mut caller), &tag), [""; 0]);
-    send_line(&connection, &started(&tag));
+    send_line(&connection, &started_message(&tag));
     assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
-    send_line(&connection, &finish(&tag, 16));
+    send_line(&connection, &finish_message(&tag, 16));
     assert_eq!(verbs_of_call(&[caller.receive().unwrap()], &tag), ["FINISH"]);
     let switch_messages = fixture.assert_serves_further_calls(&switch);
     assert!(
--- a/crates/fawnrouterd/tests/node.rs
+++ b/crates/fawnrouterd/tests/node.rs
@@ -27,11 +27,11 @@
 /// The id of the call in each test.
 const CALL_ID: &str = "9b1f03aa5c7e2d41";
 
-fn started(tag: &str) -> serde_json::Value {
+fn started_message(tag: &str) -> serde_json::Value {
     json!({"verb": "STARTED", "tag": tag, "opts": {}, "blob": format!("answer\r\n{tag}")})
 }
 
-fn finish(tag: &str, rc: i64) -> serde_json::Value {
+fn finish_message(tag: &str, rc: i64) -> serde_json::Value {
     json!({"verb": "FINISH", "tag": tag, "opts": {}, "rc": rc})
 }
 
@@ -44,14 +44,14 @@
     caller.send_set_up(CALL_ID, 3000);
     let (connection, start) = switch.next_message("START");
     assert_eq!((&start["tag"], &start["blob"]), (&json!(CALL_ID), &json!(format!("offer\r\n{CALL_ID}"))));
-    send_line(&connection, &started(CALL_ID));
+    send_line(&connection, &started_message(CALL_ID));
     let received = caller.receive().unwrap();
     assert_eq!(
         (&received["verb"], &received["blob"]),
         (&json!("STARTED"), &json!(format!("answer\r\n{CALL_ID}")))
     );
-    send_line(&connection, &finish(CALL_ID, 16));
-    assert_eq!(caller.receive().unwrap(), finish(CALL_ID, 16));
+    send_line(&connection, &finish_message(CALL_ID, 16));
+    assert_eq!(caller.receive().unwrap(), finish_message(CALL_ID, 16));
 }
 
 #[test]
@@ -64,11 +64,11 @@
     let (connection, _) = switch.next_message("START");
     connection.shutdown(Shutdown::Both).unwrap();
     let (connection, _) = switch.next_message("START");
-    send_line(&connection, &started("00000000deadbeef"));
-    send_line(&connection, &started(CALL_ID));
-    send_line(&connection, &started(CALL_ID));
+    send_line(&connection, &started_message("00000000deadbeef"));
+    send_line(&connection, &started_message(CALL_ID));
+    send_line(&connection, &started_message(CALL_ID));
     assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
-    caller.send(&finish(CALL_ID, 16));
+    caller.send(&finish_message(CALL_ID, 16));
     assert_eq!(caller.receive().unwrap()["verb"], "FINISHED");
 }
 
@@ -91,7 +91,7 @@
     let mut caller = gateway.connect_caller();
     caller.send_set_up(CALL_ID, 8000);
     let (connection, _) = new.next_message("START");
-    send_line(&connection, &started(CALL_ID));
+    send_line(&connection, &started_message(CALL_ID));
     assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
 }
 
@@ -107,7 +107,7 @@
     assert_eq!(caller.receive().unwrap()["rc"], 1, "ready");
     caller.send_set_up(CALL_ID, 3000);
     let (connection, _) = switch.next_message("START");
-    send_line(&connection, &started(CALL_ID));
+    send_line(&connection, &started_message(CALL_ID));
     assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
     let new = Switch::new();
     let restored = NameServer::listening_at(name_server, zone_with(2, &[("s-1", &switch), ("s-2", &new)]));
@@ -133,7 +133,7 @@
     other.wait_for_queries(1);
     gateway.wait_for_log("starts cold");
     drop(name_server);
-    send_line(&connection, &started(CALL_ID));
+    send_line(&connection, &started_message(CALL_ID));
     assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
 }
 
@@ -150,9 +150,9 @@
     assert_eq!(caller.receive().unwrap()["rc"], 0);
     caller.send_set_up("9b1f03aa5c7e2d42", 5000);
     let (second, _) = switch.next_message("START");
-    send_line(&second, &started("9b1f03aa5c7e2d42"));
+    send_line(&second, &started_message("9b1f03aa5c7e2d42"));
     assert_eq!(caller.receive().unwrap()["tag"], "9b1f03aa5c7e2d42");
-    send_line(&connection, &finish(CALL_ID, 17));
+    send_line(&connection, &finish_message(CALL_ID, 17));
     let received = caller.receive().unwrap();
     assert_eq!(received["tag"], CALL_ID);
     assert!(gateway.wait().success());
@@ -173,7 +173,7 @@
     gateway.send_signal(Signal::STOP);
     let released = json!({"verb": "FINISHED", "tag": CALL_ID, "opts": {}}).to_string() + "\n";
     other.stream.write_all(released.repeat(1900).as_bytes()).unwrap();
-    send_line(&connection, &started(CALL_ID));
+    send_line(&connection, &started_message(CALL_ID));
     std::thread::sleep(std::time::Duration::from_millis(800));
     gateway.send_signal(Signal::CONT);
     assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
@@ -205,7 +205,7 @@
     assert_eq!(caller.receive().unwrap()["rc"], 100);
     caller.send_set_up(CALL_ID, 3000);
     let (connection, _) = switch.next_message("START");
-    send_line(&connection, &started(CALL_ID));
+    send_line(&connection, &started_message(CALL_ID));
     assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
     for slow in [&mut silent, &mut half] {
         assert_eq!(slow.receive().unwrap()["rc"], 96);
@@ -219,15 +219,15 @@
     let mut caller = gateway.connect_caller();
     caller.send_set_up(CALL_ID, 3000);
     let (connection, _) = switch.next_message("START");
-    send_line(&connection, &started(CALL_ID));
+    send_line(&connection, &started_message(CALL_ID));
     assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
     let gateway = gateway.restart();
     let mut caller = gateway.connect_caller();
     caller.send(&json!({"verb": "START", "tag": CALL_ID, "blob": "offer", "opts": {"class": "voice", "extras": "at:s-1"}}));
     caller.send_set_up("9b1f03aa5c7e2d42", 3000);
     let (connection, _) = switch.next_message("START");
-    send_line(&connection, &finish(CALL_ID, 16));
-    assert_eq!(caller.receive().unwrap(), finish(CALL_ID, 16));
+    send_line(&connection, &finish_message(CALL_ID, 16));
+    assert_eq!(caller.receive().unwrap(), finish_message(CALL_ID, 16));
 }
 
 #[test]
--- a/crates/fawnrouterd/tests/shutdown.rs
+++ b/crates/fawnrouterd/tests/shutdown.rs
@@ -29,8 +29,7 @@
 /// Ends a test that would hang.
 const TIMEOUT: Duration = Duration::from_secs(8);
 
-// ---- Test doubles
-// ---------------------------------------------------------------------------------------------
+// ---- Test doubles ----
 
 /// A message that a core switch received, with its time of arrival and its connection.
 struct Received {
@@ -105,17 +104,17 @@
     if line["verb"] == "START" {
         let tag = line["tag"].as_str().unwrap();
         // A write error is ignored: the test itself checks whether the gateway is still there.
-        let _ = { connection }.write_all(format!("{}\n", started(tag)).as_bytes());
+        let _ = { connection }.write_all(format!("{}\n", started_message(tag)).as_bytes());
     }
 }
 
 fn never_answer(_: &TcpStream, _: &Value) {}
 
-fn started(tag: &str) -> Value {
+fn started_message(tag: &str) -> Value {
     json!({"verb": "STARTED", "tag": tag, "opts": {}, "blob": format!("answer\r\n{tag}")})
 }
 
-fn finish(tag: &str, rc: i64) -> Value {
+fn finish_message(tag: &str, rc: i64) -> Value {
     json!({"verb": "FINISH", "tag": tag, "opts": {}, "rc": rc})
 }
 
@@ -177,20 +176,20 @@
 
     /// Sends SIGTERM and waits until the gateway fails the health check. Returns the connection of the check.
     fn begin_shutdown(&self) -> Caller {
-        let mut checker = self.connect_caller();
+        let mut prober = self.connect_caller();
         self.gateway.send_signal(Signal::TERM);
         self.gateway.wait_for_log("ending");
-        while health_check_result(&mut checker) == 1 {}
-        checker
+        while health_check_result(&mut prober) == 1 {}
+        prober
     }
 
     /// Sends SIGTERM, then stops the gateway while `meanwhile` runs and its serving time passes. The first
     /// thing that the gateway finds when it resumes is a health check on another connection, so that it
     /// learns at the earliest possible point that the time is over.
     fn shut_down_while_stopped(&self, meanwhile: impl FnOnce()) {
-        let checker = self.begin_shutdown();
+        let prober = self.begin_shutdown();
         self.while_stopped(|| {
-            checker.send(&echo());
+            prober.send(&health_check());
             meanwhile();
             sleep(PAST_SERVING_TIME);
         });
@@ -200,7 +199,7 @@
     fn while_stopped(&self, meanwhile: impl FnOnce()) {
         self.gateway.send_signal(Signal::STOP);
         let tasks = format!("/proc/{}/task", self.gateway.process_id());
-        wait_until("the gateway stands still", || {
+        wait_until("the gateway is stopped", || {
             let tasks = std::fs::read_dir(&tasks).unwrap();
             tasks.flatten().all(|task| process_state(&task.path().join("stat")) == Some('T'))
         });
@@ -220,13 +219,13 @@
     }
 }
 
-fn echo() -> Value {
+fn health_check() -> Value {
     json!({"verb": "ECHO", "tag": "00000000000000aa", "opts": {}, "rc": 0})
 }
 
-/// The `rc` in the answer to a health check: 1 while the gateway accepts set-ups.
+/// The `rc` in the answer to a health check: 1 if the check is passed.
 fn health_check_result(caller: &mut Caller) -> i64 {
-    caller.send(&echo());
+    caller.send(&health_check());
     let line = caller.receive().unwrap();
     assert_eq!(line["verb"], "ECHOED");
     line["rc"].as_i64().unwrap()
@@ -320,8 +319,7 @@
     );
 }
 
-// ---- Set-ups that cross the shutdown
-// --------------------------------------------------------------------------
+// ---- Set-ups that cross the shutdown ----
 
 #[test]
 fn set_up_half_read_at_sigterm_is_answered_once() {
@@ -391,7 +389,7 @@
     let finished_line = format!("{}\n", json!({"verb": "FINISHED", "tag": call_id(3), "opts": {}}));
     fixture.shut_down_while_stopped(|| {
         write_text(&other.stream, &(finished_line.repeat(300) + &set_up_line(&behind, 3000)));
-        send_line(&attempt.connection, &started(&first));
+        send_line(&attempt.connection, &started_message(&first));
     });
     expect_one_answer_each([&caller], [&first]);
     expect_one_answer_each([&other], [&behind]);
@@ -401,12 +399,12 @@
 #[test]
 fn set_up_unread_on_just_accepted_connection_is_answered_once() {
     let fixture = start_fixture("accepted", 256, answer_set_up);
-    let checker = fixture.begin_shutdown();
+    let prober = fixture.begin_shutdown();
     let before = open_descriptors(&fixture.gateway);
     let caller = fixture.gateway.connect_caller();
     wait_until("the connection is accepted", || open_descriptors(&fixture.gateway) > before);
     fixture.while_stopped(|| {
-        checker.send(&echo());
+        prober.send(&health_check());
         caller.send_set_up(&call_id(1), 3000);
         sleep(PAST_SERVING_TIME);
     });
@@ -472,7 +470,7 @@
     fixture.shut_down_while_stopped(|| {
         // The answer to the open attempt is unread as well, so that no call may be open any more after the
         // first read.
-        send_line(&attempt.connection, &started(&open));
+        send_line(&attempt.connection, &started_message(&open));
         caller.send_set_up(&same, 3000);
         other.send_set_up(&on_other, 3000);
     });
@@ -510,12 +508,12 @@
     let mut caller = fixture.connect_caller();
     caller.send_set_up(&call_id(1), 1500);
     fixture.switch.next_message("START");
-    let asked = Instant::now();
+    let set_up_sent = Instant::now();
     fixture.begin_shutdown();
     let line = caller.receive().expect("an answer");
     assert_eq!((&line["verb"], &line["tag"]), (&json!("FINISH"), &json!(call_id(1))));
     // The time of the call and half a second, after which an answer is of no use.
-    assert!(asked.elapsed() < Duration::from_millis(2000));
+    assert!(set_up_sent.elapsed() < Duration::from_millis(2000));
     assert!(caller.reads_only_eof());
     fixture.assert_exits_within(TIMEOUT);
 }
@@ -524,7 +522,7 @@
 fn call_held_while_no_circuit_is_free_is_answered_once_and_gateway_exits() {
     let fixture = start_fixture("held", 256, |connection, line| {
         if line["verb"] == "START" {
-            let mut full = finish(line["tag"].as_str().unwrap(), 34);
+            let mut full = finish_message(line["tag"].as_str().unwrap(), 34);
             full["opts"] = json!({"note": "group_full"});
             send_line(connection, &full);
         }
@@ -551,7 +549,8 @@
     if line["verb"] == "START" && tag.starts_with("5d") {
         let long = json!({"verb": "STARTED", "tag": tag, "opts": {}, "blob": "x".repeat(15_000)});
         // A write error is ignored: the test itself checks whether the gateway is still there.
-        let _ = { connection }.write_all(format!("{long}\n{}\n", finish(&marker_of(tag), 16)).as_bytes());
+        let _ =
+            { connection }.write_all(format!("{long}\n{}\n", finish_message(&marker_of(tag), 16)).as_bytes());
     } else {
         answer_set_up(connection, line);
     }
@@ -593,22 +592,21 @@
         assert_eq!(marker_caller.receive().unwrap()["verb"], "STARTED");
         caller.send_set_up(&next, 5000);
         // The gateway has by now written all earlier answers, as far as the kernel accepted them.
-        assert_eq!(marker_caller.receive().unwrap(), finish(&marker_of(&next), 16));
+        assert_eq!(marker_caller.receive().unwrap(), finish_message(&marker_of(&next), 16));
         tags.push(next);
         written += length;
     }
     tags
 }
 
-// ---- Releases that cross the shutdown
-// -------------------------------------------------------------------------
+// ---- Releases that cross the shutdown ----
 
 #[test]
 fn caller_release_unread_at_shutdown_reaches_core_switch() {
     let fixture = start_fixture("release", 256, answer_set_up);
     let caller = fixture.establish_call(&call_id(1));
-    fixture.shut_down_while_stopped(|| caller.send(&finish(&call_id(1), 16)));
-    assert_eq!(fixture.switch.next_message("FINISH").line, finish(&call_id(1), 16));
+    fixture.shut_down_while_stopped(|| caller.send(&finish_message(&call_id(1), 16)));
+    assert_eq!(fixture.switch.next_message("FINISH").line, finish_message(&call_id(1), 16));
     drop(caller);
     fixture.assert_exits_within(TIMEOUT);
 }
@@ -625,11 +623,12 @@
     let (last, others) = (call_id(39), &tags);
     let mut later = None;
     fixture.shut_down_while_stopped(|| {
-        let lines = others.iter().filter(|tag| **tag != last).map(|tag| format!("{}\n", finish(tag, 16)));
+        let lines =
+            others.iter().filter(|tag| **tag != last).map(|tag| format!("{}\n", finish_message(tag, 16)));
         write_text(&caller.stream, &lines.collect::<String>());
         // An established call can be released on any connection.
         later = Some(fixture.gateway.connect_caller());
-        later.as_ref().unwrap().send(&finish(&last, 16));
+        later.as_ref().unwrap().send(&finish_message(&last, 16));
     });
     let mut missing = tags.clone();
     let until = Instant::now() + TIMEOUT;
@@ -658,9 +657,9 @@
         // Only the writing side is closed, so that the release arrives in either case: on this connection if
         // the gateway writes it before it sees the close, else on a new one.
         connection.shutdown(Shutdown::Write).unwrap();
-        caller.send(&finish(&call_id(1), 16));
+        caller.send(&finish_message(&call_id(1), 16));
     });
-    assert_eq!(fixture.switch.next_message("FINISH").line, finish(&call_id(1), 16));
+    assert_eq!(fixture.switch.next_message("FINISH").line, finish_message(&call_id(1), 16));
     drop(caller);
     fixture.assert_exits_within(TIMEOUT);
 }
@@ -677,7 +676,7 @@
     let before = open_descriptors(&fixture.gateway);
     connection.shutdown(Shutdown::Both).unwrap();
     wait_until("the gateway has seen the close", || open_descriptors(&fixture.gateway) < before);
-    caller.send(&finish(&call_id(1), 16));
+    caller.send(&finish_message(&call_id(1), 16));
     assert_eq!(caller.receive().unwrap()["verb"], "FINISHED");
     fixture
 }
@@ -689,7 +688,7 @@
     fixture.shut_down_while_stopped(|| {
         returned = Some(CoreSwitch::listening_at(fixture.switch.address, usize::MAX, answer_set_up))
     });
-    assert_eq!(returned.unwrap().next_message("FINISH").line, finish(&call_id(1), 16));
+    assert_eq!(returned.unwrap().next_message("FINISH").line, finish_message(&call_id(1), 16));
     fixture.assert_exits_within(TIMEOUT);
 }
 
@@ -700,7 +699,7 @@
     // All callers' connections are closed by now: nothing else keeps the gateway from exiting.
     sleep(Duration::from_millis(150));
     let returned = CoreSwitch::listening_at(fixture.switch.address, usize::MAX, answer_set_up);
-    assert_eq!(returned.next_message("FINISH").line, finish(&call_id(1), 16));
+    assert_eq!(returned.next_message("FINISH").line, finish_message(&call_id(1), 16));
     fixture.assert_exits_within(TIMEOUT);
 }
 
@@ -719,15 +718,14 @@
     caller.send_set_up(&call_id(1), 5000);
     assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
     let connection = fixture.switch.next_message("START").connection;
-    fixture.shut_down_while_stopped(|| send_line(&connection, &finish(&call_id(1), 16)));
-    assert_eq!(caller.receive(), Some(finish(&call_id(1), 16)));
+    fixture.shut_down_while_stopped(|| send_line(&connection, &finish_message(&call_id(1), 16)));
+    assert_eq!(caller.receive(), Some(finish_message(&call_id(1), 16)));
     assert_eq!(caller.receive(), None);
     drop(caller);
     fixture.assert_exits_within(TIMEOUT);
 }
 
-// ---- Signals
-// --------------------------------------------------------------------------------------------------
+// ---- Signals ----
 
 #[test]
 fn second_sigterm_does_not_shorten_shutdown() {
@@ -743,7 +741,7 @@
     // Each set-up may be refused or served, but is answered once.
     fixture.gateway.send_signal(Signal::TERM);
     fixture.gateway.send_signal(Signal::INT);
-    send_line(&attempt.connection, &started(&open));
+    send_line(&attempt.connection, &started_message(&open));
     expect_one_answer_each([&caller], [&open]);
     expect_one_answer_each([&other], [&later]);
     fixture.assert_exits_within(TIMEOUT);
@@ -778,14 +776,13 @@
     });
     fixture.gateway.wait_for_log("the configuration stays as it was");
     for tag in [&open, &between] {
-        send_line(&attempt.connection, &finish(tag, 17));
+        send_line(&attempt.connection, &finish_message(tag, 17));
     }
     expect_one_answer_each([&caller], [&open, &between, &later]);
     fixture.assert_exits_within(TIMEOUT);
 }
 
-// ---- Traffic until the exit
-// -----------------------------------------------------------------------------------
+// ---- Traffic until the exit ----
 
 /// A connection that is polled for data and its end.
 struct PolledConnection<'a> {
@@ -922,8 +919,7 @@
     drop((reads_nothing, never_close, half));
 }
 
-// ---- Idle connections that are closed for newcomers
-// -----------------------------------------------------------
+// ---- Idle connections that are closed for newcomers ----
 
 /// Descriptors of a small gateway.
 const DESCRIPTORS: usize = 64;
@@ -942,7 +938,7 @@
 /// the next.
 fn connect_newcomers(fixture: &Fixture, number: usize) -> Vec<Caller> {
     let callers: Vec<_> = (0..number).map(|_| fixture.gateway.connect_caller()).collect();
-    callers.iter().for_each(|caller| caller.send(&echo()));
+    callers.iter().for_each(|caller| caller.send(&health_check()));
     callers
 }
 
@@ -1033,8 +1029,7 @@
     expect_answer(&mut half, &call_id(2));
 }
 
-// ---- Core switches that close their connections
-// ---------------------------------------------------------------
+// ---- Core switches that close their connections ----
 
 /// Asserts that there was a further attempt and that each came no sooner than the guard after the close of
 /// the one before.
--- a/crates/fawnrouterd/tests/switch_list.rs
+++ b/crates/fawnrouterd/tests/switch_list.rs
@@ -21,14 +21,13 @@
 const TIMEOUT: Duration = Duration::from_secs(15);
 /// The grace of a drain in these tests.
 const GRACE: Duration = Duration::from_millis(250);
-/// The gateway sends four queries a second. An interval of 1.5 s means that it stopped asking, even on a busy
+/// The gateway sends four queries a second. An interval of 1.5 s means that it has stopped, even on a busy
 /// machine.
 const MAX_QUERY_INTERVAL: Duration = Duration::from_millis(1500);
 /// The gateway uses a quarter of its descriptors for core switches: one connection to each of sixteen.
 const FEW_DESCRIPTORS: usize = 64;
 
-// ---- A name server that can also respond late, wrongly or not at all
-// -----------------------------------------------
+// ---- A name server that can also respond late, wrongly or not at all ----
 
 fn ready_record(id: &str, address: SocketAddr) -> SwitchRecord {
     SwitchRecord { id: id.to_owned(), address, draining: false, started_ms: 0 }
@@ -141,8 +140,7 @@
     }
 }
 
-// ---- Core switches
-// --------------------------------------------------------------------------------------------------
+// ---- Core switches ----
 
 /// A message that a core switch received, with the number of the connection it came on.
 struct Received {
@@ -249,7 +247,7 @@
     assert_eq!(caller.receive().unwrap()["verb"], "ECHOED");
 }
 
-fn release(tag: &str) -> Value {
+fn finish_message(tag: &str) -> Value {
     json!({"verb": "FINISH", "tag": tag, "opts": {}, "rc": 16})
 }
 
@@ -286,8 +284,7 @@
     }
 }
 
-// ---- Gateways
-// -------------------------------------------------------------------------------------------------------
+// ---- Gateways ----
 
 /// A configuration with a short drain grace and a connect timeout that is long enough for a connection that
 /// is held back.
@@ -301,8 +298,7 @@
 const CALL_ID: &str = "9b1f03aa5c7e2d41";
 const NEXT_CALL_ID: &str = "9b1f03aa5c7e2d42";
 
-// ---- Set-ups under way
-// ----------------------------------------------------------------------------------------------
+// ---- Set-ups under way ----
 
 #[test]
 fn set_up_waiting_for_connection_is_not_sent_to_switch_that_starts_draining() {
@@ -423,7 +419,7 @@
     while byte != *b"\n" {
         connection.read_exact(&mut byte).unwrap();
     }
-    caller.send(&release("f111000000000000"));
+    caller.send(&finish_message("f111000000000000"));
     assert_eq!(caller.receive().unwrap()["verb"], "FINISHED");
     // These calls are released as soon as they are written, so that only their bytes remain.
     let body_length = 15_000;
@@ -433,7 +429,7 @@
         let tag = format!("f1110000{n:08x}");
         caller.send(&start(&tag, body_length));
         wait_until_handled(&mut caller);
-        caller.send(&release(&tag));
+        caller.send(&finish_message(&tag));
         assert_eq!(caller.receive().unwrap(), json!({"verb": "FINISHED", "tag": tag, "opts": {}}));
         if n == 1 {
             bytes_per_round = stable_queued_bytes(at) - before;
@@ -564,8 +560,7 @@
     establish_call_at(&mut caller, CALL_ID, &new);
 }
 
-// ---- Switches that come and go
-// ---------------------------------------------------------------------------------------
+// ---- Switches that come and go ----
 
 #[test]
 fn new_switch_at_address_of_removed_one_has_own_connections_and_no_old_calls() {
@@ -660,7 +655,7 @@
 fn calls_of_switch_relisted_without_new_start_stay_established() {
     let (_gateway, _name_server, mut caller) = delist_and_relist_switch("list-back", false);
     wait_until_handled(&mut caller);
-    caller.send(&release(CALL_ID));
+    caller.send(&finish_message(CALL_ID));
     assert_eq!(
         caller.receive().unwrap()["verb"],
         "FINISHED",
@@ -700,8 +695,7 @@
     drained.assert_no_connection("it has only ever drained");
 }
 
-// ---- Answers that are late, wrong or missing
-// -------------------------------------------------------------------------
+// ---- Answers that are late, wrong or missing ----
 
 #[test]
 fn outdated_and_invalid_lists_are_ignored() {
@@ -844,13 +838,12 @@
         name_server.wait_until_read();
         let tag = format!("{:016x}", round + 1);
         establish_call_at(&mut caller, &tag, &switches[round + 1]);
-        caller.send(&release(&tag));
+        caller.send(&finish_message(&tag));
         assert_eq!(caller.receive().unwrap()["verb"], "FINISHED");
     }
 }
 
-// ---- A new configuration
-// --------------------------------------------------------------------------------------------
+// ---- A new configuration ----
 
 /// Writes a configuration with this name server and sends SIGHUP.
 fn reload(gateway: &Gateway, config: &Value, name_server: &ScriptedNameServer) {
