--- a/crates/fawnrouter-capacity/src/figures.rs
+++ b/crates/fawnrouter-capacity/src/figures.rs
@@ -250,7 +250,7 @@
     ///
     /// # Errors
     /// Where it is damaged or of another form.
-    pub fn read(text: &str) -> Result<Self, ReportError> {
+    pub fn from_json(text: &str) -> Result<Self, ReportError> {
         let report: Self = serde_json::from_str(text)?;
         if report.schema != SCHEMA {
             return Err(ReportError::Schema { found: report.schema });
@@ -262,7 +262,7 @@
     ///
     /// # Errors
     /// Where a figure is no number.
-    pub fn write(&self) -> Result<String, ReportError> {
+    pub fn to_json(&self) -> Result<String, ReportError> {
         let mut text = serde_json::to_string_pretty(self)?;
         text.push('\n');
         Ok(text)
--- a/crates/fawnrouter-capacity/src/hollow/members.rs
+++ b/crates/fawnrouter-capacity/src/hollow/members.rs
@@ -13,7 +13,7 @@
 use super::ledger::Ledger;
 use super::scenario::Place;
 use crate::figures::Cause;
-use crate::platform::{SwitchRow, list_answer};
+use crate::platform::{ListedSwitch, encode_list_answer};
 
 /// A gateway's process.
 pub(crate) struct Process {
@@ -109,7 +109,7 @@
 /// A stand-in core switch: it answers every set-up, holds the call and releases it.
 pub(crate) struct Switch {
     pub place: Place,
-    pub row: SwitchRow,
+    pub row: ListedSwitch,
     pub listed: bool,
     pub state: SwitchState,
     /// How often its state has changed; what concerns an earlier time is dropped.
@@ -124,7 +124,7 @@
 }
 
 impl Switch {
-    pub fn new(place: Place, row: SwitchRow) -> Self {
+    pub fn new(place: Place, row: ListedSwitch) -> Self {
         Self {
             place,
             row,
@@ -215,12 +215,12 @@
 #[derive(Default)]
 pub(crate) struct ServiceList {
     pub serial: u32,
-    pub rows: Vec<SwitchRow>,
+    pub rows: Vec<ListedSwitch>,
     answer: Option<Rc<[u8]>>,
 }
 
 impl ServiceList {
-    pub fn renew(&mut self, rows: Vec<SwitchRow>) {
+    pub fn renew(&mut self, rows: Vec<ListedSwitch>) {
         self.serial += 1;
         self.rows = rows;
         self.answer = None;
@@ -229,7 +229,7 @@
     /// The answer to a question; the same for all questions but for their ids.
     pub fn answer(&mut self, question: &[u8]) -> Rc<[u8]> {
         let (serial, rows) = (self.serial, &self.rows);
-        self.answer.get_or_insert_with(|| list_answer(question, serial, rows).into()).clone()
+        self.answer.get_or_insert_with(|| encode_list_answer(question, serial, rows).into()).clone()
     }
 }
 
--- a/crates/fawnrouter-capacity/src/hollow/runs/configuration.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/configuration.rs
@@ -9,7 +9,7 @@
 use crate::hollow::ledger::Flow;
 use crate::hollow::members::switch_address;
 use crate::hollow::meter::{Allocator, Meter};
-use crate::platform::{GatewayPlace, SwitchRow, gateway_configuration};
+use crate::platform::{GatewayParameters, ListedSwitch, gateway_configuration};
 
 /// A configuration is read this often; the mean is told.
 const READINGS: u32 = 20;
@@ -25,7 +25,7 @@
 /// A configuration whose list names so many core switches.
 fn configuration(seed: u64, switches: u32) -> Value {
     let address = SocketAddr::from(([10, 255, 0, 1], 53));
-    let place = GatewayPlace {
+    let place = GatewayParameters {
         name: "gateway-0".to_owned(),
         listen: address,
         nameserver: address,
@@ -34,7 +34,7 @@
         number: 0,
         descriptors: 1024,
     };
-    let row = |number: u32| SwitchRow {
+    let row = |number: u32| ListedSwitch {
         id: format!("s-{number:08x}"),
         zone: "zone-0".to_owned(),
         cell: number,
@@ -42,7 +42,7 @@
         draining: false,
         started_unix_ms: 0,
     };
-    let rows: Vec<SwitchRow> = (0..switches).map(row).collect();
+    let rows: Vec<ListedSwitch> = (0..switches).map(row).collect();
     gateway_configuration(&place, 1, &rows)
 }
 
--- a/crates/fawnrouter-capacity/src/hollow/runs/gateways.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/gateways.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::side_by_side::{Planned, Played, play_all};
+use super::side_by_side::{FleetMeasurement, Planned, play_all};
 use super::{Collector, Session, Spot};
 use crate::figures::{Cause, Role, Run, Situation, Size};
 use crate::hollow::HollowError;
@@ -52,8 +52,10 @@
     let mut played = play_all(&plans, session.options.progress)?.into_iter();
     let mut pairs = Vec::new();
     for gateways in sizes {
-        if let (Some(Played { outcome: quiet, .. }), Some(Played { outcome: calling, .. })) =
-            (played.next(), played.next())
+        if let (
+            Some(FleetMeasurement { outcome: quiet, .. }),
+            Some(FleetMeasurement { outcome: calling, .. }),
+        ) = (played.next(), played.next())
         {
             pairs.push(Pair { gateways, quiet, calling });
         }
--- a/crates/fawnrouter-capacity/src/hollow/runs/restarts.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/restarts.rs
@@ -75,7 +75,7 @@
 
 fn switch_restart() -> FaultPlan {
     let drains = WARM_UP + AT;
-    FaultPlan::gone_and_back(drains + DRAIN, AWAY, Fault::SwitchStopped(0), Fault::SwitchBack(0))
+    FaultPlan::outage(drains + DRAIN, AWAY, Fault::SwitchStopped(0), Fault::SwitchBack(0))
         .with(drains, Fault::SwitchDraining(0))
 }
 
--- a/crates/fawnrouter-capacity/src/hollow/runs/side_by_side.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/side_by_side.rs
@@ -26,26 +26,26 @@
 
 /// What it showed.
 #[derive(Debug)]
-pub(super) struct Played {
+pub(super) struct FleetMeasurement {
     pub outcome: Outcome,
     pub recording: Recording,
 }
 
 enum News {
     Begins(String),
-    Done(usize, Box<Result<Played, HollowError>>),
+    Done(usize, Box<Result<FleetMeasurement, HollowError>>),
 }
 
 /// Makes all plays; their results in the order in which they were given. The largest begin first.
 pub(super) fn play_all(
     plays: &[Planned],
     progress: &mut dyn FnMut(&str),
-) -> Result<Vec<Played>, HollowError> {
+) -> Result<Vec<FleetMeasurement>, HollowError> {
     let mut order: Vec<usize> = (0..plays.len()).collect();
     order.sort_by_key(|place| work(&plays[*place].scenario));
     let waiting = Mutex::new(order);
     let (tell, news) = channel();
-    let mut results: Vec<(usize, Played)> = Vec::new();
+    let mut results: Vec<(usize, FleetMeasurement)> = Vec::new();
     scope(|scope| {
         for _ in 0..at_a_time() {
             let (waiting, tell) = (&waiting, tell.clone());
@@ -84,17 +84,17 @@
         if tell.send(News::Begins(planned.name.clone())).is_err() {
             return;
         }
-        if tell.send(News::Done(place, Box::new(play(planned)))).is_err() {
+        if tell.send(News::Done(place, Box::new(run_scenario(planned)))).is_err() {
             return;
         }
     }
 }
 
-fn play(planned: &Planned) -> Result<Played, HollowError> {
+fn run_scenario(planned: &Planned) -> Result<FleetMeasurement, HollowError> {
     let mut world = World::new(&planned.scenario, Meter::off())?;
     if let Some(gateway) = planned.watched {
         world = world.watching(gateway);
     }
     let (outcome, recording) = world.play()?;
-    Ok(Played { outcome, recording })
+    Ok(FleetMeasurement { outcome, recording })
 }
--- a/crates/fawnrouter-capacity/src/hollow/runs/situations.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/situations.rs
@@ -57,8 +57,8 @@
     let apart = if quick { APART_QUICK } else { APART };
     let at = WARM_UP + BEFORE;
     let gone = |fault| FaultPlan::none().with(at, fault);
-    let zone = FaultPlan::gone_and_back(at, ZONE_AWAY, Fault::ZoneGone(ZONE), Fault::ZoneBack(ZONE));
-    let regions = FaultPlan::gone_and_back(at, apart, Fault::RegionsApart, Fault::RegionsJoined);
+    let zone = FaultPlan::outage(at, ZONE_AWAY, Fault::ZoneGone(ZONE), Fault::ZoneBack(ZONE));
+    let regions = FaultPlan::outage(at, apart, Fault::RegionsApart, Fault::RegionsJoined);
     let part = |situation, name, rate, seconds, faults| Part {
         situation,
         name,
--- a/crates/fawnrouter-capacity/src/hollow/runs/switches.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/switches.rs
@@ -35,7 +35,7 @@
     }
 }
 
-fn play(session: &mut Session<'_>, switches: u32) -> Result<Plays, HollowError> {
+fn run_scenario(session: &mut Session<'_>, switches: u32) -> Result<Plays, HollowError> {
     let quiet_measured = session.choose(&[QUIET_MEASURED], &[MEASURED_QUICK])[0];
     let measured = session.choose(&[MEASURED], &[MEASURED_QUICK])[0];
     let quiet = Scenario::one_service(session.options.seed, GATEWAYS, switches);
@@ -54,7 +54,7 @@
     let mut by_switches = Collector::new(Size::SwitchesSeen);
     let mut by_bytes = Collector::new(Size::ListBytes);
     for switches in session.choose(&SWITCHES, &SWITCHES_QUICK) {
-        let plays = play(session, switches)?;
+        let plays = run_scenario(session, switches)?;
         note_switches(&mut by_switches, &plays);
         note_configuration(session, &mut by_switches, switches)?;
         note_list(&mut by_switches, &plays, f64::from(switches));
--- a/crates/fawnrouter-capacity/src/hollow/world.rs
+++ b/crates/fawnrouter-capacity/src/hollow/world.rs
@@ -25,7 +25,7 @@
 use super::scenario::{Place, Scenario};
 use crate::figures::{Cause, Role};
 use crate::plan::{PlannedCall, PlannedFault};
-use crate::platform::SwitchRow;
+use crate::platform::ListedSwitch;
 
 /// The clock of all gateways at the start: some time in 2027.
 const UNIX_START: Duration = Duration::from_secs(1_800_000_000);
@@ -370,7 +370,7 @@
     for number in 0..scenario.switches {
         let place = scenario.switch_place(number);
         let cell = &mut cells[place.service as usize];
-        let row = SwitchRow {
+        let row = ListedSwitch {
             id: format!("s-{number:08x}"),
             zone: format!("zone-{}", place.zone),
             cell: *cell,
--- a/crates/fawnrouter-capacity/src/hollow/world/callers.rs
+++ b/crates/fawnrouter-capacity/src/hollow/world/callers.rs
@@ -11,7 +11,7 @@
 use crate::hollow::ledger::Flow;
 use crate::hollow::members::{CallerCall, CallerState, cause_of};
 use crate::hollow::recording::Step;
-use crate::plan::{CALLER_WAIT, CAUSE_CLEARING, told_standing};
+use crate::plan::{CALLER_TIMEOUT, CAUSE_NORMAL_CLEARING, existing_call_notice};
 
 /// Who finds no gateway looks again after this time.
 const LOOK_AGAIN: Duration = Duration::from_millis(200);
@@ -25,13 +25,13 @@
     pub(super) fn put_call(&mut self, planned: usize) {
         if let Some(call) = self.calls.get(planned) {
             let at = self.planned(call.at);
-            self.queue.put(at, Event::Call { planned, until: at + CALLER_WAIT });
+            self.queue.put(at, Event::Call { planned, until: at + CALLER_TIMEOUT });
         }
     }
 
     pub(super) fn call(&mut self, planned: usize, until: Duration) {
         let call = self.calls[planned];
-        if self.now + CALLER_WAIT == until {
+        if self.now + CALLER_TIMEOUT == until {
             self.outcome.calls.planned += 1;
             self.put_call(planned + 1);
         }
@@ -44,13 +44,13 @@
             return;
         };
         let client = self.client_of(gateway, call.tag);
-        let deadline = self.now + CALLER_WAIT;
+        let deadline = self.now + CALLER_TIMEOUT;
         let state = CallerState::Answer(deadline);
         self.callers.calls.insert(call.tag, CallerCall { planned, gateway, client, state, switch: None });
         self.outcome.measured_calls += u64::from(self.second().is_some());
         let service = self.gateways[gateway].place.service as usize;
         let cells = self.members[service].1.len() as u32;
-        self.write_from_caller(gateway, client, &call.set_up(cells));
+        self.write_from_caller(gateway, client, &call.set_up_message(cells));
         self.queue.put(deadline, Event::CallerWaitOver { tag: call.tag });
     }
 
@@ -162,7 +162,7 @@
         }
         self.outcome.calls.unanswered += 1;
         self.callers.calls.remove(&tag);
-        let given_up = Message::new(Verb::Finish, Tag(tag)).with_cause(CAUSE_CLEARING);
+        let given_up = Message::new(Verb::Finish, Tag(tag)).with_cause(CAUSE_NORMAL_CLEARING);
         self.write_from_caller(call.gateway, call.client, &given_up);
     }
 
@@ -199,7 +199,7 @@
         if let Some(call) = self.callers.calls.get_mut(&tag) {
             (call.gateway, call.client) = (gateway, client);
         }
-        let line = told_standing(tag, &self.switches[switch].row.id);
+        let line = existing_call_notice(tag, &self.switches[switch].row.id);
         self.write_from_caller(gateway, client, &line);
         self.release_again(switch, tag, call.gateway, gateway);
     }
--- a/crates/fawnrouter-capacity/src/hollow/world/gateways.rs
+++ b/crates/fawnrouter-capacity/src/hollow/world/gateways.rs
@@ -16,7 +16,7 @@
 use crate::hollow::ledger::Flow;
 use crate::hollow::members::{Connection, Process, SwitchState, cause_of, read_line};
 use crate::hollow::recording::{Step, build, read};
-use crate::platform::{GatewayPlace, gateway_configuration};
+use crate::platform::{GatewayParameters, gateway_configuration};
 
 /// A gateway that is restarted is back this long after its end.
 const RESTART_PAUSE: Duration = Duration::from_secs(1);
@@ -40,7 +40,7 @@
         const LISTEN: ([u8; 4], u16) = ([0, 0, 0, 0], 5060);
         let service = self.gateways[gateway].place.service as usize;
         let gateways = &self.members[service].0;
-        let place = GatewayPlace {
+        let place = GatewayParameters {
             name: format!("gateway-{gateway}"),
             listen: SocketAddr::from(LISTEN),
             nameserver: SocketAddr::from(NAME_SERVER),
--- a/crates/fawnrouter-capacity/src/hollow/world/list.rs
+++ b/crates/fawnrouter-capacity/src/hollow/world/list.rs
@@ -10,7 +10,7 @@
 use crate::hollow::event::{Event, GatewayRun, ListAnswer};
 use crate::hollow::ledger::Flow;
 use crate::hollow::recording::Step;
-use crate::platform::SwitchRow;
+use crate::platform::ListedSwitch;
 
 /// From a change to the name server's hearing of it: within the 1.5 s that the platform's page allows.
 const NEWS_DELAY: Duration = Duration::from_millis(500);
@@ -97,7 +97,7 @@
 
     pub(super) fn renew_list(&mut self, service: usize) {
         let switches = self.members[service].1.iter().map(|switch| &self.switches[*switch]);
-        let rows: Vec<SwitchRow> = switches.filter(|s| s.listed).map(|s| s.row.clone()).collect();
+        let rows: Vec<ListedSwitch> = switches.filter(|s| s.listed).map(|s| s.row.clone()).collect();
         self.source.services[service].renew(rows);
     }
 
--- a/crates/fawnrouter-capacity/src/hollow/world/switches.rs
+++ b/crates/fawnrouter-capacity/src/hollow/world/switches.rs
@@ -8,7 +8,7 @@
 use crate::hollow::event::{ConnectionId, Event};
 use crate::hollow::ledger::Flow;
 use crate::hollow::members::{SwitchCall, SwitchState, cause_of};
-use crate::plan::{answer_of_switch, passed_test, release_of_switch};
+use crate::plan::{passed_test_answer, switch_answer, switch_release};
 
 impl World<'_> {
     pub(super) fn dial(&mut self, connection: ConnectionId) {
@@ -38,7 +38,7 @@
         let of_gateway = (gateway, u64::MIN)..=(gateway, u64::MAX);
         let tags: Vec<u64> = self.switches[switch].unheard.range(of_gateway).map(|(_, tag)| *tag).collect();
         for tag in tags {
-            self.write_from_switch(connection, &release_of_switch(tag));
+            self.write_from_switch(connection, &switch_release(tag));
         }
     }
 
@@ -74,7 +74,7 @@
             Verb::Finished => {
                 self.switches[switch].unheard.remove(&(gateway, tag));
             }
-            Verb::Echo => self.write_from_switch(connection, &passed_test(tag)),
+            Verb::Echo => self.write_from_switch(connection, &passed_test_answer(tag)),
             _ => {}
         }
     }
@@ -109,7 +109,7 @@
         call.stands = true;
         let connection = call.connection;
         self.forget_set_up(connection, tag);
-        self.write_from_switch(connection, &answer_of_switch(tag));
+        self.write_from_switch(connection, &switch_answer(tag));
         if let Some(call) = self.callers.calls.get_mut(&tag) {
             call.switch = Some(switch);
         }
@@ -135,7 +135,7 @@
             self.switches[switch].connection_of(gateway)
         };
         if let Some(connection) = connection {
-            self.write_from_switch(connection, &release_of_switch(tag));
+            self.write_from_switch(connection, &switch_release(tag));
         }
     }
 
@@ -146,7 +146,7 @@
         }
         self.switches[switch].unheard.insert((to, tag));
         if let Some(connection) = self.switches[switch].connection_of(to) {
-            self.write_from_switch(connection, &release_of_switch(tag));
+            self.write_from_switch(connection, &switch_release(tag));
         }
     }
 
--- a/crates/fawnrouter-capacity/src/page.rs
+++ b/crates/fawnrouter-capacity/src/page.rs
@@ -52,10 +52,10 @@
     },
     /// The end marker stands before the begin marker.
     #[error("the marker `{END_MARKER}` stands before `{BEGIN_MARKER}`; turn them round")]
-    MarkersTurned,
+    MarkersOutOfOrder,
     /// Two runs have one name, so that a figure cannot say which it is from.
     #[error("two runs of the report are named `{id}`; write it anew with `fawnrouter-lab capacity`")]
-    RunTwice {
+    DuplicateRunId {
         /// The name.
         id: String,
     },
@@ -100,15 +100,15 @@
 ///
 /// # Errors
 /// Where a marker is missing or there more than once, or two runs have one name.
-pub fn replace(page: &str, report: &Report) -> Result<String, PageError> {
+pub fn update_page(page: &str, report: &Report) -> Result<String, PageError> {
     replace_tables(page, &render(report)?)
 }
 
 /// The page of the full tables, likewise.
 ///
 /// # Errors
-/// As [`replace`].
-pub fn replace_rows(page: &str, report: &Report) -> Result<String, PageError> {
+/// As [`update_page`].
+pub fn update_rows_page(page: &str, report: &Report) -> Result<String, PageError> {
     replace_tables(page, &render_rows(report)?)
 }
 
@@ -116,7 +116,7 @@
     let begin = only_place_of(BEGIN_MARKER, page)?;
     let end = only_place_of(END_MARKER, page)?;
     if end < begin {
-        return Err(PageError::MarkersTurned);
+        return Err(PageError::MarkersOutOfOrder);
     }
     let before = &page[..begin];
     let behind = &page[end + END_MARKER.len()..];
@@ -134,7 +134,7 @@
 fn check_run_names(report: &Report) -> Result<(), PageError> {
     let mut seen = BTreeSet::new();
     match report.runs.iter().find(|run| !seen.insert(run.id.as_str())) {
-        Some(run) => Err(PageError::RunTwice { id: run.id.clone() }),
+        Some(run) => Err(PageError::DuplicateRunId { id: run.id.clone() }),
         None => Ok(()),
     }
 }
--- a/crates/fawnrouter-capacity/src/plan.rs
+++ b/crates/fawnrouter-capacity/src/plan.rs
@@ -10,9 +10,9 @@
 /// The class of all calls.
 pub const CLASS_NAME: &str = "voice";
 /// How long a caller waits for its answer.
-pub const CALLER_WAIT: Duration = Duration::from_millis(3000);
+pub const CALLER_TIMEOUT: Duration = Duration::from_millis(3000);
 /// The cause with which a core switch releases a call that has come to its end (Q.850: normal call clearing).
-pub const CAUSE_CLEARING: i64 = 16;
+pub const CAUSE_NORMAL_CLEARING: i64 = 16;
 /// The cause of a test that is passed.
 pub const CAUSE_TEST_PASSED: i64 = 1;
 
@@ -89,11 +89,11 @@
 impl PlannedCall {
     /// The set-up that its caller sends. The pool of first choice is one of the `cells`, each as often as the others.
     #[must_use]
-    pub fn set_up(&self, cells: u32) -> Message {
+    pub fn set_up_message(&self, cells: u32) -> Message {
         let cell = self.tag % u64::from(cells.max(1));
         Message::new(Verb::Start, Tag(self.tag))
             .with_option("class", CLASS_NAME)
-            .with_option("left", CALLER_WAIT.as_millis())
+            .with_option("left", CALLER_TIMEOUT.as_millis())
             .with_option("key", format_args!("{:016x}", self.tag.rotate_left(32)))
             .with_option("extras", format_args!("dest:{cell};width:1;via:-1"))
             .with_description(OFFER.to_owned())
@@ -102,25 +102,25 @@
 
 /// The answer that a core switch gives to a set-up.
 #[must_use]
-pub fn answer_of_switch(tag: u64) -> Message {
+pub fn switch_answer(tag: u64) -> Message {
     Message::new(Verb::Started, Tag(tag)).with_description(ANSWER.to_owned())
 }
 
 /// The release that a core switch sends when a call has come to its end.
 #[must_use]
-pub fn release_of_switch(tag: u64) -> Message {
-    Message::new(Verb::Finish, Tag(tag)).with_cause(CAUSE_CLEARING)
+pub fn switch_release(tag: u64) -> Message {
+    Message::new(Verb::Finish, Tag(tag)).with_cause(CAUSE_NORMAL_CLEARING)
 }
 
 /// The answer that a core switch gives to a test.
 #[must_use]
-pub fn passed_test(tag: u64) -> Message {
+pub fn passed_test_answer(tag: u64) -> Message {
     Message::new(Verb::Echoed, Tag(tag)).with_cause(CAUSE_TEST_PASSED)
 }
 
 /// What a caller says of a call that stands at a core switch already, to a gateway that may not know it.
 #[must_use]
-pub fn told_standing(tag: u64, switch: &str) -> Message {
+pub fn existing_call_notice(tag: u64, switch: &str) -> Message {
     Message::new(Verb::Start, Tag(tag)).with_option("extras", format_args!("at:{switch}"))
 }
 
@@ -186,7 +186,7 @@
 
     /// Something is gone at a time and back after a while.
     #[must_use]
-    pub fn gone_and_back(at: Duration, away: Duration, gone: Fault, back: Fault) -> Self {
+    pub fn outage(at: Duration, away: Duration, gone: Fault, back: Fault) -> Self {
         Self::none().with(at, gone).with(at + away, back)
     }
 
--- a/crates/fawnrouter-capacity/src/platform.rs
+++ b/crates/fawnrouter-capacity/src/platform.rs
@@ -32,7 +32,7 @@
 
 /// A core switch as the name server lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SwitchRow {
+pub struct ListedSwitch {
     /// Its id: one label of a name.
     pub id: String,
     /// Its zone: one label of a name.
@@ -47,7 +47,7 @@
     pub started_unix_ms: u64,
 }
 
-impl SwitchRow {
+impl ListedSwitch {
     fn host(&self) -> String {
         format!("{}.{}.hosts", self.id, self.zone)
     }
@@ -134,7 +134,7 @@
         self.bytes[length_at..length_at + 2].copy_from_slice(&length.to_be_bytes());
     }
 
-    fn srv(&mut self, owner: &str, row: &SwitchRow) {
+    fn srv(&mut self, owner: &str, row: &ListedSwitch) {
         let priority = if row.draining { PRIORITY_DRAINING } else { PRIORITY_READY };
         self.record(owner, RecordType::Srv, |writer| {
             writer.u16(priority);
@@ -153,7 +153,7 @@
         });
     }
 
-    fn host(&mut self, row: &SwitchRow) {
+    fn host(&mut self, row: &ListedSwitch) {
         let host = row.host();
         let address = match row.address {
             SocketAddr::V4(address) => *address.ip(),
@@ -172,7 +172,7 @@
 /// names compressed as far as pointers reach (§4.1.4). Nothing for bytes that are no question. Rows beyond what the
 /// counts of a message can tell are left out whole.
 #[must_use]
-pub fn list_answer(question: &[u8], serial: u32, rows: &[SwitchRow]) -> Vec<u8> {
+pub fn encode_list_answer(question: &[u8], serial: u32, rows: &[ListedSwitch]) -> Vec<u8> {
     if question.len() <= HEADER_BYTES {
         return Vec::new();
     }
@@ -191,7 +191,7 @@
 
 /// Where a gateway is and what it may hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct GatewayPlace {
+pub struct GatewayParameters {
     /// Its name.
     pub name: String,
     /// Where clients connect.
@@ -208,7 +208,7 @@
     pub descriptors: u32,
 }
 
-fn known_instance(row: &SwitchRow) -> Value {
+fn known_instance(row: &ListedSwitch) -> Value {
     json!({
         "instanceId": row.id,
         "hostPort": row.address.to_string(),
@@ -223,7 +223,7 @@
 
 /// The platform's configuration of a gateway: one class of call, `voice`, and this list as the one of the start.
 #[must_use]
-pub fn gateway_configuration(place: &GatewayPlace, serial: u32, rows: &[SwitchRow]) -> Value {
+pub fn gateway_configuration(place: &GatewayParameters, serial: u32, rows: &[ListedSwitch]) -> Value {
     let instances: Vec<Value> = rows.iter().map(known_instance).collect();
     let fleet = json!({"generation": serial, "reset": true, "instances": instances});
     json!({
@@ -237,7 +237,7 @@
     })
 }
 
-fn settings(place: &GatewayPlace) -> Value {
+fn settings(place: &GatewayParameters) -> Value {
     json!({
         "balancers": place.gateways,
         "me": place.number,
--- a/crates/fawnrouter-capacity/src/process.rs
+++ b/crates/fawnrouter-capacity/src/process.rs
@@ -36,10 +36,10 @@
 use std::sync::atomic::AtomicBool;
 use std::time::Duration;
 
-pub use self::callers::CallsEnded;
+pub use self::callers::CallOutcomes;
 pub use self::error::ProcessError;
-pub use self::fleet::{Observed, Played, Rig, check_program, play};
-pub use self::hop::{HopMeasured, hop_plan, through_gateway, without_gateway};
+pub use self::fleet::{FleetMeasurement, Observation, Testbed, check_program, run_scenario};
+pub use self::hop::{HopMeasurement, hop_plan, measure_baseline, measure_hop};
 use self::series::{Figures, Kind, of_hollow, of_processes, series};
 use crate::figures::{Method, Role, Run, Situation, Size};
 use crate::hollow::{Allocator, Scenario, play_counting};
@@ -120,7 +120,7 @@
     gateways: u32,
     rate: f64,
     seconds: u64,
-    played: Played,
+    played: FleetMeasurement,
     processes: Figures,
     hollow: Figures,
 }
@@ -135,8 +135,8 @@
         if self.options.quick { quick.to_vec() } else { full.to_vec() }
     }
 
-    fn rig(&self) -> Rig<'_> {
-        Rig { program: self.options.program, seed: self.options.seed, stop: self.options.stop }
+    fn rig(&self) -> Testbed<'_> {
+        Testbed { program: self.options.program, seed: self.options.seed, stop: self.options.stop }
     }
 
     fn quiet(&self) -> Duration {
@@ -146,7 +146,7 @@
     fn play_both(&mut self, gateways: u32, rate: f64, seconds: u64) -> Result<Both, ProcessError> {
         let scenario = fleet_scenario(self.options.seed, gateways, rate, seconds);
         (self.options.progress)(&format!("processes, {gateways} at {rate} calls/s"));
-        let played = play(&scenario, self.quiet(), self.rig())?;
+        let played = run_scenario(&scenario, self.quiet(), self.rig())?;
         (self.options.progress)(&format!("hollow-beside-processes, {gateways} at {rate} calls/s"));
         let busy = play_counting(&scenario, self.options.allocator)?;
         let quiet = quiet_scenario(&scenario, self.quiet());
@@ -192,16 +192,16 @@
             let seconds = if self.options.quick { HOP_SECONDS_QUICK } else { seconds };
             let plan = hop_plan(self.options.seed, rate, seconds);
             (self.options.progress)(&format!("the stand-ins alone at {rate} calls/s"));
-            let without = without_gateway(&plan, self.rig())?;
+            let without = measure_baseline(&plan, self.rig())?;
             (self.options.progress)(&format!("a hop at {rate} calls/s"));
-            let through = through_gateway(plan.clone(), SWITCHES, self.rig())?;
+            let through = measure_hop(plan.clone(), SWITCHES, self.rig())?;
             runs.push(self.run_of_hop(&baseline_id(rate), &plan, without));
             runs.push(self.run_of_hop(&format!("processes-hop-{rate}"), &plan, through));
         }
         Ok(runs)
     }
 
-    fn run_of_hop(&self, id: &str, plan: &TrafficPlan, measured: HopMeasured) -> Run {
+    fn run_of_hop(&self, id: &str, plan: &TrafficPlan, measured: HopMeasurement) -> Run {
         let mut run = self.run(id, Method::Processes, setting_of_hop(plan, &measured));
         run.hop_delays = measured.delays;
         run
@@ -256,8 +256,8 @@
         .to_owned()
 }
 
-fn setting_of_hop(plan: &TrafficPlan, measured: &HopMeasured) -> String {
-    let HopMeasured { planned, ended, sent_per_second, processor_microseconds_per_call, .. } = measured;
+fn setting_of_hop(plan: &TrafficPlan, measured: &HopMeasurement) -> String {
+    let HopMeasurement { planned, ended, sent_per_second, processor_microseconds_per_call, .. } = measured;
     let answered = ended.released;
     let way = match processor_microseconds_per_call {
         Some(microseconds) => format!(
--- a/crates/fawnrouter-capacity/src/process/callers.rs
+++ b/crates/fawnrouter-capacity/src/process/callers.rs
@@ -21,17 +21,17 @@
 
 /// What became of calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct CallsEnded {
+pub struct CallOutcomes {
     /// They stood, and were released in their time.
     pub released: u64,
     /// They were refused or failed.
     pub unanswered: u64,
 }
 
-impl CallsEnded {
+impl CallOutcomes {
     /// All that ended.
     #[must_use]
-    pub fn all(&self) -> u64 {
+    pub fn total(&self) -> u64 {
         self.released + self.unanswered
     }
 }
@@ -46,7 +46,7 @@
     /// Tests that were passed.
     pub tests_passed: u64,
     /// What became of calls.
-    pub ended: CallsEnded,
+    pub ended: CallOutcomes,
     /// Connections that were ended by a gateway.
     pub connections_lost: u64,
     standing: BTreeSet<u64>,
@@ -124,7 +124,7 @@
     }
 
     fn set_up(&mut self, call: &PlannedCall, place: usize) -> Result<(), ProcessError> {
-        let message = call.set_up(self.cells);
+        let message = call.set_up_message(self.cells);
         let mut line = Vec::new();
         message.encode(&mut line);
         self.traffic.update(|traffic| traffic.said.add(message.verb, line.len()));
@@ -132,7 +132,7 @@
             stamps.stamp(call.tag, Moment::CallerWrites);
         }
         let written = self.connections[call.gateway as usize][place].write_all(&line);
-        written.map_err(|source| ProcessError::Caller { gateway: call.gateway, source })
+        written.map_err(|source| ProcessError::CallerConnection { gateway: call.gateway, source })
     }
 }
 
--- a/crates/fawnrouter-capacity/src/process/error.rs
+++ b/crates/fawnrouter-capacity/src/process/error.rs
@@ -17,13 +17,13 @@
          or measure without it with `--no-processes`",
         program.display()
     )]
-    NoProgram {
+    ProgramMissing {
         /// Where it was looked for.
         program: PathBuf,
     },
     /// The gateway's program cannot be started.
     #[error("{}: cannot be started: {source}; `--program` must name the built `fawnrouter`", program.display())]
-    NotStarted {
+    SpawnFailed {
         /// The program.
         program: PathBuf,
         /// Why.
@@ -33,7 +33,7 @@
     #[error(
         "gateway {name} has ended ({status}); its log ends with {last_line:?}; mend what it says and measure again"
     )]
-    Ended {
+    GatewayExited {
         /// Its name.
         name: String,
         /// How it ended.
@@ -58,7 +58,7 @@
          measure again",
         waited.as_secs()
     )]
-    Unfinished {
+    CallsUnfinished {
         /// Calls that had ended.
         ended: u64,
         /// Calls of the plan.
@@ -71,7 +71,7 @@
         "the stand-ins need {needed} descriptors and this process may have {limit}; raise the limit of open files of the \
          shell that starts it, or measure with `--quick` or `--no-processes`"
     )]
-    Descriptors {
+    TooFewDescriptors {
         /// How many are needed.
         needed: u64,
         /// The limit.
@@ -79,7 +79,7 @@
     },
     /// Something of the machine failed.
     #[error("{doing}: {source}; loopback addresses, a folder for temporary files and threads are needed")]
-    Machine {
+    System {
         /// What was being done.
         doing: &'static str,
         /// Why it failed.
@@ -90,7 +90,7 @@
         "the connection of the caller to gateway {gateway} broke: {source}; see whether the gateway still runs and \
          measure again"
     )]
-    Caller {
+    CallerConnection {
         /// Which gateway, from 0.
         gateway: u32,
         /// Why.
@@ -112,5 +112,5 @@
 
 /// Adds to an error of the machine what was being done.
 pub(super) fn doing(what: &'static str) -> impl FnOnce(io::Error) -> ProcessError {
-    move |source| ProcessError::Machine { doing: what, source }
+    move |source| ProcessError::System { doing: what, source }
 }
--- a/crates/fawnrouter-capacity/src/process/fleet.rs
+++ b/crates/fawnrouter-capacity/src/process/fleet.rs
@@ -12,11 +12,11 @@
 
 use crate::hollow::{ByVerb, Scenario, Volume};
 use crate::plan::PlannedCall;
-use crate::platform::GatewayPlace;
-use crate::process::callers::{CallerTraffic, Callers, CallsEnded, connect, sleep_until};
+use crate::platform::GatewayParameters;
+use crate::process::callers::{CallOutcomes, CallerTraffic, Callers, connect, sleep_until};
 use crate::process::error::{ProcessError, doing};
 use crate::process::gateway::{GatewayProcess, next_address};
-use crate::process::lines::{counted_since, volume_since};
+use crate::process::lines::{counts_since, volume_since};
 use crate::process::name_server::{ListTraffic, NameServer};
 use crate::process::stamps::Stamps;
 use crate::process::switches::{SwitchTimes, SwitchTraffic, Switches};
@@ -41,7 +41,7 @@
 
 /// What gateway processes are measured with.
 #[derive(Clone, Copy, Debug)]
-pub struct Rig<'a> {
+pub struct Testbed<'a> {
     /// The gateway's program.
     pub program: &'a Path,
     /// The seed of everything that is drawn.
@@ -52,7 +52,7 @@
 
 /// What the stand-ins and `/proc` told of some time. Counts are of all gateways together.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Observed {
+pub struct Observation {
     /// How long it was.
     pub length: Duration,
     /// Lines that gateways got from callers.
@@ -81,22 +81,26 @@
 
 /// What gateway processes showed.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Played {
+pub struct FleetMeasurement {
     /// From the first call on, until all have ended and the measured time is over.
-    pub busy: Observed,
+    pub busy: Observation,
     /// Afterwards, with nothing to do but to ask for the list.
-    pub quiet: Observed,
+    pub quiet: Observation,
     /// Calls of the plan.
     pub planned: u64,
     /// What became of them.
-    pub ended: CallsEnded,
+    pub ended: CallOutcomes,
 }
 
 /// Plays a scenario of one service, without faults, with gateway processes, and after it a quiet time.
 ///
 /// # Errors
 /// Where the program is not there, or something fails on the way. All processes have ended then.
-pub fn play(scenario: &Scenario, quiet: Duration, rig: Rig<'_>) -> Result<Played, ProcessError> {
+pub fn run_scenario(
+    scenario: &Scenario,
+    quiet: Duration,
+    rig: Testbed<'_>,
+) -> Result<FleetMeasurement, ProcessError> {
     let calls = scenario.traffic.calls();
     let mut fleet = Fleet::start(scenario, None, rig)?;
     sleep_until(Instant::now() + LEAD, rig.stop)?;
@@ -106,7 +110,7 @@
     let all_ended = fleet.mark()?;
     sleep_until(all_ended.at + quiet, rig.stop)?;
     let end = fleet.mark()?;
-    Ok(Played {
+    Ok(FleetMeasurement {
         busy: first_call.until(&all_ended),
         quiet: all_ended.until(&end),
         planned: calls.len() as u64,
@@ -122,7 +126,7 @@
     names: NameServer,
     switches: Switches,
     _folder: TempDir,
-    rig: Rig<'a>,
+    rig: Testbed<'a>,
 }
 
 /// All counters at one time.
@@ -141,7 +145,7 @@
     pub fn start(
         scenario: &Scenario,
         stamps: Option<Arc<Stamps>>,
-        rig: Rig<'a>,
+        rig: Testbed<'a>,
     ) -> Result<Self, ProcessError> {
         check_program(rig.program)?;
         check_descriptors(scenario)?;
@@ -197,16 +201,16 @@
         }
         played?;
         let deadline = Instant::now() + ENDED_WITHIN;
-        if wait(&self.callers.traffic, deadline, self.rig.stop, |callers| callers.ended.all() >= planned)? {
+        if wait(&self.callers.traffic, deadline, self.rig.stop, |callers| callers.ended.total() >= planned)? {
             return Ok(());
         }
         self.check_gateways()?;
-        let ended = self.ended().all();
-        Err(ProcessError::Unfinished { ended, planned, waited: ENDED_WITHIN })
+        let ended = self.ended().total();
+        Err(ProcessError::CallsUnfinished { ended, planned, waited: ENDED_WITHIN })
     }
 
     /// What became of calls so far.
-    pub fn ended(&self) -> CallsEnded {
+    pub fn ended(&self) -> CallOutcomes {
         self.callers.traffic.get().ended
     }
 
@@ -238,16 +242,16 @@
 }
 
 impl Mark {
-    fn until(&self, end: &Self) -> Observed {
+    fn until(&self, end: &Self) -> Observation {
         let sum = |figure: fn(&Usage) -> u64| end.usages.iter().map(figure).sum();
         let ran = end.usages.iter().zip(&self.usages);
         let ran = ran.map(|(end, start)| end.processor_time.saturating_sub(start.processor_time));
-        Observed {
+        Observation {
             length: end.at - self.at,
-            from_callers: counted_since(&self.callers.said, &end.callers.said),
-            to_callers: counted_since(&self.callers.heard, &end.callers.heard),
-            from_switches: counted_since(&self.switches.said, &end.switches.said),
-            to_switches: counted_since(&self.switches.heard, &end.switches.heard),
+            from_callers: counts_since(&self.callers.said, &end.callers.said),
+            to_callers: counts_since(&self.callers.heard, &end.callers.heard),
+            from_switches: counts_since(&self.switches.said, &end.switches.said),
+            to_switches: counts_since(&self.switches.heard, &end.switches.heard),
             questions: volume_since(self.list.all_questions(), end.list.all_questions()),
             answers: volume_since(self.list.answers, end.list.answers),
             processor_time: ran.sum(),
@@ -264,7 +268,7 @@
 /// # Errors
 /// Says how to build it.
 pub fn check_program(program: &Path) -> Result<(), ProcessError> {
-    if program.is_file() { Ok(()) } else { Err(ProcessError::NoProgram { program: program.to_owned() }) }
+    if program.is_file() { Ok(()) } else { Err(ProcessError::ProgramMissing { program: program.to_owned() }) }
 }
 
 /// Reading the limit changes nothing; one that is too low is told.
@@ -274,13 +278,13 @@
     let of_a_gateway = switches * CONNECTIONS_TO_A_SWITCH + 2 * u64::from(scenario.caller_connections);
     let needed = gateways * of_a_gateway + switches + OTHER_DESCRIPTORS;
     match getrlimit(Resource::Nofile).current {
-        Some(limit) if limit < needed => Err(ProcessError::Descriptors { needed, limit }),
+        Some(limit) if limit < needed => Err(ProcessError::TooFewDescriptors { needed, limit }),
         _ => Ok(()),
     }
 }
 
-fn place(scenario: &Scenario, number: u32, nameserver: SocketAddr) -> GatewayPlace {
-    GatewayPlace {
+fn place(scenario: &Scenario, number: u32, nameserver: SocketAddr) -> GatewayParameters {
+    GatewayParameters {
         name: format!("gateway-{number}"),
         listen: next_address(),
         nameserver,
@@ -306,7 +310,7 @@
                 sleep_until(Instant::now() + CONNECT_PAUSE, stop)?;
             }
             Err(source) => {
-                return Err(ProcessError::Machine { doing: "a gateway cannot be connected to", source });
+                return Err(ProcessError::System { doing: "a gateway cannot be connected to", source });
             }
         }
     }
--- a/crates/fawnrouter-capacity/src/process/gateway.rs
+++ b/crates/fawnrouter-capacity/src/process/gateway.rs
@@ -6,7 +6,7 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-use crate::platform::{GatewayPlace, SwitchRow, gateway_configuration};
+use crate::platform::{GatewayParameters, ListedSwitch, gateway_configuration};
 use crate::process::error::{ProcessError, doing};
 use crate::process::usage::Usage;
 
@@ -44,8 +44,8 @@
     pub fn start(
         program: &Path,
         folder: &Path,
-        place: &GatewayPlace,
-        rows: &[SwitchRow],
+        place: &GatewayParameters,
+        rows: &[ListedSwitch],
     ) -> Result<Self, ProcessError> {
         let configuration = folder.join(format!("{}.json", place.name));
         let log = folder.join(format!("{}.log", place.name));
@@ -61,7 +61,7 @@
             .stdout(Stdio::null())
             .stderr(log_file)
             .spawn()
-            .map_err(|source| ProcessError::NotStarted { program: program.to_owned(), source })?;
+            .map_err(|source| ProcessError::SpawnFailed { program: program.to_owned(), source })?;
         Ok(Self { child, name: place.name.clone(), log, address: place.listen })
     }
 
@@ -76,7 +76,7 @@
         let Some(status) = status else { return Ok(()) };
         let log = fs::read_to_string(&self.log).unwrap_or_default();
         let last_line = log.lines().next_back().unwrap_or_default().to_owned();
-        Err(ProcessError::Ended { name: self.name.clone(), status: status.to_string(), last_line })
+        Err(ProcessError::GatewayExited { name: self.name.clone(), status: status.to_string(), last_line })
     }
 }
 
--- a/crates/fawnrouter-capacity/src/process/hop.rs
+++ b/crates/fawnrouter-capacity/src/process/hop.rs
@@ -8,9 +8,9 @@
 use crate::figures::DelayBucket;
 use crate::hollow::Scenario;
 use crate::plan::TrafficPlan;
-use crate::process::callers::{Callers, CallsEnded, connect};
+use crate::process::callers::{CallOutcomes, Callers, connect};
 use crate::process::error::{ProcessError, doing};
-use crate::process::fleet::{ENDED_WITHIN, Fleet, Rig, wait};
+use crate::process::fleet::{ENDED_WITHIN, Fleet, Testbed, wait};
 use crate::process::stamps::Stamps;
 use crate::process::switches::{SwitchTimes, Switches};
 
@@ -26,13 +26,13 @@
 
 /// What one hop added.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct HopMeasured {
+pub struct HopMeasurement {
     /// The delays of all calls that were answered.
     pub delays: Vec<DelayBucket>,
     /// Calls of the plan.
     pub planned: u64,
     /// What became of them.
-    pub ended: CallsEnded,
+    pub ended: CallOutcomes,
     /// Calls a second that were sent.
     pub sent_per_second: f64,
     /// Processor time of the gateway a call, in microseconds; none without a gateway.
@@ -48,8 +48,12 @@
 /// Calls through one gateway that sees this many core switches.
 ///
 /// # Errors
-/// As [`super::play`].
-pub fn through_gateway(plan: TrafficPlan, switches: u32, rig: Rig<'_>) -> Result<HopMeasured, ProcessError> {
+/// As [`super::run_scenario`].
+pub fn measure_hop(
+    plan: TrafficPlan,
+    switches: u32,
+    rig: Testbed<'_>,
+) -> Result<HopMeasurement, ProcessError> {
     let calls = plan.calls();
     let stamps = Arc::new(Stamps::new(&calls));
     let scenario = Scenario { traffic: plan, ..Scenario::one_service(rig.seed, 1, switches) };
@@ -66,8 +70,8 @@
 /// The same calls from the callers straight to a core switch.
 ///
 /// # Errors
-/// As [`super::play`].
-pub fn without_gateway(plan: &TrafficPlan, rig: Rig<'_>) -> Result<HopMeasured, ProcessError> {
+/// As [`super::run_scenario`].
+pub fn measure_baseline(plan: &TrafficPlan, rig: Testbed<'_>) -> Result<HopMeasurement, ProcessError> {
     let calls = plan.calls();
     let stamps = Arc::new(Stamps::new(&calls));
     let times = SwitchTimes { answer: plan.answer, hold: plan.hold };
@@ -79,22 +83,22 @@
     let mut callers = Callers::start(connections, 1, Some(stamps.clone()))?;
     callers.play(&calls, Instant::now(), rig.stop)?;
     let (planned, deadline) = (calls.len() as u64, Instant::now() + ENDED_WITHIN);
-    let have_ended = wait(&callers.traffic, deadline, rig.stop, |callers| callers.ended.all() >= planned)?;
+    let have_ended = wait(&callers.traffic, deadline, rig.stop, |callers| callers.ended.total() >= planned)?;
     let ended = callers.traffic.get().ended;
     if !have_ended {
-        return Err(ProcessError::Unfinished { ended: ended.all(), planned, waited: ENDED_WITHIN });
+        return Err(ProcessError::CallsUnfinished { ended: ended.total(), planned, waited: ENDED_WITHIN });
     }
     measured(&stamps, calls.len(), ended)
 }
 
-fn measured(stamps: &Stamps, planned: usize, ended: CallsEnded) -> Result<HopMeasured, ProcessError> {
+fn measured(stamps: &Stamps, planned: usize, ended: CallOutcomes) -> Result<HopMeasurement, ProcessError> {
     let mut delays = histogram(MEASURED_DIGITS)?;
     for delay in stamps.delays() {
         let nanoseconds = u64::try_from(delay.as_nanos()).unwrap_or(HIGHEST_NANOSECONDS);
         delays.saturating_record(nanoseconds.max(LOWEST_NANOSECONDS));
     }
     let seconds = stamps.sending_time().as_secs_f64();
-    Ok(HopMeasured {
+    Ok(HopMeasurement {
         delays: buckets(&delays)?,
         planned: planned as u64,
         ended,
--- a/crates/fawnrouter-capacity/src/process/lines.rs
+++ b/crates/fawnrouter-capacity/src/process/lines.rs
@@ -34,7 +34,7 @@
 
 /// What was counted since an earlier reading of the same counter.
 #[must_use]
-pub fn counted_since(earlier: &ByVerb, now: &ByVerb) -> ByVerb {
+pub fn counts_since(earlier: &ByVerb, now: &ByVerb) -> ByVerb {
     let since = |(verb, volume): (&&'static str, &Volume)| {
         let before = earlier.0.get(verb).copied().unwrap_or_default();
         (*verb, volume_since(before, *volume))
@@ -53,13 +53,13 @@
 
 /// What set-ups, answers and releases come to.
 #[must_use]
-pub fn volume_of_calls(lines: &ByVerb) -> Volume {
-    volume_since(volume_of_tests(lines), lines.all())
+pub fn call_volume(lines: &ByVerb) -> Volume {
+    volume_since(test_volume(lines), lines.all())
 }
 
 /// What tests, their answers and told states come to.
 #[must_use]
-pub fn volume_of_tests(lines: &ByVerb) -> Volume {
+pub fn test_volume(lines: &ByVerb) -> Volume {
     let tests = lines.0.iter().filter(|(verb, _)| TEST_TYPES.contains(verb));
     ByVerb(tests.map(|(verb, volume)| (*verb, *volume)).collect()).all()
 }
--- a/crates/fawnrouter-capacity/src/process/name_server.rs
+++ b/crates/fawnrouter-capacity/src/process/name_server.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use crate::hollow::Volume;
-use crate::platform::{SwitchRow, list_answer};
+use crate::platform::{ListedSwitch, encode_list_answer};
 use crate::process::gateway::LIST_SERIAL;
 use crate::process::watched::Watched;
 
@@ -51,7 +51,7 @@
 
 impl NameServer {
     /// Starts one that always gives this list.
-    pub fn start(rows: Vec<SwitchRow>) -> io::Result<Self> {
+    pub fn start(rows: Vec<ListedSwitch>) -> io::Result<Self> {
         let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))?;
         socket.set_read_timeout(Some(STOP_LOOK))?;
         let address = socket.local_addr()?;
@@ -65,12 +65,17 @@
     }
 }
 
-fn answer_until(stop: &AtomicBool, socket: &UdpSocket, rows: &[SwitchRow], traffic: &Watched<ListTraffic>) {
+fn answer_until(
+    stop: &AtomicBool,
+    socket: &UdpSocket,
+    rows: &[ListedSwitch],
+    traffic: &Watched<ListTraffic>,
+) {
     let mut buffer = [0; MAX_QUESTION_BYTES];
     while !stop.load(Ordering::Relaxed) {
         // Nothing came in the time, or an answer met a gateway that had ended.
         let Ok((length, from)) = socket.recv_from(&mut buffer) else { continue };
-        let answer = list_answer(&buffer[..length], LIST_SERIAL, rows);
+        let answer = encode_list_answer(&buffer[..length], LIST_SERIAL, rows);
         let sent = socket.send_to(&answer, from);
         traffic.update(|traffic| {
             record(traffic.questions.entry(from).or_default(), length);
--- a/crates/fawnrouter-capacity/src/process/series.rs
+++ b/crates/fawnrouter-capacity/src/process/series.rs
@@ -2,8 +2,8 @@
 
 use crate::figures::{Cause, Per, Point, Quantity, Role, Series, Situation, Size};
 use crate::hollow::{Outcome, Scenario, Volume};
-use crate::process::fleet::{Observed, Played};
-use crate::process::lines::{volume_of_calls, volume_of_tests};
+use crate::process::fleet::{FleetMeasurement, Observation};
+use crate::process::lines::{call_volume, test_volume};
 
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
@@ -109,7 +109,7 @@
 }
 
 /// What gateway processes showed.
-pub(super) fn of_processes(scenario: &Scenario, played: &Played) -> Figures {
+pub(super) fn of_processes(scenario: &Scenario, played: &FleetMeasurement) -> Figures {
     let mut figures = Figures::default();
     let [gateways, switches] = [scenario.gateways, scenario.switches].map(f64::from);
     add_flows_of_processes(&mut figures, played, gateways, switches);
@@ -127,10 +127,10 @@
     figures
 }
 
-fn add_flows_of_processes(figures: &mut Figures, played: &Played, gateways: f64, switches: f64) {
+fn add_flows_of_processes(figures: &mut Figures, played: &FleetMeasurement, gateways: f64, switches: f64) {
     let (quiet, busy) = (&played.quiet, &played.busy);
     let [quiet_seconds, busy_seconds] = [quiet, busy].map(|observed| observed.length.as_secs_f64());
-    let calls = ways_of_a_gateway(busy, volume_of_calls);
+    let calls = ways_of_a_gateway(busy, call_volume);
     figures.add_flow(CALLS_OF_A_GATEWAY, calls, played.planned as f64);
     figures.add_flow(
         SECONDS_OF_A_GATEWAY,
@@ -138,8 +138,8 @@
         gateways * busy_seconds,
     );
     let switch_seconds = switches * busy_seconds;
-    figures.add_flow(CALLS_OF_A_SWITCH, ways_of_a_switch(busy, volume_of_calls), switch_seconds);
-    figures.add_flow(TESTS_OF_A_SWITCH, ways_of_a_switch(busy, volume_of_tests), switch_seconds);
+    figures.add_flow(CALLS_OF_A_SWITCH, ways_of_a_switch(busy, call_volume), switch_seconds);
+    figures.add_flow(TESTS_OF_A_SWITCH, ways_of_a_switch(busy, test_volume), switch_seconds);
     figures.add_flow(SECONDS_OF_A_SWITCH, ways_of_a_switch(busy, |lines| lines.all()), switch_seconds);
     let of_gateway = Ways { received: quiet.answers, sent: quiet.questions };
     figures.add_flow(LIST_OF_A_GATEWAY, of_gateway, gateways * quiet_seconds);
@@ -147,14 +147,14 @@
     figures.add_flow(LIST_OF_THE_SOURCE, of_source, quiet_seconds);
 }
 
-fn ways_of_a_gateway(observed: &Observed, volume: impl Fn(&crate::hollow::ByVerb) -> Volume) -> Ways {
+fn ways_of_a_gateway(observed: &Observation, volume: impl Fn(&crate::hollow::ByVerb) -> Volume) -> Ways {
     Ways {
         received: both(volume(&observed.from_callers), volume(&observed.from_switches)),
         sent: both(volume(&observed.to_callers), volume(&observed.to_switches)),
     }
 }
 
-fn ways_of_a_switch(observed: &Observed, volume: impl Fn(&crate::hollow::ByVerb) -> Volume) -> Ways {
+fn ways_of_a_switch(observed: &Observation, volume: impl Fn(&crate::hollow::ByVerb) -> Volume) -> Ways {
     Ways { received: volume(&observed.to_switches), sent: volume(&observed.from_switches) }
 }
 
@@ -162,7 +162,7 @@
     Volume { messages: one.messages + other.messages, bytes: one.bytes + other.bytes }
 }
 
-fn microseconds_per_second(observed: &Observed) -> f64 {
+fn microseconds_per_second(observed: &Observation) -> f64 {
     observed.processor_time.as_secs_f64() * MICROSECONDS_PER_SECOND / observed.length.as_secs_f64()
 }
 
--- a/crates/fawnrouter-capacity/src/process/switches.rs
+++ b/crates/fawnrouter-capacity/src/process/switches.rs
@@ -9,8 +9,8 @@
 use fawnrouter_jsonl::{Message, Verb};
 
 use crate::hollow::ByVerb;
-use crate::plan::{answer_of_switch, passed_test, release_of_switch};
-use crate::platform::SwitchRow;
+use crate::plan::{passed_test_answer, switch_answer, switch_release};
+use crate::platform::ListedSwitch;
 use crate::process::event_loop::{EventLoop, Party, Reply};
 use crate::process::stamps::{Moment, Stamps};
 use crate::process::watched::Watched;
@@ -42,7 +42,7 @@
 #[derive(Debug)]
 pub(super) struct Switches {
     /// The core switches as the list has them.
-    pub rows: Vec<SwitchRow>,
+    pub rows: Vec<ListedSwitch>,
     /// What passed so far.
     pub traffic: Arc<Watched<SwitchTraffic>>,
     _thread: EventLoop,
@@ -65,8 +65,8 @@
     }
 }
 
-fn row(number: u32, listener: &TcpListener) -> io::Result<SwitchRow> {
-    Ok(SwitchRow {
+fn row(number: u32, listener: &TcpListener) -> io::Result<ListedSwitch> {
+    Ok(ListedSwitch {
         id: format!("s-{number:08x}"),
         zone: ZONE_NAME.to_owned(),
         cell: number,
@@ -110,14 +110,14 @@
         let SwitchTimes { answer, hold } = self.times;
         match message.verb {
             Verb::Start if self.calls.insert((connection, tag)) => {
-                replies.push(Reply { after: answer, message: answer_of_switch(tag) });
-                replies.push(Reply { after: answer + hold, message: release_of_switch(tag) });
+                replies.push(Reply { after: answer, message: switch_answer(tag) });
+                replies.push(Reply { after: answer + hold, message: switch_release(tag) });
             }
             // Its set-up is given up.
             Verb::Finish => {
                 self.calls.remove(&(connection, tag));
             }
-            Verb::Echo => replies.push(Reply { after: Duration::ZERO, message: passed_test(tag) }),
+            Verb::Echo => replies.push(Reply { after: Duration::ZERO, message: passed_test_answer(tag) }),
             _ => {}
         }
     }
--- a/crates/fawnrouter-capacity/src/process/usage.rs
+++ b/crates/fawnrouter-capacity/src/process/usage.rs
@@ -16,7 +16,7 @@
 pub enum UsageError {
     /// A file cannot be read.
     #[error("{}: cannot be read: {source}; the process may have ended, or /proc is not mounted", file.display())]
-    Unread {
+    Unreadable {
         /// The file.
         file: PathBuf,
         /// Why.
@@ -49,7 +49,8 @@
     pub fn of_process(process_id: u32) -> Result<Self, UsageError> {
         let folder = PathBuf::from(format!("/proc/{process_id}"));
         let status = folder.join("status");
-        let resident_bytes = resident_bytes(&read(&status)?).ok_or(UsageError::Malformed { file: status })?;
+        let resident_bytes =
+            parse_resident_bytes(&read(&status)?).ok_or(UsageError::Malformed { file: status })?;
         Ok(Self {
             processor_time: processor_time(&folder)?,
             resident_bytes,
@@ -64,32 +65,32 @@
     for thread in list(&folder.join("task"))? {
         let file = thread.join("schedstat");
         match std::fs::read_to_string(&file) {
-            Ok(text) => sum += schedstat_time(&text).ok_or(UsageError::Malformed { file })?,
+            Ok(text) => sum += parse_schedstat_time(&text).ok_or(UsageError::Malformed { file })?,
             // The thread has ended since the list was read, or the kernel keeps no such file.
             Err(error) if error.kind() == io::ErrorKind::NotFound => {}
-            Err(source) => return Err(UsageError::Unread { file, source }),
+            Err(source) => return Err(UsageError::Unreadable { file, source }),
         }
     }
     if !sum.is_zero() {
         return Ok(sum);
     }
     let file = folder.join("stat");
-    stat_time(&read(&file)?).ok_or(UsageError::Malformed { file })
+    parse_stat_time(&read(&file)?).ok_or(UsageError::Malformed { file })
 }
 
 fn read(file: &Path) -> Result<String, UsageError> {
-    std::fs::read_to_string(file).map_err(|source| UsageError::Unread { file: file.to_owned(), source })
+    std::fs::read_to_string(file).map_err(|source| UsageError::Unreadable { file: file.to_owned(), source })
 }
 
 fn list(folder: &Path) -> Result<Vec<PathBuf>, UsageError> {
-    let unread = |source| UsageError::Unread { file: folder.to_owned(), source };
+    let unread = |source| UsageError::Unreadable { file: folder.to_owned(), source };
     let entries = std::fs::read_dir(folder).map_err(unread)?;
     entries.map(|entry| entry.map(|entry| entry.path()).map_err(unread)).collect()
 }
 
 /// The time that a thread ran, from its `schedstat`: the first of three figures, in nanoseconds.
 #[must_use]
-pub fn schedstat_time(text: &str) -> Option<Duration> {
+pub fn parse_schedstat_time(text: &str) -> Option<Duration> {
     let mut fields = text.split_whitespace();
     let nanoseconds = fields.next()?.parse().ok()?;
     (fields.count() == 2).then(|| Duration::from_nanos(nanoseconds))
@@ -98,7 +99,7 @@
 /// The time that a process ran in user and kernel mode, from its `stat`. The program's name, in parentheses, may hold
 /// blanks and parentheses.
 #[must_use]
-pub fn stat_time(text: &str) -> Option<Duration> {
+pub fn parse_stat_time(text: &str) -> Option<Duration> {
     let (_, after_name) = text.rsplit_once(')')?;
     let mut fields = after_name.split_whitespace().skip(STAT_FIELDS_BEFORE_USER_TIME);
     let user: u64 = fields.next()?.parse().ok()?;
@@ -109,7 +110,7 @@
 
 /// The resident memory of a process in bytes, from its `status`.
 #[must_use]
-pub fn resident_bytes(text: &str) -> Option<u64> {
+pub fn parse_resident_bytes(text: &str) -> Option<u64> {
     let value = text.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
     let mut words = value.split_whitespace();
     let kibibytes: u64 = words.next()?.parse().ok()?;
@@ -119,7 +120,7 @@
 
 /// The memory of the machine in MiB, from `/proc/meminfo`.
 #[must_use]
-pub fn machine_memory_mib(text: &str) -> Option<u64> {
+pub fn parse_machine_memory_mib(text: &str) -> Option<u64> {
     let value = text.lines().find_map(|line| line.strip_prefix("MemTotal:"))?;
     let kibibytes: u64 = value.split_whitespace().next()?.parse().ok()?;
     Some(kibibytes / BYTES_PER_KIBIBYTE)
--- a/crates/fawnrouter-capacity/tests/hollow.rs
+++ b/crates/fawnrouter-capacity/tests/hollow.rs
@@ -7,10 +7,10 @@
 
 use fawnrouter_capacity::figures::{Cause, Quantity, Role, Run, Series, Situation};
 use fawnrouter_capacity::hollow::{CAUSES, HollowError, HollowOptions, Outcome, Scenario, measure, play};
-use fawnrouter_capacity::plan::{
-    Fault, FaultPlan, PlannedCall, TrafficPlan, answer_of_switch, release_of_switch,
+use fawnrouter_capacity::plan::{Fault, FaultPlan, PlannedCall, TrafficPlan, switch_answer, switch_release};
+use fawnrouter_capacity::platform::{
+    GatewayParameters, ListedSwitch, encode_list_answer, gateway_configuration,
 };
-use fawnrouter_capacity::platform::{GatewayPlace, SwitchRow, gateway_configuration, list_answer};
 use fawnrouter_dns::{Name, RecordType, query, read_response};
 use fawnrouter_jsonl::{Message, Tag, Verb};
 use fawnrouter_node::fawnrouter::ServerState;
@@ -22,8 +22,8 @@
     Duration::from_secs(count)
 }
 
-fn row(number: u32) -> SwitchRow {
-    SwitchRow {
+fn row(number: u32) -> ListedSwitch {
+    ListedSwitch {
         id: format!("s-{number:08x}"),
         zone: "zone-0".to_owned(),
         cell: number,
@@ -75,7 +75,7 @@
 
 /// A fleet of two services, calls, and a zone that goes and comes back.
 fn eventful(seed: u64) -> Scenario {
-    let zone = FaultPlan::gone_and_back(seconds(3), seconds(3), Fault::ZoneGone(1), Fault::ZoneBack(1));
+    let zone = FaultPlan::outage(seconds(3), seconds(3), Fault::ZoneGone(1), Fault::ZoneBack(1));
     Scenario::fleet(seed, 30).measuring(seconds(1), seconds(8)).calling(4.0).suffering(zone)
 }
 
@@ -90,9 +90,9 @@
 #[test]
 fn a_list_of_any_length_reads_as_it_was_written() {
     for count in [1, 25, 132, 660] {
-        let rows: Vec<SwitchRow> = (0..count).map(row).collect();
+        let rows: Vec<ListedSwitch> = (0..count).map(row).collect();
         let (name, question) = question(0x1234);
-        let datagram = list_answer(&question, 77, &rows);
+        let datagram = encode_list_answer(&question, 77, &rows);
         let answer = read_response(&datagram, 0x1234, &name, RecordType::Srv).unwrap();
         let pool = Pool::from_response(&answer).unwrap();
         assert_eq!(pool.serial, 77);
@@ -111,9 +111,9 @@
 #[test]
 fn names_of_a_list_are_written_once_as_far_as_pointers_reach() {
     let length = |count: u32| {
-        let rows: Vec<SwitchRow> =
-            (0..count).map(row).map(|row| SwitchRow { started_unix_ms: 0, ..row }).collect();
-        list_answer(&question(1).1, 1, &rows).len()
+        let rows: Vec<ListedSwitch> =
+            (0..count).map(row).map(|row| ListedSwitch { started_unix_ms: 0, ..row }).collect();
+        encode_list_answer(&question(1).1, 1, &rows).len()
     };
     // SRV: a pointer, 10 bytes, 6 bytes, the id and a pointer. A: a pointer, 10 bytes, 4 bytes. TXT: a pointer, 10
     // bytes, "kind=std" "cell=N" "started=0". Each text and label has its length before it.
@@ -126,17 +126,17 @@
 
 #[test]
 fn what_is_no_question_gets_no_answer() {
-    assert!(list_answer(&[], 1, &[row(0)]).is_empty());
-    assert!(list_answer(&[0; 12], 1, &[row(0)]).is_empty());
+    assert!(encode_list_answer(&[], 1, &[row(0)]).is_empty());
+    assert!(encode_list_answer(&[0; 12], 1, &[row(0)]).is_empty());
     // A name that runs over the end, as only a stranger writes it.
     let cut = [&[0; 12][..], &[60, b'a', b'b']].concat();
-    assert!(!list_answer(&cut, 1, &[row(0)]).is_empty());
+    assert!(!encode_list_answer(&cut, 1, &[row(0)]).is_empty());
 }
 
 #[test]
 fn a_configuration_is_taken_as_it_was_written() {
-    let rows: Vec<SwitchRow> = (0..25).map(row).collect();
-    let place = GatewayPlace {
+    let rows: Vec<ListedSwitch> = (0..25).map(row).collect();
+    let place = GatewayParameters {
         name: "g".to_owned(),
         listen: "127.0.0.1:5060".parse().unwrap(),
         nameserver: "127.0.0.1:5300".parse().unwrap(),
@@ -151,7 +151,7 @@
     assert_eq!((boot.seed, boot.descriptors), (place.seed, 512));
     assert_eq!((boot.settings.gateways, boot.settings.own_id.0), (26, 25));
     let (name, question) = question(1);
-    let answer = read_response(&list_answer(&question, 9, &rows), 1, &name, RecordType::Srv).unwrap();
+    let answer = read_response(&encode_list_answer(&question, 9, &rows), 1, &name, RecordType::Srv).unwrap();
     assert_eq!(
         boot.known,
         Pool::from_response(&answer).unwrap(),
@@ -213,10 +213,10 @@
 #[test]
 fn each_gateway_asks_four_times_a_second_and_reads_the_codecs_bytes() {
     let outcome = play(&Scenario::one_service(SEED, 3, 5).measuring(seconds(1), seconds(4))).unwrap();
-    let rows: Vec<SwitchRow> =
-        (0..5).map(|number| SwitchRow { draining: false, started_unix_ms: 0, ..row(number) }).collect();
+    let rows: Vec<ListedSwitch> =
+        (0..5).map(|number| ListedSwitch { draining: false, started_unix_ms: 0, ..row(number) }).collect();
     let (_, question) = question(1);
-    let answer = list_answer(&question, 1, &rows).len() as u64;
+    let answer = encode_list_answer(&question, 1, &rows).len() as u64;
     assert_eq!(outcome.list.questions, 4 * 4 * 3);
     assert_eq!(outcome.list.answers, 4 * 4 * 3);
     assert_eq!(outcome.list.question_bytes, 4 * 4 * 3 * question.len() as u64);
@@ -249,10 +249,10 @@
     assert_eq!(outcome.to_callers.messages(Verb::Finish), planned);
     assert_eq!(outcome.to_switches.messages(Verb::Finished), planned);
 
-    let set_ups: u64 = calls.iter().map(|call| bytes_of(&call.set_up(4))).sum();
+    let set_ups: u64 = calls.iter().map(|call| bytes_of(&call.set_up_message(4))).sum();
     assert_eq!(outcome.from_callers.all().bytes, set_ups);
-    let answers = planned * bytes_of(&answer_of_switch(1));
-    let releases = planned * bytes_of(&release_of_switch(1));
+    let answers = planned * bytes_of(&switch_answer(1));
+    let releases = planned * bytes_of(&switch_release(1));
     let confirmed = planned * bytes_of(&Message::new(Verb::Finished, Tag(1)));
     assert_eq!(outcome.to_callers.all().bytes, answers + releases);
     let calls = |role| outcome.role(role).total.of(Cause::Calls);
@@ -367,7 +367,7 @@
 
 #[test]
 fn a_rack_is_a_fifth_of_a_zone_and_comes_back() {
-    let rack = FaultPlan::gone_and_back(seconds(2), seconds(5), Fault::RackGone(1), Fault::RackBack(1));
+    let rack = FaultPlan::outage(seconds(2), seconds(5), Fault::RackGone(1), Fault::RackBack(1));
     let scenario = Scenario::fleet(SEED, 30).measuring(seconds(1), seconds(8)).calling(2.0);
     let outcome = play(&scenario.suffering(rack).settling(seconds(15))).unwrap();
     all_accounted(&outcome);
@@ -388,7 +388,7 @@
 
 #[test]
 fn calls_of_a_core_switch_that_is_listed_again_soon_after_it_vanished_are_cut() {
-    let faults = FaultPlan::gone_and_back(seconds(4), seconds(2), Fault::SwitchGone(0), Fault::SwitchBack(0));
+    let faults = FaultPlan::outage(seconds(4), seconds(2), Fault::SwitchGone(0), Fault::SwitchBack(0));
     let scenario = Scenario::one_service(SEED, 2, 3).holding(seconds(20)).measuring(seconds(1), seconds(8));
     let outcome = play(&scenario.calling(5.0).suffering(faults).settling(seconds(30))).unwrap();
     all_accounted(&outcome);
@@ -401,9 +401,8 @@
 
 #[test]
 fn a_core_switch_that_drains_stops_and_returns_costs_no_call() {
-    let faults =
-        FaultPlan::gone_and_back(seconds(5), seconds(2), Fault::SwitchStopped(1), Fault::SwitchBack(1))
-            .with(seconds(2), Fault::SwitchDraining(1));
+    let faults = FaultPlan::outage(seconds(5), seconds(2), Fault::SwitchStopped(1), Fault::SwitchBack(1))
+        .with(seconds(2), Fault::SwitchDraining(1));
     let scenario = Scenario::one_service(SEED, 3, 3).holding(seconds(1)).measuring(seconds(1), seconds(12));
     let outcome = play(&scenario.calling(10.0).suffering(faults).settling(seconds(5))).unwrap();
     all_accounted(&outcome);
@@ -427,7 +426,7 @@
 
 #[test]
 fn regions_that_lose_each_other_lose_the_list_of_the_far_ones() {
-    let faults = FaultPlan::gone_and_back(seconds(2), seconds(8), Fault::RegionsApart, Fault::RegionsJoined);
+    let faults = FaultPlan::outage(seconds(2), seconds(8), Fault::RegionsApart, Fault::RegionsJoined);
     let scenario = Scenario::fleet(SEED, 12).measuring(seconds(1), seconds(15)).calling(2.0);
     let outcome = play(&scenario.suffering(faults).settling(seconds(20))).unwrap();
     all_accounted(&outcome);
@@ -585,7 +584,7 @@
 fn one_planned_call_reads_as_the_platforms_page_has_it() {
     let call = PlannedCall { at: Duration::ZERO, gateway: 0, tag: 0x9b1f_03aa_5c7e_2d41 };
     let mut line = Vec::new();
-    call.set_up(26).encode(&mut line);
+    call.set_up_message(26).encode(&mut line);
     let value: serde_json::Value = serde_json::from_slice(&line).unwrap();
     assert_eq!(value["verb"], "START");
     assert_eq!(value["tag"], "9b1f03aa5c7e2d41");
--- a/crates/fawnrouter-capacity/tests/page.rs
+++ b/crates/fawnrouter-capacity/tests/page.rs
@@ -9,7 +9,7 @@
     Series, Situation, Size,
 };
 use fawnrouter_capacity::page::{
-    BEGIN_MARKER, END_MARKER, PageError, render, render_rows, replace, replace_rows,
+    BEGIN_MARKER, END_MARKER, PageError, render, render_rows, update_page, update_rows_page,
 };
 
 const ROLE_HEADINGS: [&str; 8] = [
@@ -38,7 +38,7 @@
 }
 
 fn committed_report() -> Report {
-    Report::read(&committed("capacity.json")).expect("docs/capacity.json is a report")
+    Report::from_json(&committed("capacity.json")).expect("docs/capacity.json is a report")
 }
 
 fn points(points: &[(f64, f64)]) -> Vec<Point> {
@@ -157,7 +157,7 @@
 #[test]
 fn the_committed_page_has_exactly_the_tables_of_the_committed_report() {
     let page = committed("CAPACITY.md");
-    let computed = replace(&page, &committed_report()).expect("docs/CAPACITY.md has its markers");
+    let computed = update_page(&page, &committed_report()).expect("docs/CAPACITY.md has its markers");
     assert!(
         computed == page,
         "docs/CAPACITY.md differs from docs/capacity.json; computed anew it reads:\n{computed}"
@@ -167,7 +167,8 @@
 #[test]
 fn the_committed_full_tables_are_exactly_those_of_the_committed_report() {
     let page = committed("capacity-rows.md");
-    let computed = replace_rows(&page, &committed_report()).expect("docs/capacity-rows.md has its markers");
+    let computed =
+        update_rows_page(&page, &committed_report()).expect("docs/capacity-rows.md has its markers");
     assert!(computed == page, "docs/capacity-rows.md differs from docs/capacity.json; write it anew");
 }
 
@@ -178,7 +179,7 @@
     let with_series = (0..report.runs.len()).filter(|run| !report.runs[*run].series.is_empty());
     for run in with_series {
         let changed = with_a_changed_figure(&report, run);
-        let computed = replace_rows(&page, &changed).expect("docs/capacity-rows.md has its markers");
+        let computed = update_rows_page(&page, &changed).expect("docs/capacity-rows.md has its markers");
         assert!(computed != page, "a figure of {} was doubled and nothing changed", report.runs[run].id);
     }
 }
@@ -205,8 +206,8 @@
 #[test]
 fn the_same_report_gives_the_same_page_also_through_its_stored_form() {
     let report = hand_made();
-    let stored =
-        Report::read(&report.write().expect("all figures are numbers")).expect("what was written reads");
+    let stored = Report::from_json(&report.to_json().expect("all figures are numbers"))
+        .expect("what was written reads");
     assert_eq!(stored, report);
     assert_eq!(rendered(&stored), rendered(&report));
 }
@@ -582,47 +583,47 @@
 fn the_tables_take_the_place_of_those_between_the_markers() {
     let page = format!("# Capacity\n\n{BEGIN_MARKER}\nold tables\n{END_MARKER}\n\nThe end.\n");
     let report = hand_made();
-    let replaced = replace(&page, &report).expect("both markers");
+    let replaced = update_page(&page, &report).expect("both markers");
     let tables = rendered(&report);
     assert_eq!(replaced, format!("# Capacity\n\n{BEGIN_MARKER}\n\n{tables}\n{END_MARKER}\n\nThe end.\n"));
-    assert_eq!(replace(&replaced, &report).as_ref(), Ok(&replaced));
+    assert_eq!(update_page(&replaced, &report).as_ref(), Ok(&replaced));
 }
 
 #[test]
 fn a_page_whose_markers_are_missing_doubled_or_turned_is_left_alone() {
     let report = hand_made();
-    let refused = |page: &str| replace(page, &report).expect_err("a page that cannot be used");
+    let refused = |page: &str| update_page(page, &report).expect_err("a page that cannot be used");
     let missing = |marker| PageError::Marker { marker, found: 0 };
     assert_eq!(refused("no markers"), missing(BEGIN_MARKER));
     assert_eq!(refused(END_MARKER), missing(BEGIN_MARKER));
     assert_eq!(refused(BEGIN_MARKER), missing(END_MARKER));
     let doubled = format!("{BEGIN_MARKER}\n{END_MARKER}\n{END_MARKER}\n");
     assert_eq!(refused(&doubled), PageError::Marker { marker: END_MARKER, found: 2 });
-    assert_eq!(refused(&format!("{END_MARKER}\n{BEGIN_MARKER}\n")), PageError::MarkersTurned);
+    assert_eq!(refused(&format!("{END_MARKER}\n{BEGIN_MARKER}\n")), PageError::MarkersOutOfOrder);
 }
 
 #[test]
 fn two_runs_of_one_name_are_refused() {
     let mut report = hand_made();
     report.runs.push(cost_of_the_list());
-    assert_eq!(render(&report), Err(PageError::RunTwice { id: "hollow-list".to_owned() }));
+    assert_eq!(render(&report), Err(PageError::DuplicateRunId { id: "hollow-list".to_owned() }));
 }
 
 #[test]
 fn a_report_of_another_form_or_damaged_has_an_error_that_says_what_to_do() {
     let of_another_form =
-        Report { schema: SCHEMA + 1, ..hand_made() }.write().expect("all figures are numbers");
-    let error = Report::read(&of_another_form).expect_err("another form");
+        Report { schema: SCHEMA + 1, ..hand_made() }.to_json().expect("all figures are numbers");
+    let error = Report::from_json(&of_another_form).expect_err("another form");
     assert!(matches!(error, ReportError::Schema { found } if found == SCHEMA + 1), "{error}");
     assert!(error.to_string().contains("write it anew with `fawnrouter-lab capacity`"), "{error}");
 
-    let whole = hand_made().write().expect("all figures are numbers");
+    let whole = hand_made().to_json().expect("all figures are numbers");
     let cut_short = &whole[..whole.len() / 2];
     let unknown_field = whole.replacen("\"schema\"", "\"scheme\"", 1);
     let no_number = whole.replacen("169.0", "\"many\"", 1);
     assert_ne!(no_number, whole);
     for damaged in [cut_short, "", unknown_field.as_str(), no_number.as_str()] {
-        let error = Report::read(damaged).expect_err("a damaged report");
+        let error = Report::from_json(damaged).expect_err("a damaged report");
         assert!(matches!(error, ReportError::Json(_)), "{error}");
     }
 }
--- a/crates/fawnrouter-capacity/tests/process.rs
+++ b/crates/fawnrouter-capacity/tests/process.rs
@@ -7,11 +7,11 @@
 
 use fawnrouter_capacity::figures::Role;
 use fawnrouter_capacity::hollow::{ByVerb, Scenario, Volume};
-use fawnrouter_capacity::process::lines::{LineReader, counted_since, volume_of_calls, volume_of_tests};
+use fawnrouter_capacity::process::lines::{LineReader, call_volume, counts_since, test_volume};
 use fawnrouter_capacity::process::usage::{
-    Usage, machine_memory_mib, resident_bytes, schedstat_time, stat_time,
+    Usage, parse_machine_memory_mib, parse_resident_bytes, parse_schedstat_time, parse_stat_time,
 };
-use fawnrouter_capacity::process::{ProcessError, ProcessOptions, Rig, measure, play};
+use fawnrouter_capacity::process::{ProcessError, ProcessOptions, Testbed, measure, run_scenario};
 
 const STAT: &str = "5130 (fawn) router) S 5129 5130 5130 0 -1 4194560 7282 70398 0 1 26 61 18 20 20 0 2 0 22828 5124096 984 \
                     18446744073709551615 94678372163584\n";
@@ -23,26 +23,26 @@
 
 #[test]
 fn processor_times_are_read_to_the_nanosecond_and_to_the_tick() {
-    assert_eq!(schedstat_time("83165239 936844 169\n"), Some(Duration::from_nanos(83_165_239)));
-    assert_eq!(schedstat_time("0 0 1\n"), Some(Duration::ZERO));
+    assert_eq!(parse_schedstat_time("83165239 936844 169\n"), Some(Duration::from_nanos(83_165_239)));
+    assert_eq!(parse_schedstat_time("0 0 1\n"), Some(Duration::ZERO));
     for bad in ["", "83165239\n", "83165239 936844\n", "83165239 936844 169 4\n", "-1 2 3\n", "a b c\n"] {
-        assert_eq!(schedstat_time(bad), None, "{bad:?}");
+        assert_eq!(parse_schedstat_time(bad), None, "{bad:?}");
     }
     // 26 ticks in user mode, 61 in kernel mode; the name holds a parenthesis and a blank.
-    assert_eq!(stat_time(STAT), Some(Duration::from_millis(870)));
+    assert_eq!(parse_stat_time(STAT), Some(Duration::from_millis(870)));
     for bad in ["", "5130 fawnrouter S 1 2 3", "5130 (fawnrouter) S 1 2 3"] {
-        assert_eq!(stat_time(bad), None, "{bad:?}");
+        assert_eq!(parse_stat_time(bad), None, "{bad:?}");
     }
 }
 
 #[test]
 fn memory_is_read_in_the_unit_that_the_kernel_names() {
-    assert_eq!(resident_bytes(STATUS), Some(5588 * 1024));
+    assert_eq!(parse_resident_bytes(STATUS), Some(5588 * 1024));
     for bad in ["", "VmPeak:\t 1 kB\n", "VmRSS:\n", "VmRSS:\t12\n", "VmRSS:\t12 MB\n", "VmRSS:\tmany kB\n"] {
-        assert_eq!(resident_bytes(bad), None, "{bad:?}");
+        assert_eq!(parse_resident_bytes(bad), None, "{bad:?}");
     }
-    assert_eq!(machine_memory_mib("MemTotal:       24730000 kB\nMemFree: 1 kB\n"), Some(24_150));
-    assert_eq!(machine_memory_mib("MemFree: 1 kB\n"), None);
+    assert_eq!(parse_machine_memory_mib("MemTotal:       24730000 kB\nMemFree: 1 kB\n"), Some(24_150));
+    assert_eq!(parse_machine_memory_mib("MemFree: 1 kB\n"), None);
 }
 
 #[test]
@@ -98,10 +98,10 @@
 fn counts_of_a_window_are_what_came_since_its_start_and_tests_are_no_calls() {
     let before = lines(&[("START", 3, 300), ("ECHO", 1, 60)]);
     let after = lines(&[("START", 5, 510), ("STARTED", 2, 80), ("ECHO", 4, 240), ("ECHOED", 4, 250)]);
-    let window = counted_since(&before, &after);
+    let window = counts_since(&before, &after);
     assert_eq!(window, lines(&[("START", 2, 210), ("STARTED", 2, 80), ("ECHO", 3, 180), ("ECHOED", 4, 250)]));
-    assert_eq!(volume_of_calls(&window), volume(4, 290));
-    assert_eq!(volume_of_tests(&window), volume(7, 430));
+    assert_eq!(call_volume(&window), volume(4, 290));
+    assert_eq!(test_volume(&window), volume(7, 430));
 }
 
 #[test]
@@ -118,10 +118,14 @@
         stop: &stop,
         progress: &mut |part| parts.push(part.to_owned()),
     });
-    let played = play(&Scenario::one_service(1, 1, 1), Duration::ZERO, Rig { program, seed: 1, stop: &stop });
+    let played = run_scenario(
+        &Scenario::one_service(1, 1, 1),
+        Duration::ZERO,
+        Testbed { program, seed: 1, stop: &stop },
+    );
     for error in [measured.map(|_| ()), played.map(|_| ())] {
         let error = error.expect_err("there is no such program");
-        assert!(matches!(error, ProcessError::NoProgram { .. }));
+        assert!(matches!(error, ProcessError::ProgramMissing { .. }));
         let text = error.to_string();
         for part in
             ["/nowhere/fawnrouter", "cargo build --release -p fawnrouterd", "--program", "--no-processes"]
--- a/crates/fawnrouter-lab/src/capacity.rs
+++ b/crates/fawnrouter-lab/src/capacity.rs
@@ -9,7 +9,7 @@
 use fawnrouter_capacity::figures::{Machine, Report, ReportError, Role, SCHEMA};
 use fawnrouter_capacity::hollow::{self, Allocator, HollowError, HollowOptions};
 use fawnrouter_capacity::page::{self, PageError};
-use fawnrouter_capacity::process::usage::machine_memory_mib;
+use fawnrouter_capacity::process::usage::parse_machine_memory_mib;
 use fawnrouter_capacity::process::{self, ProcessError, ProcessOptions, check_program};
 use indicatif::{ProgressBar, ProgressStyle};
 use signal_hook::consts::{SIGINT, SIGTERM};
@@ -129,12 +129,12 @@
         write_tables(file, &Report::default(), |_, _| Ok(()))?;
     }
     let report = match &options.from {
-        Some(file) => Report::read(&read(file)?)?,
+        Some(file) => Report::from_json(&read(file)?)?,
         None => measure(options, &program, allocator)?,
     };
     print!("{}", page::render(&report)?);
     if let Some(file) = &report_file {
-        write(file, &report.write()?)?;
+        write(file, &report.to_json()?)?;
     }
     if let Some(file) = &page_file {
         write_tables(file, &report, write)?;
@@ -149,8 +149,8 @@
     write: impl Fn(&Path, &str) -> Result<(), CapacityError>,
 ) -> Result<(), CapacityError> {
     let rows_file = page_file.with_file_name(ROWS_FILE);
-    let page = page::replace(&read(page_file)?, report)?;
-    let rows = page::replace_rows(&read(&rows_file)?, report)?;
+    let page = page::update_page(&read(page_file)?, report)?;
+    let rows = page::update_rows_page(&read(&rows_file)?, report)?;
     write(page_file, &page)?;
     write(&rows_file, &rows)
 }
@@ -200,7 +200,7 @@
     let memory = read(Path::new("/proc/meminfo"))?;
     Ok(Machine {
         cores: u32::try_from(cores.get()).unwrap_or(u32::MAX),
-        memory_mib: machine_memory_mib(&memory).unwrap_or(0),
+        memory_mib: parse_machine_memory_mib(&memory).unwrap_or(0),
     })
 }
 
--- a/crates/fawnrouterd/tests/capacity.rs
+++ b/crates/fawnrouterd/tests/capacity.rs
@@ -7,8 +7,8 @@
 
 use fawnrouter_capacity::hollow::{self, ByVerb, Scenario, Volume};
 use fawnrouter_capacity::plan::TrafficPlan;
-use fawnrouter_capacity::process::lines::volume_of_calls;
-use fawnrouter_capacity::process::{self, CallsEnded, ProcessError, Rig, hop_plan};
+use fawnrouter_capacity::process::lines::call_volume;
+use fawnrouter_capacity::process::{self, CallOutcomes, ProcessError, Testbed, hop_plan};
 use rustix::io::Errno;
 use rustix::process::{WaitOptions, waitpid};
 
@@ -28,8 +28,8 @@
     assert_eq!(waitpid(None, WaitOptions::NOHANG).err(), Some(Errno::CHILD), "a gateway was left running");
 }
 
-fn rig(stop: &AtomicBool) -> Rig<'_> {
-    Rig { program: Path::new(env!("CARGO_BIN_EXE_fawnrouter")), seed: SEED, stop }
+fn rig(stop: &AtomicBool) -> Testbed<'_> {
+    Testbed { program: Path::new(env!("CARGO_BIN_EXE_fawnrouter")), seed: SEED, stop }
 }
 
 /// Calls that have all ended by the end of what is counted.
@@ -64,12 +64,12 @@
     let scenario = scenario();
     let stop = AtomicBool::new(false);
     // It returns once every planned call has ended, so that what is compared is per plan and not per second.
-    let played = process::play(&scenario, Duration::from_millis(500), rig(&stop)).unwrap();
+    let played = process::run_scenario(&scenario, Duration::from_millis(500), rig(&stop)).unwrap();
     assert_no_child_is_left();
     let hollow = hollow::play(&scenario).unwrap();
     let planned = scenario.traffic.calls().len() as u64;
     assert_eq!((hollow.calls.planned, hollow.calls.released), (planned, planned));
-    assert_eq!((played.planned, played.ended.all()), (planned, planned));
+    assert_eq!((played.planned, played.ended.total()), (planned, planned));
     assert_agree("calls that stood", played.ended.released as f64, planned as f64);
     let ways: [(&str, &ByVerb, &ByVerb); 4] = [
         ("from callers", &played.busy.from_callers, &hollow.from_callers),
@@ -78,7 +78,7 @@
         ("to core switches", &played.busy.to_switches, &hollow.to_switches),
     ];
     for (way, processes, hollow) in ways {
-        assert_volumes_agree(way, volume_of_calls(processes), volume_of_calls(hollow));
+        assert_volumes_agree(way, call_volume(processes), call_volume(hollow));
     }
     let list = hollow.list;
     let questions = Volume { messages: list.questions, bytes: list.question_bytes };
@@ -94,10 +94,10 @@
     let stop = AtomicBool::new(false);
     let plan = hop_plan(SEED, 50.0, 1);
     let planned = plan.calls().len() as u64;
-    let without = process::without_gateway(&plan, rig(&stop)).unwrap();
-    let through = process::through_gateway(plan, SWITCHES, rig(&stop)).unwrap();
+    let without = process::measure_baseline(&plan, rig(&stop)).unwrap();
+    let through = process::measure_hop(plan, SWITCHES, rig(&stop)).unwrap();
     assert_no_child_is_left();
-    let all_answered = CallsEnded { released: planned, unanswered: 0 };
+    let all_answered = CallOutcomes { released: planned, unanswered: 0 };
     for (way, measured) in [("without a gateway", without), ("through a gateway", through)] {
         assert_eq!((measured.planned, measured.ended), (planned, all_answered), "{way}");
         let delays: u64 = measured.delays.iter().map(|bucket| bucket.count).sum();
@@ -110,7 +110,8 @@
 fn a_measurement_that_is_told_to_end_ends_its_gateways() {
     let _alone = alone();
     let stop = AtomicBool::new(true);
-    let told = process::play(&scenario(), Duration::ZERO, rig(&stop)).expect_err("it was told to end");
+    let told =
+        process::run_scenario(&scenario(), Duration::ZERO, rig(&stop)).expect_err("it was told to end");
     assert!(matches!(told, ProcessError::Stopped), "{told}");
     assert_no_child_is_left();
 }
