--- a/crates/fawnrouter-capacity/src/hollow/scenario.rs
+++ b/crates/fawnrouter-capacity/src/hollow/scenario.rs
@@ -73,8 +73,14 @@
     /// One service of so many gateways and core switches in one zone, without calls.
     #[must_use]
     pub fn one_service(seed: u64, gateways: u32, switches: u32) -> Self {
-        let traffic =
-            TrafficPlan { seed, gateways, calls_per_second: 0.0, seconds: 0, hold: HOLD, answer: ANSWER };
+        let traffic = TrafficPlan {
+            seed,
+            gateways,
+            calls_per_second: 0.0,
+            seconds: 0,
+            hold: HOLD,
+            answer_delay: ANSWER,
+        };
         Self {
             seed,
             gateways,
--- a/crates/fawnrouter-capacity/src/hollow/world/switches.rs
+++ b/crates/fawnrouter-capacity/src/hollow/world/switches.rs
@@ -89,7 +89,7 @@
             record.set_ups.insert(tag);
         }
         let epoch = self.switches[switch].epoch;
-        let answers = self.now + self.scenario.traffic.answer;
+        let answers = self.now + self.scenario.traffic.answer_delay;
         self.queue.put(answers, Event::SwitchAnswers { switch, epoch, tag });
     }
 
--- a/crates/fawnrouter-capacity/src/plan.rs
+++ b/crates/fawnrouter-capacity/src/plan.rs
@@ -34,7 +34,7 @@
     /// How long a call stands.
     pub hold: Duration,
     /// How long a core switch takes to answer a set-up.
-    pub answer: Duration,
+    pub answer_delay: Duration,
 }
 
 /// One call of a plan.
--- a/crates/fawnrouter-capacity/src/process.rs
+++ b/crates/fawnrouter-capacity/src/process.rs
@@ -230,7 +230,7 @@
 fn setting_of_fleets(fleets: &[Both], quiet: Duration) -> String {
     let plays = fleets.iter().map(|both| {
         let Both { gateways, rate, seconds, played, .. } = both;
-        let descriptors = played.busy.descriptors as f64 / f64::from(*gateways);
+        let descriptors = played.during_calls.descriptors as f64 / f64::from(*gateways);
         let (planned, unanswered) = (played.planned, played.ended.unanswered);
         format!(
             "{gateways} gateways at {rate} calls/s for {seconds} s ({planned} calls, {unanswered} of them refused or \
--- a/crates/fawnrouter-capacity/src/process/fleet.rs
+++ b/crates/fawnrouter-capacity/src/process/fleet.rs
@@ -54,7 +54,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Observation {
     /// How long it was.
-    pub length: Duration,
+    pub duration: Duration,
     /// Lines that gateways got from callers.
     pub from_callers: ByVerb,
     /// Lines that callers got from gateways.
@@ -64,9 +64,9 @@
     /// Lines that core switches got from gateways.
     pub to_switches: ByVerb,
     /// Questions for the list.
-    pub questions: Volume,
+    pub list_queries: Volume,
     /// Answers to them.
-    pub answers: Volume,
+    pub list_answers: Volume,
     /// Processor time of the gateways.
     pub processor_time: Duration,
     /// Resident memory of the gateways at its end, in bytes.
@@ -83,9 +83,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetMeasurement {
     /// From the first call on, until all have ended and the measured time is over.
-    pub busy: Observation,
+    pub during_calls: Observation,
     /// Afterwards, with nothing to do but to ask for the list.
-    pub quiet: Observation,
+    pub after_calls: Observation,
     /// Calls of the plan.
     pub planned: u64,
     /// What became of them.
@@ -111,8 +111,8 @@
     sleep_until(all_ended.at + quiet, rig.stop)?;
     let end = fleet.mark()?;
     Ok(FleetMeasurement {
-        busy: first_call.until(&all_ended),
-        quiet: all_ended.until(&end),
+        during_calls: first_call.until(&all_ended),
+        after_calls: all_ended.until(&end),
         planned: calls.len() as u64,
         ended: end.callers.ended,
     })
@@ -150,7 +150,7 @@
         check_program(rig.program)?;
         check_descriptors(scenario)?;
         let deadline = Instant::now() + READY_WITHIN;
-        let times = SwitchTimes { answer: scenario.traffic.answer, hold: scenario.traffic.hold };
+        let times = SwitchTimes { answer: scenario.traffic.answer_delay, hold: scenario.traffic.hold };
         let switches = Switches::start(scenario.switches, times, stamps.clone());
         let switches = switches.map_err(doing("the stand-in core switches cannot be started"))?;
         let names = NameServer::start(switches.rows.clone());
@@ -247,13 +247,13 @@
         let ran = end.usages.iter().zip(&self.usages);
         let ran = ran.map(|(end, start)| end.processor_time.saturating_sub(start.processor_time));
         Observation {
-            length: end.at - self.at,
+            duration: end.at - self.at,
             from_callers: counts_since(&self.callers.said, &end.callers.said),
             to_callers: counts_since(&self.callers.heard, &end.callers.heard),
             from_switches: counts_since(&self.switches.said, &end.switches.said),
             to_switches: counts_since(&self.switches.heard, &end.switches.heard),
-            questions: volume_since(self.list.all_questions(), end.list.all_questions()),
-            answers: volume_since(self.list.answers, end.list.answers),
+            list_queries: volume_since(self.list.all_questions(), end.list.all_questions()),
+            list_answers: volume_since(self.list.answers, end.list.answers),
             processor_time: ran.sum(),
             resident_bytes: sum(|usage| usage.resident_bytes),
             descriptors: sum(|usage| usage.descriptors),
--- a/crates/fawnrouter-capacity/src/process/hop.rs
+++ b/crates/fawnrouter-capacity/src/process/hop.rs
@@ -42,7 +42,7 @@
 /// The calls of a measurement: core switches answer at once.
 #[must_use]
 pub fn hop_plan(seed: u64, calls_per_second: f64, seconds: u64) -> TrafficPlan {
-    TrafficPlan { seed, gateways: 1, calls_per_second, seconds, hold: HOLD, answer: Duration::ZERO }
+    TrafficPlan { seed, gateways: 1, calls_per_second, seconds, hold: HOLD, answer_delay: Duration::ZERO }
 }
 
 /// Calls through one gateway that sees this many core switches.
@@ -74,7 +74,7 @@
 pub fn measure_baseline(plan: &TrafficPlan, rig: Testbed<'_>) -> Result<HopMeasurement, ProcessError> {
     let calls = plan.calls();
     let stamps = Arc::new(Stamps::new(&calls));
-    let times = SwitchTimes { answer: plan.answer, hold: plan.hold };
+    let times = SwitchTimes { answer: plan.answer_delay, hold: plan.hold };
     let switches = Switches::start(1, times, Some(stamps.clone()));
     let switches = switches.map_err(doing("a stand-in core switch cannot be started"))?;
     let count = Scenario::one_service(rig.seed, 1, 1).caller_connections;
--- a/crates/fawnrouter-capacity/src/process/series.rs
+++ b/crates/fawnrouter-capacity/src/process/series.rs
@@ -113,10 +113,10 @@
     let mut figures = Figures::default();
     let [gateways, switches] = [scenario.gateways, scenario.switches].map(f64::from);
     add_flows_of_processes(&mut figures, played, gateways, switches);
-    let (quiet, busy) = (&played.quiet, &played.busy);
+    let (quiet, busy) = (&played.after_calls, &played.during_calls);
     let quiet_rate = microseconds_per_second(quiet);
     let busy_rate = microseconds_per_second(busy);
-    let of_calls = (busy_rate - quiet_rate) * busy.length.as_secs_f64();
+    let of_calls = (busy_rate - quiet_rate) * busy.duration.as_secs_f64();
     figures.add(PROCESSOR_PER_CALL, Some(of_calls / played.planned as f64));
     figures.add(PROCESSOR_PER_SECOND, Some(busy_rate / gateways));
     figures.add(PROCESSOR_PER_QUIET_SECOND, Some(quiet_rate / gateways));
@@ -128,8 +128,8 @@
 }
 
 fn add_flows_of_processes(figures: &mut Figures, played: &FleetMeasurement, gateways: f64, switches: f64) {
-    let (quiet, busy) = (&played.quiet, &played.busy);
-    let [quiet_seconds, busy_seconds] = [quiet, busy].map(|observed| observed.length.as_secs_f64());
+    let (quiet, busy) = (&played.after_calls, &played.during_calls);
+    let [quiet_seconds, busy_seconds] = [quiet, busy].map(|observed| observed.duration.as_secs_f64());
     let calls = ways_of_a_gateway(busy, call_volume);
     figures.add_flow(CALLS_OF_A_GATEWAY, calls, played.planned as f64);
     figures.add_flow(
@@ -141,9 +141,9 @@
     figures.add_flow(CALLS_OF_A_SWITCH, ways_of_a_switch(busy, call_volume), switch_seconds);
     figures.add_flow(TESTS_OF_A_SWITCH, ways_of_a_switch(busy, test_volume), switch_seconds);
     figures.add_flow(SECONDS_OF_A_SWITCH, ways_of_a_switch(busy, |lines| lines.all()), switch_seconds);
-    let of_gateway = Ways { received: quiet.answers, sent: quiet.questions };
+    let of_gateway = Ways { received: quiet.list_answers, sent: quiet.list_queries };
     figures.add_flow(LIST_OF_A_GATEWAY, of_gateway, gateways * quiet_seconds);
-    let of_source = Ways { received: quiet.questions, sent: quiet.answers };
+    let of_source = Ways { received: quiet.list_queries, sent: quiet.list_answers };
     figures.add_flow(LIST_OF_THE_SOURCE, of_source, quiet_seconds);
 }
 
@@ -163,7 +163,7 @@
 }
 
 fn microseconds_per_second(observed: &Observation) -> f64 {
-    observed.processor_time.as_secs_f64() * MICROSECONDS_PER_SECOND / observed.length.as_secs_f64()
+    observed.processor_time.as_secs_f64() * MICROSECONDS_PER_SECOND / observed.duration.as_secs_f64()
 }
 
 /// What hollow gateways showed without calls and with them.
--- a/crates/fawnrouter-capacity/tests/hollow.rs
+++ b/crates/fawnrouter-capacity/tests/hollow.rs
@@ -167,7 +167,7 @@
         calls_per_second: 50.0,
         seconds: 100,
         hold: seconds(1),
-        answer: Duration::from_millis(20),
+        answer_delay: Duration::from_millis(20),
     }
 }
 
--- a/crates/fawnrouterd/tests/capacity.rs
+++ b/crates/fawnrouterd/tests/capacity.rs
@@ -72,10 +72,10 @@
     assert_eq!((played.planned, played.ended.total()), (planned, planned));
     assert_agree("calls that stood", played.ended.released as f64, planned as f64);
     let ways: [(&str, &ByVerb, &ByVerb); 4] = [
-        ("from callers", &played.busy.from_callers, &hollow.from_callers),
-        ("to callers", &played.busy.to_callers, &hollow.to_callers),
-        ("from core switches", &played.busy.from_switches, &hollow.from_switches),
-        ("to core switches", &played.busy.to_switches, &hollow.to_switches),
+        ("from callers", &played.during_calls.from_callers, &hollow.from_callers),
+        ("to callers", &played.during_calls.to_callers, &hollow.to_callers),
+        ("from core switches", &played.during_calls.from_switches, &hollow.from_switches),
+        ("to core switches", &played.during_calls.to_switches, &hollow.to_switches),
     ];
     for (way, processes, hollow) in ways {
         assert_volumes_agree(way, call_volume(processes), call_volume(hollow));
@@ -83,9 +83,9 @@
     let list = hollow.list;
     let questions = Volume { messages: list.questions, bytes: list.question_bytes };
     let answers = Volume { messages: list.answers, bytes: list.answer_bytes };
-    assert_agree("bytes of a question for the list", each(played.busy.questions), each(questions));
-    assert_agree("bytes of an answer with the list", each(played.busy.answers), each(answers));
-    assert_eq!(played.busy.questions.messages, played.busy.answers.messages);
+    assert_agree("bytes of a question for the list", each(played.during_calls.list_queries), each(questions));
+    assert_agree("bytes of an answer with the list", each(played.during_calls.list_answers), each(answers));
+    assert_eq!(played.during_calls.list_queries.messages, played.during_calls.list_answers.messages);
 }
 
 #[test]
