--- a/crates/fawnrouter-capacity/src/hollow/runs/restarts.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/restarts.rs
@@ -70,13 +70,13 @@
 }
 
 fn gateway_restart() -> FaultPlan {
-    FaultPlan::none().with(WARM_UP + AT, Fault::GatewayRestart(0))
+    FaultPlan::none().with_fault(WARM_UP + AT, Fault::GatewayRestart(0))
 }
 
 fn switch_restart() -> FaultPlan {
     let drains = WARM_UP + AT;
     FaultPlan::outage(drains + DRAIN, AWAY, Fault::SwitchStopped(0), Fault::SwitchBack(0))
-        .with(drains, Fault::SwitchDraining(0))
+        .with_fault(drains, Fault::SwitchDraining(0))
 }
 
 fn note(collector: &mut Collector, members: u32, with: &Outcome, without: &Outcome) {
--- a/crates/fawnrouter-capacity/src/hollow/runs/situations.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/situations.rs
@@ -56,7 +56,7 @@
     let rate = if quick { DESIGN_RATE_QUICK } else { DESIGN_RATE };
     let apart = if quick { APART_QUICK } else { APART };
     let at = WARM_UP + BEFORE;
-    let gone = |fault| FaultPlan::none().with(at, fault);
+    let gone = |fault| FaultPlan::none().with_fault(at, fault);
     let zone = FaultPlan::outage(at, ZONE_AWAY, Fault::ZoneGone(ZONE), Fault::ZoneBack(ZONE));
     let regions = FaultPlan::outage(at, apart, Fault::RegionsApart, Fault::RegionsJoined);
     let part = |situation, name, rate, seconds, faults| Part {
--- a/crates/fawnrouter-capacity/src/plan.rs
+++ b/crates/fawnrouter-capacity/src/plan.rs
@@ -178,7 +178,7 @@
 
     /// The plan with one more fault.
     #[must_use]
-    pub fn with(mut self, at: Duration, fault: Fault) -> Self {
+    pub fn with_fault(mut self, at: Duration, fault: Fault) -> Self {
         self.faults.push(PlannedFault { at, fault });
         self.faults.sort_by_key(|planned| planned.at);
         self
@@ -187,7 +187,7 @@
     /// Something is gone at a time and back after a while.
     #[must_use]
     pub fn outage(at: Duration, away: Duration, gone: Fault, back: Fault) -> Self {
-        Self::none().with(at, gone).with(at + away, back)
+        Self::none().with_fault(at, gone).with_fault(at + away, back)
     }
 
     /// Gateways drawn from a seed are restarted, at times drawn within a span.
@@ -198,7 +198,7 @@
         for _ in 0..restarts {
             let at = span.mul_f64(random.random());
             let gateway = random.random_range(0..gateways.max(1));
-            plan = plan.with(at, Fault::GatewayRestart(gateway));
+            plan = plan.with_fault(at, Fault::GatewayRestart(gateway));
         }
         plan
     }
--- a/crates/fawnrouter-capacity/src/process.rs
+++ b/crates/fawnrouter-capacity/src/process.rs
@@ -231,7 +231,7 @@
     let plays = fleets.iter().map(|both| {
         let Both { gateways, rate, seconds, played, .. } = both;
         let descriptors = played.during_calls.descriptors as f64 / f64::from(*gateways);
-        let (planned, unanswered) = (played.planned, played.ended.unanswered);
+        let (planned, unanswered) = (played.planned_calls, played.call_outcomes.unanswered);
         format!(
             "{gateways} gateways at {rate} calls/s for {seconds} s ({planned} calls, {unanswered} of them refused or \
              failed; {descriptors:.1} descriptors a gateway)"
@@ -257,7 +257,13 @@
 }
 
 fn setting_of_hop(plan: &TrafficPlan, measured: &HopMeasurement) -> String {
-    let HopMeasurement { planned, ended, sent_per_second, processor_microseconds_per_call, .. } = measured;
+    let HopMeasurement {
+        planned_calls: planned,
+        call_outcomes: ended,
+        sent_per_second,
+        processor_microseconds_per_call,
+        ..
+    } = measured;
     let answered = ended.released;
     let way = match processor_microseconds_per_call {
         Some(microseconds) => format!(
--- a/crates/fawnrouter-capacity/src/process/callers.rs
+++ b/crates/fawnrouter-capacity/src/process/callers.rs
@@ -162,7 +162,7 @@
 pub(super) fn sleep_until(at: Instant, stop: &AtomicBool) -> Result<(), ProcessError> {
     loop {
         if stop.load(Ordering::Relaxed) {
-            return Err(ProcessError::Stopped);
+            return Err(ProcessError::Interrupted);
         }
         let left = at.saturating_duration_since(Instant::now());
         if left.is_zero() {
--- a/crates/fawnrouter-capacity/src/process/error.rs
+++ b/crates/fawnrouter-capacity/src/process/error.rs
@@ -101,13 +101,13 @@
     Usage(#[from] UsageError),
     /// Delays cannot be counted.
     #[error("delays cannot be counted: {0}; this is a fault of the rig")]
-    Delays(String),
+    DelayHistogram(String),
     /// The hollow counterpart failed.
     #[error("the hollow counterpart: {0}")]
     Hollow(#[from] HollowError),
     /// The measurement was told to end.
     #[error("told to end; nothing was written")]
-    Stopped,
+    Interrupted,
 }
 
 /// Adds to an error of the machine what was being done.
--- a/crates/fawnrouter-capacity/src/process/fleet.rs
+++ b/crates/fawnrouter-capacity/src/process/fleet.rs
@@ -20,7 +20,7 @@
 use crate::process::name_server::{ListTraffic, NameServer};
 use crate::process::stamps::Stamps;
 use crate::process::switches::{SwitchTimes, SwitchTraffic, Switches};
-use crate::process::usage::Usage;
+use crate::process::usage::ProcessUsage;
 use crate::process::watched::Watched;
 
 /// Gateways get this long to be ready.
@@ -87,9 +87,9 @@
     /// Afterwards, with nothing to do but to ask for the list.
     pub after_calls: Observation,
     /// Calls of the plan.
-    pub planned: u64,
+    pub planned_calls: u64,
     /// What became of them.
-    pub ended: CallOutcomes,
+    pub call_outcomes: CallOutcomes,
 }
 
 /// Plays a scenario of one service, without faults, with gateway processes, and after it a quiet time.
@@ -113,8 +113,8 @@
     Ok(FleetMeasurement {
         during_calls: first_call.until(&all_ended),
         after_calls: all_ended.until(&end),
-        planned: calls.len() as u64,
-        ended: end.callers.ended,
+        planned_calls: calls.len() as u64,
+        call_outcomes: end.callers.ended,
     })
 }
 
@@ -136,7 +136,7 @@
     caller_connections: u64,
     switches: SwitchTraffic,
     list: ListTraffic,
-    usages: Vec<Usage>,
+    usages: Vec<ProcessUsage>,
 }
 
 impl<'a> Fleet<'a> {
@@ -219,7 +219,7 @@
         Ok(self.usages()?.iter().map(|usage| usage.processor_time).sum())
     }
 
-    fn usages(&self) -> Result<Vec<Usage>, ProcessError> {
+    fn usages(&self) -> Result<Vec<ProcessUsage>, ProcessError> {
         self.gateways.iter().map(GatewayProcess::usage).collect()
     }
 
@@ -243,7 +243,7 @@
 
 impl Mark {
     fn until(&self, end: &Self) -> Observation {
-        let sum = |figure: fn(&Usage) -> u64| end.usages.iter().map(figure).sum();
+        let sum = |figure: fn(&ProcessUsage) -> u64| end.usages.iter().map(figure).sum();
         let ran = end.usages.iter().zip(&self.usages);
         let ran = ran.map(|(end, start)| end.processor_time.saturating_sub(start.processor_time));
         Observation {
@@ -330,7 +330,7 @@
             return Ok(true);
         }
         if stop.load(Ordering::Relaxed) {
-            return Err(ProcessError::Stopped);
+            return Err(ProcessError::Interrupted);
         }
         if now >= deadline {
             return Ok(false);
--- a/crates/fawnrouter-capacity/src/process/gateway.rs
+++ b/crates/fawnrouter-capacity/src/process/gateway.rs
@@ -8,7 +8,7 @@
 
 use crate::platform::{GatewayParameters, ListedSwitch, gateway_configuration};
 use crate::process::error::{ProcessError, doing};
-use crate::process::usage::Usage;
+use crate::process::usage::ProcessUsage;
 
 /// The serial of the list that all know from the start.
 pub(super) const LIST_SERIAL: u32 = 1;
@@ -66,8 +66,8 @@
     }
 
     /// What it uses of the machine.
-    pub fn usage(&self) -> Result<Usage, ProcessError> {
-        Ok(Usage::of_process(self.child.id())?)
+    pub fn usage(&self) -> Result<ProcessUsage, ProcessError> {
+        Ok(ProcessUsage::of_process(self.child.id())?)
     }
 
     /// An error if it has ended.
--- a/crates/fawnrouter-capacity/src/process/hop.rs
+++ b/crates/fawnrouter-capacity/src/process/hop.rs
@@ -30,9 +30,9 @@
     /// The delays of all calls that were answered.
     pub delays: Vec<DelayBucket>,
     /// Calls of the plan.
-    pub planned: u64,
+    pub planned_calls: u64,
     /// What became of them.
-    pub ended: CallOutcomes,
+    pub call_outcomes: CallOutcomes,
     /// Calls a second that were sent.
     pub sent_per_second: f64,
     /// Processor time of the gateway a call, in microseconds; none without a gateway.
@@ -100,8 +100,8 @@
     let seconds = stamps.sending_time().as_secs_f64();
     Ok(HopMeasurement {
         delays: buckets(&delays)?,
-        planned: planned as u64,
-        ended,
+        planned_calls: planned as u64,
+        call_outcomes: ended,
         sent_per_second: if seconds > 0.0 { planned as f64 / seconds } else { 0.0 },
         processor_microseconds_per_call: None,
     })
@@ -109,12 +109,12 @@
 
 fn histogram(digits: u8) -> Result<Histogram<u64>, ProcessError> {
     let histogram = Histogram::new_with_bounds(LOWEST_NANOSECONDS, HIGHEST_NANOSECONDS, digits);
-    histogram.map_err(|error| ProcessError::Delays(error.to_string()))
+    histogram.map_err(|error| ProcessError::DelayHistogram(error.to_string()))
 }
 
 fn buckets(delays: &Histogram<u64>) -> Result<Vec<DelayBucket>, ProcessError> {
     let mut wider = histogram(REPORTED_DIGITS)?;
-    wider.add(delays).map_err(|error| ProcessError::Delays(error.to_string()))?;
+    wider.add(delays).map_err(|error| ProcessError::DelayHistogram(error.to_string()))?;
     let bucket = |step: hdrhistogram::iterators::IterationValue<u64>| DelayBucket {
         nanoseconds: step.value_iterated_to(),
         count: step.count_at_value(),
--- a/crates/fawnrouter-capacity/src/process/series.rs
+++ b/crates/fawnrouter-capacity/src/process/series.rs
@@ -117,7 +117,7 @@
     let quiet_rate = microseconds_per_second(quiet);
     let busy_rate = microseconds_per_second(busy);
     let of_calls = (busy_rate - quiet_rate) * busy.duration.as_secs_f64();
-    figures.add(PROCESSOR_PER_CALL, Some(of_calls / played.planned as f64));
+    figures.add(PROCESSOR_PER_CALL, Some(of_calls / played.planned_calls as f64));
     figures.add(PROCESSOR_PER_SECOND, Some(busy_rate / gateways));
     figures.add(PROCESSOR_PER_QUIET_SECOND, Some(quiet_rate / gateways));
     let connections = busy.caller_connections + busy.switch_connections;
@@ -131,7 +131,7 @@
     let (quiet, busy) = (&played.after_calls, &played.during_calls);
     let [quiet_seconds, busy_seconds] = [quiet, busy].map(|observed| observed.duration.as_secs_f64());
     let calls = ways_of_a_gateway(busy, call_volume);
-    figures.add_flow(CALLS_OF_A_GATEWAY, calls, played.planned as f64);
+    figures.add_flow(CALLS_OF_A_GATEWAY, calls, played.planned_calls as f64);
     figures.add_flow(
         SECONDS_OF_A_GATEWAY,
         ways_of_a_gateway(busy, |lines| lines.all()),
--- a/crates/fawnrouter-capacity/src/process/usage.rs
+++ b/crates/fawnrouter-capacity/src/process/usage.rs
@@ -32,7 +32,7 @@
 
 /// What a process uses of the machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Usage {
+pub struct ProcessUsage {
     /// Processor time of all its threads since its start.
     pub processor_time: Duration,
     /// Resident memory in bytes.
@@ -41,7 +41,7 @@
     pub descriptors: u64,
 }
 
-impl Usage {
+impl ProcessUsage {
     /// What this process uses now.
     ///
     /// # Errors
--- a/crates/fawnrouter-capacity/tests/hollow.rs
+++ b/crates/fawnrouter-capacity/tests/hollow.rs
@@ -377,7 +377,7 @@
 
 #[test]
 fn a_core_switch_that_vanishes_is_found_out_and_its_calls_are_cut() {
-    let gone = FaultPlan::none().with(seconds(4), Fault::SwitchGone(0));
+    let gone = FaultPlan::none().with_fault(seconds(4), Fault::SwitchGone(0));
     let scenario = Scenario::one_service(SEED, 4, 4).holding(seconds(20)).measuring(seconds(1), seconds(8));
     let outcome = play(&scenario.calling(5.0).suffering(gone).settling(seconds(30))).unwrap();
     all_accounted(&outcome);
@@ -402,7 +402,7 @@
 #[test]
 fn a_core_switch_that_drains_stops_and_returns_costs_no_call() {
     let faults = FaultPlan::outage(seconds(5), seconds(2), Fault::SwitchStopped(1), Fault::SwitchBack(1))
-        .with(seconds(2), Fault::SwitchDraining(1));
+        .with_fault(seconds(2), Fault::SwitchDraining(1));
     let scenario = Scenario::one_service(SEED, 3, 3).holding(seconds(1)).measuring(seconds(1), seconds(12));
     let outcome = play(&scenario.calling(10.0).suffering(faults).settling(seconds(5))).unwrap();
     all_accounted(&outcome);
@@ -413,7 +413,7 @@
 
 #[test]
 fn a_service_whose_gateways_all_restart_at_once_is_back_and_keeps_its_standing_calls() {
-    let faults = FaultPlan::none().with(seconds(3), Fault::ServiceRestart(0));
+    let faults = FaultPlan::none().with_fault(seconds(3), Fault::ServiceRestart(0));
     let scenario = Scenario::one_service(SEED, 4, 4).holding(seconds(6)).measuring(seconds(1), seconds(10));
     let outcome = play(&scenario.calling(5.0).suffering(faults).settling(seconds(12))).unwrap();
     all_accounted(&outcome);
--- a/crates/fawnrouter-capacity/tests/process.rs
+++ b/crates/fawnrouter-capacity/tests/process.rs
@@ -9,7 +9,7 @@
 use fawnrouter_capacity::hollow::{ByVerb, Scenario, Volume};
 use fawnrouter_capacity::process::lines::{LineReader, call_volume, counts_since, test_volume};
 use fawnrouter_capacity::process::usage::{
-    Usage, parse_machine_memory_mib, parse_resident_bytes, parse_schedstat_time, parse_stat_time,
+    ProcessUsage, parse_machine_memory_mib, parse_resident_bytes, parse_schedstat_time, parse_stat_time,
 };
 use fawnrouter_capacity::process::{ProcessError, ProcessOptions, Testbed, measure, run_scenario};
 
@@ -47,11 +47,11 @@
 
 #[test]
 fn a_process_is_asked_for_what_it_uses_and_one_that_is_not_there_is_named() {
-    let own = Usage::of_process(std::process::id()).expect("a process of this machine");
+    let own = ProcessUsage::of_process(std::process::id()).expect("a process of this machine");
     // Three standard streams and the folder that is being listed, at the least.
     assert!(own.resident_bytes > 0 && own.descriptors >= 4, "{own:?}");
     // Beyond the highest number that the kernel gives.
-    let error = Usage::of_process(u32::MAX).expect_err("no such process");
+    let error = ProcessUsage::of_process(u32::MAX).expect_err("no such process");
     assert!(error.to_string().contains("/proc/4294967295/status"), "{error}");
 }
 
--- a/crates/fawnrouterd/tests/capacity.rs
+++ b/crates/fawnrouterd/tests/capacity.rs
@@ -69,8 +69,8 @@
     let hollow = hollow::play(&scenario).unwrap();
     let planned = scenario.traffic.calls().len() as u64;
     assert_eq!((hollow.calls.planned, hollow.calls.released), (planned, planned));
-    assert_eq!((played.planned, played.ended.total()), (planned, planned));
-    assert_agree("calls that stood", played.ended.released as f64, planned as f64);
+    assert_eq!((played.planned_calls, played.call_outcomes.total()), (planned, planned));
+    assert_agree("calls that stood", played.call_outcomes.released as f64, planned as f64);
     let ways: [(&str, &ByVerb, &ByVerb); 4] = [
         ("from callers", &played.during_calls.from_callers, &hollow.from_callers),
         ("to callers", &played.during_calls.to_callers, &hollow.to_callers),
@@ -99,7 +99,7 @@
     assert_no_child_is_left();
     let all_answered = CallOutcomes { released: planned, unanswered: 0 };
     for (way, measured) in [("without a gateway", without), ("through a gateway", through)] {
-        assert_eq!((measured.planned, measured.ended), (planned, all_answered), "{way}");
+        assert_eq!((measured.planned_calls, measured.call_outcomes), (planned, all_answered), "{way}");
         let delays: u64 = measured.delays.iter().map(|bucket| bucket.count).sum();
         assert_eq!(delays, planned, "{way}");
         assert!(measured.delays.is_sorted_by_key(|bucket| bucket.nanoseconds), "{way}");
@@ -112,6 +112,6 @@
     let stop = AtomicBool::new(true);
     let told =
         process::run_scenario(&scenario(), Duration::ZERO, rig(&stop)).expect_err("it was told to end");
-    assert!(matches!(told, ProcessError::Stopped), "{told}");
+    assert!(matches!(told, ProcessError::Interrupted), "{told}");
     assert_no_child_is_left();
 }
