--- a/crates/fawnrouter-capacity/src/page.rs
+++ b/crates/fawnrouter-capacity/src/page.rs
@@ -4,18 +4,20 @@
 //! | module | what it does |
 //! | --- | --- |
 //! | `rows` | one row a series: fit, value at the design size, budget, ratio |
-//! | `sizes`, `budgets`, `frequency`, `mechanisms` | what a row is held against: design size, budget, how often its case comes, what carries it |
+//! | `design_sizes`, `budgets`, `frequency`, `mechanisms` | what a row is held against: design size, budget, how often its case comes, what carries it |
 //! | `selection` | which rows stand on the page and which in the full tables alone |
-//! | `roles`, `situations`, `peaks`, `growth`, `depth`, `beside`, `ranking`, `runs` | a section of the page each |
-//! | `words`, `numbers`, `table` | names, figures with units, tables as text |
+//! | `roles`, `situations`, `peaks`, `growth`, `depth`, `comparison`, `ranking`, `runs` | a section of the page each |
+//! | `labels`, `formatting`, `table` | names, figures with units, tables as text |
 
-mod beside;
 mod budgets;
+mod comparison;
 mod depth;
+mod design_sizes;
+mod formatting;
 mod frequency;
 mod growth;
+mod labels;
 mod mechanisms;
-mod numbers;
 mod peaks;
 mod ranking;
 mod roles;
@@ -23,9 +25,7 @@
 mod runs;
 mod selection;
 mod situations;
-mod sizes;
 mod table;
-mod words;
 
 use std::collections::BTreeSet;
 
@@ -79,7 +79,7 @@
         peaks::section(&rows),
         growth::section(&rows, &shown),
         depth::section(&depths),
-        beside::summary(report),
+        comparison::summary(report),
         runs::section(report),
     ];
     Ok(sections.join("\n"))
@@ -92,7 +92,7 @@
 pub fn render_rows(report: &Report) -> Result<String, PageError> {
     check_run_names(report)?;
     let rows = rows::of_report(report);
-    let sections = [roles::section(&rows), growth::section(&rows, &rows), beside::section(report)];
+    let sections = [roles::section(&rows), growth::section(&rows, &rows), comparison::section(report)];
     Ok(sections.join("\n"))
 }
 
@@ -141,7 +141,7 @@
 
 fn summary(report: &Report, rows: usize, shown: usize) -> String {
     let machine = &report.machine;
-    let memory = numbers::whole(machine.memory_mib as f64);
+    let memory = formatting::whole(machine.memory_mib as f64);
     let runs = report.runs.len();
     format!(
         "Measured on a machine of {} cores and {memory} MiB, in {runs} runs. {shown} of {rows} rows stand here; all of them, \
--- a/crates/fawnrouter-capacity/src/page/beside.rs
+++ b/crates/fawnrouter-capacity/src/page/comparison.rs
@@ -1,9 +1,9 @@
 //! Hollow gateways held against processes at the same sizes.
 
-use super::numbers::{amount, significant, whole};
+use super::formatting::{amount, significant, whole};
+use super::labels;
 use super::rows::Measure;
 use super::table::{NOTHING, Table};
-use super::words;
 use crate::figures::{Method, Point, Report, Run, Series};
 
 /// The run of hollow gateways at the sizes of the processes.
@@ -135,16 +135,16 @@
         let measure = Measure::One(series.quantity);
         let shown = |value| amount(measure, series.per, value);
         [
-            words::role(series.role).to_owned(),
-            words::what(measure, series.cause, series.per),
-            words::situation(series.situation).to_owned(),
-            format!("{} {}", whole(self.processes.size), words::size(series.size)),
+            labels::role(series.role).to_owned(),
+            labels::what(measure, series.cause, series.per),
+            labels::situation(series.situation).to_owned(),
+            format!("{} {}", whole(self.processes.size), labels::size(series.size)),
             shown(self.processes.value),
             shown(self.hollow),
             self.ratio().map_or(NOTHING.to_owned(), significant),
             self.verdict().to_owned(),
-            words::cited(&self.run.id),
-            words::cited(&hollow.id),
+            labels::cited(&self.run.id),
+            labels::cited(&hollow.id),
         ]
     }
 }
--- a/crates/fawnrouter-capacity/src/page/depth.rs
+++ b/crates/fawnrouter-capacity/src/page/depth.rs
@@ -1,8 +1,8 @@
 //! The delay of calls that pass several gateways, against what may be added to a call.
 
-use super::numbers::{nanoseconds, significant};
+use super::formatting::{nanoseconds, significant};
+use super::labels;
 use super::table::Table;
-use super::words;
 use crate::delay::{DelayError, Depths, HopsDelay, deepest_within, depths};
 use crate::design;
 use crate::figures::{Report, Run};
@@ -78,7 +78,7 @@
 
 fn cells(run: &Run, delay: &HopsDelay) -> [String; 7] {
     [
-        words::cited(&run.id),
+        labels::cited(&run.id),
         delay.hops.to_string(),
         shown(delay.p50_nanoseconds),
         shown(delay.p99_nanoseconds),
@@ -89,7 +89,7 @@
 }
 
 fn remark(run: &RunDepths<'_>) -> String {
-    let id = words::cited(&run.run.id);
+    let id = labels::cited(&run.run.id);
     match &run.depths {
         Err(error) => format!("- {id}: {error}.\n"),
         Ok(delays) => {
--- a/crates/fawnrouter-capacity/src/page/growth.rs
+++ b/crates/fawnrouter-capacity/src/page/growth.rs
@@ -1,10 +1,10 @@
 //! Which series are linear in which size, which grow by a power, and from where it hurts.
 
-use super::numbers::{amount, percent, significant};
+use super::formatting::{amount, percent, significant};
+use super::labels;
 use super::roles;
 use super::rows::Row;
 use super::table::{NOTHING, Table};
-use super::words;
 use crate::figures::Size;
 use crate::fit::{Curve, Fit, Growth};
 
@@ -16,7 +16,7 @@
 /// How many series grow how, by size.
 fn counts(rows: &[Row<'_>]) -> String {
     let mut table = Table::new(["size", "none seen", "linear", "slower than linear", "by a power", "no fit"]);
-    for size in words::SIZES {
+    for size in labels::SIZES {
         let of_size: Vec<&Row<'_>> = rows.iter().filter(|row| row.size == size).collect();
         table.push(count_cells(size, &of_size));
     }
@@ -29,7 +29,7 @@
         rows.iter().filter(grows).count().to_string()
     };
     [
-        words::size(size).to_owned(),
+        labels::size(size).to_owned(),
         count(|growth| matches!(growth, Growth::NoneSeen(_))),
         count(|growth| matches!(growth, Growth::Linear)),
         count(|growth| matches!(growth, Growth::Slower)),
@@ -69,10 +69,10 @@
 fn power_cells(row: &Row<'_>, fit: &Fit, curve: &Curve) -> [String; 12] {
     let value_there = |size| amount(row.measure, row.per, curve.at(size).max(0.0));
     [
-        words::role(row.role).to_owned(),
-        words::what(row.measure, row.cause, row.per),
-        words::situation(row.situation).to_owned(),
-        words::size(row.size).to_owned(),
+        labels::role(row.role).to_owned(),
+        labels::what(row.measure, row.cause, row.per),
+        labels::situation(row.situation).to_owned(),
+        labels::size(row.size).to_owned(),
         roles::growth(&row.fit),
         fit.exponent.map_or(NOTHING.to_owned(), |exponent| format!("{exponent:.2}")),
         percent(fit.bend),
--- a/crates/fawnrouter-capacity/src/page/peaks.rs
+++ b/crates/fawnrouter-capacity/src/page/peaks.rs
@@ -1,6 +1,6 @@
 //! What a member of each role bears in each situation at the design size, whether it has a budget or not.
 
-use super::numbers::amount;
+use super::formatting::amount;
 use super::rows::{Measure, Row};
 use super::situations::by_role_and_situation;
 use super::table::NOTHING;
--- a/crates/fawnrouter-capacity/src/page/ranking.rs
+++ b/crates/fawnrouter-capacity/src/page/ranking.rs
@@ -1,13 +1,13 @@
 //! What is over its budget or carried by nothing, weighed by how often its case comes: the first is missing first.
 
 use super::depth::RunDepths;
+use super::formatting::significant;
 use super::frequency::{cases_per_day, situations_per_day};
+use super::labels;
 use super::mechanisms::{Missing, Unserved, mechanism, missing, missing_of_row, unserved};
-use super::numbers::significant;
 use super::roles::{cited_run, origin, ratios};
 use super::rows::Row;
 use super::table::{NOTHING, Table};
-use super::words;
 use crate::design;
 use crate::figures::{Cause, Role, Situation};
 use crate::fit::Origin;
@@ -64,7 +64,7 @@
         Some(Self {
             role: row.role,
             situation: row.situation,
-            what: words::what(row.measure, row.cause, row.per),
+            what: labels::what(row.measure, row.cause, row.per),
             distance: Distance::Ratio(ratio),
             easier_ratio: row.easier_ratio(),
             origin: row.harder.map_or(NOTHING.to_owned(), |estimate| origin(row, estimate)),
@@ -88,7 +88,7 @@
             origin: "convolved".to_owned(),
             is_extrapolated: false,
             cases_per_day: situations_per_day(Situation::OrdinaryDay),
-            run: words::cited(&depths.run.id),
+            run: labels::cited(&depths.run.id),
             mechanism: mechanism(Role::GatewayCalls, Cause::Calls),
             missing: missing(Role::GatewayCalls, Cause::Calls),
         })
@@ -108,9 +108,9 @@
             Distance::Ratio(ratio) => (ratios(Some(ratio), self.easier_ratio), significant(self.weight().1)),
         };
         [
-            words::role(self.role).to_owned(),
+            labels::role(self.role).to_owned(),
             self.what.clone(),
-            words::situation(self.situation).to_owned(),
+            labels::situation(self.situation).to_owned(),
             ratio,
             self.origin.clone(),
             significant(self.cases_per_day),
@@ -169,13 +169,13 @@
             format!(
                 "Missing first: **{}** ({}: {}).\n",
                 first.missing.words(),
-                words::role(first.role),
+                labels::role(first.role),
                 first.what
             )
         });
     let measured_first =
         first_measured.map_or("No measured figure is over its budget.\n".to_owned(), |first| {
-            let role = words::role(first.role);
+            let role = labels::role(first.role);
             format!(
                 "First by a measured ratio: **{}** ({role}: {}, {}).\n",
                 first.missing.words(),
--- a/crates/fawnrouter-capacity/src/page/roles.rs
+++ b/crates/fawnrouter-capacity/src/page/roles.rs
@@ -1,15 +1,15 @@
 //! A section for each role: a table with one row a series, and what is wanted and carried by nothing.
 
+use super::formatting::{amount, percent, significant, whole};
+use super::labels;
 use super::mechanisms::{Unserved, unserved};
-use super::numbers::{amount, percent, significant, whole};
 use super::rows::Row;
 use super::table::{NOTHING, Table};
-use super::words;
 use crate::figures::Role;
 use crate::fit::{Estimate, Fit, FitError, Growth, Origin, Power};
 
 pub(super) fn section(rows: &[Row<'_>]) -> String {
-    words::ROLES.map(|role| section_of(role, rows)).join("\n")
+    labels::ROLES.map(|role| section_of(role, rows)).join("\n")
 }
 
 fn section_of(role: Role, rows: &[Row<'_>]) -> String {
@@ -28,7 +28,7 @@
     for row in rows.iter().filter(|row| row.role == role) {
         table.push(cells(row));
     }
-    let heading = words::capitalised(words::role(role));
+    let heading = labels::capitalised(labels::role(role));
     let measured = if table.is_empty() {
         "Not measured: no run has a series of this role.\n".to_owned()
     } else {
@@ -44,15 +44,15 @@
 }
 
 fn wanted_line(unserved: &Unserved) -> String {
-    let situation = words::situation(unserved.situation);
+    let situation = labels::situation(unserved.situation);
     let cases = significant(unserved.cases_per_day);
     format!("- {} ({situation}, {cases} cases a day)\n", unserved.wanted)
 }
 
 fn cells(row: &Row<'_>) -> [String; 10] {
     [
-        words::situation(row.situation).to_owned(),
-        words::what(row.measure, row.cause, row.per),
+        labels::situation(row.situation).to_owned(),
+        labels::what(row.measure, row.cause, row.per),
         fitted(row),
         residual(row),
         growth(&row.fit),
@@ -75,12 +75,12 @@
 
 /// The run, and whether its figure rests on hollow gateways alone.
 pub(super) fn cited_run(row: &Row<'_>) -> String {
-    let run = words::cited(&row.run.id);
+    let run = labels::cited(&row.run.id);
     if row.hollow_alone { format!("{run}, hollow alone") } else { run }
 }
 
 fn fitted(row: &Row<'_>) -> String {
-    let size = words::size(row.size);
+    let size = labels::size(row.size);
     let amount = |value| amount(row.measure, row.per, value);
     match &row.fit {
         Err(error) => format!("no fit: {error}"),
--- a/crates/fawnrouter-capacity/src/page/rows.rs
+++ b/crates/fawnrouter-capacity/src/page/rows.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 
 use super::budgets::budget;
+use super::design_sizes::{DesignSizes, Sizes};
 use super::mechanisms::mechanism;
-use super::sizes::{DesignSizes, Sizes};
 use crate::figures::{Cause, Method, Per, Point, Quantity, Report, Role, Run, Series, Situation, Size};
 use crate::fit::{Estimate, Fit, FitError, estimate};
 
--- a/crates/fawnrouter-capacity/src/page/runs.rs
+++ b/crates/fawnrouter-capacity/src/page/runs.rs
@@ -1,8 +1,8 @@
 //! The runs that the figures are from.
 
-use super::numbers::whole;
+use super::formatting::whole;
+use super::labels;
 use super::table::Table;
-use super::words;
 use crate::figures::Report;
 
 pub(super) fn section(report: &Report) -> String {
@@ -13,10 +13,10 @@
     for run in &report.runs {
         let delays: f64 = run.hop_delays.iter().map(|bucket| bucket.count as f64).sum();
         table.push([
-            words::cited(&run.id),
-            words::method(run.method).to_owned(),
+            labels::cited(&run.id),
+            labels::method(run.method).to_owned(),
             run.seed.to_string(),
-            words::setting(run),
+            labels::setting(run),
             run.series.len().to_string(),
             whole(delays),
         ]);
--- a/crates/fawnrouter-capacity/src/page/selection.rs
+++ b/crates/fawnrouter-capacity/src/page/selection.rs
@@ -3,7 +3,7 @@
 //! The page is for a reader who wants to know what a role costs; a report has several hundred series, of which many say
 //! the same of another run, another cause or another size. What is left out is left out by rule and not by value.
 
-use super::beside::HOLLOW_RUN;
+use super::comparison::HOLLOW_RUN;
 use super::rows::{Measure, Row};
 use crate::figures::{Cause, Method, Per, Quantity, Role, Situation, Size};
 
--- a/crates/fawnrouter-capacity/src/page/situations.rs
+++ b/crates/fawnrouter-capacity/src/page/situations.rs
@@ -1,9 +1,9 @@
 //! What was measured of each role in each situation: the greatest ratio to a budget there, or that it was not.
 
-use super::numbers::significant;
+use super::formatting::significant;
+use super::labels;
 use super::rows::Row;
 use super::table::Table;
-use super::words;
 use crate::figures::{Role, Situation};
 
 const NOT_MEASURED: &str = "not measured";
@@ -28,10 +28,10 @@
         "a service restarted",
         "bad configuration",
     ]);
-    for role in words::ROLES {
+    for role in labels::ROLES {
         let [quiet, day, machine, rack, zone, regions, service, bad] =
-            words::SITUATIONS.map(|situation| cell(role, situation));
-        let name = words::role(role).to_owned();
+            labels::SITUATIONS.map(|situation| cell(role, situation));
+        let name = labels::role(role).to_owned();
         table.push([name, quiet, day, machine, rack, zone, regions, service, bad]);
     }
     table
@@ -43,8 +43,8 @@
     let with_ratio = measured.iter().filter_map(|row| Some((row.ratio()?, *row)));
     let worst = with_ratio.max_by(|(one, _), (other, _)| one.total_cmp(other));
     match (worst, measured.first()) {
-        (Some((ratio, row)), _) => format!("{} ({})", significant(ratio), words::cited(&row.run.id)),
-        (None, Some(row)) => format!("no budget ({})", words::cited(&row.run.id)),
+        (Some((ratio, row)), _) => format!("{} ({})", significant(ratio), labels::cited(&row.run.id)),
+        (None, Some(row)) => format!("no budget ({})", labels::cited(&row.run.id)),
         (None, None) => NOT_MEASURED.to_owned(),
     }
 }
--- a/crates/fawnrouter-capacity/src/process.rs
+++ b/crates/fawnrouter-capacity/src/process.rs
@@ -9,13 +9,13 @@
 //! | --- | --- |
 //! | `error` | why processes cannot be measured |
 //! | [`usage`] | what a process uses of the machine, from the texts of `/proc` |
-//! | [`lines`] | lines on a socket and counts of them |
+//! | [`line_counts`] | lines on a socket and counts of them |
 //! | `watched` | a value that one thread changes and another waits for |
 //! | `event_loop` | a thread that serves the connections of a stand-in |
 //! | `switches`, `name_server`, `callers` | the stand-ins |
 //! | `gateway` | one gateway process |
 //! | `fleet` | gateways between stand-ins, from their start to the end of a plan |
-//! | `stamps`, `hop` | what one gateway adds to a call |
+//! | `timestamps`, `hop` | what one gateway adds to a call |
 //! | `series` | series of processes and of their hollow counterpart, by the same definitions |
 
 mod callers;
@@ -24,11 +24,11 @@
 mod fleet;
 mod gateway;
 mod hop;
-pub mod lines;
+pub mod line_counts;
 mod name_server;
 mod series;
-mod stamps;
 mod switches;
+mod timestamps;
 pub mod usage;
 mod watched;
 
--- a/crates/fawnrouter-capacity/src/process/callers.rs
+++ b/crates/fawnrouter-capacity/src/process/callers.rs
@@ -13,7 +13,7 @@
 use crate::plan::{CAUSE_TEST_PASSED, PlannedCall};
 use crate::process::error::{ProcessError, doing};
 use crate::process::event_loop::{EventLoop, Party, Reply};
-use crate::process::stamps::{Moment, Stamps};
+use crate::process::timestamps::{Moment, Stamps};
 use crate::process::watched::Watched;
 
 /// Between two looks whether the measurement is to end.
--- a/crates/fawnrouter-capacity/src/process/event_loop.rs
+++ b/crates/fawnrouter-capacity/src/process/event_loop.rs
@@ -16,7 +16,7 @@
 use rustix::event::{Timespec, epoll};
 use rustix::io::Errno;
 
-use crate::process::lines::LineReader;
+use crate::process::line_counts::LineReader;
 
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 /// Ready connections that are looked at in one turn.
--- a/crates/fawnrouter-capacity/src/process/fleet.rs
+++ b/crates/fawnrouter-capacity/src/process/fleet.rs
@@ -16,10 +16,10 @@
 use crate::process::callers::{CallOutcomes, CallerTraffic, Callers, connect, sleep_until};
 use crate::process::error::{ProcessError, doing};
 use crate::process::gateway::{GatewayProcess, next_address};
-use crate::process::lines::{counts_since, volume_since};
+use crate::process::line_counts::{counts_since, volume_since};
 use crate::process::name_server::{ListTraffic, NameServer};
-use crate::process::stamps::Stamps;
 use crate::process::switches::{SwitchTimes, SwitchTraffic, Switches};
+use crate::process::timestamps::Stamps;
 use crate::process::usage::ProcessUsage;
 use crate::process::watched::Watched;
 
--- a/crates/fawnrouter-capacity/src/process/hop.rs
+++ b/crates/fawnrouter-capacity/src/process/hop.rs
@@ -11,8 +11,8 @@
 use crate::process::callers::{CallOutcomes, Callers, connect};
 use crate::process::error::{ProcessError, doing};
 use crate::process::fleet::{ENDED_WITHIN, Fleet, Testbed, wait};
-use crate::process::stamps::Stamps;
 use crate::process::switches::{SwitchTimes, Switches};
+use crate::process::timestamps::Stamps;
 
 /// Delays are told apart from 1 ns to 10 s, to three digits.
 const LOWEST_NANOSECONDS: u64 = 1;
--- a/crates/fawnrouter-capacity/src/process/series.rs
+++ b/crates/fawnrouter-capacity/src/process/series.rs
@@ -3,7 +3,7 @@
 use crate::figures::{Cause, Per, Point, Quantity, Role, Series, Situation, Size};
 use crate::hollow::{Outcome, Scenario, Volume};
 use crate::process::fleet::{FleetMeasurement, Observation};
-use crate::process::lines::{call_volume, test_volume};
+use crate::process::line_counts::{call_volume, test_volume};
 
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
--- a/crates/fawnrouter-capacity/src/process/switches.rs
+++ b/crates/fawnrouter-capacity/src/process/switches.rs
@@ -12,7 +12,7 @@
 use crate::plan::{passed_test_answer, switch_answer, switch_release};
 use crate::platform::ListedSwitch;
 use crate::process::event_loop::{EventLoop, Party, Reply};
-use crate::process::stamps::{Moment, Stamps};
+use crate::process::timestamps::{Moment, Stamps};
 use crate::process::watched::Watched;
 
 /// The zone of all core switches.
--- a/crates/fawnrouter-capacity/tests/process.rs
+++ b/crates/fawnrouter-capacity/tests/process.rs
@@ -7,7 +7,7 @@
 
 use fawnrouter_capacity::figures::Role;
 use fawnrouter_capacity::hollow::{ByVerb, Scenario, Volume};
-use fawnrouter_capacity::process::lines::{LineReader, call_volume, counts_since, test_volume};
+use fawnrouter_capacity::process::line_counts::{LineReader, call_volume, counts_since, test_volume};
 use fawnrouter_capacity::process::usage::{
     ProcessUsage, parse_machine_memory_mib, parse_resident_bytes, parse_schedstat_time, parse_stat_time,
 };
--- a/crates/fawnrouterd/tests/capacity.rs
+++ b/crates/fawnrouterd/tests/capacity.rs
@@ -7,7 +7,7 @@
 
 use fawnrouter_capacity::hollow::{self, ByVerb, Scenario, Volume};
 use fawnrouter_capacity::plan::TrafficPlan;
-use fawnrouter_capacity::process::lines::call_volume;
+use fawnrouter_capacity::process::line_counts::call_volume;
 use fawnrouter_capacity::process::{self, CallOutcomes, ProcessError, Testbed, hop_plan};
 use rustix::io::Errno;
 use rustix::process::{WaitOptions, waitpid};
