--- a/crates/fawnrouter-capacity/src/process/callers.rs
+++ b/crates/fawnrouter-capacity/src/process/callers.rs
@@ -1,4 +1,4 @@
-//! Stand-in callers: calls at the times of a plan, whatever becomes of earlier ones.
+//! Stand-in callers: they send set-ups at the times of a plan, independent of the outcome of earlier calls (open loop).
 
 use std::collections::BTreeSet;
 use std::io::{self, Write};
@@ -11,57 +11,59 @@
 
 use crate::hollow::ByVerb;
 use crate::plan::{CAUSE_TEST_PASSED, PlannedCall};
-use crate::process::error::{ProcessError, doing};
-use crate::process::event_loop::{EventLoop, Party, Reply};
-use crate::process::timestamps::{Moment, Stamps};
+use crate::process::error::{ProcessError, system_error};
+use crate::process::event_loop::{ConnectionHandler, EventLoop, Reply};
+use crate::process::timestamps::{CallEvent, CallTimestamps};
 use crate::process::watched::Watched;
 
-/// Between two looks whether the measurement is to end.
-const STOP_LOOK: Duration = Duration::from_millis(50);
+/// How often a sleep checks whether the measurement is to be aborted.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What became of calls.
+/// How calls ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallOutcomes {
-    /// They stood, and were released in their time.
+    /// Calls that were established and later released.
     pub released: u64,
-    /// They were refused or failed.
+    /// Calls that were refused or failed before they were established.
     pub unanswered: u64,
 }
 
 impl CallOutcomes {
-    /// All that ended.
+    /// All calls that ended.
     #[must_use]
     pub fn total(&self) -> u64 {
         self.released + self.unanswered
     }
 }
 
-/// What passed between callers and gateways.
+/// Messages between callers and gateways, and the state of calls.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct CallerTraffic {
-    /// From callers.
-    pub said: ByVerb,
-    /// To callers.
-    pub heard: ByVerb,
-    /// Tests that were passed.
+    /// Messages that callers sent.
+    pub sent: ByVerb,
+    /// Messages that callers received.
+    pub received: ByVerb,
+    /// Tests that gateways passed.
     pub tests_passed: u64,
-    /// What became of calls.
-    pub ended: CallOutcomes,
-    /// Connections that were ended by a gateway.
+    /// How calls ended.
+    pub outcomes: CallOutcomes,
+    /// Connections that a gateway closed.
     pub connections_lost: u64,
-    standing: BTreeSet<u64>,
+    /// Tags of the established calls.
+    established: BTreeSet<u64>,
 }
 
 impl CallerTraffic {
-    fn hear(&mut self, message: &Message, bytes: usize) {
-        self.heard.add(message.verb, bytes);
+    /// Counts a received message and follows the state of its call.
+    fn record_received(&mut self, message: &Message, bytes: usize) {
+        self.received.add(message.verb, bytes);
         let tag = message.tag.0;
         match message.verb {
             Verb::Started => {
-                self.standing.insert(tag);
+                self.established.insert(tag);
             }
-            Verb::Finish if self.standing.remove(&tag) => self.ended.released += 1,
-            Verb::Finish => self.ended.unanswered += 1,
+            Verb::Finish if self.established.remove(&tag) => self.outcomes.released += 1,
+            Verb::Finish => self.outcomes.unanswered += 1,
             Verb::Echoed if message.rc == Some(CAUSE_TEST_PASSED) => self.tests_passed += 1,
             _ => {}
         }
@@ -71,40 +73,42 @@
 /// Callers' connections to all gateways, and the thread that reads them.
 #[derive(Debug)]
 pub(super) struct Callers {
-    /// By gateway.
+    /// Connections for writing, by gateway.
     connections: Vec<Vec<TcpStream>>,
-    /// Pools among which calls have their first choice.
+    /// Number of pools among which calls have their preferred one.
     cells: u32,
-    stamps: Option<Arc<Stamps>>,
-    /// What passed so far.
+    /// Where the times of calls are recorded, if the delay of a hop is measured.
+    timestamps: Option<Arc<CallTimestamps>>,
+    /// What has been counted so far.
     pub traffic: Arc<Watched<CallerTraffic>>,
     _thread: EventLoop,
 }
 
 impl Callers {
-    /// Callers with connections that stand already, by gateway.
+    /// Starts the thread that reads these connections, which are open already, by gateway.
     pub fn start(
         connections: Vec<Vec<TcpStream>>,
         cells: u32,
-        stamps: Option<Arc<Stamps>>,
+        timestamps: Option<Arc<CallTimestamps>>,
     ) -> Result<Self, ProcessError> {
         let cannot_read = "a thread that reads callers' connections cannot be started";
         let traffic = Arc::new(Watched::default());
-        let party = CallerParty { traffic: traffic.clone(), stamps: stamps.clone() };
-        let read: io::Result<Vec<TcpStream>> =
+        let handler = CallerHandler { traffic: traffic.clone(), timestamps: timestamps.clone() };
+        let for_reading: io::Result<Vec<TcpStream>> =
             connections.iter().flatten().map(TcpStream::try_clone).collect();
-        let read = read.map_err(doing(cannot_read))?;
-        let thread = EventLoop::start("callers", party, Vec::new(), read).map_err(doing(cannot_read))?;
-        Ok(Self { connections, cells, stamps, traffic, _thread: thread })
+        let for_reading = for_reading.map_err(system_error(cannot_read))?;
+        let thread = EventLoop::start("callers", handler, Vec::new(), for_reading);
+        let thread = thread.map_err(system_error(cannot_read))?;
+        Ok(Self { connections, cells, timestamps, traffic, _thread: thread })
     }
 
-    /// How many connections there are.
-    pub fn count(&self) -> u64 {
+    /// Number of connections to all gateways together.
+    pub fn connection_count(&self) -> u64 {
         self.connections.iter().map(|of_gateway| of_gateway.len() as u64).sum()
     }
 
-    /// Sends the set-up of each call at its time from the start on.
-    pub fn play(
+    /// Sends the set-up of each call at its planned time after `start`.
+    pub fn send_set_ups(
         &mut self,
         calls: &[PlannedCall],
         start: Instant,
@@ -112,26 +116,27 @@
     ) -> Result<(), ProcessError> {
         for call in calls {
             sleep_until(start + call.at, stop)?;
-            let place = self.place_of(call);
-            self.set_up(call, place)?;
+            self.send_set_up(call)?;
         }
         Ok(())
     }
 
-    fn place_of(&self, call: &PlannedCall) -> usize {
+    /// The index of a call's connection among those to its gateway: calls are spread by tag.
+    fn connection_index(&self, call: &PlannedCall) -> usize {
         let count = self.connections[call.gateway as usize].len().max(1) as u64;
         (call.tag % count) as usize
     }
 
-    fn set_up(&mut self, call: &PlannedCall, place: usize) -> Result<(), ProcessError> {
+    fn send_set_up(&mut self, call: &PlannedCall) -> Result<(), ProcessError> {
+        let index = self.connection_index(call);
         let message = call.set_up_message(self.cells);
         let mut line = Vec::new();
         message.encode(&mut line);
-        self.traffic.update(|traffic| traffic.said.add(message.verb, line.len()));
-        if let Some(stamps) = &self.stamps {
-            stamps.stamp(call.tag, Moment::CallerWrites);
+        self.traffic.update(|traffic| traffic.sent.add(message.verb, line.len()));
+        if let Some(timestamps) = &self.timestamps {
+            timestamps.record(call.tag, CallEvent::SetUpSent);
         }
-        let written = self.connections[call.gateway as usize][place].write_all(&line);
+        let written = self.connections[call.gateway as usize][index].write_all(&line);
         written.map_err(|source| ProcessError::CallerConnection { gateway: call.gateway, source })
     }
 }
@@ -139,13 +144,14 @@
 impl Drop for Callers {
     fn drop(&mut self) {
         for stream in self.connections.iter().flatten() {
-            // One that the gateway has ended is shut down already.
+            // An error means that the gateway has closed the connection already.
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 }
 
-/// A caller's connection, on which a test has been sent: one that says nothing whole is closed after some time.
+/// Opens a caller's connection and sends a test on it: a gateway closes connections on which no whole message arrives in
+/// time.
 pub(super) fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let mut stream = TcpStream::connect(address)?;
     stream.set_nodelay(true)?;
@@ -155,47 +161,48 @@
     Ok(stream)
 }
 
-/// Sleeps until then.
+/// Sleeps until a time.
 ///
 /// # Errors
-/// The measurement is to end.
+/// Where the measurement is aborted.
 pub(super) fn sleep_until(at: Instant, stop: &AtomicBool) -> Result<(), ProcessError> {
     loop {
         if stop.load(Ordering::Relaxed) {
             return Err(ProcessError::Interrupted);
         }
-        let left = at.saturating_duration_since(Instant::now());
-        if left.is_zero() {
+        let remaining = at.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
             return Ok(());
         }
-        std::thread::sleep(left.min(STOP_LOOK));
+        std::thread::sleep(remaining.min(STOP_CHECK_INTERVAL));
     }
 }
 
-struct CallerParty {
+/// Counts what callers receive. Callers never reply.
+struct CallerHandler {
     traffic: Arc<Watched<CallerTraffic>>,
-    stamps: Option<Arc<Stamps>>,
+    timestamps: Option<Arc<CallTimestamps>>,
 }
 
-impl Party for CallerParty {
-    fn opened(&mut self) {}
+impl ConnectionHandler for CallerHandler {
+    fn on_open(&mut self) {}
 
-    fn closed(&mut self) {
+    fn on_close(&mut self) {
         self.traffic.update(|traffic| traffic.connections_lost += 1);
     }
 
-    fn heard(&mut self, _connection: u64, message: &Message, bytes: usize, _replies: &mut Vec<Reply>) {
+    fn on_message(&mut self, _connection: u64, message: &Message, bytes: usize, _replies: &mut Vec<Reply>) {
         if message.verb == Verb::Started
-            && let Some(stamps) = &self.stamps
+            && let Some(timestamps) = &self.timestamps
         {
-            stamps.stamp(message.tag.0, Moment::CallerHears);
+            timestamps.record(message.tag.0, CallEvent::AnswerReceived);
         }
-        self.traffic.update(|traffic| traffic.hear(message, bytes));
+        self.traffic.update(|traffic| traffic.record_received(message, bytes));
     }
 
-    fn is_wanted(&mut self, _connection: u64, _message: &Message) -> bool {
+    fn is_still_due(&mut self, _connection: u64, _message: &Message) -> bool {
         true
     }
 
-    fn writes(&mut self, _message: &Message, _bytes: usize) {}
+    fn on_write(&mut self, _message: &Message, _bytes: usize) {}
 }
--- a/crates/fawnrouter-capacity/src/process/error.rs
+++ b/crates/fawnrouter-capacity/src/process/error.rs
@@ -1,4 +1,4 @@
-//! Why gateway processes cannot be measured.
+//! Errors of a measurement with gateway processes.
 
 use std::io;
 use std::path::PathBuf;
@@ -7,18 +7,18 @@
 use crate::hollow::HollowError;
 use crate::process::usage::UsageError;
 
-/// Why gateway processes cannot be measured. Each text says what to do.
+/// Why gateway processes cannot be measured. Each message says what to do.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum ProcessError {
-    /// The gateway's program is not there.
+    /// The gateway's program does not exist.
     #[error(
-        "{}: is not there; build the gateway with `cargo build --release -p fawnrouterd`, name it with `--program PATH`, \
+        "{}: does not exist; build the gateway with `cargo build --release -p fawnrouterd`, name it with `--program PATH`, \
          or measure without it with `--no-processes`",
         program.display()
     )]
     ProgramMissing {
-        /// Where it was looked for.
+        /// The path that was tried.
         program: PathBuf,
     },
     /// The gateway's program cannot be started.
@@ -26,36 +26,36 @@
     SpawnFailed {
         /// The program.
         program: PathBuf,
-        /// Why.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A gateway ended by itself.
+    /// A gateway exited during the measurement.
     #[error(
-        "gateway {name} has ended ({status}); its log ends with {last_line:?}; mend what it says and measure again"
+        "gateway {name} exited ({status}); its log ends with {last_line:?}; remove the cause and measure again"
     )]
     GatewayExited {
-        /// Its name.
+        /// Name of the gateway.
         name: String,
-        /// How it ended.
+        /// Exit status or signal.
         status: String,
         /// The last line of its log.
         last_line: String,
     },
-    /// Gateways did not come up.
+    /// Gateways did not become ready in time.
     #[error(
-        "{missing} within {} s; end what else keeps this machine busy and measure again, or look at the gateways' logs",
+        "{missing} within {} s; stop other work on this machine and measure again, or look at the gateways' logs",
         waited.as_secs()
     )]
     NotReady {
-        /// What is missing.
+        /// Which condition was not met.
         missing: &'static str,
-        /// How long was waited.
+        /// The time limit.
         waited: Duration,
     },
-    /// Not all calls came to their end.
+    /// Not all calls ended in time.
     #[error(
-        "{ended} of {planned} calls had ended {} s after the last was due; end what else keeps this machine busy and \
-         measure again",
+        "{ended} of {planned} calls had ended {} s after the last was due; stop other work on this machine and measure \
+         again",
         waited.as_secs()
     )]
     CallsUnfinished {
@@ -63,54 +63,56 @@
         ended: u64,
         /// Calls of the plan.
         planned: u64,
-        /// How long was waited.
+        /// The time limit.
         waited: Duration,
     },
-    /// The stand-ins need more descriptors than this process may have open.
+    /// The stand-ins need more file descriptors than this process may have open.
     #[error(
-        "the stand-ins need {needed} descriptors and this process may have {limit}; raise the limit of open files of the \
+        "the stand-ins need {needed} descriptors and this process may have {limit}; raise the limit of open files in the \
          shell that starts it, or measure with `--quick` or `--no-processes`"
     )]
     TooFewDescriptors {
-        /// How many are needed.
+        /// The number that is needed.
         needed: u64,
-        /// The limit.
+        /// The process's limit.
         limit: u64,
     },
-    /// Something of the machine failed.
-    #[error("{doing}: {source}; loopback addresses, a folder for temporary files and threads are needed")]
+    /// The operating system refused something.
+    #[error(
+        "{failure}: {source}; loopback addresses, a directory for temporary files and threads are needed"
+    )]
     System {
-        /// What was being done.
-        doing: &'static str,
-        /// Why it failed.
+        /// What failed, as a sentence.
+        failure: &'static str,
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A connection of a caller broke.
+    /// The connection of a caller broke.
     #[error(
-        "the connection of the caller to gateway {gateway} broke: {source}; see whether the gateway still runs and \
+        "the connection of the caller to gateway {gateway} broke: {source}; check whether the gateway still runs and \
          measure again"
     )]
     CallerConnection {
-        /// Which gateway, from 0.
+        /// Number of the gateway, from 0.
         gateway: u32,
-        /// Why.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// It is not known what a process uses.
+    /// The usage of a process cannot be determined.
     #[error(transparent)]
     Usage(#[from] UsageError),
-    /// Delays cannot be counted.
-    #[error("delays cannot be counted: {0}; this is a fault of the rig")]
+    /// The histogram of delays cannot be built.
+    #[error("the histogram of delays cannot be built: {0}; this is a bug of the measuring program")]
     DelayHistogram(String),
-    /// The hollow counterpart failed.
-    #[error("the hollow counterpart: {0}")]
+    /// The simulation of hollow gateways failed.
+    #[error("the simulation of hollow gateways failed: {0}")]
     Hollow(#[from] HollowError),
-    /// The measurement was told to end.
-    #[error("told to end; nothing was written")]
+    /// The measurement was aborted.
+    #[error("the measurement was aborted; nothing was written")]
     Interrupted,
 }
 
-/// Adds to an error of the machine what was being done.
-pub(super) fn doing(what: &'static str) -> impl FnOnce(io::Error) -> ProcessError {
-    move |source| ProcessError::System { doing: what, source }
+/// Converts an error of the operating system, for use with `map_err`; `failure` says what failed.
+pub(super) fn system_error(failure: &'static str) -> impl FnOnce(io::Error) -> ProcessError {
+    move |source| ProcessError::System { failure, source }
 }
--- a/crates/fawnrouter-capacity/src/process/line_counts.rs
+++ b/crates/fawnrouter-capacity/src/process/line_counts.rs
@@ -1,38 +1,39 @@
-//! Lines as the stand-ins see them on their sockets, and counts of them.
+//! Reads messages from the stand-ins' sockets and counts messages and bytes.
 
 use fawnrouter_jsonl::{DecodeError, Decoder, Message};
 
 use crate::hollow::{ByVerb, Volume};
 
-/// The types of messages that are tests, their answers and told states; all others concern calls.
-const TEST_TYPES: [&str; 3] = ["ECHO", "ECHOED", "LOAD"];
+/// Verbs of tests, their answers and load reports; all other messages concern calls.
+const TEST_VERBS: [&str; 3] = ["ECHO", "ECHOED", "LOAD"];
 
-/// Cuts a stream into messages and tells the length of each line.
+/// Splits a stream into messages and determines the length of each line.
 #[derive(Debug, Default)]
 pub struct LineReader {
     decoder: Decoder,
-    /// Bytes since the last message.
-    length: usize,
+    /// Bytes received since the end of the last message.
+    pending_bytes: usize,
 }
 
 impl LineReader {
-    /// Adds bytes; `take` gets each message that is whole by now, with the bytes of its line.
+    /// Adds received bytes and calls `handle` for each message that is complete by now, with the length of its line in
+    /// bytes, line end included.
     ///
     /// # Errors
-    /// Where a line is no message. Nothing after it can be read.
-    pub fn push(&mut self, bytes: &[u8], mut take: impl FnMut(Message, usize)) -> Result<(), DecodeError> {
+    /// Where a line is not a message. Nothing after it can be read.
+    pub fn push(&mut self, bytes: &[u8], mut handle: impl FnMut(Message, usize)) -> Result<(), DecodeError> {
         for piece in bytes.split_inclusive(|byte| *byte == b'\n') {
             self.decoder.push(piece);
-            self.length += piece.len();
+            self.pending_bytes += piece.len();
             if let Some(message) = self.decoder.next_message()? {
-                take(message, std::mem::take(&mut self.length));
+                handle(message, std::mem::take(&mut self.pending_bytes));
             }
         }
         Ok(())
     }
 }
 
-/// What was counted since an earlier reading of the same counter.
+/// The increase of counts by verb since an earlier reading of the same counters.
 #[must_use]
 pub fn counts_since(earlier: &ByVerb, now: &ByVerb) -> ByVerb {
     let since = |(verb, volume): (&&'static str, &Volume)| {
@@ -42,7 +43,7 @@
     ByVerb(now.0.iter().map(since).collect())
 }
 
-/// The same of one volume.
+/// The increase of a volume since an earlier reading of the same counter.
 #[must_use]
 pub fn volume_since(earlier: Volume, now: Volume) -> Volume {
     Volume {
@@ -51,15 +52,15 @@
     }
 }
 
-/// What set-ups, answers and releases come to.
+/// The total of set-ups, answers and releases.
 #[must_use]
 pub fn call_volume(lines: &ByVerb) -> Volume {
     volume_since(test_volume(lines), lines.all())
 }
 
-/// What tests, their answers and told states come to.
+/// The total of tests, their answers and load reports.
 #[must_use]
 pub fn test_volume(lines: &ByVerb) -> Volume {
-    let tests = lines.0.iter().filter(|(verb, _)| TEST_TYPES.contains(verb));
+    let tests = lines.0.iter().filter(|(verb, _)| TEST_VERBS.contains(verb));
     ByVerb(tests.map(|(verb, volume)| (*verb, *volume)).collect()).all()
 }
--- a/crates/fawnrouter-capacity/src/process/name_server.rs
+++ b/crates/fawnrouter-capacity/src/process/name_server.rs
@@ -1,4 +1,4 @@
-//! The stand-in name server: answers each question for the list over UDP and counts both.
+//! The stand-in name server: it answers each query for the list over UDP and counts queries and answers.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -13,80 +13,81 @@
 use crate::process::gateway::LIST_SERIAL;
 use crate::process::watched::Watched;
 
-/// The longest question that is read.
-const MAX_QUESTION_BYTES: usize = 1500;
-/// How often the thread looks whether it is to end.
-const STOP_LOOK: Duration = Duration::from_millis(100);
+/// Longest query that is read; the rest of a longer datagram is discarded.
+const MAX_QUERY_BYTES: usize = 1500;
+/// How often the thread checks whether it is to end.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What was asked and answered.
+/// Queries for the list and answers with it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct ListTraffic {
-    /// Questions by the address that they came from.
-    pub questions: BTreeMap<SocketAddr, Volume>,
-    /// Answers to all.
+    /// Queries by source address.
+    pub queries_by_source: BTreeMap<SocketAddr, Volume>,
+    /// Answers to all sources.
     pub answers: Volume,
 }
 
 impl ListTraffic {
-    /// Questions of all.
-    pub fn all_questions(&self) -> Volume {
-        let questions = self.questions.values();
+    /// Queries from all sources.
+    pub fn all_queries(&self) -> Volume {
+        let queries = self.queries_by_source.values();
         Volume {
-            messages: questions.clone().map(|volume| volume.messages).sum(),
-            bytes: questions.map(|volume| volume.bytes).sum(),
+            messages: queries.clone().map(|volume| volume.messages).sum(),
+            bytes: queries.map(|volume| volume.bytes).sum(),
         }
     }
 }
 
-/// The name server's thread.
+/// Handle of the name server's thread, which ends when the handle is dropped.
 #[derive(Debug)]
 pub(super) struct NameServer {
-    /// Where it is asked.
+    /// Address that queries are sent to.
     pub address: SocketAddr,
-    /// What was asked and answered so far.
+    /// What has been counted so far.
     pub traffic: Arc<Watched<ListTraffic>>,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl NameServer {
-    /// Starts one that always gives this list.
-    pub fn start(rows: Vec<ListedSwitch>) -> io::Result<Self> {
+    /// Starts a name server that answers every query with this list.
+    pub fn start(list: Vec<ListedSwitch>) -> io::Result<Self> {
         let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))?;
-        socket.set_read_timeout(Some(STOP_LOOK))?;
+        socket.set_read_timeout(Some(STOP_CHECK_INTERVAL))?;
         let address = socket.local_addr()?;
         let traffic = Arc::new(Watched::default());
         let stop = Arc::new(AtomicBool::new(false));
         let (counted, stopped) = (traffic.clone(), stop.clone());
         let thread = std::thread::Builder::new()
             .name("name-server".to_owned())
-            .spawn(move || answer_until(&stopped, &socket, &rows, &counted))?;
+            .spawn(move || answer_queries(&stopped, &socket, &list, &counted))?;
         Ok(Self { address, traffic, stop, thread: Some(thread) })
     }
 }
 
-fn answer_until(
+/// Answers queries until it is told to stop.
+fn answer_queries(
     stop: &AtomicBool,
     socket: &UdpSocket,
-    rows: &[ListedSwitch],
+    list: &[ListedSwitch],
     traffic: &Watched<ListTraffic>,
 ) {
-    let mut buffer = [0; MAX_QUESTION_BYTES];
+    let mut buffer = [0; MAX_QUERY_BYTES];
     while !stop.load(Ordering::Relaxed) {
-        // Nothing came in the time, or an answer met a gateway that had ended.
-        let Ok((length, from)) = socket.recv_from(&mut buffer) else { continue };
-        let answer = encode_list_answer(&buffer[..length], LIST_SERIAL, rows);
-        let sent = socket.send_to(&answer, from);
+        // An error is a timeout, or the ICMP reply to an answer whose gateway had ended.
+        let Ok((length, source)) = socket.recv_from(&mut buffer) else { continue };
+        let answer = encode_list_answer(&buffer[..length], LIST_SERIAL, list);
+        let sent = socket.send_to(&answer, source);
         traffic.update(|traffic| {
-            record(traffic.questions.entry(from).or_default(), length);
+            add_datagram(traffic.queries_by_source.entry(source).or_default(), length);
             if let Ok(bytes) = sent {
-                record(&mut traffic.answers, bytes);
+                add_datagram(&mut traffic.answers, bytes);
             }
         });
     }
 }
 
-fn record(volume: &mut Volume, bytes: usize) {
+fn add_datagram(volume: &mut Volume, bytes: usize) {
     volume.messages += 1;
     volume.bytes += bytes as u64;
 }
@@ -95,7 +96,7 @@
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
-            // It does not panic; were it to, its count would be missing and noticed.
+            // A panic of the thread is not lost: its counts would be missing from the measurement.
             let _ = thread.join();
         }
     }
--- a/crates/fawnrouter-capacity/src/process/switches.rs
+++ b/crates/fawnrouter-capacity/src/process/switches.rs
@@ -1,4 +1,4 @@
-//! Stand-in core switches: each set-up is answered after a time and released after another, tests are passed.
+//! Stand-in core switches: they answer each set-up after a delay, release the call after the hold time, and pass all tests.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -11,61 +11,65 @@
 use crate::hollow::ByVerb;
 use crate::plan::{passed_test_answer, switch_answer, switch_release};
 use crate::platform::ListedSwitch;
-use crate::process::event_loop::{EventLoop, Party, Reply};
-use crate::process::timestamps::{Moment, Stamps};
+use crate::process::event_loop::{ConnectionHandler, EventLoop, Reply};
+use crate::process::timestamps::{CallEvent, CallTimestamps};
 use crate::process::watched::Watched;
 
 /// The zone of all core switches.
 const ZONE_NAME: &str = "zone-0";
 
-/// What passed between gateways and core switches.
+/// Messages and connections between gateways and core switches.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct SwitchTraffic {
-    /// From gateways.
-    pub heard: ByVerb,
-    /// To gateways.
-    pub said: ByVerb,
-    /// Connections that are open now.
+    /// Messages that core switches received.
+    pub received: ByVerb,
+    /// Messages that core switches sent.
+    pub sent: ByVerb,
+    /// Open connections from gateways.
     pub connections: u64,
 }
 
-/// How long core switches take.
+/// Delays of the core switches' replies.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SwitchTimes {
     /// From a set-up to its answer.
-    pub answer: Duration,
+    pub answer_delay: Duration,
     /// From the answer to the release.
     pub hold: Duration,
 }
 
-/// The thread of all core switches.
+/// All core switches, served by one thread.
 #[derive(Debug)]
 pub(super) struct Switches {
-    /// The core switches as the list has them.
-    pub rows: Vec<ListedSwitch>,
-    /// What passed so far.
+    /// The entries of the core switches on the list.
+    pub list: Vec<ListedSwitch>,
+    /// What has been counted so far.
     pub traffic: Arc<Watched<SwitchTraffic>>,
     _thread: EventLoop,
 }
 
 impl Switches {
-    /// Starts this many, each on a port of its own and in a pool of its own.
-    pub fn start(count: u32, times: SwitchTimes, stamps: Option<Arc<Stamps>>) -> io::Result<Self> {
-        let mut rows = Vec::new();
+    /// Starts `count` core switches, each on its own port and in its own pool.
+    pub fn start(
+        count: u32,
+        times: SwitchTimes,
+        timestamps: Option<Arc<CallTimestamps>>,
+    ) -> io::Result<Self> {
+        let mut list = Vec::new();
         let mut listeners = Vec::new();
         for number in 0..count {
             let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
-            rows.push(row(number, &listener)?);
+            list.push(list_entry(number, &listener)?);
             listeners.push(listener);
         }
         let traffic = Arc::new(Watched::default());
-        let party = SwitchParty { times, traffic: traffic.clone(), stamps, calls: BTreeSet::new() };
-        let thread = EventLoop::start("core-switches", party, listeners, Vec::new())?;
-        Ok(Self { rows, traffic, _thread: thread })
+        let handler = SwitchHandler { times, traffic: traffic.clone(), timestamps, calls: BTreeSet::new() };
+        let thread = EventLoop::start("core-switches", handler, listeners, Vec::new())?;
+        Ok(Self { list, traffic, _thread: thread })
     }
 }
 
-fn row(number: u32, listener: &TcpListener) -> io::Result<ListedSwitch> {
+fn list_entry(number: u32, listener: &TcpListener) -> io::Result<ListedSwitch> {
     Ok(ListedSwitch {
         id: format!("s-{number:08x}"),
         zone: ZONE_NAME.to_owned(),
@@ -76,53 +80,54 @@
     })
 }
 
-struct SwitchParty {
+struct SwitchHandler {
     times: SwitchTimes,
     traffic: Arc<Watched<SwitchTraffic>>,
-    stamps: Option<Arc<Stamps>>,
-    /// Calls that are to be answered or released, with the connection of their set-up.
+    timestamps: Option<Arc<CallTimestamps>>,
+    /// Calls that are yet to be answered or released: the connection of the set-up, and the tag.
     calls: BTreeSet<(u64, u64)>,
 }
 
-impl SwitchParty {
-    fn stamp(&self, message: &Message, verb: Verb, moment: Moment) {
+impl SwitchHandler {
+    /// Records the time of an event of a call if the message has the verb that belongs to the event.
+    fn record_time(&self, message: &Message, verb: Verb, event: CallEvent) {
         if message.verb == verb
-            && let Some(stamps) = &self.stamps
+            && let Some(timestamps) = &self.timestamps
         {
-            stamps.stamp(message.tag.0, moment);
+            timestamps.record(message.tag.0, event);
         }
     }
 }
 
-impl Party for SwitchParty {
-    fn opened(&mut self) {
+impl ConnectionHandler for SwitchHandler {
+    fn on_open(&mut self) {
         self.traffic.update(|traffic| traffic.connections += 1);
     }
 
-    fn closed(&mut self) {
+    fn on_close(&mut self) {
         self.traffic.update(|traffic| traffic.connections -= 1);
     }
 
-    fn heard(&mut self, connection: u64, message: &Message, bytes: usize, replies: &mut Vec<Reply>) {
-        self.stamp(message, Verb::Start, Moment::SwitchHears);
-        self.traffic.update(|traffic| traffic.heard.add(message.verb, bytes));
+    fn on_message(&mut self, connection: u64, message: &Message, bytes: usize, replies: &mut Vec<Reply>) {
+        self.record_time(message, Verb::Start, CallEvent::SetUpReceived);
+        self.traffic.update(|traffic| traffic.received.add(message.verb, bytes));
         let tag = message.tag.0;
-        let SwitchTimes { answer, hold } = self.times;
+        let SwitchTimes { answer_delay, hold } = self.times;
         match message.verb {
             Verb::Start if self.calls.insert((connection, tag)) => {
-                replies.push(Reply { after: answer, message: switch_answer(tag) });
-                replies.push(Reply { after: answer + hold, message: switch_release(tag) });
+                replies.push(Reply { delay: answer_delay, message: switch_answer(tag) });
+                replies.push(Reply { delay: answer_delay + hold, message: switch_release(tag) });
             }
-            // Its set-up is given up.
+            // The gateway gives up the set-up or releases the call: replies that are still due are dropped.
             Verb::Finish => {
                 self.calls.remove(&(connection, tag));
             }
-            Verb::Echo => replies.push(Reply { after: Duration::ZERO, message: passed_test_answer(tag) }),
+            Verb::Echo => replies.push(Reply { delay: Duration::ZERO, message: passed_test_answer(tag) }),
             _ => {}
         }
     }
 
-    fn is_wanted(&mut self, connection: u64, message: &Message) -> bool {
+    fn is_still_due(&mut self, connection: u64, message: &Message) -> bool {
         let call = (connection, message.tag.0);
         match message.verb {
             Verb::Started => self.calls.contains(&call),
@@ -131,8 +136,8 @@
         }
     }
 
-    fn writes(&mut self, message: &Message, bytes: usize) {
-        self.stamp(message, Verb::Started, Moment::SwitchWrites);
-        self.traffic.update(|traffic| traffic.said.add(message.verb, bytes));
+    fn on_write(&mut self, message: &Message, bytes: usize) {
+        self.record_time(message, Verb::Started, CallEvent::AnswerSent);
+        self.traffic.update(|traffic| traffic.sent.add(message.verb, bytes));
     }
 }
--- a/crates/fawnrouter-capacity/src/process/usage.rs
+++ b/crates/fawnrouter-capacity/src/process/usage.rs
@@ -1,16 +1,16 @@
-//! What a process uses of the machine, from the texts of `/proc` (proc(5)).
+//! Processor time, memory and descriptors of a process, read from `/proc` (proc(5)).
 
 use std::io;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Ticks a second of the processor times in `stat` (`USER_HZ`, the same on all Linux platforms).
+/// Clock ticks a second of the processor times in `stat` (`USER_HZ`, the same on all Linux platforms).
 const STAT_TICKS_PER_SECOND: u64 = 100;
 /// Fields of `stat` between the end of the program's name and `utime`.
 const STAT_FIELDS_BEFORE_USER_TIME: usize = 11;
 const BYTES_PER_KIBIBYTE: u64 = 1024;
 
-/// Why it is not known what a process uses.
+/// Why the usage of a process cannot be determined.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum UsageError {
@@ -19,10 +19,10 @@
     Unreadable {
         /// The file.
         file: PathBuf,
-        /// Why.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A file has another form than the manual page says.
+    /// A file does not have the format of the manual page.
     #[error("{}: is not of the form that proc(5) describes; the processes can be measured on Linux only", file.display())]
     Malformed {
         /// The file.
@@ -30,7 +30,7 @@
     },
 }
 
-/// What a process uses of the machine.
+/// What a process uses at one time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProcessUsage {
     /// Processor time of all its threads since its start.
@@ -42,31 +42,31 @@
 }
 
 impl ProcessUsage {
-    /// What this process uses now.
+    /// Reads the current usage of a process.
     ///
     /// # Errors
-    /// Where `/proc` does not tell.
+    /// Where a file of `/proc` cannot be read or does not have the expected format.
     pub fn of_process(process_id: u32) -> Result<Self, UsageError> {
-        let folder = PathBuf::from(format!("/proc/{process_id}"));
-        let status = folder.join("status");
+        let directory = PathBuf::from(format!("/proc/{process_id}"));
+        let status = directory.join("status");
         let resident_bytes =
-            parse_resident_bytes(&read(&status)?).ok_or(UsageError::Malformed { file: status })?;
+            parse_resident_bytes(&read_file(&status)?).ok_or(UsageError::Malformed { file: status })?;
         Ok(Self {
-            processor_time: processor_time(&folder)?,
+            processor_time: processor_time(&directory)?,
             resident_bytes,
-            descriptors: list(&folder.join("fd"))?.len() as u64,
+            descriptors: directory_entries(&directory.join("fd"))?.len() as u64,
         })
     }
 }
 
-/// The time of all threads to the nanosecond, or to the tick where the kernel keeps no `schedstat`.
-fn processor_time(folder: &Path) -> Result<Duration, UsageError> {
+/// The processor time of all threads, in nanoseconds, or in clock ticks where the kernel provides no `schedstat`.
+fn processor_time(directory: &Path) -> Result<Duration, UsageError> {
     let mut sum = Duration::ZERO;
-    for thread in list(&folder.join("task"))? {
+    for thread in directory_entries(&directory.join("task"))? {
         let file = thread.join("schedstat");
         match std::fs::read_to_string(&file) {
             Ok(text) => sum += parse_schedstat_time(&text).ok_or(UsageError::Malformed { file })?,
-            // The thread has ended since the list was read, or the kernel keeps no such file.
+            // The thread has ended since the directory was read, or the kernel provides no such file.
             Err(error) if error.kind() == io::ErrorKind::NotFound => {}
             Err(source) => return Err(UsageError::Unreadable { file, source }),
         }
@@ -74,21 +74,21 @@
     if !sum.is_zero() {
         return Ok(sum);
     }
-    let file = folder.join("stat");
-    parse_stat_time(&read(&file)?).ok_or(UsageError::Malformed { file })
+    let file = directory.join("stat");
+    parse_stat_time(&read_file(&file)?).ok_or(UsageError::Malformed { file })
 }
 
-fn read(file: &Path) -> Result<String, UsageError> {
+fn read_file(file: &Path) -> Result<String, UsageError> {
     std::fs::read_to_string(file).map_err(|source| UsageError::Unreadable { file: file.to_owned(), source })
 }
 
-fn list(folder: &Path) -> Result<Vec<PathBuf>, UsageError> {
-    let unread = |source| UsageError::Unreadable { file: folder.to_owned(), source };
-    let entries = std::fs::read_dir(folder).map_err(unread)?;
-    entries.map(|entry| entry.map(|entry| entry.path()).map_err(unread)).collect()
+fn directory_entries(directory: &Path) -> Result<Vec<PathBuf>, UsageError> {
+    let unreadable = |source| UsageError::Unreadable { file: directory.to_owned(), source };
+    let entries = std::fs::read_dir(directory).map_err(unreadable)?;
+    entries.map(|entry| entry.map(|entry| entry.path()).map_err(unreadable)).collect()
 }
 
-/// The time that a thread ran, from its `schedstat`: the first of three figures, in nanoseconds.
+/// Reads the time that a thread ran from its `schedstat`: the first of three figures, in nanoseconds.
 #[must_use]
 pub fn parse_schedstat_time(text: &str) -> Option<Duration> {
     let mut fields = text.split_whitespace();
@@ -96,8 +96,8 @@
     (fields.count() == 2).then(|| Duration::from_nanos(nanoseconds))
 }
 
-/// The time that a process ran in user and kernel mode, from its `stat`. The program's name, in parentheses, may hold
-/// blanks and parentheses.
+/// Reads the time that a process ran in user and kernel mode from its `stat`. The program's name, in parentheses, may
+/// itself contain blanks and parentheses, so that fields are counted from the last closing parenthesis.
 #[must_use]
 pub fn parse_stat_time(text: &str) -> Option<Duration> {
     let (_, after_name) = text.rsplit_once(')')?;
@@ -108,7 +108,7 @@
     Some(Duration::from_millis(milliseconds))
 }
 
-/// The resident memory of a process in bytes, from its `status`.
+/// Reads the resident memory of a process in bytes from its `status`.
 #[must_use]
 pub fn parse_resident_bytes(text: &str) -> Option<u64> {
     let value = text.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
@@ -118,7 +118,7 @@
     kibibytes.checked_mul(BYTES_PER_KIBIBYTE)
 }
 
-/// The memory of the machine in MiB, from `/proc/meminfo`.
+/// Reads the memory of the machine in MiB from `/proc/meminfo`.
 #[must_use]
 pub fn parse_machine_memory_mib(text: &str) -> Option<u64> {
     let value = text.lines().find_map(|line| line.strip_prefix("MemTotal:"))?;
--- a/crates/fawnrouter-capacity/src/process/watched.rs
+++ b/crates/fawnrouter-capacity/src/process/watched.rs
@@ -1,9 +1,9 @@
-//! A value that one thread changes and another waits for.
+//! A shared value whose changes can be waited for.
 
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
-/// A value with its waiters.
+/// A value behind a mutex, with a condition variable that is notified of each change.
 #[derive(Debug, Default)]
 pub(super) struct Watched<T> {
     value: Mutex<T>,
@@ -11,14 +11,14 @@
 }
 
 impl<T> Watched<T> {
-    /// Changes the value and wakes who waits for it.
+    /// Changes the value and wakes all threads that wait for it.
     pub fn update<R>(&self, change: impl FnOnce(&mut T) -> R) -> R {
         let result = change(&mut self.lock());
         self.changed.notify_all();
         result
     }
 
-    /// The value as it is now.
+    /// A copy of the current value.
     pub fn get(&self) -> T
     where
         T: Clone,
@@ -26,21 +26,23 @@
         self.lock().clone()
     }
 
-    /// Waits until the value is as wanted; `false` if it is not by the deadline.
-    pub fn wait(&self, deadline: Instant, wanted: impl Fn(&T) -> bool) -> bool {
+    /// Waits until the value meets a condition; `false` if it does not by the deadline.
+    pub fn wait_until(&self, deadline: Instant, condition: impl Fn(&T) -> bool) -> bool {
         let mut value = self.lock();
-        while !wanted(&value) {
-            let left = deadline.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+        while !condition(&value) {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return false;
             }
-            let (guard, _) = self.changed.wait_timeout(value, left).unwrap_or_else(PoisonError::into_inner);
+            let (guard, _) =
+                self.changed.wait_timeout(value, remaining).unwrap_or_else(PoisonError::into_inner);
             value = guard;
         }
         true
     }
 
-    /// A thread that panicked leaves counts that are whole: each change is one statement.
+    /// Locks the value. A poisoned lock is accepted: each change is one statement, so a thread that panicked leaves
+    /// consistent counts.
     fn lock(&self) -> MutexGuard<'_, T> {
         self.value.lock().unwrap_or_else(PoisonError::into_inner)
     }
