--- a/crates/fawnrouter-capacity/src/page.rs
+++ b/crates/fawnrouter-capacity/src/page.rs
@@ -1,13 +1,13 @@
-//! The tables of `docs/CAPACITY.md` and of `docs/capacity-rows.md`, computed from a report: the same report gives the same
-//! text, to the byte. The former has the rows that a reader looks for first, the latter has one for each series.
+//! Computes the tables of `docs/CAPACITY.md` and of `docs/capacity-rows.md` from a report: the same report gives the same
+//! text, to the byte. The former has a selection of rows for most readers, the latter has a row for each series.
 //!
 //! | module | what it does |
 //! | --- | --- |
-//! | `rows` | one row a series: fit, value at the design size, budget, ratio |
-//! | `design_sizes`, `budgets`, `frequency`, `mechanisms` | what a row is held against: design size, budget, how often its case comes, what carries it |
-//! | `selection` | which rows stand on the page and which in the full tables alone |
-//! | `roles`, `situations`, `peaks`, `growth`, `depth`, `comparison`, `ranking`, `runs` | a section of the page each |
-//! | `labels`, `formatting`, `table` | names, figures with units, tables as text |
+//! | `rows` | the row of a series: fit, value at the design size, budget, ratio |
+//! | `design_sizes`, `budgets`, `frequency`, `mechanisms` | what a row is compared with: design size, budget, frequency of the situation, type that implements it |
+//! | `selection` | which rows are on the page and which only in the full tables |
+//! | `roles`, `situations`, `peaks`, `growth`, `depth`, `comparison`, `ranking`, `runs` | one section of the page each |
+//! | `labels`, `formatting`, `table` | labels, numbers with units, Markdown tables |
 
 mod budgets;
 mod comparison;
@@ -31,32 +31,34 @@
 
 use crate::figures::Report;
 
-/// The line before the tables.
+/// The line in front of the generated tables.
 pub const BEGIN_MARKER: &str = "<!-- capacity tables: begin -->";
-/// The line behind the tables.
+/// The line behind the generated tables.
 pub const END_MARKER: &str = "<!-- capacity tables: end -->";
 
-/// Why a page cannot be made.
+/// Why a page cannot be computed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum PageError {
-    /// A marker is missing, or is there more than once.
+    /// A marker is missing or occurs more than once.
     #[error(
-        "the page has {found} of the marker `{marker}`; put it there once, the tables stand between the two"
+        "the page has the marker `{marker}` {found} times instead of once; the tables go between the two markers"
     )]
     Marker {
         /// The marker.
         marker: &'static str,
-        /// How many of it there are.
+        /// How often it occurs.
         found: usize,
     },
-    /// The end marker stands before the begin marker.
-    #[error("the marker `{END_MARKER}` stands before `{BEGIN_MARKER}`; turn them round")]
+    /// The end marker is in front of the begin marker.
+    #[error("the marker `{END_MARKER}` is in front of `{BEGIN_MARKER}`; swap them")]
     MarkersOutOfOrder,
-    /// Two runs have one name, so that a figure cannot say which it is from.
-    #[error("two runs of the report are named `{id}`; write it anew with `fawnrouter-lab capacity`")]
+    /// Two runs have the same id, so that a citation of a run is ambiguous.
+    #[error(
+        "two runs of the report have the id `{id}`; create the report anew with `fawnrouter-lab capacity`"
+    )]
     DuplicateRunId {
-        /// The name.
+        /// The id.
         id: String,
     },
 }
@@ -64,18 +66,18 @@
 /// The tables of the page.
 ///
 /// # Errors
-/// Where two runs have one name.
+/// Where two runs have the same id.
 pub fn render(report: &Report) -> Result<String, PageError> {
-    check_run_names(report)?;
-    let rows = rows::of_report(report);
-    let shown = selection::shown(&rows);
-    let judged = selection::judged(&rows);
-    let depths = depth::of_report(report);
+    check_run_ids(report)?;
+    let rows = rows::rows_of_report(report);
+    let shown = selection::rows_of_page(&rows);
+    let assessed = selection::rows_with_verdict(&rows);
+    let depths = depth::depths_of_report(report);
     let sections = [
         summary(report, rows.len(), shown.len()),
-        ranking::section(&judged, &depths),
+        ranking::section(&assessed, &depths),
         roles::section(&shown),
-        situations::section(&judged),
+        situations::section(&assessed),
         peaks::section(&rows),
         growth::section(&rows, &shown),
         depth::section(&depths),
@@ -88,23 +90,23 @@
 /// The full tables: one row for each series.
 ///
 /// # Errors
-/// Where two runs have one name.
+/// Where two runs have the same id.
 pub fn render_rows(report: &Report) -> Result<String, PageError> {
-    check_run_names(report)?;
-    let rows = rows::of_report(report);
+    check_run_ids(report)?;
+    let rows = rows::rows_of_report(report);
     let sections = [roles::section(&rows), growth::section(&rows, &rows), comparison::section(report)];
     Ok(sections.join("\n"))
 }
 
-/// The page with the tables of this report in place of those that stand in it.
+/// Replaces the tables between the markers of the page by those of this report.
 ///
 /// # Errors
-/// Where a marker is missing or there more than once, or two runs have one name.
+/// Where a marker is missing or occurs more than once, the markers are in the wrong order, or two runs have the same id.
 pub fn update_page(page: &str, report: &Report) -> Result<String, PageError> {
     replace_tables(page, &render(report)?)
 }
 
-/// The page of the full tables, likewise.
+/// Replaces the tables between the markers of the page with the full tables.
 ///
 /// # Errors
 /// As [`update_page`].
@@ -113,25 +115,26 @@
 }
 
 fn replace_tables(page: &str, tables: &str) -> Result<String, PageError> {
-    let begin = only_place_of(BEGIN_MARKER, page)?;
-    let end = only_place_of(END_MARKER, page)?;
+    let begin = marker_offset(BEGIN_MARKER, page)?;
+    let end = marker_offset(END_MARKER, page)?;
     if end < begin {
         return Err(PageError::MarkersOutOfOrder);
     }
     let before = &page[..begin];
-    let behind = &page[end + END_MARKER.len()..];
-    Ok(format!("{before}{BEGIN_MARKER}\n\n{tables}\n{END_MARKER}{behind}"))
+    let after = &page[end + END_MARKER.len()..];
+    Ok(format!("{before}{BEGIN_MARKER}\n\n{tables}\n{END_MARKER}{after}"))
 }
 
-fn only_place_of(marker: &'static str, page: &str) -> Result<usize, PageError> {
-    let places: Vec<usize> = page.match_indices(marker).map(|(place, _)| place).collect();
-    match places[..] {
-        [place] => Ok(place),
-        _ => Err(PageError::Marker { marker, found: places.len() }),
+/// The offset of a marker that must occur exactly once.
+fn marker_offset(marker: &'static str, page: &str) -> Result<usize, PageError> {
+    let offsets: Vec<usize> = page.match_indices(marker).map(|(offset, _)| offset).collect();
+    match offsets[..] {
+        [offset] => Ok(offset),
+        _ => Err(PageError::Marker { marker, found: offsets.len() }),
     }
 }
 
-fn check_run_names(report: &Report) -> Result<(), PageError> {
+fn check_run_ids(report: &Report) -> Result<(), PageError> {
     let mut seen = BTreeSet::new();
     match report.runs.iter().find(|run| !seen.insert(run.id.as_str())) {
         Some(run) => Err(PageError::DuplicateRunId { id: run.id.clone() }),
--- a/crates/fawnrouter-capacity/src/page/depth.rs
+++ b/crates/fawnrouter-capacity/src/page/depth.rs
@@ -1,4 +1,4 @@
-//! The delay of calls that pass several gateways, against what may be added to a call.
+//! The delay of calls that pass several gateways, compared with the limit of the delay that may be added to a call.
 
 use super::formatting::{nanoseconds, significant};
 use super::labels;
@@ -7,15 +7,15 @@
 use crate::design;
 use crate::figures::{Report, Run};
 
-/// The depths of the table.
+/// Depths in the table, in hops.
 const DEPTHS: [u32; 4] = [1, 4, 12, design::DEPTH];
-/// Runs without a gateway: what the stand-ins and loopback add by themselves.
-const BASELINES: &str = "processes-hop-baseline";
-const NANOSECONDS_OF_A_MILLISECOND: f64 = 1e6;
-/// What may be added to a call, 99 in 100.
-const LIMIT_NANOSECONDS: f64 = design::ADDED_DELAY_MS * NANOSECONDS_OF_A_MILLISECOND;
+/// Prefix of the ids of runs without a gateway, whose delay is that of the stand-ins and loopback alone.
+const BASELINE_PREFIX: &str = "processes-hop-baseline";
+const NANOSECONDS_PER_MILLISECOND: f64 = 1e6;
+/// Limit of the 99th percentile of the delay that is added to a call.
+const LIMIT_NANOSECONDS: f64 = design::ADDED_DELAY_MS * NANOSECONDS_PER_MILLISECOND;
 
-/// The delays of the hops of one run.
+/// The delays over several hops, from the hop delays of one run.
 pub(super) struct RunDepths<'a> {
     pub(super) run: &'a Run,
     depths: Result<RunDelays, DelayError>,
@@ -23,34 +23,34 @@
 
 struct RunDelays {
     depths: Depths,
-    /// Hops whose 99th percentile is within the limit.
+    /// Largest number of hops whose 99th percentile is within the limit.
     deepest_within: u32,
 }
 
 impl RunDepths<'_> {
-    /// Whether there was no gateway in it.
+    /// Whether the run was measured without a gateway.
     pub(super) fn is_baseline(&self) -> bool {
-        self.run.id.starts_with(BASELINES)
+        self.run.id.starts_with(BASELINE_PREFIX)
     }
 
-    /// The 99th percentile of the deepest call over the limit, where that is for the whole call.
+    /// The 99th percentile at the design depth over the limit, if the limit is for the whole call.
     pub(super) fn whole_call_ratio(&self) -> Option<f64> {
-        self.deepest().and_then(whole_call_ratio)
+        self.delay_at_design_depth().and_then(whole_call_ratio)
     }
 
-    /// The same where each hop has the limit.
+    /// The 99th percentile at the design depth over the limit, if the limit is for each hop.
     pub(super) fn per_hop_ratio(&self) -> Option<f64> {
-        self.deepest().and_then(per_hop_ratio)
+        self.delay_at_design_depth().and_then(per_hop_ratio)
     }
 
-    fn deepest(&self) -> Option<&HopsDelay> {
+    fn delay_at_design_depth(&self) -> Option<&HopsDelay> {
         let delays = &self.depths.as_ref().ok()?.depths.delays;
         delays.iter().find(|delay| delay.hops == design::DEPTH)
     }
 }
 
-/// The depths of all runs that measured delays of a hop.
-pub(super) fn of_report(report: &Report) -> Vec<RunDepths<'_>> {
+/// The delays over several hops for each run that measured hop delays.
+pub(super) fn depths_of_report(report: &Report) -> Vec<RunDepths<'_>> {
     let with_delays = report.runs.iter().filter(|run| !run.hop_delays.is_empty());
     with_delays.map(|run| RunDepths { run, depths: run_delays(run) }).collect()
 }
@@ -72,7 +72,7 @@
             table.push(cells(run.run, delay));
         }
     }
-    let remarks: String = runs.iter().map(remark).collect();
+    let remarks: String = runs.iter().map(limit_remark).collect();
     format!("## Depth\n\n{table}\n{remarks}")
 }
 
@@ -80,25 +80,26 @@
     [
         labels::cited(&run.id),
         delay.hops.to_string(),
-        shown(delay.p50_nanoseconds),
-        shown(delay.p99_nanoseconds),
-        shown(delay.p999_nanoseconds),
-        shown_ratio(whole_call_ratio(delay)),
-        shown_ratio(per_hop_ratio(delay)),
+        delay_text(delay.p50_nanoseconds),
+        delay_text(delay.p99_nanoseconds),
+        delay_text(delay.p999_nanoseconds),
+        ratio_text(whole_call_ratio(delay)),
+        ratio_text(per_hop_ratio(delay)),
     ]
 }
 
-fn remark(run: &RunDepths<'_>) -> String {
+/// States up to how many hops a run is within the limit.
+fn limit_remark(run: &RunDepths<'_>) -> String {
     let id = labels::cited(&run.run.id);
     match &run.depths {
         Err(error) => format!("- {id}: {error}.\n"),
         Ok(delays) => {
             let bin = nanoseconds(delays.depths.grid.bin_nanoseconds.get());
             let deepest = delays.deepest_within;
-            let most = design::DEPTH;
-            let what = if run.is_baseline() { ", without a gateway" } else { "" };
+            let design_depth = design::DEPTH;
+            let baseline = if run.is_baseline() { ", without a gateway" } else { "" };
             format!(
-                "- {id}{what}: p99 is within 1.6 ms a call for up to {deepest} hops of {most}; grid of {bin}.\n"
+                "- {id}{baseline}: p99 is within 1.6 ms a call for up to {deepest} hops of {design_depth}; grid of {bin}.\n"
             )
         }
     }
@@ -112,10 +113,10 @@
     Some(whole_call_ratio(delay)? / f64::from(delay.hops))
 }
 
-fn shown(delay_nanoseconds: Option<u64>) -> String {
+fn delay_text(delay_nanoseconds: Option<u64>) -> String {
     delay_nanoseconds.map_or("beyond the grid".to_owned(), nanoseconds)
 }
 
-fn shown_ratio(ratio: Option<f64>) -> String {
+fn ratio_text(ratio: Option<f64>) -> String {
     ratio.map_or("beyond the grid".to_owned(), significant)
 }
--- a/crates/fawnrouter-capacity/src/page/design_sizes.rs
+++ b/crates/fawnrouter-capacity/src/page/design_sizes.rs
@@ -1,32 +1,33 @@
-//! The sizes that series are read at: the harder reading of the users' letter and the easier one.
+//! The sizes at which series are estimated. Where the requirements allow two interpretations, there is a harder and an
+//! easier size.
 
 use crate::design;
 use crate::figures::{Cause, Per, Quantity, Report, Role, Series, Size};
 use crate::fit::{Fit, estimate};
 
-/// The sizes that a series is read at.
+/// The sizes at which a series is estimated.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct DesignSizes {
-    /// The harder reading; figures are held against their budgets at this one.
+    /// The size under the harder interpretation, at which figures are compared with their budgets.
     pub(super) harder: f64,
-    /// The easier reading, where there are two.
+    /// The size under the easier interpretation, if there are two.
     pub(super) easier: Option<f64>,
 }
 
-/// The sizes of a report: how long a list is, it has to tell.
-pub(super) struct Sizes {
-    /// Bytes of a list of all core switches.
+/// The design sizes for each kind of size. That of the list's length depends on the report, which has it measured.
+pub(super) struct DesignSizeTable {
+    /// Bytes of a list of all core switches, if the report has a series to estimate it from.
     whole_list_bytes: Option<f64>,
 }
 
-impl Sizes {
+impl DesignSizeTable {
     pub(super) fn of_report(report: &Report) -> Self {
         let mut series = report.runs.iter().flat_map(|run| &run.series);
-        let whole_list_bytes = series.find(|series| is_length_of_list(series)).and_then(whole_list_bytes);
+        let whole_list_bytes = series.find(|series| is_list_length(series)).and_then(whole_list_bytes);
         Self { whole_list_bytes }
     }
 
-    pub(super) fn of(&self, size: Size) -> DesignSizes {
+    pub(super) fn design_sizes(&self, size: Size) -> DesignSizes {
         let (harder, easier) = match size {
             Size::SwitchesSeen => (design::GATEWAYS, Some(design::SWITCHES_OF_A_SERVICE)),
             Size::Gateways => (design::GATEWAYS, None),
@@ -42,8 +43,8 @@
     }
 }
 
-/// Whether a series tells how many bytes a list of so many core switches has.
-fn is_length_of_list(series: &Series) -> bool {
+/// Whether a series gives the bytes of a list over the number of core switches on it.
+fn is_list_length(series: &Series) -> bool {
     let Series { role, cause, quantity, per, size, .. } = series;
     (role, cause, quantity, per, size)
         == (&Role::GatewayControl, &Cause::List, &Quantity::BytesIn, &Per::Event, &Size::SwitchesSeen)
--- a/crates/fawnrouter-capacity/src/page/formatting.rs
+++ b/crates/fawnrouter-capacity/src/page/formatting.rs
@@ -1,47 +1,50 @@
-//! Figures with units, in as many digits as they deserve.
+//! Formats numbers with units, rounded to three significant digits.
 
 use super::rows::Measure;
 use crate::figures::{Per, Quantity};
 
-/// Digits behind the first one that counts.
-const FURTHER_DIGITS: i32 = 2;
-/// Below this a figure is what rounding has left over, and is shown as 0.
-const SMALLEST_SHOWN: f64 = 1e-12;
-/// Below this a figure is shown with a power of ten.
+/// Significant digits after the first one.
+const DIGITS_AFTER_FIRST: i32 = 2;
+/// A smaller value is a rounding error and is shown as 0.
+const SMALLEST_NONZERO: f64 = 1e-12;
+/// A smaller value is shown in scientific notation.
 const SMALLEST_IN_DECIMALS: f64 = 1e-4;
-/// A figure this close to a whole one, as a share of it, is whole.
-const ROUNDING: f64 = 1e-9;
-/// Microseconds of processor time a second that are 1% of a core.
-const MICROSECONDS_OF_A_PERCENT: f64 = 10_000.0;
+/// Relative deviation from a whole number up to which a value counts as whole.
+const WHOLE_NUMBER_TOLERANCE: f64 = 1e-9;
+/// Microseconds of processor time in a second that make up 1% of a core.
+const MICROSECONDS_PER_PERCENT_OF_CORE: f64 = 10_000.0;
 
-/// A unit and how many of the stored unit it is.
+/// A unit and its size in the unit in which the report stores values.
 struct Unit {
     name: &'static str,
     size: f64,
 }
 
-const TIMES: [Unit; 3] =
+/// Units of times, which are stored in microseconds.
+const TIME_UNITS: [Unit; 3] =
     [Unit { name: "s", size: 1e6 }, Unit { name: "ms", size: 1e3 }, Unit { name: "us", size: 1.0 }];
-const TRAFFIC: [Unit; 4] = [
+/// Decimal units of bytes sent or received.
+const TRAFFIC_UNITS: [Unit; 4] = [
     Unit { name: "GB", size: 1e9 },
     Unit { name: "MB", size: 1e6 },
     Unit { name: "KB", size: 1e3 },
     Unit { name: "B", size: 1.0 },
 ];
-const MEMORY: [Unit; 4] = [
+/// Binary units of bytes of memory.
+const MEMORY_UNITS: [Unit; 4] = [
     Unit { name: "GiB", size: 1024.0 * 1024.0 * 1024.0 },
     Unit { name: "MiB", size: 1024.0 * 1024.0 },
     Unit { name: "KiB", size: 1024.0 },
     Unit { name: "B", size: 1.0 },
 ];
 
-/// A figure with three digits that count; whole ones below 1,000 as they are.
+/// A number with three significant digits; whole numbers below 1,000 without decimals.
 pub(super) fn significant(value: f64) -> String {
     let magnitude = value.abs();
-    if magnitude < SMALLEST_SHOWN {
+    if magnitude < SMALLEST_NONZERO {
         return "0".to_owned();
     }
-    let is_whole = (value - value.round()).abs() <= ROUNDING * magnitude;
+    let is_whole = (value - value.round()).abs() <= WHOLE_NUMBER_TOLERANCE * magnitude;
     if magnitude < 1_000.0 && is_whole {
         return whole(value);
     }
@@ -50,13 +53,13 @@
         return scientific;
     }
     let exponent = scientific.split_once('e').and_then(|(_, exponent)| exponent.parse::<i32>().ok());
-    match usize::try_from(FURTHER_DIGITS - exponent.unwrap_or(0)) {
+    match usize::try_from(DIGITS_AFTER_FIRST - exponent.unwrap_or(0)) {
         Ok(decimals) => format!("{value:.decimals$}"),
         Err(_) => whole(scientific.parse().unwrap_or(value)),
     }
 }
 
-/// A figure without decimals, its thousands apart.
+/// A number without decimals, with thousands separators.
 pub(super) fn whole(value: f64) -> String {
     let digits = format!("{:.0}", value.abs());
     let mut text = String::new();
@@ -69,34 +72,34 @@
     if value < 0.0 { format!("-{text}") } else { text }
 }
 
-/// A share as a percentage.
+/// A fraction as a percentage.
 pub(super) fn percent(share: f64) -> String {
     format!("{}%", significant(share * 100.0))
 }
 
-/// A time, from nanoseconds.
+/// A time given in nanoseconds, with its unit.
 pub(super) fn nanoseconds(value: u64) -> String {
-    in_units(value as f64 / 1e3, &TIMES)
+    in_units(value as f64 / 1e3, &TIME_UNITS)
 }
 
-/// A measured figure with its unit.
+/// A value of a measure with its unit.
 pub(super) fn amount(measure: Measure, per: Per, value: f64) -> String {
     let is_rate = matches!(per, Per::Second | Per::PeakSecond);
     let rate = if is_rate { "/s" } else { "" };
     match measure {
         Measure::BytesBothWays | Measure::One(Quantity::BytesIn | Quantity::BytesOut) => {
-            format!("{}{rate}", in_units(value, &TRAFFIC))
+            format!("{}{rate}", in_units(value, &TRAFFIC_UNITS))
         }
         Measure::One(Quantity::ProcessorMicroseconds) if is_rate => {
-            format!("{}% of a core", significant(value / MICROSECONDS_OF_A_PERCENT))
+            format!("{}% of a core", significant(value / MICROSECONDS_PER_PERCENT_OF_CORE))
         }
-        Measure::One(Quantity::ProcessorMicroseconds) => in_units(value, &TIMES),
-        Measure::One(Quantity::MemoryBytes) => in_units(value, &MEMORY),
+        Measure::One(Quantity::ProcessorMicroseconds) => in_units(value, &TIME_UNITS),
+        Measure::One(Quantity::MemoryBytes) => in_units(value, &MEMORY_UNITS),
         Measure::One(quantity) => format!("{}{}{rate}", significant(value), count_word(quantity)),
     }
 }
 
-/// The word behind a count; the first column of a row says the rest.
+/// The word behind a count; the row's label says the rest, such as the direction of messages.
 fn count_word(quantity: Quantity) -> &'static str {
     match quantity {
         Quantity::MessagesIn | Quantity::MessagesOut => " messages",
@@ -109,7 +112,7 @@
     }
 }
 
-/// In the greatest unit of which there is one; in the smallest if there is none.
+/// Formats a value in the largest unit of which it has at least one; otherwise in the smallest unit.
 fn in_units(value: f64, units: &[Unit]) -> String {
     let fitting = units.iter().find(|unit| value.abs() >= unit.size).or(units.last());
     fitting.map_or_else(
--- a/crates/fawnrouter-capacity/src/page/growth.rs
+++ b/crates/fawnrouter-capacity/src/page/growth.rs
@@ -1,4 +1,4 @@
-//! Which series are linear in which size, which grow by a power, and from where it hurts.
+//! How series grow with size: which are linear, which grow by a power, and from which size the power dominates.
 
 use super::formatting::{amount, percent, significant};
 use super::labels;
@@ -8,25 +8,25 @@
 use crate::figures::Size;
 use crate::fit::{Curve, Fit, Growth};
 
-/// Counts over all rows, and those of the shown ones that grow by a power.
+/// The number of rows by kind of growth, and the shown rows that grow by a power.
 pub(super) fn section(rows: &[Row<'_>], shown: &[Row<'_>]) -> String {
-    format!("## Growth\n\n{}\n{}", counts(rows), by_powers(shown))
+    format!("## Growth\n\n{}\n{}", growth_counts(rows), power_rows(shown))
 }
 
-/// How many series grow how, by size.
-fn counts(rows: &[Row<'_>]) -> String {
+/// The table of the number of series by kind of growth, for each size.
+fn growth_counts(rows: &[Row<'_>]) -> String {
     let mut table = Table::new(["size", "none seen", "linear", "slower than linear", "by a power", "no fit"]);
     for size in labels::SIZES {
-        let of_size: Vec<&Row<'_>> = rows.iter().filter(|row| row.size == size).collect();
-        table.push(count_cells(size, &of_size));
+        let rows_of_size: Vec<&Row<'_>> = rows.iter().filter(|row| row.size == size).collect();
+        table.push(count_cells(size, &rows_of_size));
     }
     table.to_string()
 }
 
 fn count_cells(size: Size, rows: &[&Row<'_>]) -> [String; 6] {
-    let count = |is_such: fn(&Growth) -> bool| {
-        let grows = |row: &&&Row<'_>| row.fit.as_ref().is_ok_and(|fit| is_such(&fit.growth));
-        rows.iter().filter(grows).count().to_string()
+    let count = |is_counted: fn(&Growth) -> bool| {
+        let matches = |row: &&&Row<'_>| row.fit.as_ref().is_ok_and(|fit| is_counted(&fit.growth));
+        rows.iter().filter(matches).count().to_string()
     };
     [
         labels::size(size).to_owned(),
@@ -38,7 +38,8 @@
     ]
 }
 
-fn by_powers(rows: &[Row<'_>]) -> String {
+/// The table of the series that grow by a power above 1.
+fn power_rows(rows: &[Row<'_>]) -> String {
     let mut table = Table::new([
         "role",
         "what",
@@ -67,10 +68,10 @@
 }
 
 fn power_cells(row: &Row<'_>, fit: &Fit, curve: &Curve) -> [String; 12] {
-    let value_there = |size| amount(row.measure, row.per, curve.at(size).max(0.0));
+    let value_at = |size| amount(row.measure, row.per, curve.at(size).max(0.0));
     [
         labels::role(row.role).to_owned(),
-        labels::what(row.measure, row.cause, row.per),
+        labels::figure(row.measure, row.cause, row.per),
         labels::situation(row.situation).to_owned(),
         labels::size(row.size).to_owned(),
         roles::growth(&row.fit),
@@ -79,7 +80,7 @@
         percent(fit.line.residual.relative_rms),
         percent(curve.residual.relative_rms),
         curve.hurts_from.map_or(NOTHING.to_owned(), significant),
-        curve.hurts_from.map_or(NOTHING.to_owned(), value_there),
+        curve.hurts_from.map_or(NOTHING.to_owned(), value_at),
         roles::cited_run(row),
     ]
 }
--- a/crates/fawnrouter-capacity/src/page/labels.rs
+++ b/crates/fawnrouter-capacity/src/page/labels.rs
@@ -1,4 +1,4 @@
-//! The words of the page for what the report names.
+//! The page's labels for the types of the report, and their order on the page.
 
 use super::rows::Measure;
 use crate::figures::{Cause, Method, Per, Quantity, Role, Run, Situation, Size};
@@ -93,9 +93,9 @@
     }
 }
 
-/// What is counted, what it comes from, and over what it is counted.
-pub(super) fn what(of: Measure, from: Cause, over: Per) -> String {
-    format!("{}, {}, {}", measure(of), cause(from), per(over))
+/// The label of a figure: what is counted, its cause, and over what it is counted.
+pub(super) fn figure(counted: Measure, from: Cause, over: Per) -> String {
+    format!("{}, {}, {}", measure(counted), cause(from), per(over))
 }
 
 pub(super) fn per(per: Per) -> &'static str {
@@ -127,18 +127,18 @@
     }
 }
 
-/// The sentence begins with a capital letter.
+/// Turns the first letter of a text into a capital.
 pub(super) fn capitalised(text: &str) -> String {
     let mut letters = text.chars();
     letters.next().map(|first| first.to_uppercase().chain(letters).collect()).unwrap_or_default()
 }
 
-/// What a run held fixed, without back quotes: on the page they mark runs and types.
+/// What a run held fixed, without back quotes, because on the page these mark runs and types.
 pub(super) fn setting(run: &Run) -> String {
     run.setting.replace('`', "")
 }
 
-/// A run as the page cites it.
+/// The citation of a run on the page.
 pub(super) fn cited(run_id: &str) -> String {
     format!("`{run_id}`")
 }
--- a/crates/fawnrouter-capacity/src/page/mechanisms.rs
+++ b/crates/fawnrouter-capacity/src/page/mechanisms.rs
@@ -1,49 +1,50 @@
-//! What carries a cost today, what is wanted and carried by nothing, and what would be missing first.
+//! Which type implements what causes a cost, which requirements nothing implements, and which work would bring a cost within
+//! its budget.
 
 use super::rows::{Measure, Row};
 use crate::design;
 use crate::figures::{Cause, Quantity, Role, Situation, Size};
 use crate::page::frequency::situations_per_day;
 
-const DECISIONS: &str = "`fawnrouter::Controller`";
+const CONTROLLER: &str = "`fawnrouter::Controller`";
 const NODE: &str = "`fawnrouter_node::Node`";
-const QUESTIONS: &str = "`fawnrouter_node::Ask`";
-const LIST_TAKEN: &str = "`fawnrouter_node::Ask`, `fawnrouter_node::Pool`";
-const FILE_READ: &str = "`fawnrouter_node::Boot`";
+const LIST_QUERIES: &str = "`fawnrouter_node::Ask`";
+const LIST_UPDATES: &str = "`fawnrouter_node::Ask`, `fawnrouter_node::Pool`";
+const CONFIGURATION_READING: &str = "`fawnrouter_node::Boot`";
 
-/// The package and type that carries a cost; none where nothing does.
+/// The type, with its package, that causes a cost; none if nothing implements it.
 pub(super) fn mechanism(role: Role, cause: Cause) -> Option<&'static str> {
     match role {
-        Role::GatewayCalls => Some(of_the_call_path(cause)),
-        Role::GatewayControl => Some(of_control(cause)),
-        Role::CoreSwitch => Some(if cause == Cause::Calls { DECISIONS } else { NODE }),
-        Role::ListSource => Some(QUESTIONS),
+        Role::GatewayCalls => Some(call_path_mechanism(cause)),
+        Role::GatewayControl => Some(control_mechanism(cause)),
+        Role::CoreSwitch => Some(if cause == Cause::Calls { CONTROLLER } else { NODE }),
+        Role::ListSource => Some(LIST_QUERIES),
         Role::ControlMachine | Role::Publisher => None,
-        Role::ZoneLink | Role::RegionLink => of_a_link(cause),
+        Role::ZoneLink | Role::RegionLink => link_mechanism(cause),
     }
 }
 
-fn of_the_call_path(cause: Cause) -> &'static str {
+fn call_path_mechanism(cause: Cause) -> &'static str {
     match cause {
-        Cause::Calls => DECISIONS,
-        Cause::List => LIST_TAKEN,
-        Cause::Configuration => FILE_READ,
+        Cause::Calls => CONTROLLER,
+        Cause::List => LIST_UPDATES,
+        Cause::Configuration => CONFIGURATION_READING,
         Cause::Probes | Cause::Connections | Cause::Timers | Cause::All => NODE,
     }
 }
 
-fn of_control(cause: Cause) -> &'static str {
+fn control_mechanism(cause: Cause) -> &'static str {
     match cause {
-        Cause::List | Cause::All => LIST_TAKEN,
-        Cause::Configuration => FILE_READ,
+        Cause::List | Cause::All => LIST_UPDATES,
+        Cause::Configuration => CONFIGURATION_READING,
         Cause::Calls | Cause::Probes | Cause::Connections | Cause::Timers => NODE,
     }
 }
 
-fn of_a_link(cause: Cause) -> Option<&'static str> {
+fn link_mechanism(cause: Cause) -> Option<&'static str> {
     match cause {
-        Cause::Calls => Some(DECISIONS),
-        Cause::List => Some(QUESTIONS),
+        Cause::Calls => Some(CONTROLLER),
+        Cause::List => Some(LIST_QUERIES),
         Cause::Configuration => None,
         Cause::Probes | Cause::Connections | Cause::Timers | Cause::All => Some(NODE),
     }
@@ -51,14 +52,18 @@
 
 /// A piece of work that would bring a row within its budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Missing {
+pub(super) enum MissingWork {
+    /// Distribution of list and configuration, so that a gateway gets only the list of its own service.
     Distribution,
+    /// Less processor time for a call.
     CheaperHop,
+    /// Fewer connections and tests between gateways and core switches.
     FewerConnections,
 }
 
-impl Missing {
-    pub(super) fn words(self) -> &'static str {
+impl MissingWork {
+    /// The label on the page.
+    pub(super) fn label(self) -> &'static str {
         match self {
             Self::Distribution => "distribution of list and configuration",
             Self::CheaperHop => "a cheaper hop: decision module and node",
@@ -67,83 +72,82 @@
     }
 }
 
-/// What a row that is over its budget is missing. One that is within it as soon as its gateway sees the core switches of
-/// its own service only is missing a list of just these.
-pub(super) fn missing_of_row(row: &Row<'_>) -> Missing {
+/// The work that would bring a row within its budget. A row that is within its budget if the gateway sees only the core
+/// switches of its own service needs the distribution of a list of just these.
+pub(super) fn missing_work_of_row(row: &Row<'_>) -> MissingWork {
     let is_by_list = matches!(row.size, Size::SwitchesSeen | Size::ListBytes);
     let is_within_for_own_service = is_by_list && row.easier_ratio().is_some_and(|ratio| ratio <= 1.0);
     if is_within_for_own_service {
-        return Missing::Distribution;
+        return MissingWork::Distribution;
     }
     if row.measure == Measure::One(Quantity::Connections) {
-        return Missing::FewerConnections;
+        return MissingWork::FewerConnections;
     }
-    missing(row.role, row.cause)
+    missing_work(row.role, row.cause)
 }
 
-/// What a cost that is too high is missing.
-pub(super) fn missing(role: Role, cause: Cause) -> Missing {
+/// The work that would reduce a cost that is over its budget.
+pub(super) fn missing_work(role: Role, cause: Cause) -> MissingWork {
     match (role, cause) {
-        (Role::ControlMachine | Role::Publisher | Role::ListSource, _) => Missing::Distribution,
-        (_, Cause::List | Cause::Configuration) => Missing::Distribution,
-        (Role::GatewayControl, Cause::Timers | Cause::All) => Missing::Distribution,
-        (_, Cause::Probes | Cause::Connections) => Missing::FewerConnections,
-        (_, Cause::Calls | Cause::Timers | Cause::All) => Missing::CheaperHop,
+        (Role::ControlMachine | Role::Publisher | Role::ListSource, _) => MissingWork::Distribution,
+        (_, Cause::List | Cause::Configuration) => MissingWork::Distribution,
+        (Role::GatewayControl, Cause::Timers | Cause::All) => MissingWork::Distribution,
+        (_, Cause::Probes | Cause::Connections) => MissingWork::FewerConnections,
+        (_, Cause::Calls | Cause::Timers | Cause::All) => MissingWork::CheaperHop,
     }
 }
 
-/// Something that the letter asks for and no mechanism carries, so that there is nothing to measure.
-pub(super) struct Unserved {
+/// A requirement that nothing implements, so that there is nothing to measure.
+pub(super) struct UnmetRequirement {
     pub(super) role: Role,
     pub(super) situation: Situation,
-    pub(super) wanted: &'static str,
+    pub(super) requirement: &'static str,
     pub(super) cases_per_day: f64,
-    pub(super) missing: Missing,
+    pub(super) missing: MissingWork,
 }
 
-/// All that is asked for and carried by nothing.
-pub(super) fn unserved() -> [Unserved; 6] {
-    let of = |role, situation, wanted, cases_per_day| {
-        let missing = Missing::Distribution;
-        Unserved { role, situation, wanted, cases_per_day, missing }
+/// All requirements that nothing implements.
+pub(super) fn unmet_requirements() -> [UnmetRequirement; 6] {
+    let unmet = |role, situation, requirement, cases_per_day| {
+        let missing = MissingWork::Distribution;
+        UnmetRequirement { role, situation, requirement, cases_per_day, missing }
     };
-    let often = situations_per_day;
     [
-        of(
+        unmet(
             Role::Publisher,
             Situation::OrdinaryDay,
             "a change of configuration is in force at every gateway within 10 s",
             design::CHANGES_PER_DAY,
         ),
-        of(
+        unmet(
             Role::ControlMachine,
             Situation::OrdinaryDay,
             "one of three machines takes a change, keeps it, and serves it to the gateways",
             design::CHANGES_PER_DAY,
         ),
-        of(
+        unmet(
             Role::ControlMachine,
             Situation::ServiceRestart,
             "all gateways of a service that come back at once get list and configuration",
-            often(Situation::ServiceRestart),
+            situations_per_day(Situation::ServiceRestart),
         ),
-        of(
+        unmet(
             Role::Publisher,
             Situation::BadConfiguration,
             "how far a bad change went is known, and a newer one recalls it",
-            often(Situation::BadConfiguration),
+            situations_per_day(Situation::BadConfiguration),
         ),
-        of(
+        unmet(
             Role::ControlMachine,
             Situation::RegionsApart,
             "each region is served by its own control machine, and all stand at one state after the join",
-            often(Situation::RegionsApart),
+            situations_per_day(Situation::RegionsApart),
         ),
-        of(
+        unmet(
             Role::ControlMachine,
             Situation::ZoneGone,
             "the gateways of a zone that come back at once get list and configuration",
-            often(Situation::ZoneGone),
+            situations_per_day(Situation::ZoneGone),
         ),
     ]
 }
--- a/crates/fawnrouter-capacity/src/page/peaks.rs
+++ b/crates/fawnrouter-capacity/src/page/peaks.rs
@@ -1,4 +1,4 @@
-//! What a member of each role bears in each situation at the design size, whether it has a budget or not.
+//! The messages and bytes of a member of each role in each situation at the design size, whether they have a budget or not.
 
 use super::formatting::amount;
 use super::rows::{Measure, Row};
@@ -16,9 +16,9 @@
 }
 
 fn cell(role: Role, situation: Situation, rows: &[Row<'_>]) -> String {
-    let of_situation: Vec<&Row<'_>> = rows.iter().filter(|row| is_of(row, role, situation)).collect();
-    let messages = sum(&of_situation, [Quantity::MessagesIn, Quantity::MessagesOut]);
-    let bytes = sum(&of_situation, [Quantity::BytesIn, Quantity::BytesOut]);
+    let matching: Vec<&Row<'_>> = rows.iter().filter(|row| is_in_cell(row, role, situation)).collect();
+    let messages = sum(&matching, [Quantity::MessagesIn, Quantity::MessagesOut]);
+    let bytes = sum(&matching, [Quantity::BytesIn, Quantity::BytesOut]);
     match (messages, bytes) {
         (Some(messages), Some(bytes)) => format!("{messages}, {bytes}"),
         (Some(one), None) | (None, Some(one)) => one,
@@ -26,7 +26,8 @@
     }
 }
 
-fn is_of(row: &Row<'_>, role: Role, situation: Situation) -> bool {
+/// Whether a row counts for a cell: a mean second where nothing breaks, otherwise the busiest second.
+fn is_in_cell(row: &Row<'_>, role: Role, situation: Situation) -> bool {
     let per = match situation {
         Situation::Quiet | Situation::OrdinaryDay => Per::Second,
         _ => Per::PeakSecond,
@@ -35,14 +36,15 @@
         == (role, situation, Cause::All, per, Size::Gateways)
 }
 
+/// The sum of two quantities with its unit; none if neither was measured.
 fn sum(rows: &[&Row<'_>], quantities: [Quantity; 2]) -> Option<String> {
-    let both = quantities.map(|quantity| value(rows, quantity));
+    let values = quantities.map(|quantity| design_value(rows, quantity));
     let [first, _] = quantities;
-    let found: Vec<f64> = both.into_iter().flatten().collect();
+    let found: Vec<f64> = values.into_iter().flatten().collect();
     (!found.is_empty()).then(|| amount(Measure::One(first), Per::PeakSecond, found.iter().sum()))
 }
 
-fn value(rows: &[&Row<'_>], quantity: Quantity) -> Option<f64> {
+fn design_value(rows: &[&Row<'_>], quantity: Quantity) -> Option<f64> {
     let row = rows.iter().find(|row| row.measure == Measure::One(quantity))?;
     row.harder.map(|estimate| estimate.value)
 }
--- a/crates/fawnrouter-capacity/src/page/ranking.rs
+++ b/crates/fawnrouter-capacity/src/page/ranking.rs
@@ -1,10 +1,12 @@
-//! What is over its budget or carried by nothing, weighed by how often its case comes: the first is missing first.
+//! Ranks the requirements that nothing implements and the costs over their budgets, weighted by how often the case occurs.
 
 use super::depth::RunDepths;
 use super::formatting::significant;
 use super::frequency::{cases_per_day, situations_per_day};
 use super::labels;
-use super::mechanisms::{Missing, Unserved, mechanism, missing, missing_of_row, unserved};
+use super::mechanisms::{
+    MissingWork, UnmetRequirement, mechanism, missing_work, missing_work_of_row, unmet_requirements,
+};
 use super::roles::{cited_run, origin, ratios};
 use super::rows::Row;
 use super::table::{NOTHING, Table};
@@ -12,15 +14,15 @@
 use crate::figures::{Cause, Role, Situation};
 use crate::fit::Origin;
 
-/// Rows that the table shows; the number of the others is told.
-const SHOWN: usize = 15;
+/// Rows in the table; of further ones only the number is given.
+const MAX_TABLE_ROWS: usize = 15;
 
-/// How far something is from what is wanted.
+/// How far a candidate is from its target.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Distance {
-    /// Nothing carries it: it is not done at all.
-    Unserved,
-    /// The value over the budget.
+enum Shortfall {
+    /// Nothing implements the requirement.
+    NotImplemented,
+    /// The value divided by the budget.
     Ratio(f64),
 }
 
@@ -29,83 +31,95 @@
     role: Role,
     situation: Situation,
     what: String,
-    distance: Distance,
+    shortfall: Shortfall,
+    /// The ratio at the easier design size.
     easier_ratio: Option<f64>,
-    /// Where the value comes from.
+    /// How the value was obtained, as text.
     origin: String,
-    /// The value lies beyond what was measured.
+    /// Whether the value lies beyond the measured sizes.
     is_extrapolated: bool,
     cases_per_day: f64,
     run: String,
     mechanism: Option<&'static str>,
-    missing: Missing,
+    missing: MissingWork,
+}
+
+/// The sort key of a candidate.
+struct Weight {
+    is_not_implemented: bool,
+    /// Cases a day, multiplied by the ratio if there is one.
+    value: f64,
 }
 
 impl Candidate {
-    fn of_unserved(unserved: &Unserved) -> Self {
+    fn from_requirement(unmet: &UnmetRequirement) -> Self {
         Self {
-            role: unserved.role,
-            situation: unserved.situation,
-            what: unserved.wanted.to_owned(),
-            distance: Distance::Unserved,
+            role: unmet.role,
+            situation: unmet.situation,
+            what: unmet.requirement.to_owned(),
+            shortfall: Shortfall::NotImplemented,
             easier_ratio: None,
             origin: NOTHING.to_owned(),
             is_extrapolated: false,
-            cases_per_day: unserved.cases_per_day,
+            cases_per_day: unmet.cases_per_day,
             run: NOTHING.to_owned(),
             mechanism: None,
-            missing: unserved.missing,
+            missing: unmet.missing,
         }
     }
 
-    /// Of a row that is over its budget, or has a budget and no mechanism.
-    fn of_row(row: &Row<'_>) -> Option<Self> {
+    /// A candidate from a row that is over its budget, or that has a budget and no mechanism; none from other rows.
+    fn from_row(row: &Row<'_>) -> Option<Self> {
         let ratio = row.ratio().filter(|ratio| *ratio > 1.0 || row.mechanism.is_none())?;
         Some(Self {
             role: row.role,
             situation: row.situation,
-            what: labels::what(row.measure, row.cause, row.per),
-            distance: Distance::Ratio(ratio),
+            what: labels::figure(row.measure, row.cause, row.per),
+            shortfall: Shortfall::Ratio(ratio),
             easier_ratio: row.easier_ratio(),
             origin: row.harder.map_or(NOTHING.to_owned(), |estimate| origin(row, estimate)),
             is_extrapolated: row.harder.is_some_and(|estimate| estimate.origin == Origin::BeyondRange),
             cases_per_day: cases_per_day(row.situation, row.cause, row.per),
             run: cited_run(row),
             mechanism: row.mechanism,
-            missing: missing_of_row(row),
+            missing: missing_work_of_row(row),
         })
     }
 
-    /// Of a run whose deepest calls take too long.
-    fn of_depths(depths: &RunDepths<'_>) -> Option<Self> {
+    /// A candidate from a run whose delay at the design depth is over the limit; none from other runs or baselines.
+    fn from_depths(depths: &RunDepths<'_>) -> Option<Self> {
         let ratio = depths.whole_call_ratio().filter(|ratio| *ratio > 1.0 && !depths.is_baseline())?;
         Some(Self {
             role: Role::GatewayCalls,
             situation: Situation::OrdinaryDay,
             what: format!("delay added by {} hops, 99 in 100 calls", design::DEPTH),
-            distance: Distance::Ratio(ratio),
+            shortfall: Shortfall::Ratio(ratio),
             easier_ratio: depths.per_hop_ratio(),
             origin: "convolved".to_owned(),
             is_extrapolated: false,
             cases_per_day: situations_per_day(Situation::OrdinaryDay),
             run: labels::cited(&depths.run.id),
             mechanism: mechanism(Role::GatewayCalls, Cause::Calls),
-            missing: missing(Role::GatewayCalls, Cause::Calls),
+            missing: missing_work(Role::GatewayCalls, Cause::Calls),
         })
     }
 
-    /// What the table is ordered by: what is not done at all is before what has a ratio.
-    fn weight(&self) -> (bool, f64) {
-        match self.distance {
-            Distance::Unserved => (true, self.cases_per_day),
-            Distance::Ratio(ratio) => (false, ratio * self.cases_per_day),
+    /// The sort key, highest first: what is not implemented comes before what has a ratio.
+    fn weight(&self) -> Weight {
+        match self.shortfall {
+            Shortfall::NotImplemented => Weight { is_not_implemented: true, value: self.cases_per_day },
+            Shortfall::Ratio(ratio) => {
+                Weight { is_not_implemented: false, value: ratio * self.cases_per_day }
+            }
         }
     }
 
     fn cells(&self) -> [String; 10] {
-        let (ratio, weight) = match self.distance {
-            Distance::Unserved => ("not done".to_owned(), NOTHING.to_owned()),
-            Distance::Ratio(ratio) => (ratios(Some(ratio), self.easier_ratio), significant(self.weight().1)),
+        let (ratio, weight) = match self.shortfall {
+            Shortfall::NotImplemented => ("not done".to_owned(), NOTHING.to_owned()),
+            Shortfall::Ratio(ratio) => {
+                (ratios(Some(ratio), self.easier_ratio), significant(self.weight().value))
+            }
         };
         [
             labels::role(self.role).to_owned(),
@@ -116,14 +130,14 @@
             significant(self.cases_per_day),
             weight,
             self.mechanism.unwrap_or("none").to_owned(),
-            self.missing.words().to_owned(),
+            self.missing.label().to_owned(),
             self.run.clone(),
         ]
     }
 }
 
 pub(super) fn section(rows: &[Row<'_>], depths: &[RunDepths<'_>]) -> String {
-    let candidates = ranked(rows, depths);
+    let candidates = ranked_candidates(rows, depths);
     let mut table = Table::new([
         "role",
         "what",
@@ -136,39 +150,43 @@
         "missing",
         "run",
     ]);
-    for candidate in candidates.iter().take(SHOWN) {
+    for candidate in candidates.iter().take(MAX_TABLE_ROWS) {
         table.push(candidate.cells());
     }
-    let verdict = verdict(&candidates);
-    let more = candidates.len().saturating_sub(SHOWN);
+    let verdict = verdict_text(&candidates);
+    let more = candidates.len().saturating_sub(MAX_TABLE_ROWS);
     let others =
         if more == 0 { String::new() } else { format!("\n{more} more rows have a smaller weight.\n") };
     format!("## What is missing first\n\n{verdict}\n{table}{others}")
 }
 
-fn ranked(rows: &[Row<'_>], depths: &[RunDepths<'_>]) -> Vec<Candidate> {
-    let not_served = unserved();
-    let of_wanted = not_served.iter().map(Candidate::of_unserved);
-    let of_rows = rows.iter().filter_map(Candidate::of_row);
-    let of_depths = depths.iter().filter_map(Candidate::of_depths);
-    let mut candidates: Vec<Candidate> = of_wanted.chain(of_rows).chain(of_depths).collect();
+/// All candidates, those with the greatest weight first.
+fn ranked_candidates(rows: &[Row<'_>], depths: &[RunDepths<'_>]) -> Vec<Candidate> {
+    let unmet = unmet_requirements();
+    let from_requirements = unmet.iter().map(Candidate::from_requirement);
+    let from_rows = rows.iter().filter_map(Candidate::from_row);
+    let from_depths = depths.iter().filter_map(Candidate::from_depths);
+    let mut candidates: Vec<Candidate> = from_requirements.chain(from_rows).chain(from_depths).collect();
     candidates.sort_by(|one, other| {
         let (one, other) = (one.weight(), other.weight());
-        other.0.cmp(&one.0).then(other.1.total_cmp(&one.1))
+        let by_kind = other.is_not_implemented.cmp(&one.is_not_implemented);
+        by_kind.then(other.value.total_cmp(&one.value))
     });
     candidates
 }
 
-fn verdict(candidates: &[Candidate]) -> String {
+/// The first candidate, and the first one with a measured ratio, as text.
+fn verdict_text(candidates: &[Candidate]) -> String {
     let first = candidates.first();
-    let is_measured =
-        |candidate: &&Candidate| candidate.distance != Distance::Unserved && !candidate.is_extrapolated;
+    let is_measured = |candidate: &&Candidate| {
+        candidate.shortfall != Shortfall::NotImplemented && !candidate.is_extrapolated
+    };
     let first_measured = candidates.iter().find(is_measured);
     let missing_first =
         first.map_or("Nothing is over its budget or carried by nothing.\n".to_owned(), |first| {
             format!(
                 "Missing first: **{}** ({}: {}).\n",
-                first.missing.words(),
+                first.missing.label(),
                 labels::role(first.role),
                 first.what
             )
@@ -178,7 +196,7 @@
             let role = labels::role(first.role);
             format!(
                 "First by a measured ratio: **{}** ({role}: {}, {}).\n",
-                first.missing.words(),
+                first.missing.label(),
                 first.what,
                 first.run
             )
--- a/crates/fawnrouter-capacity/src/page/roles.rs
+++ b/crates/fawnrouter-capacity/src/page/roles.rs
@@ -1,18 +1,18 @@
-//! A section for each role: a table with one row a series, and what is wanted and carried by nothing.
+//! The section of each role: a table with a row for each series, and the requirements that nothing implements.
 
 use super::formatting::{amount, percent, significant, whole};
 use super::labels;
-use super::mechanisms::{Unserved, unserved};
+use super::mechanisms::{UnmetRequirement, unmet_requirements};
 use super::rows::Row;
 use super::table::{NOTHING, Table};
 use crate::figures::Role;
 use crate::fit::{Estimate, Fit, FitError, Growth, Origin, Power};
 
 pub(super) fn section(rows: &[Row<'_>]) -> String {
-    labels::ROLES.map(|role| section_of(role, rows)).join("\n")
+    labels::ROLES.map(|role| role_section(role, rows)).join("\n")
 }
 
-fn section_of(role: Role, rows: &[Row<'_>]) -> String {
+fn role_section(role: Role, rows: &[Row<'_>]) -> String {
     let mut table = Table::new([
         "situation",
         "what",
@@ -34,29 +34,30 @@
     } else {
         table.to_string()
     };
-    let wanted = unserved().iter().filter(|wanted| wanted.role == role).map(wanted_line).collect::<String>();
-    let gap = if wanted.is_empty() {
+    let unmet = unmet_requirements();
+    let unmet: String = unmet.iter().filter(|unmet| unmet.role == role).map(requirement_line).collect();
+    let introduction = if unmet.is_empty() {
         ""
     } else {
         "\nWanted, and carried by nothing, so that there is nothing to measure:\n\n"
     };
-    format!("## {heading}\n\n{measured}{gap}{wanted}")
+    format!("## {heading}\n\n{measured}{introduction}{unmet}")
 }
 
-fn wanted_line(unserved: &Unserved) -> String {
-    let situation = labels::situation(unserved.situation);
-    let cases = significant(unserved.cases_per_day);
-    format!("- {} ({situation}, {cases} cases a day)\n", unserved.wanted)
+fn requirement_line(unmet: &UnmetRequirement) -> String {
+    let situation = labels::situation(unmet.situation);
+    let cases = significant(unmet.cases_per_day);
+    format!("- {} ({situation}, {cases} cases a day)\n", unmet.requirement)
 }
 
 fn cells(row: &Row<'_>) -> [String; 10] {
     [
         labels::situation(row.situation).to_owned(),
-        labels::what(row.measure, row.cause, row.per),
-        fitted(row),
+        labels::figure(row.measure, row.cause, row.per),
+        fitted_curve(row),
         residual(row),
         growth(&row.fit),
-        values(row),
+        design_values(row),
         row.budget.map_or(NOTHING.to_owned(), |budget| amount(row.measure, row.per, budget)),
         ratios(row.ratio(), row.easier_ratio()),
         cited_run(row),
@@ -64,7 +65,7 @@
     ]
 }
 
-/// The ratio at the harder reading and, behind it, at the easier one.
+/// The ratio at the harder design size and, in parentheses, at the easier one.
 pub(super) fn ratios(harder: Option<f64>, easier: Option<f64>) -> String {
     match (harder, easier) {
         (Some(harder), Some(easier)) => format!("{} ({})", significant(harder), significant(easier)),
@@ -73,27 +74,34 @@
     }
 }
 
-/// The run, and whether its figure rests on hollow gateways alone.
+/// The run, and a remark if no processes were measured for the same figure.
 pub(super) fn cited_run(row: &Row<'_>) -> String {
     let run = labels::cited(&row.run.id);
-    if row.hollow_alone { format!("{run}, hollow alone") } else { run }
+    if row.is_hollow_only { format!("{run}, hollow alone") } else { run }
 }
 
-fn fitted(row: &Row<'_>) -> String {
+/// The fitted curve as a formula.
+fn fitted_curve(row: &Row<'_>) -> String {
     let size = labels::size(row.size);
     let amount = |value| amount(row.measure, row.per, value);
     match &row.fit {
         Err(error) => format!("no fit: {error}"),
         Ok(Fit { growth: Growth::Faster(curve), .. }) => {
             let power = power(curve.power);
-            sum(&amount(curve.base), curve.factor, &amount(curve.factor.abs()), &format!("({size})^{power}"))
+            formula(
+                &amount(curve.base),
+                curve.factor,
+                &amount(curve.factor.abs()),
+                &format!("({size})^{power}"),
+            )
         }
         Ok(Fit { growth: Growth::NoneSeen(level), .. }) => amount(level.mean),
-        Ok(fit) => sum(&amount(fit.line.base), fit.line.slope, &amount(fit.line.slope.abs()), size),
+        Ok(fit) => formula(&amount(fit.line.base), fit.line.slope, &amount(fit.line.slope.abs()), size),
     }
 }
 
-fn sum(base: &str, slope: f64, magnitude: &str, size: &str) -> String {
+/// The sum of the base and a multiple of the size; the magnitude is that of the slope, with its unit.
+fn formula(base: &str, slope: f64, magnitude: &str, size: &str) -> String {
     if slope == 0.0 {
         return base.to_owned();
     }
@@ -108,7 +116,7 @@
     })
 }
 
-/// How a series grows, in words.
+/// The label of how a series grows with size.
 pub(super) fn growth(fit: &Result<Fit, FitError>) -> String {
     match fit {
         Err(_) => NOTHING.to_owned(),
@@ -119,7 +127,7 @@
     }
 }
 
-/// A power as a number.
+/// The exponent of a power.
 pub(super) fn power(power: Power) -> &'static str {
     match power {
         Power::One => "1",
@@ -129,7 +137,8 @@
     }
 }
 
-fn values(row: &Row<'_>) -> String {
+/// The estimates at the design sizes.
+fn design_values(row: &Row<'_>) -> String {
     let sizes = row.design_sizes;
     let harder = row.harder.map(|estimate| value_at(row, estimate, sizes.harder));
     let easier = row.easier.zip(sizes.easier).map(|(estimate, size)| value_at(row, estimate, size));
@@ -142,7 +151,7 @@
     format!("{value} at {} ({})", whole(size), origin(row, estimate))
 }
 
-/// Where an estimate of a row comes from.
+/// How an estimate of a row was obtained.
 pub(super) fn origin(row: &Row<'_>, estimate: Estimate) -> String {
     match (estimate.origin, row.measured_sizes) {
         (Origin::Measured, _) => "measured".to_owned(),
--- a/crates/fawnrouter-capacity/src/page/runs.rs
+++ b/crates/fawnrouter-capacity/src/page/runs.rs
@@ -1,4 +1,4 @@
-//! The runs that the figures are from.
+//! The section that lists the runs of the report.
 
 use super::formatting::whole;
 use super::labels;
--- a/crates/fawnrouter-capacity/src/page/situations.rs
+++ b/crates/fawnrouter-capacity/src/page/situations.rs
@@ -1,4 +1,4 @@
-//! What was measured of each role in each situation: the greatest ratio to a budget there, or that it was not.
+//! The greatest ratio to a budget for each role in each situation, or a remark that nothing was measured.
 
 use super::formatting::significant;
 use super::labels;
@@ -15,7 +15,7 @@
     )
 }
 
-/// A row for each role and a column for each situation.
+/// A table with a row for each role and a column for each situation.
 pub(super) fn by_role_and_situation(cell: impl Fn(Role, Situation) -> String) -> Table<9> {
     let mut table = Table::new([
         "role",
--- a/crates/fawnrouter-capacity/src/page/table.rs
+++ b/crates/fawnrouter-capacity/src/page/table.rs
@@ -1,19 +1,19 @@
-//! Tables as Markdown text.
+//! Markdown tables.
 
 use std::fmt;
 
-/// What stands where there is nothing to say.
+/// Content of a cell without a value.
 pub(super) const NOTHING: &str = "-";
 
 /// A table with a fixed number of columns.
 pub(super) struct Table<const COLUMNS: usize> {
-    head: [&'static str; COLUMNS],
+    headings: [&'static str; COLUMNS],
     rows: Vec<[String; COLUMNS]>,
 }
 
 impl<const COLUMNS: usize> Table<COLUMNS> {
-    pub(super) fn new(head: [&'static str; COLUMNS]) -> Self {
-        Self { head, rows: Vec::new() }
+    pub(super) fn new(headings: [&'static str; COLUMNS]) -> Self {
+        Self { headings, rows: Vec::new() }
     }
 
     pub(super) fn push(&mut self, row: [String; COLUMNS]) {
@@ -27,7 +27,7 @@
 
 impl<const COLUMNS: usize> fmt::Display for Table<COLUMNS> {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(out, "| {} |", self.head.join(" | "))?;
+        writeln!(out, "| {} |", self.headings.join(" | "))?;
         writeln!(out, "|{}", " --- |".repeat(COLUMNS))?;
         for row in &self.rows {
             writeln!(out, "| {} |", row.each_ref().map(|cell| escaped(cell)).join(" | "))?;
@@ -36,7 +36,7 @@
     }
 }
 
-/// Text that cannot end its cell or row.
+/// Escapes text so that it cannot end its cell or row.
 fn escaped(cell: &str) -> String {
     cell.replace('|', "\\|").replace(['\n', '\r'], " ")
 }
