--- a/crates/fawnrouter-capacity/src/figures.rs
+++ b/crates/fawnrouter-capacity/src/figures.rs
@@ -1,116 +1,116 @@
-//! The report of a measurement: typed, and stored as JSON beside the page that is computed from it.
+//! The report of a measurement, stored as JSON; the capacity page is computed from it.
 
 use serde::{Deserialize, Serialize};
 
-/// The form of the report that this version writes and reads.
+/// Version of the report's format that this program writes and reads.
 pub const SCHEMA: u32 = 1;
 
-/// Everything that one `fawnrouter-lab capacity` measured.
+/// All results of one execution of `fawnrouter-lab capacity`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Report {
-    /// The form of this report; see [`SCHEMA`].
+    /// Version of the format; see [`SCHEMA`].
     pub schema: u32,
-    /// The machine it was measured on.
+    /// The machine on which it was measured.
     pub machine: Machine,
-    /// All runs, in the order in which they were made.
+    /// All runs, in the order of their execution.
     pub runs: Vec<Run>,
 }
 
-/// The machine that a report was measured on.
+/// The machine on which a report was measured.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Machine {
-    /// Processor cores.
+    /// Number of processor cores.
     pub cores: u32,
     /// Memory in MiB.
     pub memory_mib: u64,
 }
 
-/// How the figures of a run were had.
+/// How the figures of a run were obtained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Method {
-    /// State machines without sockets, many in one process, in virtual time.
+    /// Simulation: many gateways without sockets in one process, in virtual time.
     Hollow,
-    /// The program itself, as processes on loopback.
+    /// Processes of the gateway's program on loopback.
     Processes,
 }
 
-/// One measurement with its circumstances.
+/// One measurement and its conditions.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Run {
-    /// A name that no other run has; pages cite it.
+    /// Name of the run, unique within the report, by which the capacity page cites it.
     pub id: String,
-    /// How the figures were had.
+    /// How the figures were obtained.
     pub method: Method,
-    /// The seed of everything that is drawn.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// What was held fixed, in words: sizes, rates, lengths.
+    /// Description of what was held fixed: sizes, rates, durations.
     pub setting: String,
-    /// What was measured.
+    /// The measured series.
     pub series: Vec<Series>,
-    /// Delays of one hop, if the run measured them.
+    /// Histogram of the delays of one hop, if the run measured them.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub hop_delays: Vec<DelayBucket>,
 }
 
-/// One bucket of a measured histogram of delays.
+/// One bucket of a histogram of delays.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DelayBucket {
-    /// The highest delay that counts here, in nanoseconds.
+    /// The highest delay in this bucket, in nanoseconds.
     pub nanoseconds: u64,
-    /// How many delays were counted.
+    /// Number of delays in this bucket.
     pub count: u64,
 }
 
-/// Who bears a cost.
+/// The part of the system that has a cost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// A gateway's call path.
+    /// The call path of a gateway.
     GatewayCalls,
-    /// A gateway's control: list and configuration.
+    /// The control functions of a gateway: list and configuration.
     GatewayControl,
-    /// A core switch: connections, tests and calls of all gateways that may call it.
+    /// A core switch: connections, tests and calls of all gateways that may send it set-ups.
     CoreSwitch,
-    /// The source of the list (the name server).
+    /// The source of the list, which is the name server.
     ListSource,
-    /// One of the machines set aside for control.
+    /// One of the machines reserved for control.
     ControlMachine,
-    /// Whoever publishes a configuration.
+    /// The publisher of configurations.
     Publisher,
-    /// The link of a zone.
+    /// The network link of a zone.
     ZoneLink,
-    /// The link of a region.
+    /// The network link of a region.
     RegionLink,
 }
 
-/// What happens while a series is measured.
+/// The operating situation in which a series is measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Situation {
     /// No calls and no changes.
     Quiet,
-    /// Calls at the design rate, restarts and changes of an ordinary day.
+    /// Calls at the design rate, and the restarts and changes of an ordinary day.
     OrdinaryDay,
     /// One core switch fails.
     MachineGone,
     /// A rack of core switches fails.
     RackGone,
-    /// A zone fails and comes back: gateways and core switches.
+    /// The gateways and core switches of a zone fail and recover.
     ZoneGone,
-    /// Regions lose each other for minutes and join again.
+    /// Regions are partitioned from each other for minutes and connected again.
     RegionsApart,
     /// All gateways of a service are restarted.
     ServiceRestart,
-    /// A bad configuration is sent to all.
+    /// A bad configuration is sent to all gateways.
     BadConfiguration,
 }
 
-/// What a cost comes from.
+/// What causes a cost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
@@ -118,13 +118,13 @@
     Calls,
     /// Tests of core switches.
     Probes,
-    /// Questions for the list, answers, and taking the list.
+    /// Queries for the list, their answers, and applying the list.
     List,
-    /// Connections opened or closed.
+    /// Opening and closing connections.
     Connections,
-    /// Timers with nothing else to do.
+    /// Timers that expire without causing other work.
     Timers,
-    /// A configuration read and checked.
+    /// Reading and checking a configuration.
     Configuration,
     /// All causes together.
     All,
@@ -134,87 +134,87 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Quantity {
-    /// Messages received.
+    /// Received messages.
     MessagesIn,
-    /// Messages sent.
+    /// Sent messages.
     MessagesOut,
-    /// Bytes received, as the codecs encode them, without headers of TCP or UDP.
+    /// Received bytes as the codecs encode them, without TCP or UDP headers.
     BytesIn,
-    /// Bytes sent, likewise.
+    /// Sent bytes as the codecs encode them, without TCP or UDP headers.
     BytesOut,
     /// Processor time in microseconds.
     ProcessorMicroseconds,
-    /// Allocations made.
+    /// Number of memory allocations.
     Allocations,
-    /// Memory held in bytes.
+    /// Allocated or resident memory in bytes.
     MemoryBytes,
     /// Open connections.
     Connections,
-    /// Entries of state held: calls, links, listed core switches.
+    /// State entries: calls, links, listed core switches.
     StateEntries,
 }
 
 impl Quantity {
-    /// Whether a run with the same seed gives the same figure on every machine.
+    /// Whether runs with the same seed give the same figure on every machine.
     #[must_use]
     pub fn is_exact(self) -> bool {
         !matches!(self, Self::ProcessorMicroseconds | Self::Allocations | Self::MemoryBytes)
     }
 }
 
-/// What a figure is counted over.
+/// The unit of time, work or state to which a figure refers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Per {
-    /// A second of one member of the role, mean over members.
+    /// One second of one member of the role, averaged over members.
     Second,
     /// The busiest second of the busiest member of the role.
     PeakSecond,
     /// One call.
     Call,
-    /// One event: a list taken, a configuration read.
+    /// One event, such as applying a list or reading a configuration.
     Event,
-    /// What is held at one time by one member of the role.
+    /// What one member of the role holds at one time.
     Held,
-    /// The whole situation, from its start to its end, by one member of the role.
+    /// The whole situation, from start to end, for one member of the role.
     Situation,
 }
 
-/// The size that a series is taken over.
+/// The independent variable of a series.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Size {
-    /// Core switches that a gateway sees.
+    /// Core switches on the list of a gateway.
     SwitchesSeen,
     /// Gateways in the fleet.
     Gateways,
     /// Calls a second at one gateway.
     CallsPerSecond,
-    /// Gateways that a call passes.
+    /// Gateways that a call passes one after the other.
     Depth,
     /// Bytes of an encoded list.
     ListBytes,
-    /// Changes of the list or configuration a day.
+    /// Changes of list or configuration a day.
     ChangesPerDay,
 }
 
-/// One quantity of one role over one size.
+/// Values of one quantity of one role at several sizes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Series {
-    /// Who bears it.
+    /// The part of the system that has the cost.
     pub role: Role,
-    /// While what happens.
+    /// The situation in which it was measured.
     pub situation: Situation,
-    /// What it comes from.
+    /// What causes the cost.
     pub cause: Cause,
     /// What is counted.
     pub quantity: Quantity,
-    /// Over what it is counted.
+    /// The unit to which the values refer.
     pub per: Per,
-    /// What the points differ in.
+    /// The independent variable.
     pub size: Size,
-    /// At least four, by rising size.
+    /// The measured points by increasing size; a fit needs at least four.
     pub points: Vec<Point>,
 }
 
@@ -222,9 +222,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Point {
-    /// The size.
+    /// Value of the independent variable.
     pub size: f64,
-    /// The figure.
+    /// Value of the quantity.
     pub value: f64,
 }
 
@@ -232,24 +232,24 @@
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum ReportError {
-    /// It is no JSON of this form; the text names line and column.
-    #[error("the report does not read: {0}; write it anew with `fawnrouter-lab capacity`")]
+    /// It is not JSON of this format; the message has the line and the column.
+    #[error("the report cannot be parsed: {0}; write it anew with `fawnrouter-lab capacity`")]
     Json(#[from] serde_json::Error),
-    /// It was written by another version.
+    /// It was written by a program version with another format.
     #[error(
-        "the report has form {found}, this version reads {SCHEMA}; write it anew with `fawnrouter-lab capacity`"
+        "the report has format version {found}, this program reads version {SCHEMA}; write it anew with `fawnrouter-lab capacity`"
     )]
     Schema {
-        /// The form it has.
+        /// The version of its format.
         found: u32,
     },
 }
 
 impl Report {
-    /// Reads a report.
+    /// Parses a stored report.
     ///
     /// # Errors
-    /// Where it is damaged or of another form.
+    /// Where the text is not a report or has another format version.
     pub fn from_json(text: &str) -> Result<Self, ReportError> {
         let report: Self = serde_json::from_str(text)?;
         if report.schema != SCHEMA {
@@ -258,17 +258,17 @@
         Ok(report)
     }
 
-    /// The report as stored: JSON, one field a line, with an end of line.
+    /// The report in the format in which it is stored: JSON with one field a line and a newline at the end.
     ///
     /// # Errors
-    /// Where a figure is no number.
+    /// Where serialization fails.
     pub fn to_json(&self) -> Result<String, ReportError> {
         let mut text = serde_json::to_string_pretty(self)?;
         text.push('\n');
         Ok(text)
     }
 
-    /// The run of this name.
+    /// The run with this id.
     #[must_use]
     pub fn run(&self, id: &str) -> Option<&Run> {
         self.runs.iter().find(|run| run.id == id)
--- a/crates/fawnrouter-capacity/src/lib.rs
+++ b/crates/fawnrouter-capacity/src/lib.rs
@@ -1,17 +1,17 @@
 #![forbid(unsafe_code)]
-//! What a fleet of gateways costs, measured and extrapolated.
+//! Measures and extrapolates what a fleet of gateways costs: messages, bytes, processor time, memory, connections, delay.
 //!
 //! | module | what it does |
 //! | --- | --- |
-//! | [`figures`] | the typed report: runs, series and points, as stored in `docs/capacity.json` |
-//! | [`design`] | the size and the budgets that the fleet is designed for |
-//! | [`fit`] | base, slope and residual of a series; the power by which it grows |
-//! | [`delay`] | the delay of several hops from the measured delay of one, by convolution |
-//! | [`page`] | the tables of `docs/CAPACITY.md`, computed from a report |
-//! | [`platform`] | the users' platform around a gateway, as bytes: list answers and configurations |
-//! | [`plan`] | calls and faults, drawn from a seed |
-//! | [`hollow`] | hundreds of gateways without sockets in one process, in virtual time |
-//! | [`process`] | gateway processes on loopback between stand-ins |
+//! | [`figures`] | the report: runs, series and points, as stored in `docs/capacity.json` |
+//! | [`design`] | the size and the budgets for which the fleet is designed |
+//! | [`fit`] | base, slope and residual of a series, and the power by which it grows |
+//! | [`delay`] | the delay over several hops, from the measured delay of one hop by convolution |
+//! | [`page`] | the tables of `docs/CAPACITY.md` and `docs/capacity-rows.md`, computed from a report |
+//! | [`platform`] | what the platform gives a gateway: answers with the list, and configurations |
+//! | [`plan`] | plans of calls and faults, drawn from a seed |
+//! | [`hollow`] | simulation of hundreds of gateways without sockets, in one process and in virtual time |
+//! | [`process`] | testbed of gateway processes on loopback, with stand-ins for their peers |
 
 pub mod delay;
 pub mod design;
--- a/crates/fawnrouter-capacity/src/page/labels.rs
+++ b/crates/fawnrouter-capacity/src/page/labels.rs
@@ -3,6 +3,7 @@
 use super::rows::Measure;
 use crate::figures::{Cause, Method, Per, Quantity, Role, Run, Situation, Size};
 
+/// All roles, in the order of the page.
 pub(super) const ROLES: [Role; 8] = [
     Role::GatewayCalls,
     Role::GatewayControl,
@@ -14,6 +15,7 @@
     Role::RegionLink,
 ];
 
+/// All situations, in the order of the page.
 pub(super) const SITUATIONS: [Situation; 8] = [
     Situation::Quiet,
     Situation::OrdinaryDay,
@@ -25,6 +27,7 @@
     Situation::BadConfiguration,
 ];
 
+/// All kinds of size, in the order of the page.
 pub(super) const SIZES: [Size; 6] = [
     Size::SwitchesSeen,
     Size::Gateways,
--- a/crates/fawnrouter-capacity/tests/page.rs
+++ b/crates/fawnrouter-capacity/tests/page.rs
@@ -1,4 +1,5 @@
-//! The page beside its report: the committed one, and reports made by hand whose tables are known.
+//! Tests that the committed capacity page agrees with the committed report, and that the tables of constructed reports are
+//! as expected.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -49,8 +50,8 @@
     Run { id: id.to_owned(), method, seed: 7, setting: setting.to_owned(), series, hop_delays: Vec::new() }
 }
 
-/// A series of the list in a quiet second at a gateway's control.
-fn of_the_list(quantity: Quantity, per: Per, size: Size, of: &[(f64, f64)]) -> Series {
+/// A series of the list at a gateway's control in a quiet second.
+fn list_series(quantity: Quantity, per: Per, size: Size, values: &[(f64, f64)]) -> Series {
     Series {
         role: Role::GatewayControl,
         situation: Situation::Quiet,
@@ -58,12 +59,12 @@
         quantity,
         per,
         size,
-        points: points(of),
+        points: points(values),
     }
 }
 
-/// 4 us and 0.25 us for each switch seen; each hop delays by 100 us.
-fn cost_of_a_call() -> Run {
+/// A call costs 4 us plus 0.25 us for each listed core switch; each hop adds a delay of 100 us.
+fn call_cost_run() -> Run {
     let series = Series {
         role: Role::GatewayCalls,
         situation: Situation::OrdinaryDay,
@@ -77,37 +78,37 @@
     Run { hop_delays, ..run("hollow-cost", Method::Hollow, "100 calls/s | `no` faults", vec![series]) }
 }
 
-/// 400 bytes/s in for each switch seen and 160 bytes/s out; a list costs 0.03 us x switches^2.
-fn cost_of_the_list() -> Run {
+/// 400 bytes/s in for each listed core switch and 160 bytes/s out; a list costs 0.03 us x switches^2.
+fn list_cost_run() -> Run {
     let seen = Size::SwitchesSeen;
     let bytes_in = [(20.0, 8e3), (100.0, 40e3), (300.0, 120e3), (660.0, 264e3)];
     let bytes_out = [(20.0, 160.0), (100.0, 160.0), (300.0, 160.0), (660.0, 160.0)];
     let processor = [(20.0, 12.0), (100.0, 300.0), (300.0, 2_700.0), (660.0, 13_068.0)];
     let series = vec![
-        of_the_list(Quantity::BytesIn, Per::Second, seen, &bytes_in),
-        of_the_list(Quantity::BytesOut, Per::Second, seen, &bytes_out),
-        of_the_list(Quantity::ProcessorMicroseconds, Per::Event, seen, &processor),
+        list_series(Quantity::BytesIn, Per::Second, seen, &bytes_in),
+        list_series(Quantity::BytesOut, Per::Second, seen, &bytes_out),
+        list_series(Quantity::ProcessorMicroseconds, Per::Event, seen, &processor),
     ];
     run("hollow-list", Method::Hollow, "no calls", series)
 }
 
-/// Messages and memory at 8 and 30 gateways.
-fn at_two_sizes(id: &str, method: Method, messages: [f64; 2], memory_mib: f64) -> Run {
+/// Messages at 8 and 30 gateways, and memory at 8.
+fn run_at_two_sizes(id: &str, method: Method, messages: [f64; 2], memory_mib: f64) -> Run {
     let memory = memory_mib * 1024.0 * 1024.0;
     let messages = [(8.0, messages[0]), (30.0, messages[1])];
     let series = vec![
-        of_the_list(Quantity::MessagesIn, Per::Second, Size::Gateways, &messages),
-        of_the_list(Quantity::MemoryBytes, Per::Held, Size::Gateways, &[(8.0, memory)]),
+        list_series(Quantity::MessagesIn, Per::Second, Size::Gateways, &messages),
+        list_series(Quantity::MemoryBytes, Per::Held, Size::Gateways, &[(8.0, memory)]),
     ];
     run(id, method, "no calls", series)
 }
 
-fn hand_made() -> Report {
+fn constructed_report() -> Report {
     let runs = vec![
-        cost_of_a_call(),
-        cost_of_the_list(),
-        at_two_sizes("hollow-beside-processes", Method::Hollow, [4.0, 4.0], 1.0),
-        at_two_sizes("processes-8", Method::Processes, [4.0, 4.4], 10.0),
+        call_cost_run(),
+        list_cost_run(),
+        run_at_two_sizes("hollow-beside-processes", Method::Hollow, [4.0, 4.0], 1.0),
+        run_at_two_sizes("processes-8", Method::Processes, [4.0, 4.4], 10.0),
     ];
     Report { schema: SCHEMA, machine: Machine { cores: 4, memory_mib: 16_384 }, runs }
 }
@@ -133,21 +134,21 @@
     assert_has_lines(page, &TABLE_HEADINGS);
 }
 
-/// What the page says between back quotes: runs, and types by their paths.
+/// The texts of the page between back quotes: ids of runs, and paths of types.
 fn quoted(page: &str) -> impl Iterator<Item = &str> {
     page.split('`').skip(1).step_by(2)
 }
 
 #[track_caller]
-fn assert_names_its_runs_only(report: &Report) {
+fn assert_page_names_exactly_the_runs_of(report: &Report) {
     let page = rendered(report);
     let named: BTreeSet<&str> = quoted(&page).filter(|text| !text.contains("::")).collect();
     let measured: BTreeSet<&str> = report.runs.iter().map(|run| run.id.as_str()).collect();
     assert_eq!(named, measured);
 }
 
-/// The last figure of the first series of a run, doubled; 1 if it was 0.
-fn with_a_changed_figure(report: &Report, run: usize) -> Report {
+/// The report with the last figure of the first series of a run doubled, or set to 1 if it was 0.
+fn with_changed_figure(report: &Report, run: usize) -> Report {
     let mut changed = report.clone();
     let last = changed.runs[run].series[0].points.last_mut().expect("a series has points");
     last.value = if last.value == 0.0 { 1.0 } else { last.value * 2.0 };
@@ -155,66 +156,70 @@
 }
 
 #[test]
-fn the_committed_page_has_exactly_the_tables_of_the_committed_report() {
+fn committed_page_has_exactly_the_tables_of_the_committed_report() {
     let page = committed("CAPACITY.md");
     let computed = update_page(&page, &committed_report()).expect("docs/CAPACITY.md has its markers");
     assert!(
         computed == page,
-        "docs/CAPACITY.md differs from docs/capacity.json; computed anew it reads:\n{computed}"
+        "docs/CAPACITY.md does not agree with docs/capacity.json; the page computed from the report is:\n{computed}"
     );
 }
 
 #[test]
-fn the_committed_full_tables_are_exactly_those_of_the_committed_report() {
+fn committed_full_tables_are_exactly_those_of_the_committed_report() {
     let page = committed("capacity-rows.md");
     let computed =
         update_rows_page(&page, &committed_report()).expect("docs/capacity-rows.md has its markers");
-    assert!(computed == page, "docs/capacity-rows.md differs from docs/capacity.json; write it anew");
+    assert!(computed == page, "docs/capacity-rows.md does not agree with docs/capacity.json; write it anew");
 }
 
 #[test]
-fn a_changed_figure_of_any_run_of_the_committed_report_is_found() {
+fn changed_figure_of_any_committed_run_changes_the_full_tables() {
     let page = committed("capacity-rows.md");
     let report = committed_report();
     let with_series = (0..report.runs.len()).filter(|run| !report.runs[*run].series.is_empty());
     for run in with_series {
-        let changed = with_a_changed_figure(&report, run);
+        let changed = with_changed_figure(&report, run);
         let computed = update_rows_page(&page, &changed).expect("docs/capacity-rows.md has its markers");
-        assert!(computed != page, "a figure of {} was doubled and nothing changed", report.runs[run].id);
+        assert!(
+            computed != page,
+            "a figure of {} was doubled and the full tables did not change",
+            report.runs[run].id
+        );
     }
 }
 
 #[test]
-fn the_committed_report_has_a_section_for_each_role_and_names_its_runs_only() {
+fn committed_report_has_a_section_for_each_role_and_names_exactly_its_runs() {
     let report = committed_report();
     assert_has_headings(&rendered(&report));
-    assert_names_its_runs_only(&report);
+    assert_page_names_exactly_the_runs_of(&report);
 }
 
 #[test]
-fn a_changed_figure_of_any_run_changes_the_page_or_the_full_tables() {
-    let report = hand_made();
+fn changed_figure_of_any_run_changes_the_page_or_the_full_tables() {
+    let report = constructed_report();
     let (page, rows) = (rendered(&report), rendered_rows(&report));
     for run in 0..report.runs.len() {
-        let changed = with_a_changed_figure(&report, run);
+        let changed = with_changed_figure(&report, run);
         assert_ne!(rendered_rows(&changed), rows, "{}", report.runs[run].id);
-        let stands_on_the_page = report.runs[run].id.starts_with("hollow-") && run < 2;
-        assert!(!stands_on_the_page || rendered(&changed) != page, "{}", report.runs[run].id);
+        let is_on_page = report.runs[run].id.starts_with("hollow-") && run < 2;
+        assert!(!is_on_page || rendered(&changed) != page, "{}", report.runs[run].id);
     }
 }
 
 #[test]
-fn the_same_report_gives_the_same_page_also_through_its_stored_form() {
-    let report = hand_made();
+fn stored_and_parsed_report_gives_the_same_page() {
+    let report = constructed_report();
     let stored = Report::from_json(&report.to_json().expect("all figures are numbers"))
-        .expect("what was written reads");
+        .expect("a stored report can be parsed");
     assert_eq!(stored, report);
     assert_eq!(rendered(&stored), rendered(&report));
 }
 
 #[test]
-fn a_role_has_a_table_with_one_row_a_series() {
-    let page = rendered(&hand_made());
+fn role_section_has_one_table_row_per_series() {
+    let page = rendered(&constructed_report());
     let expected = "\
 ## A gateway's call path
 
@@ -228,9 +233,9 @@
 }
 
 #[test]
-fn bytes_of_control_are_held_against_their_budget_in_both_directions_together() {
+fn control_budget_applies_to_the_sum_of_bytes_in_and_out() {
     assert_has_lines(
-        &rendered(&hand_made()),
+        &rendered(&constructed_report()),
         &[
             "| quiet second | bytes in, list, a second | 0 B/s + 400 B/s x switches seen | 0%, R2 1.000 | linear | 264 KB/s at 660 (measured); 10.4 KB/s at 26 (within range) | - | - | `hollow-list`, hollow alone | `fawnrouter_node::Ask`, `fawnrouter_node::Pool` |",
             "| quiet second | bytes out, list, a second | 160 B/s | 0%, R2 1.000 | none seen | 160 B/s at 660 (measured); 160 B/s at 26 (within range) | - | - | `hollow-list`, hollow alone | `fawnrouter_node::Ask`, `fawnrouter_node::Pool` |",
@@ -240,9 +245,9 @@
 }
 
 #[test]
-fn growth_by_a_power_is_told_with_its_power_and_from_where_it_hurts() {
+fn power_growth_is_listed_with_exponent_and_size_where_the_power_dominates() {
     assert_has_lines(
-        &rendered(&hand_made()),
+        &rendered(&constructed_report()),
         &[
             "| quiet second | processor time, list, an event | 0 us + 0.0300 us x (switches seen)^2 | 0%, R2 1.000 | power 2 | 13.1 ms at 660 (measured); 33.6 us at 26 (within range) | 1.60 ms | 8.17 (0.0210) | `hollow-list`, hollow alone | `fawnrouter_node::Ask`, `fawnrouter_node::Pool` |",
             "| switches seen | 1 | 3 | 0 | 1 | 0 |",
@@ -253,9 +258,9 @@
 }
 
 #[test]
-fn a_series_of_too_few_points_is_a_row_that_says_so() {
+fn series_with_too_few_points_has_a_row_without_fit() {
     assert_has_lines(
-        &rendered_rows(&hand_made()),
+        &rendered_rows(&constructed_report()),
         &[
             "| quiet second | messages in, list, a second | no fit: too few points (2 of 4) | - | - | - | - | - | `processes-8` | `fawnrouter_node::Ask`, `fawnrouter_node::Pool` |",
             "| quiet second | memory, list, held | no fit: too few points (1 of 4) | - | - | - | 64 MiB | - | `hollow-beside-processes` | `fawnrouter_node::Ask`, `fawnrouter_node::Pool` |",
@@ -264,9 +269,9 @@
 }
 
 #[test]
-fn situations_that_were_not_measured_are_told_for_each_role() {
+fn unmeasured_situations_are_marked_for_each_role() {
     assert_has_lines(
-        &rendered(&hand_made()),
+        &rendered(&constructed_report()),
         &[
             "| a gateway's call path | not measured | 2.96 (`hollow-cost`) | not measured | not measured | not measured | not measured | not measured | not measured |",
             "| a gateway's control | 52.8 (`hollow-list`) | not measured | not measured | not measured | not measured | not measured | not measured | not measured |",
@@ -276,9 +281,9 @@
 }
 
 #[test]
-fn depths_are_held_against_both_readings_of_the_letter() {
+fn depths_are_compared_with_the_limit_per_call_and_per_hop() {
     assert_has_lines(
-        &rendered(&hand_made()),
+        &rendered(&constructed_report()),
         &[
             "| `hollow-cost` | 1 | 100 us | 100 us | 100 us | 0.0625 | 0.0625 |",
             "| `hollow-cost` | 4 | 400 us | 400 us | 400 us | 0.250 | 0.0625 |",
@@ -290,9 +295,9 @@
 }
 
 #[test]
-fn hollow_gateways_are_held_against_processes_and_counts_beyond_five_percent_are_marked() {
+fn counts_that_differ_by_more_than_five_percent_between_hollow_gateways_and_processes_are_marked() {
     assert_has_lines(
-        &rendered_rows(&hand_made()),
+        &rendered_rows(&constructed_report()),
         &[
             "1 of 2 counts are more than 5% apart; processor time, allocations and memory have a factor.",
             "| a gateway's control | messages in, list, a second | quiet second | 8 gateways | 4 messages/s | 4 messages/s | 1 | within 5% | `processes-8` | `hollow-beside-processes` |",
@@ -303,40 +308,49 @@
 }
 
 #[test]
-fn the_page_shows_pairs_that_do_not_agree_and_factors_at_the_greatest_size() {
-    let mut report = hand_made();
+fn page_shows_deviating_pairs_and_factors_at_the_greatest_size() {
+    let mut report = constructed_report();
     for run in &mut report.runs[2..] {
         run.series[1].points.push(Point { size: 30.0, value: 1_048_576.0 });
     }
     let page = rendered(&report);
-    let beside = page.split("## Hollow beside processes").nth(1).expect("the section");
-    let beside = beside.split("\n## ").next().unwrap_or_default();
+    let section = page.split("## Hollow beside processes").nth(1).expect("the section");
+    let section = section.split("\n## ").next().unwrap_or_default();
     assert_has_lines(
-        beside,
+        section,
         &[
             "1 of 2 counts are more than 5% apart; processor time, allocations and memory have a factor.",
             "| a gateway's control | messages in, list, a second | quiet second | 30 gateways | 4.40 messages/s | 4 messages/s | 1.10 | **beyond 5%** | `processes-8` | `hollow-beside-processes` |",
             "| a gateway's control | memory, list, held | quiet second | 30 gateways | 1 MiB | 1 MiB | 1 | factor | `processes-8` | `hollow-beside-processes` |",
         ],
     );
-    let rows = beside.lines().filter(|line| line.starts_with("| a gateway's control")).count();
-    assert_eq!(rows, 2, "what agrees, and factors at other sizes, stand in the full tables alone:\n{beside}");
+    let rows = section.lines().filter(|line| line.starts_with("| a gateway's control")).count();
+    assert_eq!(
+        rows, 2,
+        "counts that agree, and factors at other sizes, are in the full tables only:\n{section}"
+    );
 }
 
-/// Messages in a second of a core switch over the gateways of a fleet.
-fn of_a_core_switch(situation: Situation, cause: Cause, quantity: Quantity, of: &[(f64, f64)]) -> Series {
+/// A series of a core switch over the gateways of a fleet: of the mean second on the ordinary day, otherwise of the busiest.
+fn core_switch_series(
+    situation: Situation,
+    cause: Cause,
+    quantity: Quantity,
+    values: &[(f64, f64)],
+) -> Series {
     let per = if situation == Situation::OrdinaryDay { Per::Second } else { Per::PeakSecond };
     let size = Size::Gateways;
-    Series { role: Role::CoreSwitch, situation, cause, quantity, per, size, points: points(of) }
+    Series { role: Role::CoreSwitch, situation, cause, quantity, per, size, points: points(values) }
 }
 
 #[test]
-fn the_page_has_one_row_for_what_several_runs_measured_and_the_full_tables_have_all() {
+fn page_has_one_row_for_a_figure_of_several_runs_and_full_tables_have_all() {
     let short = [(10.0, 10.0), (20.0, 20.0), (40.0, 40.0), (80.0, 80.0)];
     let long = [(10.0, 10.0), (100.0, 100.0), (300.0, 300.0), (660.0, 660.0)];
-    let day =
-        |cause, quantity, of: &[(f64, f64)]| of_a_core_switch(Situation::OrdinaryDay, cause, quantity, of);
-    let mut report = hand_made();
+    let day = |cause, quantity, values: &[(f64, f64)]| {
+        core_switch_series(Situation::OrdinaryDay, cause, quantity, values)
+    };
+    let mut report = constructed_report();
     let near = vec![day(Cause::All, Quantity::MessagesIn, &short)];
     let far = vec![
         day(Cause::All, Quantity::MessagesIn, &long),
@@ -346,7 +360,7 @@
     ];
     report.runs.push(run("hollow-near", Method::Hollow, "near", near));
     report.runs.push(run("hollow-far", Method::Hollow, "far", far));
-    let of_switch = |page: String| {
+    let switch_rows = |page: String| {
         let section = page.split("## A core switch\n").nth(1).expect("the section").to_owned();
         let section = section.split("\n## ").next().unwrap_or_default().to_owned();
         section
@@ -355,7 +369,7 @@
             .map(str::to_owned)
             .collect::<Vec<_>>()
     };
-    let shown = of_switch(rendered(&report));
+    let shown = switch_rows(rendered(&report));
     let starts = [
         "| ordinary day | messages in, tests of core switches, a second |",
         "| ordinary day | messages in, all causes, a second |",
@@ -364,14 +378,14 @@
     for (line, start) in shown.iter().zip(starts) {
         assert!(line.starts_with(start) && line.contains("`hollow-far`"), "{line}");
     }
-    assert_eq!(of_switch(rendered_rows(&report)).len(), 5);
+    assert_eq!(switch_rows(rendered_rows(&report)).len(), 5);
 }
 
 #[test]
-fn peaks_are_told_for_roles_without_a_budget() {
+fn peaks_include_roles_without_a_budget() {
     let sizes = [(110.0, 110.0), (330.0, 330.0), (500.0, 500.0), (660.0, 660.0)];
-    let mut report = hand_made();
-    let zone = |quantity| of_a_core_switch(Situation::ZoneGone, Cause::All, quantity, &sizes);
+    let mut report = constructed_report();
+    let zone = |quantity| core_switch_series(Situation::ZoneGone, Cause::All, quantity, &sizes);
     let series =
         [Quantity::MessagesIn, Quantity::MessagesOut, Quantity::BytesIn, Quantity::BytesOut].map(zone);
     report.runs.push(run("hollow-zone", Method::Hollow, "a zone", series.to_vec()));
@@ -382,8 +396,8 @@
 }
 
 #[test]
-fn what_is_missing_is_ranked_by_ratio_and_by_how_often_its_case_comes() {
-    let page = rendered(&hand_made());
+fn missing_work_is_ranked_by_ratio_times_frequency() {
+    let page = rendered(&constructed_report());
     let ranking = page.split("## What is missing first").nth(1).expect("the section");
     let expected = [
         "Missing first: **distribution of list and configuration** (the publisher: a change of configuration is in force at every gateway within 10 s).",
@@ -395,22 +409,22 @@
         "| a gateway's call path | delay added by 28 hops, 99 in 100 calls | ordinary day | 1.75 (0.0625) | convolved | 86,400 | 151,000 | `fawnrouter::Controller` | a cheaper hop: decision module and node | `hollow-cost` |",
     ];
     assert_has_lines(ranking, &expected);
-    let places: Vec<usize> = expected.iter().filter_map(|line| ranking.find(line)).collect();
-    assert!(places.is_sorted(), "the rows stand in another order:\n{ranking}");
+    let offsets: Vec<usize> = expected.iter().filter_map(|line| ranking.find(line)).collect();
+    assert!(offsets.is_sorted(), "the rows are in another order:\n{ranking}");
 }
 
 #[test]
-fn an_extrapolated_ratio_is_ranked_and_is_not_called_measured() {
-    let mut report = hand_made();
+fn extrapolated_ratio_is_ranked_but_not_called_measured() {
+    let mut report = constructed_report();
     let points = &mut report.runs[0].series[0].points;
     for (point, value) in points.iter_mut().zip([4.0, 40.0, 160.0, 400.0]) {
         *point = Point { size: value, value: value * 1e3 };
     }
     let page = rendered(&report);
     let ranking = page.split("## What is missing first").nth(1).expect("the section");
-    let first_of_a_call = ranking.find("| a gateway's call path | processor time, calls, a call |");
-    let first_of_the_list = ranking.find("| a gateway's control | bytes in and out, list, a second |");
-    assert!(first_of_a_call < first_of_the_list, "it has the greater weight:\n{ranking}");
+    let call_row = ranking.find("| a gateway's call path | processor time, calls, a call |");
+    let list_row = ranking.find("| a gateway's control | bytes in and out, list, a second |");
+    assert!(call_row < list_row, "the row of the call has the greater weight:\n{ranking}");
     assert_has_lines(
         ranking,
         &[
@@ -420,11 +434,11 @@
 }
 
 #[test]
-fn the_hollow_counterpart_of_the_processes_is_not_held_against_budgets() {
-    let mut report = hand_made();
+fn hollow_run_beside_processes_is_not_compared_with_budgets() {
+    let mut report = constructed_report();
     let sizes = [(8.0, 1e9), (15.0, 1e9), (30.0, 1e9), (60.0, 1e9)];
     for run in &mut report.runs[2..] {
-        run.series = vec![of_the_list(Quantity::MemoryBytes, Per::Held, Size::Gateways, &sizes)];
+        run.series = vec![list_series(Quantity::MemoryBytes, Per::Held, Size::Gateways, &sizes)];
     }
     let page = rendered(&report);
     let ranking = page.split("## What is missing first").nth(1).expect("the section");
@@ -433,8 +447,8 @@
 }
 
 #[test]
-fn a_row_within_its_budget_for_one_service_is_missing_the_list_of_that_service() {
-    let mut report = hand_made();
+fn row_within_budget_for_one_service_needs_distribution_of_that_list() {
+    let mut report = constructed_report();
     let page = rendered(&report);
     let row = "| a gateway's call path | processor time, calls, a call | ordinary day |";
     let ranking =
@@ -452,8 +466,8 @@
 }
 
 #[test]
-fn delays_of_seconds_are_ranked_as_well() {
-    let mut report = hand_made();
+fn delays_of_several_seconds_are_ranked() {
+    let mut report = constructed_report();
     report.runs[0].hop_delays[0].nanoseconds = 8_388_608_000;
     let page = rendered(&report);
     assert!(
@@ -463,34 +477,34 @@
 }
 
 #[test]
-fn a_case_that_comes_seldom_weighs_less_than_one_that_comes_all_day() {
-    let mut report = hand_made();
-    let mut seldom = cost_of_a_call();
-    seldom.id = "hollow-zone".to_owned();
-    seldom.hop_delays.clear();
-    seldom.series[0].situation = Situation::ZoneGone;
-    for point in &mut seldom.series[0].points {
+fn rare_case_is_ranked_below_a_frequent_one() {
+    let mut report = constructed_report();
+    let mut zone_failure = call_cost_run();
+    zone_failure.id = "hollow-zone".to_owned();
+    zone_failure.hop_delays.clear();
+    zone_failure.series[0].situation = Situation::ZoneGone;
+    for point in &mut zone_failure.series[0].points {
         point.value *= 1_000.0;
     }
-    report.runs.push(seldom);
+    report.runs.push(zone_failure);
     let page = rendered(&report);
     let ranking = page.split("## What is missing first").nth(1).expect("the section");
-    let seldom = ranking.find("a zone gone and back | 2,960 (184)").expect("the row of the zone");
-    let often = ranking.find("ordinary day | 2.96 (0.184)").expect("the row of the ordinary day");
-    assert!(often < seldom, "{ranking}");
+    let zone_failure = ranking.find("a zone gone and back | 2,960 (184)").expect("the row of the zone");
+    let ordinary_day = ranking.find("ordinary day | 2.96 (0.184)").expect("the row of the ordinary day");
+    assert!(ordinary_day < zone_failure, "{ranking}");
 }
 
 #[test]
-fn a_change_of_the_ordinary_day_comes_as_often_as_the_letter_says() {
-    let mut report = hand_made();
+fn event_of_the_ordinary_day_counts_as_one_of_1600_changes_a_day() {
+    let mut report = constructed_report();
     report.runs[1].series[2].situation = Situation::OrdinaryDay;
     let row = "processor time, list, an event | ordinary day | 8.17 (0.0210) | measured | 1,600 | 13,100 |";
     assert!(rendered(&report).contains(row), "{}", rendered(&report));
 }
 
 #[test]
-fn a_hop_without_a_gateway_is_shown_and_not_ranked() {
-    let mut report = hand_made();
+fn baseline_without_gateway_is_shown_but_not_ranked() {
+    let mut report = constructed_report();
     report.runs[0].id = "processes-hop-baseline".to_owned();
     let page = rendered(&report);
     assert_has_lines(
@@ -504,15 +518,15 @@
 }
 
 #[test]
-fn a_whole_list_is_as_long_as_the_report_says() {
+fn design_size_of_the_list_is_estimated_from_the_report() {
     let seen = Size::SwitchesSeen;
     let length = [(20.0, 2e3), (100.0, 10e3), (300.0, 30e3), (600.0, 60e3)];
     let cost = [(2e3, 10.0), (10e3, 50.0), (30e3, 150.0), (60e3, 300.0)];
     let series = vec![
-        of_the_list(Quantity::BytesIn, Per::Event, seen, &length),
-        of_the_list(Quantity::ProcessorMicroseconds, Per::Event, Size::ListBytes, &cost),
+        list_series(Quantity::BytesIn, Per::Event, seen, &length),
+        list_series(Quantity::ProcessorMicroseconds, Per::Event, Size::ListBytes, &cost),
     ];
-    let mut report = hand_made();
+    let mut report = constructed_report();
     report.runs.push(run("hollow-length", Method::Hollow, "no calls", series));
     assert_has_lines(
         &rendered(&report),
@@ -524,9 +538,9 @@
 }
 
 #[test]
-fn the_runs_are_listed_and_no_text_of_theirs_ends_a_cell() {
+fn runs_are_listed_with_escaped_texts() {
     assert_has_lines(
-        &rendered(&hand_made()),
+        &rendered(&constructed_report()),
         &[
             "Measured on a machine of 4 cores and 16,384 MiB, in 4 runs. 5 of 9 rows stand here; all of them, with every pair of hollow gateways and processes: [capacity-rows.md](capacity-rows.md).",
             "| `hollow-cost` | hollow | 7 | 100 calls/s \\| no faults | 1 | 1,000 |",
@@ -536,12 +550,12 @@
 }
 
 #[test]
-fn every_run_is_named_and_no_other() {
-    assert_names_its_runs_only(&hand_made());
+fn page_names_every_run_and_no_other() {
+    assert_page_names_exactly_the_runs_of(&constructed_report());
 }
 
 #[test]
-fn a_report_without_runs_has_every_section_and_says_that_nothing_was_measured() {
+fn report_without_runs_has_every_section_with_a_remark() {
     let empty = Report { schema: SCHEMA, ..Report::default() };
     let page = rendered(&empty);
     assert_has_headings(&page);
@@ -556,33 +570,33 @@
             "None.",
         ],
     );
-    assert_names_its_runs_only(&empty);
+    assert_page_names_exactly_the_runs_of(&empty);
 }
 
 #[test]
-fn runs_that_are_missing_in_part_are_told_and_not_stumbled_over() {
-    let hollow_only = Report { runs: hand_made().runs[..3].to_vec(), ..hand_made() };
+fn missing_runs_points_and_pairs_are_reported() {
+    let hollow_only = Report { runs: constructed_report().runs[..3].to_vec(), ..constructed_report() };
     assert_has_lines(&rendered(&hollow_only), &["Not measured: the report has no run of processes."]);
 
-    let mut without_points = hand_made();
+    let mut without_points = constructed_report();
     without_points.runs[0].series[0].points.clear();
     without_points.runs[0].hop_delays[0].count = 0;
     let page = rendered(&without_points);
     assert!(page.contains("no fit: too few points (0 of 4)"), "{page}");
     assert_has_lines(&page, &["- `hollow-cost`: no delay of a hop was counted."]);
 
-    let mut nothing_alike = hand_made();
-    nothing_alike.runs[3].series.iter_mut().for_each(|series| series.situation = Situation::ZoneGone);
+    let mut without_pairs = constructed_report();
+    without_pairs.runs[3].series.iter_mut().for_each(|series| series.situation = Situation::ZoneGone);
     assert_has_lines(
-        &rendered(&nothing_alike),
+        &rendered(&without_pairs),
         &["Not measured: no series and size was measured both ways."],
     );
 }
 
 #[test]
-fn the_tables_take_the_place_of_those_between_the_markers() {
+fn tables_between_the_markers_are_replaced() {
     let page = format!("# Capacity\n\n{BEGIN_MARKER}\nold tables\n{END_MARKER}\n\nThe end.\n");
-    let report = hand_made();
+    let report = constructed_report();
     let replaced = update_page(&page, &report).expect("both markers");
     let tables = rendered(&report);
     assert_eq!(replaced, format!("# Capacity\n\n{BEGIN_MARKER}\n\n{tables}\n{END_MARKER}\n\nThe end.\n"));
@@ -590,8 +604,8 @@
 }
 
 #[test]
-fn a_page_whose_markers_are_missing_doubled_or_turned_is_left_alone() {
-    let report = hand_made();
+fn page_with_missing_duplicate_or_swapped_markers_is_rejected() {
+    let report = constructed_report();
     let refused = |page: &str| update_page(page, &report).expect_err("a page that cannot be used");
     let missing = |marker| PageError::Marker { marker, found: 0 };
     assert_eq!(refused("no markers"), missing(BEGIN_MARKER));
@@ -603,26 +617,26 @@
 }
 
 #[test]
-fn two_runs_of_one_name_are_refused() {
-    let mut report = hand_made();
-    report.runs.push(cost_of_the_list());
+fn duplicate_run_ids_are_rejected() {
+    let mut report = constructed_report();
+    report.runs.push(list_cost_run());
     assert_eq!(render(&report), Err(PageError::DuplicateRunId { id: "hollow-list".to_owned() }));
 }
 
 #[test]
-fn a_report_of_another_form_or_damaged_has_an_error_that_says_what_to_do() {
-    let of_another_form =
-        Report { schema: SCHEMA + 1, ..hand_made() }.to_json().expect("all figures are numbers");
-    let error = Report::from_json(&of_another_form).expect_err("another form");
+fn report_of_another_version_or_damaged_has_an_error_with_a_remedy() {
+    let other_format =
+        Report { schema: SCHEMA + 1, ..constructed_report() }.to_json().expect("all figures are numbers");
+    let error = Report::from_json(&other_format).expect_err("another format version");
     assert!(matches!(error, ReportError::Schema { found } if found == SCHEMA + 1), "{error}");
     assert!(error.to_string().contains("write it anew with `fawnrouter-lab capacity`"), "{error}");
 
-    let whole = hand_made().to_json().expect("all figures are numbers");
+    let whole = constructed_report().to_json().expect("all figures are numbers");
     let cut_short = &whole[..whole.len() / 2];
     let unknown_field = whole.replacen("\"schema\"", "\"scheme\"", 1);
-    let no_number = whole.replacen("169.0", "\"many\"", 1);
-    assert_ne!(no_number, whole);
-    for damaged in [cut_short, "", unknown_field.as_str(), no_number.as_str()] {
+    let not_a_number = whole.replacen("169.0", "\"many\"", 1);
+    assert_ne!(not_a_number, whole);
+    for damaged in [cut_short, "", unknown_field.as_str(), not_a_number.as_str()] {
         let error = Report::from_json(damaged).expect_err("a damaged report");
         assert!(matches!(error, ReportError::Json(_)), "{error}");
     }
--- a/crates/fawnrouter-capacity/tests/process.rs
+++ b/crates/fawnrouter-capacity/tests/process.rs
@@ -1,5 +1,5 @@
-//! What the process rig reads: texts of `/proc`, lines on sockets; and what it says without a program. Processes themselves
-//! are played in the daemon's tests, where the program is.
+//! Tests of what the testbed of gateway processes reads (texts of `/proc`, messages on sockets) and of its error if the
+//! gateway's program is missing. Tests that start processes are in the daemon's package, which builds the program.
 
 use std::path::Path;
 use std::sync::atomic::AtomicBool;
@@ -22,13 +22,13 @@
 const TEST: &str = r#"{"verb":"ECHO","tag":"00000000000000aa","opts":{},"rc":0}"#;
 
 #[test]
-fn processor_times_are_read_to_the_nanosecond_and_to_the_tick() {
+fn processor_times_are_parsed_from_schedstat_and_stat() {
     assert_eq!(parse_schedstat_time("83165239 936844 169\n"), Some(Duration::from_nanos(83_165_239)));
     assert_eq!(parse_schedstat_time("0 0 1\n"), Some(Duration::ZERO));
     for bad in ["", "83165239\n", "83165239 936844\n", "83165239 936844 169 4\n", "-1 2 3\n", "a b c\n"] {
         assert_eq!(parse_schedstat_time(bad), None, "{bad:?}");
     }
-    // 26 ticks in user mode, 61 in kernel mode; the name holds a parenthesis and a blank.
+    // 26 ticks in user mode and 61 in kernel mode; the program's name contains a parenthesis and a blank.
     assert_eq!(parse_stat_time(STAT), Some(Duration::from_millis(870)));
     for bad in ["", "5130 fawnrouter S 1 2 3", "5130 (fawnrouter) S 1 2 3"] {
         assert_eq!(parse_stat_time(bad), None, "{bad:?}");
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn memory_is_read_in_the_unit_that_the_kernel_names() {
+fn memory_is_parsed_only_in_the_unit_kb() {
     assert_eq!(parse_resident_bytes(STATUS), Some(5588 * 1024));
     for bad in ["", "VmPeak:\t 1 kB\n", "VmRSS:\n", "VmRSS:\t12\n", "VmRSS:\t12 MB\n", "VmRSS:\tmany kB\n"] {
         assert_eq!(parse_resident_bytes(bad), None, "{bad:?}");
@@ -46,17 +46,17 @@
 }
 
 #[test]
-fn a_process_is_asked_for_what_it_uses_and_one_that_is_not_there_is_named() {
+fn usage_of_own_process_is_read_and_error_names_a_missing_process() {
     let own = ProcessUsage::of_process(std::process::id()).expect("a process of this machine");
-    // Three standard streams and the folder that is being listed, at the least.
+    // At least the three standard streams and the directory that is being listed.
     assert!(own.resident_bytes > 0 && own.descriptors >= 4, "{own:?}");
-    // Beyond the highest number that the kernel gives.
+    // Above the highest process id that the kernel assigns.
     let error = ProcessUsage::of_process(u32::MAX).expect_err("no such process");
     assert!(error.to_string().contains("/proc/4294967295/status"), "{error}");
 }
 
 #[test]
-fn lines_are_counted_by_verb_to_the_byte_however_they_are_cut() {
+fn lines_are_read_with_their_length_wherever_the_stream_is_split() {
     let stream = format!("{START}\n{STARTED}\n{TEST}\n{START}\n");
     for cut in 0..=stream.len() {
         let mut reader = LineReader::default();
@@ -67,18 +67,18 @@
             pushed.expect("messages");
         }
         let call = "9b1f03aa5c7e2d41".to_owned();
-        let wanted = [
+        let expected = [
             (call.clone(), START.len() + 1),
             (call.clone(), STARTED.len() + 1),
             ("00000000000000aa".to_owned(), TEST.len() + 1),
             (call, START.len() + 1),
         ];
-        assert_eq!(lines, wanted, "cut at {cut}");
+        assert_eq!(lines, expected, "cut at {cut}");
     }
 }
 
 #[test]
-fn what_is_no_message_ends_the_count() {
+fn invalid_line_ends_reading() {
     let mut reader = LineReader::default();
     let mut count = 0;
     let pushed = reader.push(format!("{START}\nnoise\n{START}\n").as_bytes(), |_, _| count += 1);
@@ -86,7 +86,8 @@
     assert_eq!(count, 1);
 }
 
-fn lines(counts: &[(&'static str, u64, u64)]) -> ByVerb {
+/// Messages and bytes by verb.
+fn counts_by_verb(counts: &[(&'static str, u64, u64)]) -> ByVerb {
     ByVerb(counts.iter().map(|(verb, messages, bytes)| (*verb, volume(*messages, *bytes))).collect())
 }
 
@@ -95,17 +96,21 @@
 }
 
 #[test]
-fn counts_of_a_window_are_what_came_since_its_start_and_tests_are_no_calls() {
-    let before = lines(&[("START", 3, 300), ("ECHO", 1, 60)]);
-    let after = lines(&[("START", 5, 510), ("STARTED", 2, 80), ("ECHO", 4, 240), ("ECHOED", 4, 250)]);
+fn counts_of_a_window_exclude_earlier_ones_and_separate_tests_from_calls() {
+    let before = counts_by_verb(&[("START", 3, 300), ("ECHO", 1, 60)]);
+    let after =
+        counts_by_verb(&[("START", 5, 510), ("STARTED", 2, 80), ("ECHO", 4, 240), ("ECHOED", 4, 250)]);
     let window = counts_since(&before, &after);
-    assert_eq!(window, lines(&[("START", 2, 210), ("STARTED", 2, 80), ("ECHO", 3, 180), ("ECHOED", 4, 250)]));
+    assert_eq!(
+        window,
+        counts_by_verb(&[("START", 2, 210), ("STARTED", 2, 80), ("ECHO", 3, 180), ("ECHOED", 4, 250)])
+    );
     assert_eq!(call_volume(&window), volume(4, 290));
     assert_eq!(test_volume(&window), volume(7, 430));
 }
 
 #[test]
-fn without_the_program_it_is_told_how_to_build_it_and_nothing_is_measured() {
+fn missing_program_gives_an_error_with_build_command_and_no_measurement() {
     let program = Path::new("/nowhere/fawnrouter");
     let stop = AtomicBool::new(false);
     let mut parts = Vec::new();
@@ -118,12 +123,12 @@
         stop: &stop,
         progress: &mut |part| parts.push(part.to_owned()),
     });
-    let played = run_scenario(
+    let run = run_scenario(
         &Scenario::one_service(1, 1, 1),
         Duration::ZERO,
         Testbed { program, seed: 1, stop: &stop },
     );
-    for error in [measured.map(|_| ()), played.map(|_| ())] {
+    for error in [measured.map(|_| ()), run.map(|_| ())] {
         let error = error.expect_err("there is no such program");
         assert!(matches!(error, ProcessError::ProgramMissing { .. }));
         let text = error.to_string();
