--- a/crates/fawnrouter-capacity/src/figures.rs
+++ b/crates/fawnrouter-capacity/src/figures.rs
@@ -237,7 +237,8 @@
     Json(#[from] serde_json::Error),
     /// It was written by a program version with another format.
     #[error(
-        "the report has format version {found}, this program reads version {SCHEMA}; write it anew with `fawnrouter-lab capacity`"
+        "the report has format version {found}, this program reads version {SCHEMA}; write it anew with \
+         `fawnrouter-lab capacity`"
     )]
     Schema {
         /// The version of its format.
--- a/crates/fawnrouter-capacity/src/lib.rs
+++ b/crates/fawnrouter-capacity/src/lib.rs
@@ -1,5 +1,6 @@
 #![forbid(unsafe_code)]
-//! Measures and extrapolates what a fleet of gateways costs: messages, bytes, processor time, memory, connections, delay.
+//! Measures and extrapolates what a fleet of gateways costs: messages, bytes, processor time, memory,
+//! connections, delay.
 //!
 //! | module | what it does |
 //! | --- | --- |
--- a/crates/fawnrouter-capacity/src/page.rs
+++ b/crates/fawnrouter-capacity/src/page.rs
@@ -1,5 +1,6 @@
-//! Computes the tables of `docs/CAPACITY.md` and of `docs/capacity-rows.md` from a report: the same report gives the same
-//! text, to the byte. The former has a selection of rows for most readers, the latter has a row for each series.
+//! Computes the tables of `docs/CAPACITY.md` and of `docs/capacity-rows.md` from a report: the same report
+//! gives the same text, to the byte. The former has a selection of rows for most readers, the latter has a
+//! row for each series.
 //!
 //! | module | what it does |
 //! | --- | --- |
@@ -42,7 +43,8 @@
 pub enum PageError {
     /// A marker is missing or occurs more than once.
     #[error(
-        "the page has the marker `{marker}` {found} times instead of once; the tables go between the two markers"
+        "the page has the marker `{marker}` {found} times instead of once; the tables go between the two \
+         markers"
     )]
     Marker {
         /// The marker.
@@ -101,7 +103,8 @@
 /// Replaces the tables between the markers of the page by those of this report.
 ///
 /// # Errors
-/// Where a marker is missing or occurs more than once, the markers are in the wrong order, or two runs have the same id.
+/// Where a marker is missing or occurs more than once, the markers are in the wrong order, or two runs have
+/// the same id.
 pub fn update_page(page: &str, report: &Report) -> Result<String, PageError> {
     replace_tables(page, &render(report)?)
 }
@@ -147,8 +150,9 @@
     let memory = formatting::whole(machine.memory_mib as f64);
     let runs = report.runs.len();
     format!(
-        "Measured on a machine of {} cores and {memory} MiB, in {runs} runs. {shown} of {rows} rows stand here; all of them, \
-         with every pair of hollow gateways and processes: [capacity-rows.md](capacity-rows.md).\n",
+        "Measured on a machine of {} cores and {memory} MiB, in {runs} runs. {shown} of {rows} rows stand \
+         here; all of them, with every pair of hollow gateways and processes: \
+         [capacity-rows.md](capacity-rows.md).\n",
         machine.cores
     )
 }
--- a/crates/fawnrouter-capacity/src/page/comparison.rs
+++ b/crates/fawnrouter-capacity/src/page/comparison.rs
@@ -55,7 +55,8 @@
     let shown: Vec<Pair<'_>> = pairs.into_iter().filter(is_shown).collect();
     let table = table(&shown, hollow);
     format!(
-        "{deviating} of {counts} counts are more than 5% apart; processor time, allocations and memory have a factor.\n\n{table}"
+        "{deviating} of {counts} counts are more than 5% apart; processor time, allocations and memory have \
+         a factor.\n\n{table}"
     )
 }
 
--- a/crates/fawnrouter-capacity/src/page/depth.rs
+++ b/crates/fawnrouter-capacity/src/page/depth.rs
@@ -1,4 +1,5 @@
-//! The delay of calls that pass several gateways, compared with the limit of the delay that may be added to a call.
+//! The delay of calls that pass several gateways, compared with the limit of the delay that may be added to a
+//! call.
 
 use super::formatting::{nanoseconds, significant};
 use super::labels;
@@ -99,7 +100,8 @@
             let design_depth = design::DEPTH;
             let baseline = if run.is_baseline() { ", without a gateway" } else { "" };
             format!(
-                "- {id}{baseline}: p99 is within 1.6 ms a call for up to {deepest} hops of {design_depth}; grid of {bin}.\n"
+                "- {id}{baseline}: p99 is within 1.6 ms a call for up to {deepest} hops of {design_depth}; \
+                 grid of {bin}.\n"
             )
         }
     }
--- a/crates/fawnrouter-capacity/src/page/design_sizes.rs
+++ b/crates/fawnrouter-capacity/src/page/design_sizes.rs
@@ -1,5 +1,5 @@
-//! The sizes at which series are estimated. Where the requirements allow two interpretations, there is a harder and an
-//! easier size.
+//! The sizes at which series are estimated. Where the requirements allow two interpretations, there is a
+//! harder and an easier size.
 
 use crate::design;
 use crate::figures::{Cause, Per, Quantity, Report, Role, Series, Size};
@@ -14,7 +14,8 @@
     pub(super) easier: Option<f64>,
 }
 
-/// The design sizes for each kind of size. That of the list's length depends on the report, which has it measured.
+/// The design sizes for each kind of size. That of the list's length depends on the report, which has it
+/// measured.
 pub(super) struct DesignSizeTable {
     /// Bytes of a list of all core switches, if the report has a series to estimate it from.
     whole_list_bytes: Option<f64>,
--- a/crates/fawnrouter-capacity/src/page/frequency.rs
+++ b/crates/fawnrouter-capacity/src/page/frequency.rs
@@ -1,5 +1,5 @@
-//! How often a situation occurs, in cases a day. A situation that lasts all day counts as one case each second; an event of
-//! list or configuration on the ordinary day counts as one of the day's changes.
+//! How often a situation occurs, in cases a day. A situation that lasts all day counts as one case each
+//! second; an event of list or configuration on the ordinary day counts as one of the day's changes.
 
 use crate::design;
 use crate::figures::{Cause, Per, Situation};
@@ -9,11 +9,13 @@
 const RACK_FAILURES_PER_DAY: f64 = 1.0 / 45.0;
 /// A zone fails once or twice a year; calculated with 1.5 times.
 const ZONE_FAILURES_PER_DAY: f64 = 1.5 / DAYS_PER_YEAR;
-/// Regions are partitioned from each other several times a year. The requirements give no number; five is assumed.
+/// Regions are partitioned from each other several times a year. The requirements give no number; five is
+/// assumed.
 const REGION_PARTITIONS_PER_DAY: f64 = 5.0 / DAYS_PER_YEAR;
 /// Restarts of all gateways of a service, if the gateway restarts of a day happen service by service.
 const SERVICE_RESTARTS_PER_DAY: f64 = design::RESTARTS_PER_DAY / design::SWITCHES_OF_A_SERVICE;
-/// Bad configurations sent to all gateways. The requirements give no number; one a day, of 1,600 changes, is assumed.
+/// Bad configurations sent to all gateways. The requirements give no number; one a day, of 1,600 changes, is
+/// assumed.
 const BAD_CONFIGURATIONS_PER_DAY: f64 = 1.0;
 
 /// How often the case that a row measures occurs, a day.
--- a/crates/fawnrouter-capacity/src/page/growth.rs
+++ b/crates/fawnrouter-capacity/src/page/growth.rs
@@ -1,4 +1,5 @@
-//! How series grow with size: which are linear, which grow by a power, and from which size the power dominates.
+//! How series grow with size: which are linear, which grow by a power, and from which size the power
+//! dominates.
 
 use super::formatting::{amount, percent, significant};
 use super::labels;
--- a/crates/fawnrouter-capacity/src/page/mechanisms.rs
+++ b/crates/fawnrouter-capacity/src/page/mechanisms.rs
@@ -1,5 +1,5 @@
-//! Which type implements what causes a cost, which requirements nothing implements, and which work would bring a cost within
-//! its budget.
+//! Which type implements what causes a cost, which requirements nothing implements, and which work would
+//! bring a cost within its budget.
 
 use super::rows::{Measure, Row};
 use crate::design;
@@ -72,8 +72,8 @@
     }
 }
 
-/// The work that would bring a row within its budget. A row that is within its budget if the gateway sees only the core
-/// switches of its own service needs the distribution of a list of just these.
+/// The work that would bring a row within its budget. A row that is within its budget if the gateway sees
+/// only the core switches of its own service needs the distribution of a list of just these.
 pub(super) fn missing_work_of_row(row: &Row<'_>) -> MissingWork {
     let is_by_list = matches!(row.size, Size::SwitchesSeen | Size::ListBytes);
     let is_within_for_own_service = is_by_list && row.easier_ratio().is_some_and(|ratio| ratio <= 1.0);
--- a/crates/fawnrouter-capacity/src/page/peaks.rs
+++ b/crates/fawnrouter-capacity/src/page/peaks.rs
@@ -1,4 +1,5 @@
-//! The messages and bytes of a member of each role in each situation at the design size, whether they have a budget or not.
+//! The messages and bytes of a member of each role in each situation at the design size, whether they have a
+//! budget or not.
 
 use super::formatting::amount;
 use super::rows::{Measure, Row};
@@ -9,9 +10,9 @@
 pub(super) fn section(rows: &[Row<'_>]) -> String {
     let table = by_role_and_situation(|role, situation| cell(role, situation, rows));
     format!(
-        "## Peaks by role\n\nMessages and bytes in and out together, from the slopes over the gateways of a fleet, at the \
-         design size: the mean second of the mean member in the quiet second and on the ordinary day, the busiest second \
-         of the busiest member where something breaks.\n\n{table}"
+        "## Peaks by role\n\nMessages and bytes in and out together, from the slopes over the gateways of a \
+         fleet, at the design size: the mean second of the mean member in the quiet second and on the \
+         ordinary day, the busiest second of the busiest member where something breaks.\n\n{table}"
     )
 }
 
--- a/crates/fawnrouter-capacity/src/page/ranking.rs
+++ b/crates/fawnrouter-capacity/src/page/ranking.rs
@@ -1,4 +1,5 @@
-//! Ranks the requirements that nothing implements and the costs over their budgets, weighted by how often the case occurs.
+//! Ranks the requirements that nothing implements and the costs over their budgets, weighted by how often the
+//! case occurs.
 
 use super::depth::RunDepths;
 use super::formatting::significant;
@@ -68,7 +69,8 @@
         }
     }
 
-    /// A candidate from a row that is over its budget, or that has a budget and no mechanism; none from other rows.
+    /// A candidate from a row that is over its budget, or that has a budget and no mechanism; none from other
+    /// rows.
     fn from_row(row: &Row<'_>) -> Option<Self> {
         let ratio = row.ratio().filter(|ratio| *ratio > 1.0 || row.mechanism.is_none())?;
         Some(Self {
@@ -86,7 +88,8 @@
         })
     }
 
-    /// A candidate from a run whose delay at the design depth is over the limit; none from other runs or baselines.
+    /// A candidate from a run whose delay at the design depth is over the limit; none from other runs or
+    /// baselines.
     fn from_depths(depths: &RunDepths<'_>) -> Option<Self> {
         let ratio = depths.whole_call_ratio().filter(|ratio| *ratio > 1.0 && !depths.is_baseline())?;
         Some(Self {
--- a/crates/fawnrouter-capacity/src/page/roles.rs
+++ b/crates/fawnrouter-capacity/src/page/roles.rs
@@ -1,4 +1,5 @@
-//! The section of each role: a table with a row for each series, and the requirements that nothing implements.
+//! The section of each role: a table with a row for each series, and the requirements that nothing
+//! implements.
 
 use super::formatting::{amount, percent, significant, whole};
 use super::labels;
--- a/crates/fawnrouter-capacity/src/page/rows.rs
+++ b/crates/fawnrouter-capacity/src/page/rows.rs
@@ -57,8 +57,8 @@
     }
 }
 
-/// The rows of all series, sorted by role, situation, cause, measure and size; rows that are equal in these keep the order
-/// of the runs.
+/// The rows of all series, sorted by role, situation, cause, measure and size; rows that are equal in these
+/// keep the order of the runs.
 pub(super) fn rows_of_report(report: &Report) -> Vec<Row<'_>> {
     let context =
         Context { sizes: DesignSizeTable::of_report(report), on_processes: kinds_of_processes(report) };
@@ -132,8 +132,8 @@
     run.method == Method::Hollow && !is_compared
 }
 
-/// For the bytes in of a gateway's control: the sums with the bytes out of the same run, at the sizes that both series
-/// have. None for other series.
+/// For the bytes in of a gateway's control: the sums with the bytes out of the same run, at the sizes that
+/// both series have. None for other series.
 fn points_both_ways(run: &Run, bytes_in: &Series) -> Option<Vec<Point>> {
     if bytes_in.role != Role::GatewayControl || bytes_in.quantity != Quantity::BytesIn {
         return None;
--- a/crates/fawnrouter-capacity/src/page/selection.rs
+++ b/crates/fawnrouter-capacity/src/page/selection.rs
@@ -1,7 +1,8 @@
 //! Selects the rows of the page. The full tables have all rows.
 //!
-//! The page answers what a role costs. A report has several hundred series, many of which measure the same thing in another
-//! run, for another cause or over another size. Rows are left out by rule, never because of their value.
+//! The page answers what a role costs. A report has several hundred series, many of which measure the same
+//! thing in another run, for another cause or over another size. Rows are left out by rule, never because of
+//! their value.
 
 use super::comparison::HOLLOW_RUN;
 use super::rows::{Measure, Row};
@@ -12,9 +13,9 @@
     rows.iter().filter(|row| is_on_page(row, rows)).cloned().collect()
 }
 
-/// The rows that are compared with their budgets. The run of hollow gateways at the sizes of the processes is not: it exists
-/// for the comparison with the processes only, and its many gateways in one process contend for caches, which the gateways
-/// of a fleet do not.
+/// The rows that are compared with their budgets. The run of hollow gateways at the sizes of the processes is
+/// not: it exists for the comparison with the processes only, and its many gateways in one process contend
+/// for caches, which the gateways of a fleet do not.
 pub(super) fn rows_with_verdict<'a>(rows: &[Row<'a>]) -> Vec<Row<'a>> {
     rows.iter().filter(|row| row.run.id != HOLLOW_RUN).cloned().collect()
 }
@@ -47,8 +48,8 @@
     is_allocations || is_count_of_a_call || is_over_other_gateways || is_over_list_bytes
 }
 
-/// Whether the same run has the sum over all causes, and the row's cause is not one that the requirements ask for
-/// separately (list, configuration and tests of core switches).
+/// Whether the same run has the sum over all causes, and the row's cause is not one that the requirements ask
+/// for separately (list, configuration and tests of core switches).
 fn is_part_of_a_sum(row: &Row<'_>, rows: &[Row<'_>]) -> bool {
     let is_required_separately =
         matches!(row.cause, Cause::All | Cause::List | Cause::Configuration | Cause::Probes);
@@ -57,8 +58,9 @@
     !is_required_separately && rows.iter().any(|other| is_sum(&other))
 }
 
-/// Whether another run measured the same figure up to a greater size, or up to the same size and comes earlier in the
-/// report. Processor time depends on what a run holds fixed, so that its rows are kept for all runs.
+/// Whether another run measured the same figure up to a greater size, or up to the same size and comes
+/// earlier in the report. Processor time depends on what a run holds fixed, so that its rows are kept for all
+/// runs.
 fn is_superseded(row: &Row<'_>, rows: &[Row<'_>]) -> bool {
     if row.measure == Measure::One(Quantity::ProcessorMicroseconds) {
         return false;
--- a/crates/fawnrouter-capacity/src/page/situations.rs
+++ b/crates/fawnrouter-capacity/src/page/situations.rs
@@ -11,7 +11,8 @@
 pub(super) fn section(rows: &[Row<'_>]) -> String {
     let table = by_role_and_situation(|role, situation| cell(role, situation, rows));
     format!(
-        "## Situations by role\n\nThe greatest ratio to a budget, at the harder reading, and its run.\n\n{table}"
+        "## Situations by role\n\nThe greatest ratio to a budget, at the harder reading, and its \
+         run.\n\n{table}"
     )
 }
 
--- a/crates/fawnrouter-capacity/src/plan.rs
+++ b/crates/fawnrouter-capacity/src/plan.rs
@@ -1,5 +1,5 @@
-//! The load on a fleet while it is measured: calls and faults, drawn from a seed. The simulation of hollow gateways and
-//! the testbed of gateway processes both use these plans.
+//! The load on a fleet while it is measured: calls and faults, drawn from a seed. The simulation of hollow
+//! gateways and the testbed of gateway processes both use these plans.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -53,8 +53,8 @@
 }
 
 impl TrafficPlan {
-    /// All calls, ordered by time. The calls of a gateway do not depend on the number of other gateways; only their tags
-    /// may differ.
+    /// All calls, ordered by time. The calls of a gateway do not depend on the number of other gateways; only
+    /// their tags may differ.
     #[must_use]
     pub fn calls(&self) -> Vec<PlannedCall> {
         let mut calls = Vec::new();
@@ -75,8 +75,8 @@
         random.set_stream(u64::from(gateway));
         let mut at = Duration::ZERO;
         loop {
-            // Exponential inter-arrival time by inverse transform sampling; 1 - random is above 0, so the logarithm is
-            // finite.
+            // Exponential inter-arrival time by inverse transform sampling; 1 - random is above 0, so the
+            // logarithm is finite.
             let gap = -(1.0 - random.random::<f64>()).ln() / self.calls_per_second;
             at += Duration::from_secs_f64(gap.min(end.as_secs_f64()));
             if at >= end {
@@ -92,7 +92,8 @@
 }
 
 impl PlannedCall {
-    /// The set-up message that the caller sends. The preferred pool is one of the `cells`, uniformly distributed.
+    /// The set-up message that the caller sends. The preferred pool is one of the `cells`, uniformly
+    /// distributed.
     #[must_use]
     pub fn set_up_message(&self, cells: u32) -> Message {
         let cell = self.tag % u64::from(cells.max(1));
@@ -123,8 +124,8 @@
     Message::new(Verb::Echoed, Tag(tag)).with_cause(CAUSE_TEST_PASSED)
 }
 
-/// The message with which a caller tells a gateway, which may not know the call, that the call is already established at
-/// a core switch.
+/// The message with which a caller tells a gateway, which may not know the call, that the call is already
+/// established at a core switch.
 #[must_use]
 pub fn existing_call_notice(tag: u64, switch: &str) -> Message {
     Message::new(Verb::Start, Tag(tag)).with_option("extras", format_args!("at:{switch}"))
--- a/crates/fawnrouter-capacity/src/platform.rs
+++ b/crates/fawnrouter-capacity/src/platform.rs
@@ -1,7 +1,8 @@
-//! What the platform gives a gateway: the encoded answers of its name server, and the gateway's configuration.
+//! What the platform gives a gateway: the encoded answers of its name server, and the gateway's
+//! configuration.
 //!
-//! The simulation of hollow gateways and the testbed of gateway processes both use this module, so that both kinds of
-//! gateway get the same input.
+//! The simulation of hollow gateways and the testbed of gateway processes both use this module, so that both
+//! kinds of gateway get the same input.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -23,7 +24,8 @@
 const CLASS_IN: u16 = 1;
 /// How long a record may be cached, in seconds.
 const TIME_TO_LIVE_SECONDS: u32 = 5;
-/// The most core switches in one answer: each has two records in the additional section, whose count has 16 bits.
+/// The most core switches in one answer: each has two records in the additional section, whose count has 16
+/// bits.
 const MAX_LISTED_SWITCHES: usize = (u16::MAX / 2) as usize;
 /// SRV priority of a core switch that takes calls.
 const PRIORITY_READY: u16 = 0;
@@ -65,8 +67,8 @@
 }
 
 impl MessageWriter {
-    /// Starts an answer from the bytes of the question, whose id it keeps and whose name is the first pointer target.
-    /// The counts are those of the answer, authority and additional sections.
+    /// Starts an answer from the bytes of the question, whose id it keeps and whose name is the first pointer
+    /// target. The counts are those of the answer, authority and additional sections.
     fn answering(question: &[u8], record_counts: [u16; 3]) -> Self {
         let mut bytes = question.to_vec();
         bytes[2..4].copy_from_slice(&AUTHORITATIVE_ANSWER);
@@ -123,8 +125,8 @@
         self.bytes.push(0);
     }
 
-    /// Writes a label or a character string of a TXT record: a length byte and the bytes, of which there are at most 63
-    /// or 255.
+    /// Writes a label or a character string of a TXT record: a length byte and the bytes, of which there are
+    /// at most 63 or 255.
     fn write_character_string(&mut self, text: &[u8]) {
         let length = u8::try_from(text.len()).unwrap_or(u8::MAX);
         self.bytes.push(length);
@@ -183,9 +185,10 @@
     }
 }
 
-/// Encodes the name server's answer to a query made by [`fawnrouter_dns::query`]: the whole list (RFC 1035 §4.1), with
-/// names compressed as far as pointers reach (§4.1.4). Bytes that are too short to be a query get an empty answer. Core
-/// switches beyond the number that the message's record counts can hold are left out with all their records.
+/// Encodes the name server's answer to a query made by [`fawnrouter_dns::query`]: the whole list (RFC 1035
+/// §4.1), with names compressed as far as pointers reach (§4.1.4). Bytes that are too short to be a query get
+/// an empty answer. Core switches beyond the number that the message's record counts can hold are left out
+/// with all their records.
 #[must_use]
 pub fn encode_list_answer(query: &[u8], serial: u32, switches: &[ListedSwitch]) -> Vec<u8> {
     if query.len() <= HEADER_BYTES {
--- a/crates/fawnrouter-capacity/src/process.rs
+++ b/crates/fawnrouter-capacity/src/process.rs
@@ -1,10 +1,11 @@
-//! A testbed of gateway processes on loopback: measures the program itself and, for comparison, hollow gateways under the
-//! same load.
+//! A testbed of gateway processes on loopback: measures the program itself and, for comparison, hollow
+//! gateways under the same load.
 //!
-//! Each gateway is a `fawnrouter node` process with a loopback address of its own. Stand-ins for core switches, the name
-//! server and callers run in threads of the measuring process. They follow the same plan as the simulation of hollow
-//! gateways, in real time, and count each line and datagram. Processor time, memory and file descriptors are read from
-//! `/proc`. Dropping a handle ends its process, so no process outlives a measurement, however that ends.
+//! Each gateway is a `fawnrouter node` process with a loopback address of its own. Stand-ins for core
+//! switches, the name server and callers run in threads of the measuring process. They follow the same plan
+//! as the simulation of hollow gateways, in real time, and count each line and datagram. Processor time,
+//! memory and file descriptors are read from `/proc`. Dropping a handle ends its process, so no process
+//! outlives a measurement, however that ends.
 //!
 //! | module | what it does |
 //! | --- | --- |
@@ -55,22 +56,24 @@
 const CALLS_PER_SECOND: f64 = 40.0;
 /// The fleet size that is measured at several call rates.
 const GATEWAYS_FOR_RATES: u32 = 30;
-/// Further call rates at that size, in calls a second at each gateway, and for how many seconds calls arrive. The series
-/// over rates also has the fleet of this size at [`CALLS_PER_SECOND`].
+/// Further call rates at that size, in calls a second at each gateway, and for how many seconds calls arrive.
+/// The series over rates also has the fleet of this size at [`CALLS_PER_SECOND`].
 const OTHER_RATES: [(f64, u64); 3] = [(20.0, 5), (80.0, 5), (152.0, 10)];
 /// For how many seconds calls arrive.
 const CALL_SECONDS: u64 = 10;
 const CALL_SECONDS_QUICK: u64 = 4;
-/// How long a call stays established. This is less than the 2 s of silence after which a gateway tests a core switch that
-/// holds calls: with 2 s, release and test would race, and microseconds would decide the number of tests.
+/// How long a call stays established. This is less than the 2 s of silence after which a gateway tests a core
+/// switch that holds calls: with 2 s, release and test would race, and microseconds would decide the number
+/// of tests.
 const HOLD_TIME: Duration = Duration::from_millis(1500);
 /// Time after the last set-up in which the last calls end.
 const DRAIN_TIME: Duration = Duration::from_secs(2);
 /// Measured time without calls, after all calls have ended.
 const QUIET_TIME: Duration = Duration::from_secs(2);
 const QUIET_TIME_QUICK: Duration = Duration::from_secs(1);
-/// Call rates at which the delay of a hop is measured, in calls a second at the gateway, and for how many seconds calls
-/// arrive: the design rate if every call passes one gateway, and if every call passes as many as it can.
+/// Call rates at which the delay of a hop is measured, in calls a second at the gateway, and for how many
+/// seconds calls arrive: the design rate if every call passes one gateway, and if every call passes as many
+/// as it can.
 const HOP_RATES: [(f64, u64); 2] = [(152.0, 12), (4240.0, 8)];
 const HOP_SECONDS_QUICK: u64 = 2;
 
@@ -84,7 +87,8 @@
     pub quick: bool,
     /// Report only the costs of this role.
     pub only: Option<Role>,
-    /// The counting allocator, if the program has installed it; without it there are no memory figures of hollow gateways.
+    /// The counting allocator, if the program has installed it; without it there are no memory figures of
+    /// hollow gateways.
     pub allocator: Option<Allocator>,
     /// Set by another thread or a signal handler to abort the measurement.
     pub stop: &'a AtomicBool,
@@ -231,7 +235,8 @@
     }
 }
 
-/// The id of the run without a gateway. At the highest rate the id has no rate in it: the capacity page cites that one.
+/// The id of the run without a gateway. At the highest rate the id has no rate in it: the capacity page cites
+/// that one.
 fn baseline_id(rate: f64) -> String {
     let is_highest = HOP_RATES.iter().all(|(other, _)| *other <= rate);
     if is_highest { "processes-hop-baseline".to_owned() } else { format!("processes-hop-baseline-{rate}") }
@@ -262,16 +267,16 @@
         let descriptors = measurement.during_calls.descriptors as f64 / f64::from(*gateways);
         let (planned, unanswered) = (measurement.planned_calls, measurement.call_outcomes.unanswered);
         format!(
-            "{gateways} gateways at {rate} calls/s for {seconds} s ({planned} calls, {unanswered} of them refused or \
-             failed; {descriptors:.1} descriptors a gateway)"
+            "{gateways} gateways at {rate} calls/s for {seconds} s ({planned} calls, {unanswered} of them \
+             refused or failed; {descriptors:.1} descriptors a gateway)"
         )
     });
     let fleets: Vec<String> = fleets.collect();
     format!(
-        "`fawnrouter node` on loopback, {SWITCHES} core switches, calls held {} s and answered in 20 ms, so that no core switch \
-         is silent for long enough to be tested: {}; counted from the first call until {} s after the last, the list in the \
-         {} s behind that; processor time is the process's in user and kernel mode, of calls what exceeds that of the quiet time; \
-         memory is resident memory",
+        "`fawnrouter node` on loopback, {SWITCHES} core switches, calls held {} s and answered in 20 ms, so \
+         that no core switch is silent for long enough to be tested: {}; counted from the first call until \
+         {} s after the last, the list in the {} s behind that; processor time is the process's in user and \
+         kernel mode, of calls what exceeds that of the quiet time; memory is resident memory",
         HOLD_TIME.as_secs_f64(),
         fleets.join(", "),
         DRAIN_TIME.as_secs(),
@@ -281,8 +286,8 @@
 
 /// The fixed parameters of the hollow run, as the report stores them.
 fn hollow_setting() -> String {
-    "the plans of processes-gateways and processes-rate played by hollow gateways; processor time a second is that of call \
-     path and control together, as of a process; memory is what the state machines hold"
+    "the plans of processes-gateways and processes-rate played by hollow gateways; processor time a second \
+     is that of call path and control together, as of a process; memory is what the state machines hold"
         .to_owned()
 }
 
@@ -298,14 +303,16 @@
     let answered = ended.released;
     let path = match processor_microseconds_per_call {
         Some(microseconds) => format!(
-            "through one `fawnrouter node` that sees {SWITCHES} core switches ({microseconds:.1} us of processor time a call)"
+            "through one `fawnrouter node` that sees {SWITCHES} core switches ({microseconds:.1} us of \
+             processor time a call)"
         ),
         None => "from callers straight to a core switch: what the stand-ins and loopback add by themselves"
             .to_owned(),
     };
     format!(
-        "{path}; {} calls/s planned for {} s, {sent_per_second:.0} calls/s sent, {answered} of {planned} calls answered; a delay \
-         is that of the set-up and that of the answer, to the stand-in's reading, without the core switch's time",
+        "{path}; {} calls/s planned for {} s, {sent_per_second:.0} calls/s sent, {answered} of {planned} \
+         calls answered; a delay is that of the set-up and that of the answer, to the stand-in's reading, \
+         without the core switch's time",
         plan.calls_per_second, plan.seconds
     )
 }
--- a/crates/fawnrouter-capacity/src/process/callers.rs
+++ b/crates/fawnrouter-capacity/src/process/callers.rs
@@ -1,4 +1,5 @@
-//! Stand-in callers: they send set-ups at the times of a plan, independent of the outcome of earlier calls (open loop).
+//! Stand-in callers: they send set-ups at the times of a plan, independent of the outcome of earlier calls
+//! (open loop).
 
 use std::collections::BTreeSet;
 use std::io::{self, Write};
@@ -150,8 +151,8 @@
     }
 }
 
-/// Opens a caller's connection and sends a test on it: a gateway closes connections on which no whole message arrives in
-/// time.
+/// Opens a caller's connection and sends a test on it: a gateway closes connections on which no whole message
+/// arrives in time.
 pub(super) fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let mut stream = TcpStream::connect(address)?;
     stream.set_nodelay(true)?;
--- a/crates/fawnrouter-capacity/src/process/error.rs
+++ b/crates/fawnrouter-capacity/src/process/error.rs
@@ -13,8 +13,8 @@
 pub enum ProcessError {
     /// The gateway's program does not exist.
     #[error(
-        "{}: does not exist; build the gateway with `cargo build --release -p fawnrouterd`, name it with `--program PATH`, \
-         or measure without it with `--no-processes`",
+        "{}: does not exist; build the gateway with `cargo build --release -p fawnrouterd`, name it with \
+         `--program PATH`, or measure without it with `--no-processes`",
         program.display()
     )]
     ProgramMissing {
@@ -22,7 +22,10 @@
         program: PathBuf,
     },
     /// The gateway's program cannot be started.
-    #[error("{}: cannot be started: {source}; `--program` must name the built `fawnrouter`", program.display())]
+    #[error(
+        "{}: cannot be started: {source}; `--program` must name the built `fawnrouter`",
+        program.display()
+    )]
     SpawnFailed {
         /// The program.
         program: PathBuf,
@@ -31,7 +34,8 @@
     },
     /// A gateway exited during the measurement.
     #[error(
-        "gateway {name} exited ({status}); its log ends with {last_line:?}; remove the cause and measure again"
+        "gateway {name} exited ({status}); its log ends with {last_line:?}; remove the cause and measure \
+         again"
     )]
     GatewayExited {
         /// Name of the gateway.
@@ -43,7 +47,8 @@
     },
     /// Gateways did not become ready in time.
     #[error(
-        "{missing} within {} s; stop other work on this machine and measure again, or look at the gateways' logs",
+        "{missing} within {} s; stop other work on this machine and measure again, or look at the gateways' \
+         logs",
         waited.as_secs()
     )]
     NotReady {
@@ -54,8 +59,8 @@
     },
     /// Not all calls ended in time.
     #[error(
-        "{ended} of {planned} calls had ended {} s after the last was due; stop other work on this machine and measure \
-         again",
+        "{ended} of {planned} calls had ended {} s after the last was due; stop other work on this machine \
+         and measure again",
         waited.as_secs()
     )]
     CallsUnfinished {
@@ -68,8 +73,8 @@
     },
     /// The stand-ins need more file descriptors than this process may have open.
     #[error(
-        "the stand-ins need {needed} descriptors and this process may have {limit}; raise the limit of open files in the \
-         shell that starts it, or measure with `--quick` or `--no-processes`"
+        "the stand-ins need {needed} descriptors and this process may have {limit}; raise the limit of open \
+         files in the shell that starts it, or measure with `--quick` or `--no-processes`"
     )]
     TooFewDescriptors {
         /// The number that is needed.
@@ -89,8 +94,8 @@
     },
     /// The connection of a caller broke.
     #[error(
-        "the connection of the caller to gateway {gateway} broke: {source}; check whether the gateway still runs and \
-         measure again"
+        "the connection of the caller to gateway {gateway} broke: {source}; check whether the gateway still \
+         runs and measure again"
     )]
     CallerConnection {
         /// Number of the gateway, from 0.
--- a/crates/fawnrouter-capacity/src/process/event_loop.rs
+++ b/crates/fawnrouter-capacity/src/process/event_loop.rs
@@ -1,7 +1,8 @@
-//! The thread that serves the connections of a stand-in: it reads messages and writes replies at once or after a delay.
+//! The thread that serves the connections of a stand-in: it reads messages and writes replies at once or
+//! after a delay.
 //!
-//! Sockets are in blocking mode. A connection is read only when it is readable, and writes are short compared to the
-//! kernel's send buffer, so they do not block as long as the peer reads, which gateways do.
+//! Sockets are in blocking mode. A connection is read only when it is readable, and writes are short compared
+//! to the kernel's send buffer, so they do not block as long as the peer reads, which gateways do.
 
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
@@ -43,7 +44,8 @@
     fn on_open(&mut self);
     /// A connection ended.
     fn on_close(&mut self);
-    /// A message arrived on a connection, as a line of this many bytes. Replies to it are pushed to `replies`.
+    /// A message arrived on a connection, as a line of this many bytes. Replies to it are pushed to
+    /// `replies`.
     fn on_message(&mut self, connection: u64, message: &Message, bytes: usize, replies: &mut Vec<Reply>);
     /// Whether a reply whose delay has passed is still to be written.
     fn is_still_due(&mut self, connection: u64, message: &Message) -> bool;
--- a/crates/fawnrouter-capacity/src/process/fleet.rs
+++ b/crates/fawnrouter-capacity/src/process/fleet.rs
@@ -27,8 +27,8 @@
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// How long calls may take to end after the last set-up was due.
 pub(super) const CALLS_END_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time between the gateways' readiness and the first call, about the same as for hollow gateways: a gateway treats a core
-/// switch that has been silent for seconds differently once a call is established there.
+/// Time between the gateways' readiness and the first call, about the same as for hollow gateways: a gateway
+/// treats a core switch that has been silent for seconds differently once a call is established there.
 const IDLE_BEFORE_CALLS: Duration = Duration::from_millis(800);
 /// Interval between attempts to connect to a gateway that is starting.
 const CONNECT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
@@ -36,8 +36,8 @@
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Descriptors that the measuring process needs beside the stand-ins' connections and listeners.
 const OTHER_DESCRIPTORS: u64 = 64;
-/// Connections from one gateway to one core switch for which descriptors are needed: one, and one more when two set-ups
-/// share it.
+/// Connections from one gateway to one core switch for which descriptors are needed: one, and one more when
+/// two set-ups share it.
 const MAX_CONNECTIONS_TO_A_SWITCH: u64 = 2;
 
 /// The program that is measured, and settings of all measurements.
@@ -47,7 +47,8 @@
     pub program: &'a Path,
     /// Seed of all random choices.
     pub seed: u64,
-    /// Set by another thread or a signal handler to abort the measurement; all gateway processes are ended then.
+    /// Set by another thread or a signal handler to abort the measurement; all gateway processes are ended
+    /// then.
     pub stop: &'a AtomicBool,
 }
 
@@ -119,8 +120,8 @@
     })
 }
 
-/// Gateways that are ready, with their stand-ins. The fields are dropped in the order of their declaration: callers and
-/// gateways before the stand-ins that gateways connect to.
+/// Gateways that are ready, with their stand-ins. The fields are dropped in the order of their declaration:
+/// callers and gateways before the stand-ins that gateways connect to.
 #[derive(Debug)]
 pub(super) struct Fleet<'a> {
     callers: Callers,
@@ -142,8 +143,8 @@
 }
 
 impl<'a> Fleet<'a> {
-    /// Starts stand-ins and gateways, and waits until every gateway has passed a test, is connected to all core switches
-    /// and has queried the list.
+    /// Starts stand-ins and gateways, and waits until every gateway has passed a test, is connected to all
+    /// core switches and has queried the list.
     pub fn start(
         scenario: &Scenario,
         timestamps: Option<Arc<CallTimestamps>>,
@@ -281,8 +282,8 @@
     if program.is_file() { Ok(()) } else { Err(ProcessError::ProgramMissing { program: program.to_owned() }) }
 }
 
-/// Checks that this process may open the descriptors that the stand-ins need. It only reads the limit: one that is too low
-/// is an error and is not raised.
+/// Checks that this process may open the descriptors that the stand-ins need. It only reads the limit: one
+/// that is too low is an error and is not raised.
 fn check_descriptor_limit(scenario: &Scenario) -> Result<(), ProcessError> {
     let [gateways, switches] = [scenario.gateways, scenario.switches].map(u64::from);
     // Each connection of a caller has a descriptor for writing and one for reading.
--- a/crates/fawnrouter-capacity/src/process/gateway.rs
+++ b/crates/fawnrouter-capacity/src/process/gateway.rs
@@ -18,12 +18,12 @@
 const FIRST_ADDRESS: u32 = Ipv4Addr::new(127, 1, 0, 0).to_bits();
 /// Loopback addresses for the gateways of one measuring process.
 const ADDRESSES_PER_PROCESS: u32 = 256;
-/// Number of address ranges. Measuring processes that run at the same time have different ranges if their process ids
-/// differ modulo this number.
+/// Number of address ranges. Measuring processes that run at the same time have different ranges if their
+/// process ids differ modulo this number.
 const ADDRESS_RANGES: u32 = 60_000;
 
-/// An address for the next gateway. The range depends on the process id, so that measuring processes that run at the same
-/// time do not use the same addresses.
+/// An address for the next gateway. The range depends on the process id, so that measuring processes that run
+/// at the same time do not use the same addresses.
 pub(super) fn next_gateway_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let index = NEXT.fetch_add(1, Ordering::Relaxed) % ADDRESSES_PER_PROCESS;
--- a/crates/fawnrouter-capacity/src/process/hop.rs
+++ b/crates/fawnrouter-capacity/src/process/hop.rs
@@ -1,4 +1,5 @@
-//! The delay that one gateway adds to a call, and the baseline that the stand-ins and loopback add by themselves.
+//! The delay that one gateway adds to a call, and the baseline that the stand-ins and loopback add by
+//! themselves.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -18,8 +19,8 @@
 const MIN_DELAY_NANOSECONDS: u64 = 1;
 const MAX_DELAY_NANOSECONDS: u64 = 10_000_000_000;
 const RECORDED_DIGITS: u8 = 3;
-/// Significant digits of the buckets in the report. They are wider, so that the report stays small: some hundred buckets,
-/// each with an error of less than 1%.
+/// Significant digits of the buckets in the report. They are wider, so that the report stays small: some
+/// hundred buckets, each with an error of less than 1%.
 const REPORTED_DIGITS: u8 = 2;
 /// How long a call stays established.
 const HOLD_TIME: Duration = Duration::from_secs(1);
--- a/crates/fawnrouter-capacity/src/process/line_counts.rs
+++ b/crates/fawnrouter-capacity/src/process/line_counts.rs
@@ -16,8 +16,8 @@
 }
 
 impl LineReader {
-    /// Adds received bytes and calls `handle` for each message that is complete by now, with the length of its line in
-    /// bytes, line end included.
+    /// Adds received bytes and calls `handle` for each message that is complete by now, with the length of
+    /// its line in bytes, line end included.
     ///
     /// # Errors
     /// Where a line is not a message. Nothing after it can be read.
--- a/crates/fawnrouter-capacity/src/process/series.rs
+++ b/crates/fawnrouter-capacity/src/process/series.rs
@@ -1,4 +1,5 @@
-//! Turns measurements of gateway processes and of hollow gateways into series, with the same definitions for both.
+//! Turns measurements of gateway processes and of hollow gateways into series, with the same definitions for
+//! both.
 
 use crate::figures::{Cause, Per, Point, Quantity, Role, Series, Situation, Size};
 use crate::hollow::{ByVerb, Outcome, Scenario, Volume};
@@ -41,21 +42,21 @@
     }
 }
 
-const CALLS_OF_A_GATEWAY: Flow = Flow::ordinary_day(Role::GatewayCalls, Cause::Calls, Per::Call);
-const SECONDS_OF_A_GATEWAY: Flow = Flow::ordinary_day(Role::GatewayCalls, Cause::All, Per::Second);
-const CALLS_OF_A_SWITCH: Flow = Flow::ordinary_day(Role::CoreSwitch, Cause::Calls, Per::Second);
-const TESTS_OF_A_SWITCH: Flow = Flow::ordinary_day(Role::CoreSwitch, Cause::Probes, Per::Second);
-const SECONDS_OF_A_SWITCH: Flow = Flow::ordinary_day(Role::CoreSwitch, Cause::All, Per::Second);
-const LIST_OF_A_GATEWAY: Flow = Flow::list_polling(Role::GatewayControl);
-const LIST_OF_THE_SOURCE: Flow = Flow::list_polling(Role::ListSource);
+const GATEWAY_CALL_FLOW: Flow = Flow::ordinary_day(Role::GatewayCalls, Cause::Calls, Per::Call);
+const GATEWAY_TOTAL_FLOW: Flow = Flow::ordinary_day(Role::GatewayCalls, Cause::All, Per::Second);
+const SWITCH_CALL_FLOW: Flow = Flow::ordinary_day(Role::CoreSwitch, Cause::Calls, Per::Second);
+const SWITCH_TEST_FLOW: Flow = Flow::ordinary_day(Role::CoreSwitch, Cause::Probes, Per::Second);
+const SWITCH_TOTAL_FLOW: Flow = Flow::ordinary_day(Role::CoreSwitch, Cause::All, Per::Second);
+const GATEWAY_LIST_FLOW: Flow = Flow::list_polling(Role::GatewayControl);
+const SOURCE_LIST_FLOW: Flow = Flow::list_polling(Role::ListSource);
 const FLOWS: [Flow; 7] = [
-    CALLS_OF_A_GATEWAY,
-    SECONDS_OF_A_GATEWAY,
-    CALLS_OF_A_SWITCH,
-    TESTS_OF_A_SWITCH,
-    SECONDS_OF_A_SWITCH,
-    LIST_OF_A_GATEWAY,
-    LIST_OF_THE_SOURCE,
+    GATEWAY_CALL_FLOW,
+    GATEWAY_TOTAL_FLOW,
+    SWITCH_CALL_FLOW,
+    SWITCH_TEST_FLOW,
+    SWITCH_TOTAL_FLOW,
+    GATEWAY_LIST_FLOW,
+    SOURCE_LIST_FLOW,
 ];
 /// The quantities of each flow, in the order of [`Figures::add_flow`].
 const FLOW_QUANTITIES: [Quantity; 4] =
@@ -66,9 +67,9 @@
     FigureKind { role, situation: Situation::OrdinaryDay, cause: Cause::All, quantity, per: Per::Held }
 }
 
-const CONNECTIONS_OF_A_GATEWAY: FigureKind = held(Role::GatewayCalls, Quantity::Connections);
-const MEMORY_OF_A_GATEWAY: FigureKind = held(Role::GatewayCalls, Quantity::MemoryBytes);
-const CONNECTIONS_OF_A_SWITCH: FigureKind = held(Role::CoreSwitch, Quantity::Connections);
+const GATEWAY_CONNECTIONS: FigureKind = held(Role::GatewayCalls, Quantity::Connections);
+const GATEWAY_MEMORY: FigureKind = held(Role::GatewayCalls, Quantity::MemoryBytes);
+const SWITCH_CONNECTIONS: FigureKind = held(Role::CoreSwitch, Quantity::Connections);
 
 const fn processor_time(role: Role, situation: Situation, cause: Cause, per: Per) -> FigureKind {
     FigureKind { role, situation, cause, quantity: Quantity::ProcessorMicroseconds, per }
@@ -126,9 +127,9 @@
     figures.add(PROCESSOR_PER_SECOND, Some(busy_rate / gateways));
     figures.add(PROCESSOR_PER_QUIET_SECOND, Some(quiet_rate / gateways));
     let connections = busy.caller_connections + busy.switch_connections;
-    figures.add(CONNECTIONS_OF_A_GATEWAY, Some(connections as f64 / gateways));
-    figures.add(CONNECTIONS_OF_A_SWITCH, Some(busy.switch_connections as f64 / switches));
-    figures.add(MEMORY_OF_A_GATEWAY, Some(busy.resident_bytes as f64 / gateways));
+    figures.add(GATEWAY_CONNECTIONS, Some(connections as f64 / gateways));
+    figures.add(SWITCH_CONNECTIONS, Some(busy.switch_connections as f64 / switches));
+    figures.add(GATEWAY_MEMORY, Some(busy.resident_bytes as f64 / gateways));
     figures
 }
 
@@ -141,20 +142,16 @@
     let (quiet, busy) = (&measurement.after_calls, &measurement.during_calls);
     let [quiet_seconds, busy_seconds] = [quiet, busy].map(|window| window.duration.as_secs_f64());
     let calls = gateway_volumes(busy, call_volume);
-    figures.add_flow(CALLS_OF_A_GATEWAY, calls, measurement.planned_calls as f64);
-    figures.add_flow(
-        SECONDS_OF_A_GATEWAY,
-        gateway_volumes(busy, |lines| lines.all()),
-        gateways * busy_seconds,
-    );
+    figures.add_flow(GATEWAY_CALL_FLOW, calls, measurement.planned_calls as f64);
+    figures.add_flow(GATEWAY_TOTAL_FLOW, gateway_volumes(busy, |lines| lines.all()), gateways * busy_seconds);
     let switch_seconds = switches * busy_seconds;
-    figures.add_flow(CALLS_OF_A_SWITCH, switch_volumes(busy, call_volume), switch_seconds);
-    figures.add_flow(TESTS_OF_A_SWITCH, switch_volumes(busy, test_volume), switch_seconds);
-    figures.add_flow(SECONDS_OF_A_SWITCH, switch_volumes(busy, |lines| lines.all()), switch_seconds);
+    figures.add_flow(SWITCH_CALL_FLOW, switch_volumes(busy, call_volume), switch_seconds);
+    figures.add_flow(SWITCH_TEST_FLOW, switch_volumes(busy, test_volume), switch_seconds);
+    figures.add_flow(SWITCH_TOTAL_FLOW, switch_volumes(busy, |lines| lines.all()), switch_seconds);
     let of_gateway = TrafficVolumes { received: quiet.list_answers, sent: quiet.list_queries };
-    figures.add_flow(LIST_OF_A_GATEWAY, of_gateway, gateways * quiet_seconds);
+    figures.add_flow(GATEWAY_LIST_FLOW, of_gateway, gateways * quiet_seconds);
     let of_source = TrafficVolumes { received: quiet.list_queries, sent: quiet.list_answers };
-    figures.add_flow(LIST_OF_THE_SOURCE, of_source, quiet_seconds);
+    figures.add_flow(SOURCE_LIST_FLOW, of_source, quiet_seconds);
 }
 
 fn gateway_volumes(window: &Observation, volume: impl Fn(&ByVerb) -> Volume) -> TrafficVolumes {
@@ -188,7 +185,7 @@
     figures.add(PROCESSOR_PER_CALL, hollow_figure(busy, PROCESSOR_PER_CALL));
     figures.add(PROCESSOR_PER_SECOND, processor_per_second(busy));
     figures.add(PROCESSOR_PER_QUIET_SECOND, processor_per_second(quiet));
-    for kind in [CONNECTIONS_OF_A_GATEWAY, CONNECTIONS_OF_A_SWITCH, MEMORY_OF_A_GATEWAY] {
+    for kind in [GATEWAY_CONNECTIONS, SWITCH_CONNECTIONS, GATEWAY_MEMORY] {
         figures.add(kind, busy.role(kind.role).held(kind.quantity));
     }
     figures
@@ -201,7 +198,8 @@
     }
 }
 
-/// The sum over call path and control: a process runs both, and its processor time cannot be told apart by role.
+/// The sum over call path and control: a process runs both, and its processor time cannot be told apart by
+/// role.
 fn processor_per_second(outcome: &Outcome) -> Option<f64> {
     let per_second = |role| outcome.a_second(role, Cause::All, Quantity::ProcessorMicroseconds);
     Some(per_second(Role::GatewayCalls)? + per_second(Role::GatewayControl)?)
--- a/crates/fawnrouter-capacity/src/process/switches.rs
+++ b/crates/fawnrouter-capacity/src/process/switches.rs
@@ -1,4 +1,5 @@
-//! Stand-in core switches: they answer each set-up after a delay, release the call after the hold time, and pass all tests.
+//! Stand-in core switches: they answer each set-up after a delay, release the call after the hold time, and
+//! pass all tests.
 
 use std::collections::BTreeSet;
 use std::io;
--- a/crates/fawnrouter-capacity/src/process/timestamps.rs
+++ b/crates/fawnrouter-capacity/src/process/timestamps.rs
@@ -1,4 +1,5 @@
-//! Timestamps of calls that pass one hop: when set-up and answer were sent and received on either side of the gateway.
+//! Timestamps of calls that pass one hop: when set-up and answer were sent and received on either side of the
+//! gateway.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -56,8 +57,8 @@
         }
     }
 
-    /// The delay that the hop added to each answered call: that of the set-up plus that of the answer, without the time
-    /// that the core switch took to answer.
+    /// The delay that the hop added to each answered call: that of the set-up plus that of the answer,
+    /// without the time that the core switch took to answer.
     pub fn delays(&self) -> impl Iterator<Item = Duration> {
         self.times.iter().filter_map(hop_delay)
     }
--- a/crates/fawnrouter-capacity/src/process/usage.rs
+++ b/crates/fawnrouter-capacity/src/process/usage.rs
@@ -15,7 +15,10 @@
 #[non_exhaustive]
 pub enum UsageError {
     /// A file cannot be read.
-    #[error("{}: cannot be read: {source}; the process may have ended, or /proc is not mounted", file.display())]
+    #[error(
+        "{}: cannot be read: {source}; the process may have ended, or /proc is not mounted",
+        file.display()
+    )]
     Unreadable {
         /// The file.
         file: PathBuf,
@@ -23,7 +26,10 @@
         source: io::Error,
     },
     /// A file does not have the format of the manual page.
-    #[error("{}: is not of the form that proc(5) describes; the processes can be measured on Linux only", file.display())]
+    #[error(
+        "{}: does not have the format that proc(5) describes; processes can be measured on Linux only",
+        file.display()
+    )]
     Malformed {
         /// The file.
         file: PathBuf,
@@ -59,7 +65,8 @@
     }
 }
 
-/// The processor time of all threads, in nanoseconds, or in clock ticks where the kernel provides no `schedstat`.
+/// The processor time of all threads, at a resolution of nanoseconds, or of clock ticks where the kernel
+/// provides no `schedstat`.
 fn processor_time(directory: &Path) -> Result<Duration, UsageError> {
     let mut sum = Duration::ZERO;
     for thread in directory_entries(&directory.join("task"))? {
@@ -96,8 +103,9 @@
     (fields.count() == 2).then(|| Duration::from_nanos(nanoseconds))
 }
 
-/// Reads the time that a process ran in user and kernel mode from its `stat`. The program's name, in parentheses, may
-/// itself contain blanks and parentheses, so that fields are counted from the last closing parenthesis.
+/// Reads the time that a process ran in user and kernel mode from its `stat`. The program's name, in
+/// parentheses, may itself contain blanks and parentheses, so that fields are counted from the last closing
+/// parenthesis.
 #[must_use]
 pub fn parse_stat_time(text: &str) -> Option<Duration> {
     let (_, after_name) = text.rsplit_once(')')?;
--- a/crates/fawnrouter-capacity/src/process/watched.rs
+++ b/crates/fawnrouter-capacity/src/process/watched.rs
@@ -41,8 +41,8 @@
         true
     }
 
-    /// Locks the value. A poisoned lock is accepted: each change is one statement, so a thread that panicked leaves
-    /// consistent counts.
+    /// Locks the value. A poisoned lock is accepted: each change is one statement, so a thread that panicked
+    /// leaves consistent counts.
     fn lock(&self) -> MutexGuard<'_, T> {
         self.value.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/fawnrouter-capacity/tests/page.rs
+++ b/crates/fawnrouter-capacity/tests/page.rs
@@ -1,5 +1,5 @@
-//! Tests that the committed capacity page agrees with the committed report, and that the tables of constructed reports are
-//! as expected.
+//! Tests that the committed capacity page agrees with the committed report, and that the tables of
+//! constructed reports are as expected.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -331,7 +331,8 @@
     );
 }
 
-/// A series of a core switch over the gateways of a fleet: of the mean second on the ordinary day, otherwise of the busiest.
+/// A series of a core switch over the gateways of a fleet: of the mean second on the ordinary day, otherwise
+/// of the busiest.
 fn core_switch_series(
     situation: Situation,
     cause: Cause,
--- a/crates/fawnrouter-capacity/tests/process.rs
+++ b/crates/fawnrouter-capacity/tests/process.rs
@@ -1,5 +1,6 @@
-//! Tests of what the testbed of gateway processes reads (texts of `/proc`, messages on sockets) and of its error if the
-//! gateway's program is missing. Tests that start processes are in the daemon's package, which builds the program.
+//! Tests of what the testbed of gateway processes reads (texts of `/proc`, messages on sockets) and of its
+//! error if the gateway's program is missing. Tests that start processes are in the daemon's package, which
+//! builds the program.
 
 use std::path::Path;
 use std::sync::atomic::AtomicBool;
