--- a/crates/fawnrouter-capacity/src/page/rows.rs
+++ b/crates/fawnrouter-capacity/src/page/rows.rs
@@ -57,8 +57,8 @@
     }
 }
 
-/// The rows of all series, sorted by role, situation, cause, measure and size; rows that are equal in these
-/// keep the order of the runs.
+/// The rows of all series, sorted by role, situation, cause, measure, unit and size; rows that are equal in
+/// these keep the order of the runs.
 pub(super) fn rows_of_report(report: &Report) -> Vec<Row<'_>> {
     let context =
         Context { sizes: DesignSizeTable::of_report(report), on_processes: kinds_of_processes(report) };
--- a/crates/fawnrouter-capacity/src/process.rs
+++ b/crates/fawnrouter-capacity/src/process.rs
@@ -294,13 +294,9 @@
 /// The fixed parameters of a hop run, as the report stores them.
 fn hop_setting(plan: &TrafficPlan, measurement: &HopMeasurement) -> String {
     let HopMeasurement {
-        planned_calls: planned,
-        call_outcomes: ended,
-        sent_per_second,
-        processor_microseconds_per_call,
-        ..
+        planned_calls, call_outcomes, sent_per_second, processor_microseconds_per_call, ..
     } = measurement;
-    let answered = ended.released;
+    let answered = call_outcomes.released;
     let path = match processor_microseconds_per_call {
         Some(microseconds) => format!(
             "through one `fawnrouter node` that sees {SWITCHES} core switches ({microseconds:.1} us of \
@@ -310,7 +306,7 @@
             .to_owned(),
     };
     format!(
-        "{path}; {} calls/s planned for {} s, {sent_per_second:.0} calls/s sent, {answered} of {planned} \
+        "{path}; {} calls/s planned for {} s, {sent_per_second:.0} calls/s sent, {answered} of {planned_calls} \
          calls answered; a delay is that of the set-up and that of the answer, to the stand-in's reading, \
          without the core switch's time",
         plan.calls_per_second, plan.seconds
--- a/crates/fawnrouter-capacity/tests/page.rs
+++ b/crates/fawnrouter-capacity/tests/page.rs
@@ -114,11 +114,11 @@
 }
 
 fn rendered(report: &Report) -> String {
-    render(report).expect("a report whose runs differ in name")
+    render(report).expect("a report with unique run ids")
 }
 
 fn rendered_rows(report: &Report) -> String {
-    render_rows(report).expect("a report whose runs differ in name")
+    render_rows(report).expect("a report with unique run ids")
 }
 
 #[track_caller]
@@ -161,7 +161,8 @@
     let computed = update_page(&page, &committed_report()).expect("docs/CAPACITY.md has its markers");
     assert!(
         computed == page,
-        "docs/CAPACITY.md does not agree with docs/capacity.json; the page computed from the report is:\n{computed}"
+        "docs/CAPACITY.md does not agree with docs/capacity.json; the page computed from the report \
+         is:\n{computed}"
     );
 }
 
--- a/crates/fawnrouter-capacity/tests/process.rs
+++ b/crates/fawnrouter-capacity/tests/process.rs
@@ -14,9 +14,10 @@
 };
 use fawnrouter_capacity::process::{ProcessError, ProcessOptions, Testbed, measure, run_scenario};
 
-const STAT: &str = "5130 (fawn) router) S 5129 5130 5130 0 -1 4194560 7282 70398 0 1 26 61 18 20 20 0 2 0 22828 5124096 984 \
-                    18446744073709551615 94678372163584\n";
-const STATUS: &str = "Name:\tfawnrouter\nUmask:\t0022\nState:\tS (sleeping)\nVmPeak:\t   56164 kB\nVmRSS:\t    5588 kB\nThreads:\t2\n";
+const STAT: &str = "5130 (fawn) router) S 5129 5130 5130 0 -1 4194560 7282 70398 0 1 26 61 18 20 20 0 2 0 \
+                    22828 5124096 984 18446744073709551615 94678372163584\n";
+const STATUS: &str = "Name:\tfawnrouter\nUmask:\t0022\nState:\tS (sleeping)\nVmPeak:\t   56164 kB\n\
+                      VmRSS:\t    5588 kB\nThreads:\t2\n";
 
 const START: &str = r#"{"verb":"START","tag":"9b1f03aa5c7e2d41","opts":{"class":"voice","left":"1500"},"blob":"9d41\r\nc=IN IP4 10.4.7.9\r\n"}"#;
 const STARTED: &str = r#"{"verb":"STARTED","tag":"9b1f03aa5c7e2d41","opts":{},"blob":"51f2"}"#;
