--- a/crates/fawnrouter-capacity/src/page.rs
+++ b/crates/fawnrouter-capacity/src/page.rs
@@ -1,21 +1,24 @@
-//! The tables of `docs/CAPACITY.md` and of `docs/capacity-rows.md`, computed from a report: the same report gives the same
-//! text, to the byte. The former has the rows that a reader looks for first, the latter has one for each series.
+//! Computes the tables of `docs/CAPACITY.md` and of `docs/capacity-rows.md` from a report: the same report
+//! gives the same text, to the byte. The former has a selection of rows for most readers, the latter has a
+//! row for each series.
 //!
 //! | module | what it does |
 //! | --- | --- |
-//! | `rows` | one row a series: fit, value at the design size, budget, ratio |
-//! | `sizes`, `budgets`, `frequency`, `mechanisms` | what a row is held against: design size, budget, how often its case comes, what carries it |
-//! | `selection` | which rows stand on the page and which in the full tables alone |
-//! | `roles`, `situations`, `peaks`, `growth`, `depth`, `beside`, `ranking`, `runs` | a section of the page each |
-//! | `words`, `numbers`, `table` | names, figures with units, tables as text |
+//! | `rows` | the row of a series: fit, value at the design size, budget, ratio |
+//! | `design_sizes`, `budgets`, `frequency`, `mechanisms` | what a row is compared with: design size, budget, frequency of the situation, type that implements it |
+//! | `selection` | which rows are on the page and which only in the full tables |
+//! | `roles`, `situations`, `peaks`, `growth`, `depth`, `comparison`, `ranking`, `runs` | one section of the page each |
+//! | `labels`, `formatting`, `table` | labels, numbers with units, Markdown tables |
 
-mod beside;
 mod budgets;
+mod comparison;
 mod depth;
+mod design_sizes;
+mod formatting;
 mod frequency;
 mod growth;
+mod labels;
 mod mechanisms;
-mod numbers;
 mod peaks;
 mod ranking;
 mod roles;
@@ -23,40 +26,41 @@
 mod runs;
 mod selection;
 mod situations;
-mod sizes;
 mod table;
-mod words;
 
 use std::collections::BTreeSet;
 
 use crate::figures::Report;
 
-/// The line before the tables.
+/// The line in front of the generated tables.
 pub const BEGIN_MARKER: &str = "<!-- capacity tables: begin -->";
-/// The line behind the tables.
+/// The line behind the generated tables.
 pub const END_MARKER: &str = "<!-- capacity tables: end -->";
 
-/// Why a page cannot be made.
+/// Why a page cannot be computed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum PageError {
-    /// A marker is missing, or is there more than once.
+    /// A marker is missing or occurs more than once.
     #[error(
-        "the page has {found} of the marker `{marker}`; put it there once, the tables stand between the two"
+        "the page has the marker `{marker}` {found} times instead of once; the tables go between the two \
+         markers"
     )]
     Marker {
         /// The marker.
         marker: &'static str,
-        /// How many of it there are.
+        /// How often it occurs.
         found: usize,
     },
-    /// The end marker stands before the begin marker.
-    #[error("the marker `{END_MARKER}` stands before `{BEGIN_MARKER}`; turn them round")]
-    MarkersTurned,
-    /// Two runs have one name, so that a figure cannot say which it is from.
-    #[error("two runs of the report are named `{id}`; write it anew with `fawnrouter-lab capacity`")]
-    RunTwice {
-        /// The name.
+    /// The end marker is in front of the begin marker.
+    #[error("the marker `{END_MARKER}` is in front of `{BEGIN_MARKER}`; swap them")]
+    MarkersOutOfOrder,
+    /// Two runs have the same id, so that a citation of a run is ambiguous.
+    #[error(
+        "two runs of the report have the id `{id}`; create the report anew with `fawnrouter-lab capacity`"
+    )]
+    DuplicateRunId {
+        /// The id.
         id: String,
     },
 }
@@ -64,22 +68,22 @@
 /// The tables of the page.
 ///
 /// # Errors
-/// Where two runs have one name.
+/// Where two runs have the same id.
 pub fn render(report: &Report) -> Result<String, PageError> {
-    check_run_names(report)?;
-    let rows = rows::of_report(report);
-    let shown = selection::shown(&rows);
-    let judged = selection::judged(&rows);
-    let depths = depth::of_report(report);
+    check_run_ids(report)?;
+    let rows = rows::rows_of_report(report);
+    let shown = selection::rows_of_page(&rows);
+    let assessed = selection::rows_with_verdict(&rows);
+    let depths = depth::depths_of_report(report);
     let sections = [
         summary(report, rows.len(), shown.len()),
-        ranking::section(&judged, &depths),
+        ranking::section(&assessed, &depths),
         roles::section(&shown),
-        situations::section(&judged),
+        situations::section(&assessed),
         peaks::section(&rows),
         growth::section(&rows, &shown),
         depth::section(&depths),
-        beside::summary(report),
+        comparison::summary(report),
         runs::section(report),
     ];
     Ok(sections.join("\n"))
@@ -88,64 +92,67 @@
 /// The full tables: one row for each series.
 ///
 /// # Errors
-/// Where two runs have one name.
+/// Where two runs have the same id.
 pub fn render_rows(report: &Report) -> Result<String, PageError> {
-    check_run_names(report)?;
-    let rows = rows::of_report(report);
-    let sections = [roles::section(&rows), growth::section(&rows, &rows), beside::section(report)];
+    check_run_ids(report)?;
+    let rows = rows::rows_of_report(report);
+    let sections = [roles::section(&rows), growth::section(&rows, &rows), comparison::section(report)];
     Ok(sections.join("\n"))
 }
 
-/// The page with the tables of this report in place of those that stand in it.
+/// Replaces the tables between the markers of the page by those of this report.
 ///
 /// # Errors
-/// Where a marker is missing or there more than once, or two runs have one name.
-pub fn replace(page: &str, report: &Report) -> Result<String, PageError> {
+/// Where a marker is missing or occurs more than once, the markers are in the wrong order, or two runs have
+/// the same id.
+pub fn update_page(page: &str, report: &Report) -> Result<String, PageError> {
     replace_tables(page, &render(report)?)
 }
 
-/// The page of the full tables, likewise.
+/// Replaces the tables between the markers of the page with the full tables.
 ///
 /// # Errors
-/// As [`replace`].
-pub fn replace_rows(page: &str, report: &Report) -> Result<String, PageError> {
+/// As [`update_page`].
+pub fn update_rows_page(page: &str, report: &Report) -> Result<String, PageError> {
     replace_tables(page, &render_rows(report)?)
 }
 
 fn replace_tables(page: &str, tables: &str) -> Result<String, PageError> {
-    let begin = only_place_of(BEGIN_MARKER, page)?;
-    let end = only_place_of(END_MARKER, page)?;
+    let begin = marker_offset(BEGIN_MARKER, page)?;
+    let end = marker_offset(END_MARKER, page)?;
     if end < begin {
-        return Err(PageError::MarkersTurned);
+        return Err(PageError::MarkersOutOfOrder);
     }
     let before = &page[..begin];
-    let behind = &page[end + END_MARKER.len()..];
-    Ok(format!("{before}{BEGIN_MARKER}\n\n{tables}\n{END_MARKER}{behind}"))
+    let after = &page[end + END_MARKER.len()..];
+    Ok(format!("{before}{BEGIN_MARKER}\n\n{tables}\n{END_MARKER}{after}"))
 }
 
-fn only_place_of(marker: &'static str, page: &str) -> Result<usize, PageError> {
-    let places: Vec<usize> = page.match_indices(marker).map(|(place, _)| place).collect();
-    match places[..] {
-        [place] => Ok(place),
-        _ => Err(PageError::Marker { marker, found: places.len() }),
+/// The offset of a marker that must occur exactly once.
+fn marker_offset(marker: &'static str, page: &str) -> Result<usize, PageError> {
+    let offsets: Vec<usize> = page.match_indices(marker).map(|(offset, _)| offset).collect();
+    match offsets[..] {
+        [offset] => Ok(offset),
+        _ => Err(PageError::Marker { marker, found: offsets.len() }),
     }
 }
 
-fn check_run_names(report: &Report) -> Result<(), PageError> {
+fn check_run_ids(report: &Report) -> Result<(), PageError> {
     let mut seen = BTreeSet::new();
     match report.runs.iter().find(|run| !seen.insert(run.id.as_str())) {
-        Some(run) => Err(PageError::RunTwice { id: run.id.clone() }),
+        Some(run) => Err(PageError::DuplicateRunId { id: run.id.clone() }),
         None => Ok(()),
     }
 }
 
 fn summary(report: &Report, rows: usize, shown: usize) -> String {
     let machine = &report.machine;
-    let memory = numbers::whole(machine.memory_mib as f64);
+    let memory = formatting::whole(machine.memory_mib as f64);
     let runs = report.runs.len();
     format!(
-        "Measured on a machine of {} cores and {memory} MiB, in {runs} runs. {shown} of {rows} rows stand here; all of them, \
-         with every pair of hollow gateways and processes: [capacity-rows.md](capacity-rows.md).\n",
+        "Measured on a machine of {} cores and {memory} MiB, in {runs} runs. {shown} of {rows} rows stand \
+         here; all of them, with every pair of hollow gateways and processes: \
+         [capacity-rows.md](capacity-rows.md).\n",
         machine.cores
     )
 }
--- a/crates/fawnrouterd/tests/capacity.rs
+++ b/crates/fawnrouterd/tests/capacity.rs
@@ -8,8 +8,8 @@
 
 use fawnrouter_capacity::hollow::{self, ByVerb, Scenario, Volume};
 use fawnrouter_capacity::plan::TrafficPlan;
-use fawnrouter_capacity::process::lines::volume_of_calls;
-use fawnrouter_capacity::process::{self, CallsEnded, ProcessError, Rig, hop_plan};
+use fawnrouter_capacity::process::line_counts::call_volume;
+use fawnrouter_capacity::process::{self, CallOutcomes, ProcessError, Testbed, hop_plan};
 use rustix::io::Errno;
 use rustix::process::{WaitOptions, waitpid};
 
@@ -30,8 +30,8 @@
     assert_eq!(waitpid(None, WaitOptions::NOHANG).err(), Some(Errno::CHILD), "a gateway was left running");
 }
 
-fn rig(stop: &AtomicBool) -> Rig<'_> {
-    Rig { program: Path::new(env!("CARGO_BIN_EXE_fawnrouter")), seed: SEED, stop }
+fn rig(stop: &AtomicBool) -> Testbed<'_> {
+    Testbed { program: Path::new(env!("CARGO_BIN_EXE_fawnrouter")), seed: SEED, stop }
 }
 
 /// A scenario in which all calls have ended by the end of the measured period.
@@ -67,36 +67,36 @@
     let stop = AtomicBool::new(false);
     // It returns once every planned call has ended, so that totals of the plan are compared and not rates per
     // second.
-    let measured = process::play(&scenario, Duration::from_millis(500), rig(&stop)).unwrap();
+    let measured = process::run_scenario(&scenario, Duration::from_millis(500), rig(&stop)).unwrap();
     assert_no_child_left();
     let hollow = hollow::play(&scenario).unwrap();
     let planned = scenario.traffic.calls().len() as u64;
     assert_eq!((hollow.calls.planned, hollow.calls.released), (planned, planned));
-    assert_eq!((measured.planned, measured.ended.all()), (planned, planned));
-    assert_agree("calls that stood", measured.ended.released as f64, planned as f64);
+    assert_eq!((measured.planned_calls, measured.call_outcomes.total()), (planned, planned));
+    assert_agree("calls that stood", measured.call_outcomes.released as f64, planned as f64);
     let directions: [(&str, &ByVerb, &ByVerb); 4] = [
-        ("from callers", &measured.busy.from_callers, &hollow.from_callers),
-        ("to callers", &measured.busy.to_callers, &hollow.to_callers),
-        ("from core switches", &measured.busy.from_switches, &hollow.from_switches),
-        ("to core switches", &measured.busy.to_switches, &hollow.to_switches),
+        ("from callers", &measured.during_calls.from_callers, &hollow.from_callers),
+        ("to callers", &measured.during_calls.to_callers, &hollow.to_callers),
+        ("from core switches", &measured.during_calls.from_switches, &hollow.from_switches),
+        ("to core switches", &measured.during_calls.to_switches, &hollow.to_switches),
     ];
     for (direction, processes, hollow) in directions {
-        assert_volumes_agree(direction, volume_of_calls(processes), volume_of_calls(hollow));
+        assert_volumes_agree(direction, call_volume(processes), call_volume(hollow));
     }
     let list = hollow.list;
     let questions = Volume { messages: list.questions, bytes: list.question_bytes };
     let answers = Volume { messages: list.answers, bytes: list.answer_bytes };
     assert_agree(
         "bytes of a question for the list",
-        bytes_per_datagram(measured.busy.questions),
+        bytes_per_datagram(measured.during_calls.list_queries),
         bytes_per_datagram(questions),
     );
     assert_agree(
         "bytes of an answer with the list",
-        bytes_per_datagram(measured.busy.answers),
+        bytes_per_datagram(measured.during_calls.list_answers),
         bytes_per_datagram(answers),
     );
-    assert_eq!(measured.busy.questions.messages, measured.busy.answers.messages);
+    assert_eq!(measured.during_calls.list_queries.messages, measured.during_calls.list_answers.messages);
 }
 
 #[test]
@@ -105,12 +105,12 @@
     let stop = AtomicBool::new(false);
     let plan = hop_plan(SEED, 50.0, 1);
     let planned = plan.calls().len() as u64;
-    let without = process::without_gateway(&plan, rig(&stop)).unwrap();
-    let through = process::through_gateway(plan, SWITCHES, rig(&stop)).unwrap();
+    let without = process::measure_baseline(&plan, rig(&stop)).unwrap();
+    let through = process::measure_hop(plan, SWITCHES, rig(&stop)).unwrap();
     assert_no_child_left();
-    let all_answered = CallsEnded { released: planned, unanswered: 0 };
+    let all_answered = CallOutcomes { released: planned, unanswered: 0 };
     for (direction, measured) in [("without a gateway", without), ("through a gateway", through)] {
-        assert_eq!((measured.planned, measured.ended), (planned, all_answered), "{direction}");
+        assert_eq!((measured.planned_calls, measured.call_outcomes), (planned, all_answered), "{direction}");
         let delays: u64 = measured.delays.iter().map(|bucket| bucket.count).sum();
         assert_eq!(delays, planned, "{direction}");
         assert!(measured.delays.is_sorted_by_key(|bucket| bucket.nanoseconds), "{direction}");
@@ -121,7 +121,8 @@
 fn stopped_measurement_ends_its_gateways() {
     let _exclusive = exclusive();
     let stop = AtomicBool::new(true);
-    let error = process::play(&scenario(), Duration::ZERO, rig(&stop)).expect_err("it was told to end");
-    assert!(matches!(error, ProcessError::Stopped), "{error}");
+    let error =
+        process::run_scenario(&scenario(), Duration::ZERO, rig(&stop)).expect_err("it was told to end");
+    assert!(matches!(error, ProcessError::Interrupted), "{error}");
     assert_no_child_left();
 }
