--- a/crates/fawnrouter-capacity/src/delay.rs
+++ b/crates/fawnrouter-capacity/src/delay.rs
@@ -69,7 +69,7 @@
     ///
     /// # Errors
     /// Where nothing was counted.
-    pub fn of_one_hop(buckets: &[DelayBucket], grid: Grid) -> Result<Self, DelayError> {
+    pub fn from_histogram(buckets: &[DelayBucket], grid: Grid) -> Result<Self, DelayError> {
         let total: f64 = buckets.iter().map(|bucket| bucket.count as f64).sum();
         if total == 0.0 {
             return Err(DelayError::Empty);
@@ -143,7 +143,7 @@
 
 /// Percentiles of the delay of so many hops, in nanoseconds; none where one lies beyond the widest grid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HopsDelay {
+pub struct DelayPercentiles {
     /// How many hops.
     pub hops: u32,
     /// Half of the calls.
@@ -156,32 +156,32 @@
 
 /// The delays of several depths on one grid.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Depths {
+pub struct DelaysByDepth {
     /// The grid they lie on.
     pub grid: Grid,
     /// One for each depth that was asked for.
-    pub delays: Vec<HopsDelay>,
+    pub delays: Vec<DelayPercentiles>,
 }
 
 /// The delays of these depths, on the finest grid that holds the percentiles of the deepest.
 ///
 /// # Errors
 /// Where no delay was counted.
-pub fn depths(buckets: &[DelayBucket], hops: &[u32]) -> Result<Depths, DelayError> {
+pub fn delays_by_depth(buckets: &[DelayBucket], hops: &[u32]) -> Result<DelaysByDepth, DelayError> {
     let deepest = hops.iter().copied().max().unwrap_or(0);
     let mut grid = Grid { bin_nanoseconds: FINEST_BIN_NANOSECONDS, bins: GRID_BINS };
-    let mut one = Distribution::of_one_hop(buckets, grid)?;
+    let mut one = Distribution::from_histogram(buckets, grid)?;
     while !one.holds_hops(deepest) && grid.bin_nanoseconds < COARSEST_BIN_NANOSECONDS {
         grid = grid.with_bins_twice_as_wide();
-        one = Distribution::of_one_hop(buckets, grid)?;
+        one = Distribution::from_histogram(buckets, grid)?;
     }
     let delays = hops.iter().map(|hops| percentiles(&one, *hops)).collect();
-    Ok(Depths { grid, delays })
+    Ok(DelaysByDepth { grid, delays })
 }
 
-fn percentiles(one: &Distribution, hops: u32) -> HopsDelay {
+fn percentiles(one: &Distribution, hops: u32) -> DelayPercentiles {
     let sum = one.of_hops(hops);
-    HopsDelay {
+    DelayPercentiles {
         hops,
         p50_nanoseconds: sum.percentile(P50),
         p99_nanoseconds: sum.percentile(P99),
@@ -193,12 +193,16 @@
 ///
 /// # Errors
 /// Where no delay was counted.
-pub fn deepest_within(buckets: &[DelayBucket], limit_nanoseconds: u64, most: u32) -> Result<u32, DelayError> {
+pub fn max_hops_within(
+    buckets: &[DelayBucket],
+    limit_nanoseconds: u64,
+    most: u32,
+) -> Result<u32, DelayError> {
     let mut grid = Grid { bin_nanoseconds: FINEST_BIN_NANOSECONDS, bins: GRID_BINS };
     while grid.bin_of(limit_nanoseconds).is_none() {
         grid = grid.with_bins_twice_as_wide();
     }
-    let one = Distribution::of_one_hop(buckets, grid)?;
+    let one = Distribution::from_histogram(buckets, grid)?;
     let is_within = |sum: &Distribution| sum.percentile(P99).is_some_and(|delay| delay <= limit_nanoseconds);
     let mut sum = one.clone();
     let mut hops = 0;
--- a/crates/fawnrouter-capacity/src/fit.rs
+++ b/crates/fawnrouter-capacity/src/fit.rs
@@ -9,10 +9,10 @@
 mod power;
 mod terms;
 
-pub use self::estimate::{Estimate, Origin, SAME_SIZE_SHARE, estimate};
+pub use self::estimate::{Estimate, Origin, SAME_SIZE_TOLERANCE, estimate};
 pub use self::growth::{
-    FORM_EXPLAINS_R_SQUARED, FORM_LEAVES_OF_LINE, Growth, LINE_EXPLAINS_R_SQUARED, LINE_HOLDS_RELATIVE_RMS,
-    Level, NOT_LINEAR_BEND, NOT_LINEAR_EXPONENT,
+    Growth, LINEAR_MAX_RELATIVE_RMS, LINEAR_MIN_R_SQUARED, MeanFit, NONLINEAR_MAX_RESIDUAL_RATIO,
+    NONLINEAR_MIN_CURVATURE, NONLINEAR_MIN_R_SQUARED, SUPERLINEAR_MIN_EXPONENT,
 };
 pub use self::power::{Curve, Power};
 pub use self::terms::Residual;
@@ -37,7 +37,7 @@
     },
     /// A size is not greater than the one before it.
     #[error("the sizes do not rise at point {position}")]
-    SizesDoNotRise {
+    SizesNotIncreasing {
         /// The place of the point, from 1.
         position: usize,
     },
@@ -77,7 +77,7 @@
     pub exponent: Option<f64>,
     /// How far the quadratic fit leaves its chord in the middle, as a share of the spread of the values; above 0 if it
     /// bends upwards.
-    pub bend: f64,
+    pub curvature: f64,
     /// How it grows.
     pub growth: Growth,
 }
@@ -93,16 +93,16 @@
         let exponent = exponent(points);
         let quadratic = quadratic(points);
         let growth = growth(points, &line, exponent, quadratic);
-        Ok(Self { line, exponent, bend: quadratic.bend, growth })
+        Ok(Self { line, exponent, curvature: quadratic.bend, growth })
     }
 
     /// The residual of what describes the series: of the mean, the line or the curve.
     #[must_use]
     pub fn residual(&self) -> Residual {
         match self.growth {
-            Growth::NoneSeen(level) => level.residual,
-            Growth::Linear | Growth::Slower => self.line.residual,
-            Growth::Faster(curve) => curve.residual,
+            Growth::Undetected(level) => level.residual,
+            Growth::Linear | Growth::Sublinear => self.line.residual,
+            Growth::Superlinear(curve) => curve.residual,
         }
     }
 
@@ -110,9 +110,9 @@
     #[must_use]
     pub fn at(&self, size: f64) -> f64 {
         match self.growth {
-            Growth::NoneSeen(level) => level.mean,
-            Growth::Linear | Growth::Slower => self.line.at(size),
-            Growth::Faster(curve) => curve.at(size),
+            Growth::Undetected(level) => level.mean,
+            Growth::Linear | Growth::Sublinear => self.line.at(size),
+            Growth::Superlinear(curve) => curve.at(size),
         }
     }
 }
@@ -123,7 +123,7 @@
         return Err(FitError::BadPoint { position: index + 1 });
     }
     if let Some(index) = points.windows(2).position(|pair| pair[0].size >= pair[1].size) {
-        return Err(FitError::SizesDoNotRise { position: index + 2 });
+        return Err(FitError::SizesNotIncreasing { position: index + 2 });
     }
     if points.len() < MIN_POINTS {
         return Err(FitError::TooFewPoints { found: points.len() });
--- a/crates/fawnrouter-capacity/src/fit/estimate.rs
+++ b/crates/fawnrouter-capacity/src/fit/estimate.rs
@@ -4,12 +4,12 @@
 use crate::figures::Point;
 
 /// A point whose size differs from a wanted one by this share of it or less is one at that size.
-pub const SAME_SIZE_SHARE: f64 = 0.005;
+pub const SAME_SIZE_TOLERANCE: f64 = 0.005;
 
 /// Where an estimate comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// A point was measured at that size, to within [`SAME_SIZE_SHARE`].
+    /// A point was measured at that size, to within [`SAME_SIZE_TOLERANCE`].
     Measured,
     /// The size lies within the measured range: on the straight line between its two neighbours.
     WithinRange,
@@ -49,5 +49,5 @@
 fn point_at(points: &[Point], size: f64) -> Option<&Point> {
     let distance = |point: &Point| (point.size - size).abs();
     let nearest = points.iter().min_by(|one, other| distance(one).total_cmp(&distance(other)));
-    nearest.filter(|point| distance(point) <= SAME_SIZE_SHARE * size)
+    nearest.filter(|point| distance(point) <= SAME_SIZE_TOLERANCE * size)
 }
--- a/crates/fawnrouter-capacity/src/fit/power.rs
+++ b/crates/fawnrouter-capacity/src/fit/power.rs
@@ -56,7 +56,7 @@
     pub residual: Residual,
     /// From where it hurts: the size from which, in a fit of `base + slope x size + factor x size^power`, the part
     /// with the power exceeds the linear one. The smallest measured size where there is no linear part.
-    pub hurts_from: Option<f64>,
+    pub dominant_from: Option<f64>,
 }
 
 impl Curve {
@@ -76,14 +76,14 @@
             best = candidate;
         }
     }
-    best.hurts_from = hurts_from(points, best.power);
+    best.dominant_from = hurts_from(points, best.power);
     best
 }
 
 fn curve(points: &[Point], power: Power) -> Curve {
     let (base, factor) = base_and_factor(points, power);
     let residual = residual(points, |size| base + factor * power.of(size));
-    Curve { base, factor, power, residual, hurts_from: None }
+    Curve { base, factor, power, residual, dominant_from: None }
 }
 
 /// Where the part with the power exceeds the linear one, in a fit that has both.
--- a/crates/fawnrouter-capacity/src/hollow.rs
+++ b/crates/fawnrouter-capacity/src/hollow.rs
@@ -34,10 +34,12 @@
 use fawnrouter::SettingsError;
 use fawnrouter_node::BootError;
 
-pub use self::ledger::{CAUSES, Flow, Flows};
-pub use self::meter::Allocator;
-pub use self::outcome::{ByVerb, CallCounts, ConfigurationCounts, ListCounts, Outcome, RoleOutcome, Volume};
-pub use self::scenario::{Place, Scenario};
+pub use self::ledger::{CAUSES, Cost, CostByCause};
+pub use self::meter::CountingAllocator;
+pub use self::outcome::{
+    CallCounts, ConfigurationCounts, ListCounts, Outcome, RoleOutcome, Volume, VolumeByVerb,
+};
+pub use self::scenario::{Location, Scenario};
 use crate::figures::{Role, Run};
 
 /// What is measured, and how.
@@ -47,9 +49,9 @@
     /// Smaller sizes and shorter plays.
     pub quick: bool,
     /// Only what this role bears.
-    pub only: Option<Role>,
+    pub only_role: Option<Role>,
     /// The counting allocator, if the program has installed it; without it no allocations and no memory are told.
-    pub allocator: Option<Allocator>,
+    pub allocator: Option<CountingAllocator>,
     /// Told of each play before it begins.
     pub progress: &'a mut dyn FnMut(&str),
 }
@@ -76,7 +78,7 @@
     #[error(
         "a gateway wrote {first} bytes, and {again} when it was given the same again: it is not deterministic"
     )]
-    OtherReplay {
+    ReplayMismatch {
         /// Bytes that it wrote.
         first: u64,
         /// Bytes that it wrote the second time.
@@ -84,7 +86,7 @@
     },
     /// A gateway takes a configuration that should be refused.
     #[error("a damaged configuration was not refused: the rig damages it in the wrong place")]
-    NotRefused,
+    DamagedConfigurationAccepted,
 }
 
 /// Plays all runs of the report.
@@ -99,15 +101,18 @@
 ///
 /// # Errors
 /// Where the scenario makes no sense.
-pub fn play(scenario: &Scenario) -> Result<Outcome, HollowError> {
-    play_counting(scenario, None)
+pub fn simulate(scenario: &Scenario) -> Result<Outcome, HollowError> {
+    simulate_counting_allocations(scenario, None)
 }
 
 /// Plays a scenario; with the counting allocator of the program also allocations and memory are told.
 ///
 /// # Errors
 /// Where the scenario makes no sense.
-pub fn play_counting(scenario: &Scenario, allocator: Option<Allocator>) -> Result<Outcome, HollowError> {
+pub fn simulate_counting_allocations(
+    scenario: &Scenario,
+    allocator: Option<CountingAllocator>,
+) -> Result<Outcome, HollowError> {
     let (outcome, _) = world::World::new(scenario, meter::Meter::new(allocator))?.play()?;
     Ok(outcome)
 }
--- a/crates/fawnrouter-capacity/src/hollow/ledger.rs
+++ b/crates/fawnrouter-capacity/src/hollow/ledger.rs
@@ -8,7 +8,7 @@
 
 /// What was borne in some time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Flow {
+pub struct Cost {
     /// Messages received.
     pub messages_in: u64,
     /// Messages sent.
@@ -25,7 +25,7 @@
     pub allocations: u64,
 }
 
-impl Flow {
+impl Cost {
     /// One message received.
     #[must_use]
     pub(crate) fn received(bytes: usize) -> Self {
@@ -92,29 +92,29 @@
 
 /// A flow for each cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Flows([Flow; CAUSES.len()]);
+pub struct CostByCause([Cost; CAUSES.len()]);
 
-impl Flows {
+impl CostByCause {
     fn place(cause: Cause) -> Option<usize> {
         CAUSES.iter().position(|known| *known == cause)
     }
 
     /// What this cause brought; [`Cause::All`] is the sum.
     #[must_use]
-    pub fn of(&self, cause: Cause) -> Flow {
+    pub fn of(&self, cause: Cause) -> Cost {
         match Self::place(cause) {
             Some(place) => self.0[place],
             None => self.all(),
         }
     }
 
-    fn all(&self) -> Flow {
-        let mut all = Flow::default();
+    fn all(&self) -> Cost {
+        let mut all = Cost::default();
         self.0.iter().for_each(|flow| all.add(*flow));
         all
     }
 
-    pub(crate) fn add(&mut self, cause: Cause, flow: Flow) {
+    pub(crate) fn add(&mut self, cause: Cause, flow: Cost) {
         if let Some(place) = Self::place(cause) {
             self.0[place].add(flow);
         }
@@ -132,16 +132,16 @@
 /// What one member of a role bears while it is measured.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Ledger {
-    total: Flows,
+    total: CostByCause,
     second: u64,
-    in_second: Flows,
-    peak: Flows,
-    peak_of_all: Flow,
+    in_second: CostByCause,
+    peak: CostByCause,
+    peak_of_all: Cost,
 }
 
 impl Ledger {
     /// Adds what was borne in a second of what is measured. Seconds only move forward.
-    pub fn add(&mut self, second: u64, cause: Cause, flow: Flow) {
+    pub fn add(&mut self, second: u64, cause: Cause, flow: Cost) {
         if second != self.second {
             self.end_second();
             self.second = second;
@@ -157,13 +157,13 @@
     }
 
     /// The sums, once nothing more is added.
-    pub fn close(&mut self) -> Flows {
+    pub fn close(&mut self) -> CostByCause {
         self.end_second();
         self.total
     }
 
     /// The busiest second's figures.
-    pub fn peak(&self, cause: Cause) -> Flow {
+    pub fn peak(&self, cause: Cause) -> Cost {
         if cause == Cause::All { self.peak_of_all } else { self.peak.of(cause) }
     }
 }
--- a/crates/fawnrouter-capacity/src/hollow/members.rs
+++ b/crates/fawnrouter-capacity/src/hollow/members.rs
@@ -11,7 +11,7 @@
 
 use super::event::{ConnectionId, GatewayRun};
 use super::ledger::Ledger;
-use super::scenario::Place;
+use super::scenario::Location;
 use crate::figures::Cause;
 use crate::platform::{SwitchRow, list_answer};
 
@@ -35,7 +35,7 @@
 
 /// A gateway over all its starts.
 pub(crate) struct Gateway {
-    pub place: Place,
+    pub place: Location,
     /// How often it has been started.
     pub epoch: u32,
     pub process: Option<Process>,
@@ -50,7 +50,7 @@
 }
 
 impl Gateway {
-    pub fn new(place: Place) -> Self {
+    pub fn new(place: Location) -> Self {
         Self {
             place,
             epoch: 0,
@@ -108,7 +108,7 @@
 
 /// A stand-in core switch: it answers every set-up, holds the call and releases it.
 pub(crate) struct Switch {
-    pub place: Place,
+    pub place: Location,
     pub row: SwitchRow,
     pub listed: bool,
     pub state: SwitchState,
@@ -124,7 +124,7 @@
 }
 
 impl Switch {
-    pub fn new(place: Place, row: SwitchRow) -> Self {
+    pub fn new(place: Location, row: SwitchRow) -> Self {
         Self {
             place,
             row,
@@ -235,7 +235,7 @@
 
 /// The stand-in name server.
 pub(crate) struct ListSource {
-    pub place: Place,
+    pub place: Location,
     pub services: Vec<ServiceList>,
     pub ledger: Ledger,
     pub held: Held,
--- a/crates/fawnrouter-capacity/src/hollow/meter.rs
+++ b/crates/fawnrouter-capacity/src/hollow/meter.rs
@@ -5,21 +5,21 @@
 
 use stats_alloc::{Region, StatsAlloc};
 
-use super::ledger::Flow;
+use super::ledger::Cost;
 
 /// The counting allocator, which only a program can install.
-pub type Allocator = &'static StatsAlloc<System>;
+pub type CountingAllocator = &'static StatsAlloc<System>;
 
 /// Measures work. What is measured runs in one thread and waits for nothing, so that time on the clock is processor time
 /// as far as the machine has a core free for it.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Meter {
     is_on: bool,
-    allocator: Option<Allocator>,
+    allocator: Option<CountingAllocator>,
 }
 
 impl Meter {
-    pub fn new(allocator: Option<Allocator>) -> Self {
+    pub fn new(allocator: Option<CountingAllocator>) -> Self {
         Self { is_on: true, allocator }
     }
 
@@ -29,9 +29,9 @@
     }
 
     /// Does the work; with it what it cost.
-    pub fn measure<T>(&self, work: impl FnOnce() -> T) -> (T, Flow) {
+    pub fn measure<T>(&self, work: impl FnOnce() -> T) -> (T, Cost) {
         if !self.is_on {
-            return (work(), Flow::default());
+            return (work(), Cost::default());
         }
         let region = self.allocator.map(Region::new);
         let start = Instant::now();
@@ -42,7 +42,7 @@
             change.allocations + change.reallocations
         });
         let processor_nanos = u64::try_from(took.as_nanos()).unwrap_or(u64::MAX);
-        (result, Flow { processor_nanos, allocations: allocations as u64, ..Flow::default() })
+        (result, Cost { processor_nanos, allocations: allocations as u64, ..Cost::default() })
     }
 
     /// Drops something; the bytes that this freed, if they are counted.
--- a/crates/fawnrouter-capacity/src/hollow/outcome.rs
+++ b/crates/fawnrouter-capacity/src/hollow/outcome.rs
@@ -5,7 +5,7 @@
 
 use fawnrouter_jsonl::Verb;
 
-use super::ledger::{CAUSES, Flow, Flows, Ledger};
+use super::ledger::{CAUSES, Cost, CostByCause, Ledger};
 use super::members::Held;
 use crate::figures::{Cause, Quantity, Role};
 
@@ -20,9 +20,9 @@
 
 /// Messages by type, as the platform's page names the types.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct ByVerb(pub BTreeMap<&'static str, Volume>);
+pub struct VolumeByVerb(pub BTreeMap<&'static str, Volume>);
 
-impl ByVerb {
+impl VolumeByVerb {
     pub(crate) fn add(&mut self, verb: Verb, bytes: usize) {
         let volume = self.0.entry(name(verb)).or_default();
         volume.messages += 1;
@@ -64,17 +64,17 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallCounts {
     /// Calls whose time came.
-    pub planned: u64,
+    pub attempted: u64,
     /// Answered: the call stood.
-    pub stood: u64,
+    pub established: u64,
     /// Answered: refused.
     pub refused: u64,
     /// Answered: failed.
     pub failed: u64,
     /// Their gateway vanished before it answered.
-    pub broken: u64,
+    pub gateway_lost: u64,
     /// No gateway of their service was there while they waited.
-    pub unplaced: u64,
+    pub no_gateway: u64,
     /// Not answered by a gateway that was there.
     pub unanswered: u64,
     /// Calls that stood and whose caller was told of the end.
@@ -82,7 +82,7 @@
     /// Answers to calls that had one.
     pub answered_twice: u64,
     /// Lines for calls that their callers do not know, or know no more.
-    pub stray: u64,
+    pub unexpected_lines: u64,
     /// Set-ups of a call that its core switch holds already.
     pub set_up_twice: u64,
     /// Lines of gateways that are no messages, or name no call.
@@ -93,13 +93,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ListCounts {
     /// Questions sent.
-    pub questions: u64,
+    pub queries: u64,
     /// Their bytes.
-    pub question_bytes: u64,
+    pub query_bytes: u64,
     /// Answers received.
-    pub answers: u64,
+    pub responses: u64,
     /// Their bytes.
-    pub answer_bytes: u64,
+    pub response_bytes: u64,
     /// Questions and answers that were lost.
     pub lost: u64,
     /// Answers that could not be read.
@@ -107,11 +107,11 @@
     /// Answers with a list that the gateway did not have.
     pub changed: u64,
     /// What those cost.
-    pub changed_cost: Flow,
+    pub changed_cost: Cost,
     /// What the others cost.
-    pub unchanged_cost: Flow,
+    pub unchanged_cost: Cost,
     /// The longest time that a gateway had been without an answer.
-    pub oldest: Duration,
+    pub max_list_age: Duration,
 }
 
 /// Configurations read while it was measured.
@@ -122,7 +122,7 @@
     /// Bytes of them all.
     pub bytes: u64,
     /// What they cost, with the gateway built from them.
-    pub cost: Flow,
+    pub cost: Cost,
 }
 
 /// What the members of a role bore while it was measured.
@@ -131,9 +131,9 @@
     /// How many there are.
     pub members: u32,
     /// All of them together.
-    pub total: Flows,
-    busiest: BTreeMap<Cause, Flow>,
-    busiest_second: BTreeMap<Cause, Flow>,
+    pub total: CostByCause,
+    busiest: BTreeMap<Cause, Cost>,
+    busiest_second: BTreeMap<Cause, Cost>,
     held: BTreeMap<Quantity, f64>,
     most_held: BTreeMap<Quantity, f64>,
 }
@@ -176,13 +176,13 @@
 
     /// What the busiest member bears from the start of what is measured to its end.
     #[must_use]
-    pub fn busiest(&self, cause: Cause, quantity: Quantity) -> Option<f64> {
+    pub fn busiest_member(&self, cause: Cause, quantity: Quantity) -> Option<f64> {
         self.busiest.get(&cause).and_then(|flow| flow.get(quantity))
     }
 
     /// What the busiest member bears in its busiest second.
     #[must_use]
-    pub fn busiest_second(&self, cause: Cause, quantity: Quantity) -> Option<f64> {
+    pub fn busiest_member_second(&self, cause: Cause, quantity: Quantity) -> Option<f64> {
         self.busiest_second.get(&cause).and_then(|flow| flow.get(quantity))
     }
 
@@ -194,7 +194,7 @@
 
     /// The most that one member held at any look, of which there is one a second.
     #[must_use]
-    pub fn most_held(&self, quantity: Quantity) -> Option<f64> {
+    pub fn max_held(&self, quantity: Quantity) -> Option<f64> {
         self.most_held.get(&quantity).copied()
     }
 }
@@ -213,13 +213,13 @@
     /// Configurations.
     pub configurations: ConfigurationCounts,
     /// Written to core switches.
-    pub to_switches: ByVerb,
+    pub to_switches: VolumeByVerb,
     /// Received from core switches.
-    pub from_switches: ByVerb,
+    pub from_switches: VolumeByVerb,
     /// Written to callers.
-    pub to_callers: ByVerb,
+    pub to_callers: VolumeByVerb,
     /// Received from callers.
-    pub from_callers: ByVerb,
+    pub from_callers: VolumeByVerb,
     /// What the roles bore.
     pub roles: BTreeMap<Role, RoleOutcome>,
 }
@@ -233,20 +233,20 @@
 
     /// What one member of a role bears in a second, in the mean over members and seconds.
     #[must_use]
-    pub fn a_second(&self, role: Role, cause: Cause, quantity: Quantity) -> Option<f64> {
+    pub fn mean_per_second(&self, role: Role, cause: Cause, quantity: Quantity) -> Option<f64> {
         self.roles.get(&role)?.mean(cause, quantity).map(|mean| mean / self.measured.as_secs_f64())
     }
 
     /// What a call brings to all members of a role together; `None` without calls.
     #[must_use]
-    pub fn a_call(&self, role: Role, cause: Cause, quantity: Quantity) -> Option<f64> {
+    pub fn mean_per_call(&self, role: Role, cause: Cause, quantity: Quantity) -> Option<f64> {
         let all = self.roles.get(&role)?.total.of(cause).get(quantity)?;
         (self.measured_calls > 0).then(|| all / self.measured_calls as f64)
     }
 
     /// Memory that one gateway held at the end, if it was counted.
     #[must_use]
-    pub fn gateway_memory(&self) -> Option<f64> {
+    pub fn gateway_memory_bytes(&self) -> Option<f64> {
         self.roles.get(&Role::GatewayCalls)?.held(Quantity::MemoryBytes)
     }
 }
--- a/crates/fawnrouter-capacity/src/hollow/recording.rs
+++ b/crates/fawnrouter-capacity/src/hollow/recording.rs
@@ -11,7 +11,7 @@
 use fawnrouter_node::{Ask, Boot, ClientId, Input, LinkEnd, LinkId, Node, NodeSettings, Output};
 
 use super::HollowError;
-use super::ledger::{Flow, Ledger};
+use super::ledger::{Cost, Ledger};
 use super::members::{Held, cause_of};
 use super::meter::Meter;
 use super::outcome::RoleOutcome;
@@ -87,7 +87,7 @@
             replay.step(recorded)?;
         }
         if replay.written != self.written {
-            return Err(HollowError::OtherReplay { first: self.written, again: replay.written });
+            return Err(HollowError::ReplayMismatch { first: self.written, again: replay.written });
         }
         let role = |ledger: &mut Ledger| RoleOutcome::new([(ledger, Held::default())].into_iter());
         Ok(Replayed { calls: role(&mut replay.calls), control: role(&mut replay.control) })
@@ -203,7 +203,7 @@
         }
     }
 
-    fn line(&mut self, at: Time, second: Option<u64>, cost: Flow, input: Option<(Cause, Input)>) {
+    fn line(&mut self, at: Time, second: Option<u64>, cost: Cost, input: Option<(Cause, Input)>) {
         let cause = input.as_ref().map_or(Cause::Calls, |(cause, _)| *cause);
         self.note(second, cause, cost);
         if let Some((cause, input)) = input {
@@ -220,7 +220,7 @@
         self.note(second, cause, cost);
     }
 
-    fn note(&mut self, second: Option<u64>, cause: Cause, cost: Flow) {
+    fn note(&mut self, second: Option<u64>, cause: Cause, cost: Cost) {
         let Some(second) = second else { return };
         let ledger = match cause {
             Cause::List | Cause::Configuration => &mut self.control,
@@ -242,7 +242,7 @@
     meter: Meter,
     decoder: &mut Decoder,
     line: &[u8],
-) -> (Option<Result<Message, DecodeError>>, Flow) {
+) -> (Option<Result<Message, DecodeError>>, Cost) {
     let (read, cost) = meter.measure(|| {
         decoder.push(line);
         decoder.next_message()
--- a/crates/fawnrouter-capacity/src/hollow/runs.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs.rs
@@ -12,7 +12,7 @@
 
 use super::outcome::Outcome;
 use super::scenario::Scenario;
-use super::{HollowError, HollowOptions, play_counting};
+use super::{HollowError, HollowOptions, simulate_counting_allocations};
 use crate::figures::{Cause, Method, Per, Point, Quantity, Role, Run, Series, Situation, Size};
 
 /// The fewest points that a slope is taken over.
@@ -65,7 +65,7 @@
 ];
 
 pub(crate) fn all(options: HollowOptions<'_>) -> Result<Vec<Run>, HollowError> {
-    let only = options.only;
+    let only = options.only_role;
     let mut session = Session { options };
     let mut made = Vec::new();
     for (roles, make) in RUNS {
@@ -98,7 +98,7 @@
         scenario: &Scenario,
     ) -> Result<Outcome, HollowError> {
         (self.options.progress)(&format!("{name} at {size}"));
-        play_counting(scenario, self.options.allocator)
+        simulate_counting_allocations(scenario, self.options.allocator)
     }
 
     fn run(&self, id: &str, setting: String, series: Collector) -> Run {
@@ -154,7 +154,7 @@
     fn seconds(&mut self, spot: Spot, outcome: &Outcome, causes: &[Cause]) {
         for cause in causes {
             for quantity in FLOWING {
-                let value = outcome.a_second(spot.role, *cause, quantity);
+                let value = outcome.mean_per_second(spot.role, *cause, quantity);
                 self.put(spot, *cause, quantity, Per::Second, value);
             }
         }
@@ -164,7 +164,7 @@
     fn calls(&mut self, spot: Spot, outcome: &Outcome, causes: &[Cause]) {
         for cause in causes {
             for quantity in FLOWING {
-                let value = outcome.a_call(spot.role, *cause, quantity);
+                let value = outcome.mean_per_call(spot.role, *cause, quantity);
                 self.put(spot, *cause, quantity, Per::Call, value);
             }
         }
--- a/crates/fawnrouter-capacity/src/hollow/runs/calls.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/calls.rs
@@ -38,7 +38,7 @@
 fn calling(session: &Session<'_>, rate: f64, hold: Duration) -> Scenario {
     let measured = session.choose(&[MEASURED], &[MEASURED_QUICK])[0];
     let scenario = Scenario::one_service(session.options.seed, 1, SWITCHES);
-    scenario.holding(hold).measuring(hold + RAMP, measured).calling(rate)
+    scenario.with_hold_time(hold).with_measurement_window(hold + RAMP, measured).with_call_rate(rate)
 }
 
 fn note_rate(
@@ -90,9 +90,9 @@
     for every in CHANGE_EVERY {
         let changes_a_day = if every > 0.0 { SECONDS_OF_A_DAY / every } else { 0.0 };
         let scenario = Scenario::one_service(session.options.seed, 2, SWITCHES);
-        let mut scenario = scenario.measuring(Duration::from_secs(2), measured);
+        let mut scenario = scenario.with_measurement_window(Duration::from_secs(2), measured);
         if every > 0.0 {
-            scenario = scenario.changing(Duration::from_secs_f64(every));
+            scenario = scenario.with_list_change_interval(Duration::from_secs_f64(every));
         }
         let outcome = session.play("hollow-changes", changes_a_day, &scenario)?;
         for (role, cause) in [(Role::GatewayControl, Cause::List), (Role::GatewayCalls, Cause::Connections)] {
--- a/crates/fawnrouter-capacity/src/hollow/runs/configuration.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/configuration.rs
@@ -6,9 +6,9 @@
 use serde_json::Value;
 
 use crate::hollow::HollowError;
-use crate::hollow::ledger::Flow;
+use crate::hollow::ledger::Cost;
 use crate::hollow::members::switch_address;
-use crate::hollow::meter::{Allocator, Meter};
+use crate::hollow::meter::{CountingAllocator, Meter};
 use crate::platform::{GatewayPlace, SwitchRow, gateway_configuration};
 
 /// A configuration is read this often; the mean is told.
@@ -55,9 +55,9 @@
     configuration
 }
 
-fn read(text: &str, allocator: Option<Allocator>) -> (bool, Reading) {
+fn read(text: &str, allocator: Option<CountingAllocator>) -> (bool, Reading) {
     let meter = Meter::new(allocator);
-    let mut sum = Flow::default();
+    let mut sum = Cost::default();
     let mut taken = true;
     for _ in 0..READINGS {
         let (boot, cost) = meter.measure(|| Boot::read(text.as_bytes()));
@@ -78,7 +78,7 @@
 pub(super) fn read_good(
     seed: u64,
     switches: u32,
-    allocator: Option<Allocator>,
+    allocator: Option<CountingAllocator>,
 ) -> Result<Reading, HollowError> {
     let text = configuration(seed, switches).to_string();
     Boot::read(text.as_bytes())?;
@@ -89,11 +89,11 @@
 pub(super) fn read_damaged(
     seed: u64,
     switches: u32,
-    allocator: Option<Allocator>,
+    allocator: Option<CountingAllocator>,
 ) -> Result<Reading, HollowError> {
     let text = damaged(configuration(seed, switches)).to_string();
     match read(&text, allocator) {
         (false, reading) => Ok(reading),
-        (true, _) => Err(HollowError::NotRefused),
+        (true, _) => Err(HollowError::DamagedConfigurationAccepted),
     }
 }
--- a/crates/fawnrouter-capacity/src/hollow/runs/gateways.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/gateways.rs
@@ -43,8 +43,13 @@
     let measured = session.choose(&[MEASURED], &[MEASURED_QUICK])[0];
     let mut plans = Vec::new();
     for gateways in &sizes {
-        let quiet = fleet(session.options.seed, *gateways).measuring(QUIET_WARM_UP, QUIET_MEASURED);
-        let calling = quiet.clone().holding(HOLD).measuring(WARM_UP, measured).calling(CALLS_PER_SECOND);
+        let quiet =
+            fleet(session.options.seed, *gateways).with_measurement_window(QUIET_WARM_UP, QUIET_MEASURED);
+        let calling = quiet
+            .clone()
+            .with_hold_time(HOLD)
+            .with_measurement_window(WARM_UP, measured)
+            .with_call_rate(CALLS_PER_SECOND);
         for (what, scenario) in [("quiet", quiet), ("calls", calling)] {
             plans.push(Planned { name: format!("{name}, {what} at {gateways}"), scenario, watched: None });
         }
--- a/crates/fawnrouter-capacity/src/hollow/runs/restarts.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/restarts.rs
@@ -56,10 +56,10 @@
 /// The plays at one size: without a restart, of a gateway, of a core switch.
 fn plans(seed: u64, members: u32) -> [Planned; PLAYS_OF_A_SIZE] {
     let scenario = Scenario::one_service(seed, members, members);
-    let scenario = scenario.measuring(WARM_UP, MEASURED).calling(CALLS_PER_SECOND);
+    let scenario = scenario.with_measurement_window(WARM_UP, MEASURED).with_call_rate(CALLS_PER_SECOND);
     let plan = |what, faults| Planned {
         name: format!("hollow-restarts, {what} at {members}"),
-        scenario: scenario.clone().suffering(faults),
+        scenario: scenario.clone().with_faults(faults),
         watched: None,
     };
     [
--- a/crates/fawnrouter-capacity/src/hollow/runs/side_by_side.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/side_by_side.rs
@@ -66,7 +66,7 @@
 
 /// How much there is to do, roughly: calls, and the seconds that gateways stand there.
 fn work(scenario: &Scenario) -> u64 {
-    let seconds = (scenario.measured_to() + scenario.settle).as_secs_f64();
+    let seconds = (scenario.measurement_end() + scenario.settle).as_secs_f64();
     let of_a_gateway = seconds + scenario.traffic.calls_per_second * scenario.traffic.seconds as f64;
     (f64::from(scenario.gateways) * of_a_gateway) as u64
 }
--- a/crates/fawnrouter-capacity/src/hollow/runs/situations.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/situations.rs
@@ -98,7 +98,7 @@
         note_counts(&mut collector, part, gateways, &played.outcome);
         note_work(&mut collector, part, gateways, &played.recording.replay(meter)?);
         if part.situation == Situation::RegionsApart {
-            oldest_list = oldest_list.max(played.outcome.list.oldest);
+            oldest_list = oldest_list.max(played.outcome.list.max_list_age);
         }
     }
     for gateways in sizes {
@@ -127,9 +127,9 @@
 
 fn plan(seed: u64, part: &Part, gateways: u32) -> Planned {
     let scenario = Scenario::fleet(seed, gateways)
-        .measuring(WARM_UP, part.measured)
-        .calling(part.rate)
-        .suffering(part.faults.clone());
+        .with_measurement_window(WARM_UP, part.measured)
+        .with_call_rate(part.rate)
+        .with_faults(part.faults.clone());
     let name = format!("hollow-situations, {} at {gateways}", part.name);
     Planned { name, scenario, watched: Some(WATCHED) }
 }
@@ -150,7 +150,7 @@
             note_flow(collector, spot, part, quantity, &of_role);
         }
         for quantity in [Quantity::Connections, Quantity::StateEntries] {
-            let held = if part.is_steady() { of_role.held(quantity) } else { of_role.most_held(quantity) };
+            let held = if part.is_steady() { of_role.held(quantity) } else { of_role.max_held(quantity) };
             collector.put(spot, Cause::All, quantity, Per::Held, held);
         }
     }
@@ -171,9 +171,9 @@
         let mean = of_role.mean(Cause::All, quantity).map(|whole| whole / seconds);
         collector.put(spot, Cause::All, quantity, Per::Second, mean);
     } else {
-        let second = of_role.busiest_second(Cause::All, quantity);
+        let second = of_role.busiest_member_second(Cause::All, quantity);
         collector.put(spot, Cause::All, quantity, Per::PeakSecond, second);
-        let whole = of_role.busiest(Cause::All, quantity);
+        let whole = of_role.busiest_member(Cause::All, quantity);
         collector.put(spot, Cause::All, quantity, Per::Situation, whole);
     }
 }
--- a/crates/fawnrouter-capacity/src/hollow/runs/switches.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/switches.rs
@@ -5,7 +5,7 @@
 use super::{Collector, Session, Spot, WORK, configuration};
 use crate::figures::{Cause, Per, Quantity, Role, Run, Situation, Size};
 use crate::hollow::HollowError;
-use crate::hollow::ledger::Flow;
+use crate::hollow::ledger::Cost;
 use crate::hollow::outcome::Outcome;
 use crate::hollow::scenario::Scenario;
 
@@ -31,7 +31,7 @@
 impl Plays {
     /// Bytes of one answer with the whole list.
     fn list_bytes(&self) -> f64 {
-        self.quiet.list.answer_bytes as f64 / self.quiet.list.answers.max(1) as f64
+        self.quiet.list.response_bytes as f64 / self.quiet.list.responses.max(1) as f64
     }
 }
 
@@ -39,9 +39,10 @@
     let quiet_measured = session.choose(&[QUIET_MEASURED], &[MEASURED_QUICK])[0];
     let measured = session.choose(&[MEASURED], &[MEASURED_QUICK])[0];
     let quiet = Scenario::one_service(session.options.seed, GATEWAYS, switches);
-    let quiet = quiet.measuring(WARM_UP, quiet_measured);
-    let calling = quiet.clone().measuring(WARM_UP, measured).calling(CALLS_PER_SECOND);
-    let changing = quiet.clone().measuring(WARM_UP, measured).changing(LIST_CHANGE_EVERY);
+    let quiet = quiet.with_measurement_window(WARM_UP, quiet_measured);
+    let calling = quiet.clone().with_measurement_window(WARM_UP, measured).with_call_rate(CALLS_PER_SECOND);
+    let changing =
+        quiet.clone().with_measurement_window(WARM_UP, measured).with_list_change_interval(LIST_CHANGE_EVERY);
     Ok(Plays {
         switches,
         quiet: session.play("hollow-switches, quiet", switches, &quiet)?,
@@ -97,13 +98,13 @@
     collector.put(source, Cause::List, Quantity::BytesOut, Per::Event, bytes);
     collector.seconds(spot(Situation::Quiet), &plays.quiet, &[Cause::List]);
     let list = &plays.quiet.list;
-    let unchanged = list.answers - list.changed;
+    let unchanged = list.responses - list.changed;
     note_event(collector, spot(Situation::Quiet), list.unchanged_cost, unchanged);
     let list = &plays.changing.list;
     note_event(collector, spot(Situation::OrdinaryDay), list.changed_cost, list.changed);
 }
 
-fn note_event(collector: &mut Collector, spot: Spot, cost: Flow, events: u64) {
+fn note_event(collector: &mut Collector, spot: Spot, cost: Cost, events: u64) {
     for quantity in WORK {
         let value = cost.get(quantity).filter(|_| events > 0).map(|all| all / events as f64);
         collector.put(spot, Cause::List, quantity, Per::Event, value);
--- a/crates/fawnrouter-capacity/src/hollow/scenario.rs
+++ b/crates/fawnrouter-capacity/src/hollow/scenario.rs
@@ -25,7 +25,7 @@
 
 /// Where a gateway or a core switch is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Location {
     /// Its service: the gateways of a service see the core switches of that service and no others.
     pub service: u32,
     /// Its zone.
@@ -104,7 +104,7 @@
 
     /// The same with calls at this rate at each gateway, from the start to the end of what is measured.
     #[must_use]
-    pub fn calling(mut self, calls_per_second: f64) -> Self {
+    pub fn with_call_rate(mut self, calls_per_second: f64) -> Self {
         self.traffic.calls_per_second = calls_per_second;
         self.traffic.seconds = (self.warm_up + self.measured).as_secs();
         self
@@ -112,75 +112,75 @@
 
     /// The same with calls that stand for so long.
     #[must_use]
-    pub fn holding(mut self, hold: Duration) -> Self {
+    pub fn with_hold_time(mut self, hold: Duration) -> Self {
         self.traffic.hold = hold;
         self
     }
 
     /// The same measured at another time. Calls go on to its end.
     #[must_use]
-    pub fn measuring(mut self, warm_up: Duration, measured: Duration) -> Self {
+    pub fn with_measurement_window(mut self, warm_up: Duration, measured: Duration) -> Self {
         (self.warm_up, self.measured) = (warm_up, measured);
         self.calling_as_before()
     }
 
     fn calling_as_before(self) -> Self {
         let rate = self.traffic.calls_per_second;
-        self.calling(rate)
+        self.with_call_rate(rate)
     }
 
     /// The same played on for so long after what is measured.
     #[must_use]
-    pub fn settling(mut self, settle: Duration) -> Self {
+    pub fn with_settle_time(mut self, settle: Duration) -> Self {
         self.settle = settle;
         self
     }
 
     /// The same with these faults.
     #[must_use]
-    pub fn suffering(mut self, faults: FaultPlan) -> Self {
+    pub fn with_faults(mut self, faults: FaultPlan) -> Self {
         self.faults = faults;
         self
     }
 
     /// The same with a list that changes this often.
     #[must_use]
-    pub fn changing(mut self, every: Duration) -> Self {
+    pub fn with_list_change_interval(mut self, every: Duration) -> Self {
         self.list_change_every = Some(every);
         self
     }
 
     /// When what is measured ends.
     #[must_use]
-    pub fn measured_to(&self) -> Duration {
+    pub fn measurement_end(&self) -> Duration {
         self.warm_up + self.measured
     }
 
     /// Where a gateway is.
     #[must_use]
-    pub fn gateway_place(&self, number: u32) -> Place {
+    pub fn gateway_location(&self, number: u32) -> Location {
         self.place(number, self.gateways)
     }
 
     /// Where a core switch is.
     #[must_use]
-    pub fn switch_place(&self, number: u32) -> Place {
+    pub fn switch_location(&self, number: u32) -> Location {
         self.place(number, self.switches)
     }
 
     /// The members of each service follow each other, and each goes to another zone than the one before.
-    fn place(&self, number: u32, of: u32) -> Place {
+    fn place(&self, number: u32, of: u32) -> Location {
         let service = u64::from(number) * u64::from(self.services) / u64::from(of.max(1));
         let zone = number % self.zones;
         let rack = number / self.zones % RACKS_OF_A_ZONE;
         // Both are below the counts they are taken from.
-        Place { service: service as u32, zone, region: zone * self.regions / self.zones, rack }
+        Location { service: service as u32, zone, region: zone * self.regions / self.zones, rack }
     }
 
     /// Core switches that the gateways of a service see.
     #[must_use]
     pub fn switches_seen(&self, service: u32) -> u32 {
-        (0..self.switches).filter(|number| self.switch_place(*number).service == service).count() as u32
+        (0..self.switches).filter(|number| self.switch_location(*number).service == service).count() as u32
     }
 
     pub(crate) fn check(&self) -> Result<(), HollowError> {
--- a/crates/fawnrouter-capacity/src/hollow/world.rs
+++ b/crates/fawnrouter-capacity/src/hollow/world.rs
@@ -17,12 +17,12 @@
 
 use super::HollowError;
 use super::event::{ConnectionId, Event, Queue};
-use super::ledger::{Flow, Ledger};
+use super::ledger::{Cost, Ledger};
 use super::members::{Callers, Connection, Gateway, Held, ListSource, ServiceList, Switch, switch_address};
 use super::meter::Meter;
 use super::outcome::{Outcome, RoleOutcome};
 use super::recording::{Recording, Step};
-use super::scenario::{Place, Scenario};
+use super::scenario::{Location, Scenario};
 use crate::figures::{Cause, Role};
 use crate::plan::{PlannedCall, PlannedFault};
 use crate::platform::SwitchRow;
@@ -51,8 +51,8 @@
 
 /// What waits for the regions to reach each other again.
 struct Waiting {
-    from: Place,
-    to: Place,
+    from: Location,
+    to: Location,
     load: Load,
     event: Event,
 }
@@ -88,7 +88,7 @@
 impl<'a> World<'a> {
     pub fn new(scenario: &'a Scenario, meter: Meter) -> Result<Self, HollowError> {
         scenario.check()?;
-        let gateway_places = (0..scenario.gateways).map(|number| scenario.gateway_place(number));
+        let gateway_places = (0..scenario.gateways).map(|number| scenario.gateway_location(number));
         let gateways: Vec<Gateway> = gateway_places.map(Gateway::new).collect();
         let switches: Vec<Switch> = new_switches(scenario);
         let mut members = vec![(Vec::new(), Vec::new()); scenario.services as usize];
@@ -115,7 +115,7 @@
             next_connection: 0,
             callers: Callers::default(),
             source: ListSource {
-                place: scenario.switch_place(0),
+                place: scenario.switch_location(0),
                 services: Vec::new(),
                 ledger: Ledger::default(),
                 held: Held::default(),
@@ -158,7 +158,7 @@
     }
 
     fn measured_to(&self) -> Duration {
-        START_UP + self.scenario.measured_to()
+        START_UP + self.scenario.measurement_end()
     }
 
     /// The same with what happens to one gateway recorded.
@@ -233,7 +233,7 @@
     }
 
     // ---- Counting ---------------------------------------------------------------------------------------------
-    fn note_gateway(&mut self, gateway: usize, cause: Cause, flow: Flow) {
+    fn note_gateway(&mut self, gateway: usize, cause: Cause, flow: Cost) {
         let Some(second) = self.second() else { return };
         let gateway = &mut self.gateways[gateway];
         let ledger = match cause {
@@ -243,15 +243,15 @@
         ledger.add(second, cause, flow);
     }
 
-    fn note_switch(&mut self, switch: usize, cause: Cause, flow: Flow) {
+    fn note_switch(&mut self, switch: usize, cause: Cause, flow: Cost) {
         if let Some(second) = self.second() {
             self.switches[switch].ledger.add(second, cause, flow);
         }
     }
 
-    fn note_links(&mut self, from: Place, to: Place, load: Load) {
+    fn note_links(&mut self, from: Location, to: Location, load: Load) {
         let Some(second) = self.second() else { return };
-        let (sent, received) = (Flow::sent(load.bytes), Flow::received(load.bytes));
+        let (sent, received) = (Cost::sent(load.bytes), Cost::received(load.bytes));
         if from.zone != to.zone {
             self.zone_links[from.zone as usize].add(second, load.cause, sent);
             self.zone_links[to.zone as usize].add(second, load.cause, received);
@@ -270,7 +270,7 @@
             gateway.held_for_control.look(usize::from(gateway.process.is_some()), servers);
             if gateway.process.is_some() {
                 let age = self.now.saturating_sub(gateway.answered);
-                self.outcome.list.oldest = self.outcome.list.oldest.max(age);
+                self.outcome.list.max_list_age = self.outcome.list.max_list_age.max(age);
             }
         }
         for switch in &mut self.switches {
@@ -284,12 +284,12 @@
     }
 
     // ---- The network ------------------------------------------------------------------------------------------
-    fn is_cut(&self, from: Place, to: Place) -> bool {
+    fn is_cut(&self, from: Location, to: Location) -> bool {
         self.regions_apart && from.region != to.region
     }
 
     /// Sends on a connection, in order; while regions are apart it waits, as TCP sends it again until it arrives.
-    fn transmit(&mut self, from: Place, to: Place, load: Option<Load>, event: Event) {
+    fn transmit(&mut self, from: Location, to: Location, load: Option<Load>, event: Event) {
         let load = load.unwrap_or(Load { cause: Cause::Connections, bytes: 0 });
         if self.is_cut(from, to) {
             self.waiting.push(Waiting { from, to, load, event });
@@ -302,7 +302,7 @@
     }
 
     /// Sends a datagram; whether it arrives.
-    fn send_datagram(&mut self, from: Place, to: Place, bytes: usize, event: Event) -> bool {
+    fn send_datagram(&mut self, from: Location, to: Location, bytes: usize, event: Event) -> bool {
         if self.is_cut(from, to) {
             return false;
         }
@@ -354,7 +354,7 @@
     }
 }
 
-fn delay(from: Place, to: Place) -> Duration {
+fn delay(from: Location, to: Location) -> Duration {
     if from.region != to.region {
         FAR_DELAY
     } else if from.zone != to.zone {
@@ -368,7 +368,7 @@
     let mut cells = vec![0; scenario.services as usize];
     let mut switches = Vec::new();
     for number in 0..scenario.switches {
-        let place = scenario.switch_place(number);
+        let place = scenario.switch_location(number);
         let cell = &mut cells[place.service as usize];
         let row = SwitchRow {
             id: format!("s-{number:08x}"),
--- a/crates/fawnrouter-capacity/src/hollow/world/callers.rs
+++ b/crates/fawnrouter-capacity/src/hollow/world/callers.rs
@@ -8,7 +8,7 @@
 use super::{CALLER_DELAY, World};
 use crate::figures::Cause;
 use crate::hollow::event::{Event, GatewayRun};
-use crate::hollow::ledger::Flow;
+use crate::hollow::ledger::Cost;
 use crate::hollow::members::{CallerCall, CallerState, cause_of};
 use crate::hollow::recording::Step;
 use crate::plan::{CALLER_WAIT, CAUSE_CLEARING, told_standing};
@@ -32,11 +32,11 @@
     pub(super) fn call(&mut self, planned: usize, until: Duration) {
         let call = self.calls[planned];
         if self.now + CALLER_WAIT == until {
-            self.outcome.calls.planned += 1;
+            self.outcome.calls.attempted += 1;
             self.put_call(planned + 1);
         }
         if self.now >= until {
-            self.outcome.calls.unplaced += 1;
+            self.outcome.calls.no_gateway += 1;
             return;
         }
         let Some(gateway) = self.gateway_for(call.gateway as usize) else {
@@ -88,7 +88,7 @@
     pub(super) fn client_up(&mut self, to: GatewayRun, client: ClientId) {
         let Some(process) = self.running(to) else { return };
         process.clients.insert(client, Decoder::new());
-        self.note_gateway(to.gateway, Cause::Connections, Flow::connected());
+        self.note_gateway(to.gateway, Cause::Connections, Cost::connected());
         self.feed(to.gateway, Cause::Connections, Input::ClientConnected { client });
     }
 
@@ -130,14 +130,15 @@
         let tag = message.tag.0;
         let call = self.callers.calls.get_mut(&tag).filter(|call| call.gateway == from.gateway);
         let Some(call) = call else {
-            self.outcome.calls.stray += u64::from(matches!(message.verb, Verb::Started | Verb::Finish));
+            self.outcome.calls.unexpected_lines +=
+                u64::from(matches!(message.verb, Verb::Started | Verb::Finish));
             return;
         };
         let counts = &mut self.outcome.calls;
         match (message.verb, call.state) {
             (Verb::Started, CallerState::Answer(_)) => {
                 call.state = CallerState::Release;
-                counts.stood += 1;
+                counts.established += 1;
             }
             (Verb::Started, CallerState::Release) => counts.answered_twice += 1,
             (Verb::Finish, state) => {
@@ -176,7 +177,7 @@
             match state {
                 CallerState::Answer(_) => {
                     self.callers.calls.remove(&tag);
-                    self.outcome.calls.broken += 1;
+                    self.outcome.calls.gateway_lost += 1;
                 }
                 CallerState::Release => {
                     let after = Duration::from_millis(1 + tag % RETELL_SPREAD_MS);
--- a/crates/fawnrouter-capacity/src/hollow/world/faults.rs
+++ b/crates/fawnrouter-capacity/src/hollow/world/faults.rs
@@ -7,7 +7,7 @@
 use super::{UNIX_START, World};
 use crate::hollow::event::{ConnectionId, Event};
 use crate::hollow::members::SwitchState;
-use crate::hollow::scenario::Place;
+use crate::hollow::scenario::Location;
 use crate::plan::Fault;
 
 /// The rack of a zone that vanishes.
@@ -35,7 +35,7 @@
         }
     }
 
-    fn vanish(&mut self, is_hit: impl Fn(&Place) -> bool) {
+    fn vanish(&mut self, is_hit: impl Fn(&Location) -> bool) {
         let switches = self.switches_at(&is_hit);
         self.switches_vanish(&switches);
         for gateway in self.gateways_at(&is_hit) {
@@ -43,7 +43,7 @@
         }
     }
 
-    fn return_all(&mut self, is_hit: impl Fn(&Place) -> bool) {
+    fn return_all(&mut self, is_hit: impl Fn(&Location) -> bool) {
         let switches = self.switches_at(&is_hit);
         self.switches_return(&switches);
         for gateway in self.gateways_at(&is_hit) {
@@ -51,11 +51,11 @@
         }
     }
 
-    fn switches_at(&self, is_hit: impl Fn(&Place) -> bool) -> Vec<usize> {
+    fn switches_at(&self, is_hit: impl Fn(&Location) -> bool) -> Vec<usize> {
         (0..self.switches.len()).filter(|switch| is_hit(&self.switches[*switch].place)).collect()
     }
 
-    fn gateways_at(&self, is_hit: impl Fn(&Place) -> bool) -> Vec<usize> {
+    fn gateways_at(&self, is_hit: impl Fn(&Location) -> bool) -> Vec<usize> {
         (0..self.gateways.len()).filter(|gateway| is_hit(&self.gateways[*gateway].place)).collect()
     }
 
--- a/crates/fawnrouter-capacity/src/hollow/world/gateways.rs
+++ b/crates/fawnrouter-capacity/src/hollow/world/gateways.rs
@@ -13,7 +13,7 @@
 use crate::figures::Cause;
 use crate::hollow::HollowError;
 use crate::hollow::event::{ConnectionId, Event, GatewayRun};
-use crate::hollow::ledger::Flow;
+use crate::hollow::ledger::Cost;
 use crate::hollow::members::{Connection, Process, SwitchState, cause_of, read_line};
 use crate::hollow::recording::{Step, build, read};
 use crate::platform::{GatewayPlace, gateway_configuration};
@@ -85,9 +85,9 @@
         Ok(())
     }
 
-    fn note_configuration(&mut self, gateway: usize, bytes: usize, cost: Flow) {
+    fn note_configuration(&mut self, gateway: usize, bytes: usize, cost: Cost) {
         self.note_gateway(gateway, Cause::Configuration, cost);
-        self.note_gateway(gateway, Cause::Configuration, Flow::received(bytes));
+        self.note_gateway(gateway, Cause::Configuration, Cost::received(bytes));
         if self.second().is_some() {
             let counts = &mut self.outcome.configurations;
             counts.read += 1;
@@ -108,8 +108,8 @@
 
     // ---- Inputs -----------------------------------------------------------------------------------------------
     /// Gives a gateway an input and carries out what it says, and what follows from that; what the input cost.
-    pub(super) fn feed(&mut self, gateway: usize, cause: Cause, input: Input) -> Flow {
-        let mut sum = Flow::default();
+    pub(super) fn feed(&mut self, gateway: usize, cause: Cause, input: Input) -> Cost {
+        let mut sum = Cost::default();
         let mut inputs = VecDeque::from([(cause, input)]);
         while let Some((cause, input)) = inputs.pop_front() {
             let time = self.time();
@@ -173,7 +173,7 @@
         let message = read.as_ref().and_then(|read| read.as_ref().ok());
         let cause = message.map_or(Cause::Calls, |message| cause_of(message.verb));
         self.note_gateway(gateway, cause, cost);
-        self.note_gateway(gateway, cause, Flow::received(line.len()));
+        self.note_gateway(gateway, cause, Cost::received(line.len()));
         read
     }
 
@@ -213,7 +213,7 @@
             self.outcome.calls.unreadable += 1;
             return true;
         };
-        self.note_gateway(gateway, cause_of(message.verb), Flow::sent(line.len()));
+        self.note_gateway(gateway, cause_of(message.verb), Cost::sent(line.len()));
         if self.second().is_some() {
             self.outcome.to_callers.add(message.verb, line.len());
         }
@@ -223,7 +223,7 @@
     }
 
     fn open_link(&mut self, gateway: usize, link: LinkId, address: SocketAddr, within: Duration) {
-        self.note_gateway(gateway, Cause::Connections, Flow::connected());
+        self.note_gateway(gateway, Cause::Connections, Cost::connected());
         let Some(switch) = self.addresses.get(&address).copied() else { return };
         self.next_connection += 1;
         let connection = ConnectionId(self.next_connection);
@@ -260,7 +260,7 @@
             return;
         };
         let cause = cause_of(message.verb);
-        self.note_gateway(gateway, cause, Flow::sent(line.len()));
+        self.note_gateway(gateway, cause, Cost::sent(line.len()));
         if self.second().is_some() {
             self.outcome.to_switches.add(message.verb, line.len());
         }
--- a/crates/fawnrouter-capacity/src/hollow/world/list.rs
+++ b/crates/fawnrouter-capacity/src/hollow/world/list.rs
@@ -8,7 +8,7 @@
 use super::World;
 use crate::figures::Cause;
 use crate::hollow::event::{Event, GatewayRun, ListAnswer};
-use crate::hollow::ledger::Flow;
+use crate::hollow::ledger::Cost;
 use crate::hollow::recording::Step;
 use crate::platform::SwitchRow;
 
@@ -26,14 +26,14 @@
         let bytes = asked.datagram.len();
         self.record(gateway, || Step::Ask(id));
         self.note_gateway(gateway, Cause::List, cost);
-        self.note_gateway(gateway, Cause::List, Flow::sent(bytes));
+        self.note_gateway(gateway, Cause::List, Cost::sent(bytes));
         let (from, to) = (self.gateways[gateway].place, self.source.place);
         let event = Event::Question { from: run, datagram: asked.datagram };
         let arrives = self.send_datagram(from, to, bytes, event);
         if self.second().is_some() {
             let list = &mut self.outcome.list;
-            list.questions += 1;
-            list.question_bytes += bytes as u64;
+            list.queries += 1;
+            list.query_bytes += bytes as u64;
             list.lost += u64::from(!arrives);
         }
         let next = asked.next_at.since(time);
@@ -48,8 +48,8 @@
         let answer = ListAnswer { id, serial: list.serial, bytes };
         let length = answer.bytes.len();
         if let Some(second) = self.second() {
-            self.source.ledger.add(second, Cause::List, Flow::received(datagram.len()));
-            self.source.ledger.add(second, Cause::List, Flow::sent(length));
+            self.source.ledger.add(second, Cause::List, Cost::received(datagram.len()));
+            self.source.ledger.add(second, Cause::List, Cost::sent(length));
         }
         let source = self.source.place;
         let arrives = self.send_datagram(source, place, length, Event::Answer { to: from, answer });
@@ -68,7 +68,7 @@
         process.serial = answer.serial;
         self.record(to.gateway, || Step::Answer(datagram.clone()));
         self.note_gateway(to.gateway, Cause::List, cost);
-        self.note_gateway(to.gateway, Cause::List, Flow::received(datagram.len()));
+        self.note_gateway(to.gateway, Cause::List, Cost::received(datagram.len()));
         self.gateways[to.gateway].answered = self.now;
         let readable = match read {
             Ok(list) => {
@@ -81,8 +81,8 @@
             return;
         }
         let list = &mut self.outcome.list;
-        list.answers += 1;
-        list.answer_bytes += datagram.len() as u64;
+        list.responses += 1;
+        list.response_bytes += datagram.len() as u64;
         list.unreadable += u64::from(!readable);
         list.changed += u64::from(changed);
         let sum = if changed { &mut list.changed_cost } else { &mut list.unchanged_cost };
--- a/crates/fawnrouter-capacity/src/hollow/world/switches.rs
+++ b/crates/fawnrouter-capacity/src/hollow/world/switches.rs
@@ -6,7 +6,7 @@
 use super::{Load, World};
 use crate::figures::Cause;
 use crate::hollow::event::{ConnectionId, Event};
-use crate::hollow::ledger::Flow;
+use crate::hollow::ledger::Cost;
 use crate::hollow::members::{SwitchCall, SwitchState, cause_of};
 use crate::plan::{answer_of_switch, passed_test, release_of_switch};
 
@@ -26,7 +26,7 @@
                     record.open_at_switch = true;
                 }
                 self.switches[switch].connections.insert((gateway, connection));
-                self.note_switch(switch, Cause::Connections, Flow::connected());
+                self.note_switch(switch, Cause::Connections, Cost::connected());
                 self.transmit(here, there, None, Event::DialUp { connection });
                 self.say_again(switch, gateway, connection);
             }
@@ -63,7 +63,7 @@
             let end = Event::ConnectionEnd { connection, end: LinkEnd::Broken };
             return self.transmit(here, there, None, end);
         }
-        self.note_switch(switch, cause_of(message.verb), Flow::received(bytes));
+        self.note_switch(switch, cause_of(message.verb), Cost::received(bytes));
         let tag = message.tag.0;
         match message.verb {
             Verb::Start => self.set_up_at_switch(switch, connection, tag),
@@ -156,7 +156,7 @@
         let mut line = Vec::new();
         message.encode(&mut line);
         let cause = cause_of(message.verb);
-        self.note_switch(switch, cause, Flow::sent(line.len()));
+        self.note_switch(switch, cause, Cost::sent(line.len()));
         let (from, to) = (self.switches[switch].place, self.gateways[gateway].place);
         let load = Load { cause, bytes: line.len() };
         self.transmit(from, to, Some(load), Event::LineToGateway { connection, line });
--- a/crates/fawnrouter-capacity/src/page/budgets.rs
+++ b/crates/fawnrouter-capacity/src/page/budgets.rs
@@ -12,9 +12,9 @@
 /// The platform's present limit on a gateway's memory, in bytes (the same page).
 const MEMORY_OF_A_GATEWAY_BYTES: f64 = 32.0 * 1024.0 * 1024.0;
 /// Processor time that a call can be given at each of 28 gateways, where 1.6 ms are for the whole call.
-const MICROSECONDS_OF_A_HOP: f64 = design::ADDED_DELAY_MS * 1e3 / design::DEPTH as f64;
+const MICROSECONDS_OF_A_HOP: f64 = design::ADDED_DELAY_P99_MS * 1e3 / design::DEPTH as f64;
 /// The longest turn that calls may have to wait for.
-const MICROSECONDS_OF_A_TURN: f64 = design::ADDED_DELAY_MS * 1e3;
+const MICROSECONDS_OF_A_TURN: f64 = design::ADDED_DELAY_P99_MS * 1e3;
 
 /// The budget of a figure, in the figure's unit; none where the letter and the platform name none.
 pub(super) fn budget(role: Role, measure: Measure, cause: Cause, per: Per) -> Option<f64> {
--- a/crates/fawnrouter-capacity/src/page/depth.rs
+++ b/crates/fawnrouter-capacity/src/page/depth.rs
@@ -3,7 +3,7 @@
 use super::numbers::{nanoseconds, significant};
 use super::table::Table;
 use super::words;
-use crate::delay::{DelayError, Depths, HopsDelay, deepest_within, depths};
+use crate::delay::{DelayError, DelayPercentiles, DelaysByDepth, delays_by_depth, max_hops_within};
 use crate::design;
 use crate::figures::{Report, Run};
 
@@ -13,7 +13,7 @@
 const BASELINES: &str = "processes-hop-baseline";
 const NANOSECONDS_OF_A_MILLISECOND: f64 = 1e6;
 /// What may be added to a call, 99 in 100.
-const LIMIT_NANOSECONDS: f64 = design::ADDED_DELAY_MS * NANOSECONDS_OF_A_MILLISECOND;
+const LIMIT_NANOSECONDS: f64 = design::ADDED_DELAY_P99_MS * NANOSECONDS_OF_A_MILLISECOND;
 
 /// The delays of the hops of one run.
 pub(super) struct RunDepths<'a> {
@@ -22,7 +22,7 @@
 }
 
 struct RunDelays {
-    depths: Depths,
+    depths: DelaysByDepth,
     /// Hops whose 99th percentile is within the limit.
     deepest_within: u32,
 }
@@ -43,7 +43,7 @@
         self.deepest().and_then(per_hop_ratio)
     }
 
-    fn deepest(&self) -> Option<&HopsDelay> {
+    fn deepest(&self) -> Option<&DelayPercentiles> {
         let delays = &self.depths.as_ref().ok()?.depths.delays;
         delays.iter().find(|delay| delay.hops == design::DEPTH)
     }
@@ -56,8 +56,8 @@
 }
 
 fn run_delays(run: &Run) -> Result<RunDelays, DelayError> {
-    let depths = depths(&run.hop_delays, &DEPTHS)?;
-    let deepest_within = deepest_within(&run.hop_delays, LIMIT_NANOSECONDS as u64, design::DEPTH)?;
+    let depths = delays_by_depth(&run.hop_delays, &DEPTHS)?;
+    let deepest_within = max_hops_within(&run.hop_delays, LIMIT_NANOSECONDS as u64, design::DEPTH)?;
     Ok(RunDelays { depths, deepest_within })
 }
 
@@ -76,7 +76,7 @@
     format!("## Depth\n\n{table}\n{remarks}")
 }
 
-fn cells(run: &Run, delay: &HopsDelay) -> [String; 7] {
+fn cells(run: &Run, delay: &DelayPercentiles) -> [String; 7] {
     [
         words::cited(&run.id),
         delay.hops.to_string(),
@@ -104,11 +104,11 @@
     }
 }
 
-fn whole_call_ratio(delay: &HopsDelay) -> Option<f64> {
+fn whole_call_ratio(delay: &DelayPercentiles) -> Option<f64> {
     Some(delay.p99_nanoseconds? as f64 / LIMIT_NANOSECONDS)
 }
 
-fn per_hop_ratio(delay: &HopsDelay) -> Option<f64> {
+fn per_hop_ratio(delay: &DelayPercentiles) -> Option<f64> {
     Some(whole_call_ratio(delay)? / f64::from(delay.hops))
 }
 
--- a/crates/fawnrouter-capacity/src/page/frequency.rs
+++ b/crates/fawnrouter-capacity/src/page/frequency.rs
@@ -12,7 +12,7 @@
 /// Regions lose each other several times a year. The letter names no figure: five times is assumed.
 const REGION_CUTS_PER_DAY: f64 = 5.0 / DAYS_OF_A_YEAR;
 /// All gateways of a service restart as often as the day's restarts come service by service.
-const SERVICE_RESTARTS_PER_DAY: f64 = design::RESTARTS_PER_DAY / design::SWITCHES_OF_A_SERVICE;
+const SERVICE_RESTARTS_PER_DAY: f64 = design::RESTARTS_PER_DAY / design::SWITCHES_PER_SERVICE;
 /// Bad configurations sent to all. The letter names no figure: once a day is assumed, one change of 1,600.
 const BAD_CONFIGURATIONS_PER_DAY: f64 = 1.0;
 
--- a/crates/fawnrouter-capacity/src/page/growth.rs
+++ b/crates/fawnrouter-capacity/src/page/growth.rs
@@ -30,10 +30,10 @@
     };
     [
         words::size(size).to_owned(),
-        count(|growth| matches!(growth, Growth::NoneSeen(_))),
+        count(|growth| matches!(growth, Growth::Undetected(_))),
         count(|growth| matches!(growth, Growth::Linear)),
-        count(|growth| matches!(growth, Growth::Slower)),
-        count(|growth| matches!(growth, Growth::Faster(_))),
+        count(|growth| matches!(growth, Growth::Sublinear)),
+        count(|growth| matches!(growth, Growth::Superlinear(_))),
         rows.iter().filter(|row| row.fit.is_err()).count().to_string(),
     ]
 }
@@ -55,7 +55,7 @@
     ]);
     for row in rows {
         if let Ok(fit) = &row.fit
-            && let Growth::Faster(curve) = &fit.growth
+            && let Growth::Superlinear(curve) = &fit.growth
         {
             table.push(power_cells(row, fit, curve));
         }
@@ -75,11 +75,11 @@
         words::size(row.size).to_owned(),
         roles::growth(&row.fit),
         fit.exponent.map_or(NOTHING.to_owned(), |exponent| format!("{exponent:.2}")),
-        percent(fit.bend),
+        percent(fit.curvature),
         percent(fit.line.residual.relative_rms),
         percent(curve.residual.relative_rms),
-        curve.hurts_from.map_or(NOTHING.to_owned(), significant),
-        curve.hurts_from.map_or(NOTHING.to_owned(), value_there),
+        curve.dominant_from.map_or(NOTHING.to_owned(), significant),
+        curve.dominant_from.map_or(NOTHING.to_owned(), value_there),
         roles::cited_run(row),
     ]
 }
--- a/crates/fawnrouter-capacity/src/page/roles.rs
+++ b/crates/fawnrouter-capacity/src/page/roles.rs
@@ -84,11 +84,11 @@
     let amount = |value| amount(row.measure, row.per, value);
     match &row.fit {
         Err(error) => format!("no fit: {error}"),
-        Ok(Fit { growth: Growth::Faster(curve), .. }) => {
+        Ok(Fit { growth: Growth::Superlinear(curve), .. }) => {
             let power = power(curve.power);
             sum(&amount(curve.base), curve.factor, &amount(curve.factor.abs()), &format!("({size})^{power}"))
         }
-        Ok(Fit { growth: Growth::NoneSeen(level), .. }) => amount(level.mean),
+        Ok(Fit { growth: Growth::Undetected(level), .. }) => amount(level.mean),
         Ok(fit) => sum(&amount(fit.line.base), fit.line.slope, &amount(fit.line.slope.abs()), size),
     }
 }
@@ -112,10 +112,10 @@
 pub(super) fn growth(fit: &Result<Fit, FitError>) -> String {
     match fit {
         Err(_) => NOTHING.to_owned(),
-        Ok(Fit { growth: Growth::NoneSeen(_), .. }) => "none seen".to_owned(),
+        Ok(Fit { growth: Growth::Undetected(_), .. }) => "none seen".to_owned(),
         Ok(Fit { growth: Growth::Linear, .. }) => "linear".to_owned(),
-        Ok(Fit { growth: Growth::Slower, .. }) => "slower than linear".to_owned(),
-        Ok(Fit { growth: Growth::Faster(curve), .. }) => format!("power {}", power(curve.power)),
+        Ok(Fit { growth: Growth::Sublinear, .. }) => "slower than linear".to_owned(),
+        Ok(Fit { growth: Growth::Superlinear(curve), .. }) => format!("power {}", power(curve.power)),
     }
 }
 
--- a/crates/fawnrouter-capacity/src/page/sizes.rs
+++ b/crates/fawnrouter-capacity/src/page/sizes.rs
@@ -28,9 +28,11 @@
 
     pub(super) fn of(&self, size: Size) -> DesignSizes {
         let (harder, easier) = match size {
-            Size::SwitchesSeen => (design::GATEWAYS, Some(design::SWITCHES_OF_A_SERVICE)),
+            Size::SwitchesSeen => (design::GATEWAYS, Some(design::SWITCHES_PER_SERVICE)),
             Size::Gateways => (design::GATEWAYS, None),
-            Size::CallsPerSecond => (design::SET_UPS_PER_SECOND_DEEP, Some(design::SET_UPS_PER_SECOND_FLAT)),
+            Size::CallsPerSecond => {
+                (design::SET_UPS_PER_SECOND_AT_MAX_DEPTH, Some(design::SET_UPS_PER_SECOND_AT_ONE_HOP))
+            }
             Size::Depth => (f64::from(design::DEPTH), Some(1.0)),
             Size::ListBytes => match self.whole_list_bytes {
                 Some(bytes) => (bytes, Some(design::MAX_LIST_ANSWER_BYTES)),
--- a/crates/fawnrouter-capacity/src/process.rs
+++ b/crates/fawnrouter-capacity/src/process.rs
@@ -42,7 +42,7 @@
 pub use self::hop::{HopMeasured, hop_plan, through_gateway, without_gateway};
 use self::series::{Figures, Kind, of_hollow, of_processes, series};
 use crate::figures::{Method, Role, Run, Situation, Size};
-use crate::hollow::{Allocator, Scenario, play_counting};
+use crate::hollow::{CountingAllocator, Scenario, simulate_counting_allocations};
 use crate::plan::TrafficPlan;
 
 /// Core switches that every gateway sees.
@@ -82,7 +82,7 @@
     /// Only what this role bears.
     pub only: Option<Role>,
     /// The counting allocator, if the program has installed it; without it the hollow counterpart tells no memory.
-    pub allocator: Option<Allocator>,
+    pub allocator: Option<CountingAllocator>,
     /// Set from elsewhere when the measurement is to end.
     pub stop: &'a AtomicBool,
     /// Told of each part before it begins.
@@ -148,9 +148,9 @@
         (self.options.progress)(&format!("processes, {gateways} at {rate} calls/s"));
         let played = play(&scenario, self.quiet(), self.rig())?;
         (self.options.progress)(&format!("hollow-beside-processes, {gateways} at {rate} calls/s"));
-        let busy = play_counting(&scenario, self.options.allocator)?;
+        let busy = simulate_counting_allocations(&scenario, self.options.allocator)?;
         let quiet = quiet_scenario(&scenario, self.quiet());
-        let quiet = play_counting(&quiet, self.options.allocator)?;
+        let quiet = simulate_counting_allocations(&quiet, self.options.allocator)?;
         let (processes, hollow) = (of_processes(&scenario, &played), of_hollow(&quiet, &busy));
         Ok(Both { gateways, rate, seconds, played, processes, hollow })
     }
--- a/crates/fawnrouter-capacity/src/process/callers.rs
+++ b/crates/fawnrouter-capacity/src/process/callers.rs
@@ -9,7 +9,7 @@
 
 use fawnrouter_jsonl::{Message, Tag, Verb};
 
-use crate::hollow::ByVerb;
+use crate::hollow::VolumeByVerb;
 use crate::plan::{CAUSE_TEST_PASSED, PlannedCall};
 use crate::process::error::{ProcessError, doing};
 use crate::process::event_loop::{EventLoop, Party, Reply};
@@ -40,9 +40,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct CallerTraffic {
     /// From callers.
-    pub said: ByVerb,
+    pub said: VolumeByVerb,
     /// To callers.
-    pub heard: ByVerb,
+    pub heard: VolumeByVerb,
     /// Tests that were passed.
     pub tests_passed: u64,
     /// What became of calls.
--- a/crates/fawnrouter-capacity/src/process/fleet.rs
+++ b/crates/fawnrouter-capacity/src/process/fleet.rs
@@ -10,7 +10,7 @@
 use rustix::process::{Resource, getrlimit};
 use tempfile::TempDir;
 
-use crate::hollow::{ByVerb, Scenario, Volume};
+use crate::hollow::{Scenario, Volume, VolumeByVerb};
 use crate::plan::PlannedCall;
 use crate::platform::GatewayPlace;
 use crate::process::callers::{CallerTraffic, Callers, CallsEnded, connect, sleep_until};
@@ -56,13 +56,13 @@
     /// How long it was.
     pub length: Duration,
     /// Lines that gateways got from callers.
-    pub from_callers: ByVerb,
+    pub from_callers: VolumeByVerb,
     /// Lines that callers got from gateways.
-    pub to_callers: ByVerb,
+    pub to_callers: VolumeByVerb,
     /// Lines that gateways got from core switches.
-    pub from_switches: ByVerb,
+    pub from_switches: VolumeByVerb,
     /// Lines that core switches got from gateways.
-    pub to_switches: ByVerb,
+    pub to_switches: VolumeByVerb,
     /// Questions for the list.
     pub questions: Volume,
     /// Answers to them.
--- a/crates/fawnrouter-capacity/src/process/lines.rs
+++ b/crates/fawnrouter-capacity/src/process/lines.rs
@@ -2,7 +2,7 @@
 
 use fawnrouter_jsonl::{DecodeError, Decoder, Message};
 
-use crate::hollow::{ByVerb, Volume};
+use crate::hollow::{Volume, VolumeByVerb};
 
 /// The types of messages that are tests, their answers and told states; all others concern calls.
 const TEST_TYPES: [&str; 3] = ["ECHO", "ECHOED", "LOAD"];
@@ -34,12 +34,12 @@
 
 /// What was counted since an earlier reading of the same counter.
 #[must_use]
-pub fn counted_since(earlier: &ByVerb, now: &ByVerb) -> ByVerb {
+pub fn counted_since(earlier: &VolumeByVerb, now: &VolumeByVerb) -> VolumeByVerb {
     let since = |(verb, volume): (&&'static str, &Volume)| {
         let before = earlier.0.get(verb).copied().unwrap_or_default();
         (*verb, volume_since(before, *volume))
     };
-    ByVerb(now.0.iter().map(since).collect())
+    VolumeByVerb(now.0.iter().map(since).collect())
 }
 
 /// The same of one volume.
@@ -53,13 +53,13 @@
 
 /// What set-ups, answers and releases come to.
 #[must_use]
-pub fn volume_of_calls(lines: &ByVerb) -> Volume {
+pub fn volume_of_calls(lines: &VolumeByVerb) -> Volume {
     volume_since(volume_of_tests(lines), lines.all())
 }
 
 /// What tests, their answers and told states come to.
 #[must_use]
-pub fn volume_of_tests(lines: &ByVerb) -> Volume {
+pub fn volume_of_tests(lines: &VolumeByVerb) -> Volume {
     let tests = lines.0.iter().filter(|(verb, _)| TEST_TYPES.contains(verb));
-    ByVerb(tests.map(|(verb, volume)| (*verb, *volume)).collect()).all()
+    VolumeByVerb(tests.map(|(verb, volume)| (*verb, *volume)).collect()).all()
 }
--- a/crates/fawnrouter-capacity/src/process/series.rs
+++ b/crates/fawnrouter-capacity/src/process/series.rs
@@ -147,14 +147,14 @@
     figures.add_flow(LIST_OF_THE_SOURCE, of_source, quiet_seconds);
 }
 
-fn ways_of_a_gateway(observed: &Observed, volume: impl Fn(&crate::hollow::ByVerb) -> Volume) -> Ways {
+fn ways_of_a_gateway(observed: &Observed, volume: impl Fn(&crate::hollow::VolumeByVerb) -> Volume) -> Ways {
     Ways {
         received: both(volume(&observed.from_callers), volume(&observed.from_switches)),
         sent: both(volume(&observed.to_callers), volume(&observed.to_switches)),
     }
 }
 
-fn ways_of_a_switch(observed: &Observed, volume: impl Fn(&crate::hollow::ByVerb) -> Volume) -> Ways {
+fn ways_of_a_switch(observed: &Observed, volume: impl Fn(&crate::hollow::VolumeByVerb) -> Volume) -> Ways {
     Ways { received: volume(&observed.to_switches), sent: volume(&observed.from_switches) }
 }
 
@@ -186,14 +186,14 @@
 
 fn hollow_figure(outcome: &Outcome, kind: Kind) -> Option<f64> {
     match kind.per {
-        Per::Call => outcome.a_call(kind.role, kind.cause, kind.quantity),
-        _ => outcome.a_second(kind.role, kind.cause, kind.quantity),
+        Per::Call => outcome.mean_per_call(kind.role, kind.cause, kind.quantity),
+        _ => outcome.mean_per_second(kind.role, kind.cause, kind.quantity),
     }
 }
 
 /// A process does both the calls and the control of its gateway.
 fn processor_per_second(outcome: &Outcome) -> Option<f64> {
-    let of = |role| outcome.a_second(role, Cause::All, Quantity::ProcessorMicroseconds);
+    let of = |role| outcome.mean_per_second(role, Cause::All, Quantity::ProcessorMicroseconds);
     Some(of(Role::GatewayCalls)? + of(Role::GatewayControl)?)
 }
 
--- a/crates/fawnrouter-capacity/src/process/switches.rs
+++ b/crates/fawnrouter-capacity/src/process/switches.rs
@@ -8,7 +8,7 @@
 
 use fawnrouter_jsonl::{Message, Verb};
 
-use crate::hollow::ByVerb;
+use crate::hollow::VolumeByVerb;
 use crate::plan::{answer_of_switch, passed_test, release_of_switch};
 use crate::platform::SwitchRow;
 use crate::process::event_loop::{EventLoop, Party, Reply};
@@ -22,9 +22,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct SwitchTraffic {
     /// From gateways.
-    pub heard: ByVerb,
+    pub heard: VolumeByVerb,
     /// To gateways.
-    pub said: ByVerb,
+    pub said: VolumeByVerb,
     /// Connections that are open now.
     pub connections: u64,
 }
--- a/crates/fawnrouter-capacity/tests/delay.rs
+++ b/crates/fawnrouter-capacity/tests/delay.rs
@@ -3,7 +3,7 @@
 use std::num::NonZeroU64;
 
 use fawnrouter_capacity::delay::{
-    DelayError, Distribution, FINEST_BIN_NANOSECONDS, GRID_BINS, Grid, P99, deepest_within, depths,
+    DelayError, Distribution, FINEST_BIN_NANOSECONDS, GRID_BINS, Grid, P99, delays_by_depth, max_hops_within,
 };
 use fawnrouter_capacity::figures::DelayBucket;
 
@@ -19,7 +19,7 @@
 }
 
 fn one_hop(counts: &[(u64, u64)]) -> Distribution {
-    Distribution::of_one_hop(&histogram(counts), GRID).expect("delays were counted")
+    Distribution::from_histogram(&histogram(counts), GRID).expect("delays were counted")
 }
 
 /// A percentile in microseconds.
@@ -117,7 +117,7 @@
 fn what_lies_beyond_the_grid_counts_and_has_no_percentile() {
     let grid = Grid { bin_nanoseconds: FINEST_BIN_NANOSECONDS, bins: 101 };
     let buckets = histogram(&[(10, 95), (5_000, 5)]);
-    let one = Distribution::of_one_hop(&buckets, grid).expect("delays were counted");
+    let one = Distribution::from_histogram(&buckets, grid).expect("delays were counted");
     assert_eq!(one.percentile(0.95), Some(10 * MICROSECOND));
     assert_eq!(one.percentile(0.96), None);
     // 0.95 x 0.95 = 0.9025 of two hops are both fast.
@@ -131,7 +131,7 @@
 #[test]
 fn delays_too_long_for_the_finest_grid_are_laid_on_a_wider_one() {
     let buckets = histogram(&[(1_024, 1)]);
-    let found = depths(&buckets, &[1, 28]).expect("delays were counted");
+    let found = delays_by_depth(&buckets, &[1, 28]).expect("delays were counted");
     // 28 x 1.024 ms need 8 us a bin on a grid of 4,096.
     assert_eq!(found.grid.bin_nanoseconds, NonZeroU64::new(8_000).expect("not 0"));
     let p99: Vec<_> = found.delays.iter().map(|delay| (delay.hops, delay.p99_nanoseconds)).collect();
@@ -140,7 +140,7 @@
 
 #[test]
 fn percentiles_of_each_depth_are_told() {
-    let found = depths(&histogram(&[(10, 900), (100, 100)]), &[1, 4]).expect("delays were counted");
+    let found = delays_by_depth(&histogram(&[(10, 900), (100, 100)]), &[1, 4]).expect("delays were counted");
     assert_eq!(found.grid, GRID);
     let [one, four] = found.delays[..] else { panic!("two depths, found {}", found.delays.len()) };
     assert_eq!((one.p50_nanoseconds, one.p99_nanoseconds), (Some(10_000), Some(100_000)));
@@ -153,14 +153,14 @@
 #[test]
 fn the_deepest_call_within_a_limit_is_told() {
     let always_100 = histogram(&[(100, 10)]);
-    assert_eq!(deepest_within(&always_100, 1_600_000, 28), Ok(16));
-    assert_eq!(deepest_within(&always_100, 1_599_000, 28), Ok(15));
-    assert_eq!(deepest_within(&always_100, 99_000, 28), Ok(0));
-    assert_eq!(deepest_within(&always_100, 1_600_000, 4), Ok(4));
+    assert_eq!(max_hops_within(&always_100, 1_600_000, 28), Ok(16));
+    assert_eq!(max_hops_within(&always_100, 1_599_000, 28), Ok(15));
+    assert_eq!(max_hops_within(&always_100, 99_000, 28), Ok(0));
+    assert_eq!(max_hops_within(&always_100, 1_600_000, 4), Ok(4));
 }
 
 #[test]
 fn where_nothing_was_counted_there_is_no_distribution() {
-    assert_eq!(depths(&[], &[1]), Err(DelayError::Empty));
-    assert_eq!(deepest_within(&histogram(&[(10, 0)]), 1_000, 28), Err(DelayError::Empty));
+    assert_eq!(delays_by_depth(&[], &[1]), Err(DelayError::Empty));
+    assert_eq!(max_hops_within(&histogram(&[(10, 0)]), 1_000, 28), Err(DelayError::Empty));
 }
--- a/crates/fawnrouter-capacity/tests/fit.rs
+++ b/crates/fawnrouter-capacity/tests/fit.rs
@@ -2,8 +2,8 @@
 
 use fawnrouter_capacity::figures::Point;
 use fawnrouter_capacity::fit::{
-    Curve, Estimate, Fit, FitError, Growth, LINE_HOLDS_RELATIVE_RMS, Level, Line, MIN_POINTS, Origin, Power,
-    estimate,
+    Curve, Estimate, Fit, FitError, Growth, LINEAR_MAX_RELATIVE_RMS, Line, MIN_POINTS, MeanFit, Origin,
+    Power, estimate,
 };
 
 const SIZES: [f64; 6] = [25.0, 66.0, 132.0, 330.0, 660.0, 1_320.0];
@@ -24,15 +24,15 @@
 #[track_caller]
 fn curve_of(fit: &Fit) -> Curve {
     match fit.growth {
-        Growth::Faster(curve) => curve,
+        Growth::Superlinear(curve) => curve,
         other => panic!("expected growth faster than linear, found {other:?}"),
     }
 }
 
 #[track_caller]
-fn level_of(fit: &Fit) -> Level {
+fn level_of(fit: &Fit) -> MeanFit {
     match fit.growth {
-        Growth::NoneSeen(level) => level,
+        Growth::Undetected(level) => level,
         other => panic!("expected no growth, found {other:?}"),
     }
 }
@@ -51,7 +51,7 @@
     assert_near(fit.line.slope, 0.25, 1e-12);
     assert_near(fit.line.residual.relative_rms, 0.0, 1e-12);
     assert_near(fit.line.residual.r_squared, 1.0, 1e-12);
-    assert_near(fit.bend, 0.0, 1e-9);
+    assert_near(fit.curvature, 0.0, 1e-9);
     assert_eq!(fit.growth, Growth::Linear);
 }
 
@@ -91,7 +91,7 @@
         assert_near(curve.base, 100.0, 1e-6);
         assert_near(curve.factor, 0.02, 1e-12);
         assert_near(fit.residual().relative_rms, 0.0, 1e-9);
-        assert!(fit.line.residual.relative_rms > LINE_HOLDS_RELATIVE_RMS);
+        assert!(fit.line.residual.relative_rms > LINEAR_MAX_RELATIVE_RMS);
         assert_near(fit.at(2_640.0), 100.0 + 0.02 * power.of(2_640.0), 1e-3);
     }
 }
@@ -109,16 +109,16 @@
 fn it_hurts_from_where_the_power_exceeds_the_linear_part() {
     let square = curve_of(&fit_of(|size| 10.0 + 2.0 * size + 0.01 * size * size));
     assert_eq!(square.power, Power::Two);
-    assert_near(square.hurts_from.expect("a crossing"), 200.0, 1e-6);
+    assert_near(square.dominant_from.expect("a crossing"), 200.0, 1e-6);
     let cube = curve_of(&fit_of(|size| 10.0 + 0.9 * size + 1e-5 * size * size * size));
     assert_eq!(cube.power, Power::Three);
-    assert_near(cube.hurts_from.expect("a crossing"), 300.0, 1e-6);
+    assert_near(cube.dominant_from.expect("a crossing"), 300.0, 1e-6);
 }
 
 #[test]
 fn a_power_without_a_linear_part_hurts_from_the_smallest_size_on() {
     let curve = curve_of(&fit_of(|size| 50.0 - 0.1 * size + 0.03 * size * size));
-    assert_eq!(curve.hurts_from, Some(SIZES[0]));
+    assert_eq!(curve.dominant_from, Some(SIZES[0]));
 }
 
 #[test]
@@ -133,7 +133,7 @@
         })
         .collect();
     let fit = Fit::of(&noisy).expect("a fit");
-    assert_eq!(fit.growth, Growth::Linear, "bend {}", fit.bend);
+    assert_eq!(fit.growth, Growth::Linear, "bend {}", fit.curvature);
 }
 
 #[test]
@@ -145,8 +145,8 @@
 
 #[test]
 fn growth_that_bends_downwards_is_slower_and_so_is_one_that_falls_and_flattens() {
-    assert_eq!(fit_of(f64::sqrt).growth, Growth::Slower);
-    assert_eq!(fit_of(|size| 40.0 - size.sqrt()).growth, Growth::Slower);
+    assert_eq!(fit_of(f64::sqrt).growth, Growth::Sublinear);
+    assert_eq!(fit_of(|size| 40.0 - size.sqrt()).growth, Growth::Sublinear);
 }
 
 #[test]
@@ -163,7 +163,7 @@
 #[test]
 fn a_last_point_that_is_a_little_high_makes_no_power() {
     let fit = scattered(100.0, &[0.0, 0.0, 0.0, 0.0, 0.0, 5.0]);
-    assert!(!matches!(fit.growth, Growth::Faster(_)), "{:?}", fit.growth);
+    assert!(!matches!(fit.growth, Growth::Superlinear(_)), "{:?}", fit.growth);
 }
 
 #[test]
@@ -189,9 +189,9 @@
 #[test]
 fn points_that_do_not_rise_or_are_no_numbers_have_no_fit() {
     let twice = series(&[1.0, 2.0, 2.0, 3.0], |size| size);
-    assert_eq!(Fit::of(&twice), Err(FitError::SizesDoNotRise { position: 3 }));
+    assert_eq!(Fit::of(&twice), Err(FitError::SizesNotIncreasing { position: 3 }));
     let falling = series(&[4.0, 3.0, 2.0, 1.0], |size| size);
-    assert_eq!(Fit::of(&falling), Err(FitError::SizesDoNotRise { position: 2 }));
+    assert_eq!(Fit::of(&falling), Err(FitError::SizesNotIncreasing { position: 2 }));
     let not_a_number = series(&SIZES, |size| if size == 132.0 { f64::NAN } else { size });
     assert_eq!(Fit::of(&not_a_number), Err(FitError::BadPoint { position: 3 }));
     let negative = series(&[-1.0, 2.0, 3.0, 4.0], |size| size);
--- a/crates/fawnrouter-capacity/tests/hollow.rs
+++ b/crates/fawnrouter-capacity/tests/hollow.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use fawnrouter_capacity::figures::{Cause, Quantity, Role, Run, Series, Situation};
-use fawnrouter_capacity::hollow::{CAUSES, HollowError, HollowOptions, Outcome, Scenario, measure, play};
+use fawnrouter_capacity::hollow::{CAUSES, HollowError, HollowOptions, Outcome, Scenario, measure, simulate};
 use fawnrouter_capacity::plan::{
     Fault, FaultPlan, PlannedCall, TrafficPlan, answer_of_switch, release_of_switch,
 };
@@ -51,7 +51,7 @@
         format!("{:?}", outcome.calls),
         format!("{:?} {:?}", outcome.to_switches, outcome.from_switches),
         format!("{:?} {:?}", outcome.to_callers, outcome.from_callers),
-        format!("{} {}", outcome.list.questions, outcome.list.answer_bytes),
+        format!("{} {}", outcome.list.queries, outcome.list.response_bytes),
     ];
     let exact = [
         Quantity::MessagesIn,
@@ -63,8 +63,8 @@
     for (role, member) in &outcome.roles {
         for cause in CAUSES.into_iter().chain([Cause::All]) {
             for quantity in exact {
-                let peak = member.busiest_second(cause, quantity);
-                let (mean, most) = (member.mean(cause, quantity), member.busiest(cause, quantity));
+                let peak = member.busiest_member_second(cause, quantity);
+                let (mean, most) = (member.mean(cause, quantity), member.busiest_member(cause, quantity));
                 counts.push(format!("{role:?} {cause:?} {quantity:?} {mean:?} {most:?} {peak:?}"));
             }
         }
@@ -76,14 +76,17 @@
 /// A fleet of two services, calls, and a zone that goes and comes back.
 fn eventful(seed: u64) -> Scenario {
     let zone = FaultPlan::gone_and_back(seconds(3), seconds(3), Fault::ZoneGone(1), Fault::ZoneBack(1));
-    Scenario::fleet(seed, 30).measuring(seconds(1), seconds(8)).calling(4.0).suffering(zone)
+    Scenario::fleet(seed, 30)
+        .with_measurement_window(seconds(1), seconds(8))
+        .with_call_rate(4.0)
+        .with_faults(zone)
 }
 
 #[test]
 fn the_same_seed_gives_the_same_counts_and_another_gives_others() {
-    let first = counts(&play(&eventful(SEED)).unwrap());
-    assert_eq!(first, counts(&play(&eventful(SEED)).unwrap()));
-    assert_ne!(first, counts(&play(&eventful(SEED + 1)).unwrap()));
+    let first = counts(&simulate(&eventful(SEED)).unwrap());
+    assert_eq!(first, counts(&simulate(&eventful(SEED)).unwrap()));
+    assert_ne!(first, counts(&simulate(&eventful(SEED + 1)).unwrap()));
 }
 
 // ---- The platform's bytes -------------------------------------------------------------------------------------
@@ -212,17 +215,18 @@
 // ---- Counts against arithmetic --------------------------------------------------------------------------------
 #[test]
 fn each_gateway_asks_four_times_a_second_and_reads_the_codecs_bytes() {
-    let outcome = play(&Scenario::one_service(SEED, 3, 5).measuring(seconds(1), seconds(4))).unwrap();
+    let outcome =
+        simulate(&Scenario::one_service(SEED, 3, 5).with_measurement_window(seconds(1), seconds(4))).unwrap();
     let rows: Vec<SwitchRow> =
         (0..5).map(|number| SwitchRow { draining: false, started_unix_ms: 0, ..row(number) }).collect();
     let (_, question) = question(1);
     let answer = list_answer(&question, 1, &rows).len() as u64;
-    assert_eq!(outcome.list.questions, 4 * 4 * 3);
-    assert_eq!(outcome.list.answers, 4 * 4 * 3);
-    assert_eq!(outcome.list.question_bytes, 4 * 4 * 3 * question.len() as u64);
-    assert_eq!(outcome.list.answer_bytes, 4 * 4 * 3 * answer);
+    assert_eq!(outcome.list.queries, 4 * 4 * 3);
+    assert_eq!(outcome.list.responses, 4 * 4 * 3);
+    assert_eq!(outcome.list.query_bytes, 4 * 4 * 3 * question.len() as u64);
+    assert_eq!(outcome.list.response_bytes, 4 * 4 * 3 * answer);
     assert_eq!((outcome.list.lost, outcome.list.unreadable, outcome.list.changed), (0, 0, 0));
-    let bytes_in = outcome.a_second(Role::GatewayControl, Cause::List, Quantity::BytesIn);
+    let bytes_in = outcome.mean_per_second(Role::GatewayControl, Cause::List, Quantity::BytesIn);
     assert_eq!(bytes_in, Some(4.0 * answer as f64));
     let source = outcome.role(Role::ListSource);
     assert_eq!(source.total.of(Cause::List).messages_in, 4 * 4 * 3);
@@ -232,15 +236,17 @@
 
 #[test]
 fn each_call_is_set_up_once_answered_once_and_released_once() {
-    let mut scenario = Scenario::one_service(SEED, 3, 4).measuring(Duration::ZERO, seconds(8)).calling(20.0);
+    let mut scenario = Scenario::one_service(SEED, 3, 4)
+        .with_measurement_window(Duration::ZERO, seconds(8))
+        .with_call_rate(20.0);
     scenario.traffic.seconds = 4;
     let calls = scenario.traffic.calls();
     let planned = calls.len() as u64;
-    let outcome = play(&scenario).unwrap();
-    assert_eq!((outcome.calls.planned, outcome.measured_calls), (planned, planned));
-    assert_eq!((outcome.calls.stood, outcome.calls.released), (planned, planned));
+    let outcome = simulate(&scenario).unwrap();
+    assert_eq!((outcome.calls.attempted, outcome.measured_calls), (planned, planned));
+    assert_eq!((outcome.calls.established, outcome.calls.released), (planned, planned));
     assert_eq!((outcome.calls.answered_twice, outcome.calls.set_up_twice), (0, 0));
-    assert_eq!((outcome.calls.stray, outcome.calls.unreadable), (0, 0));
+    assert_eq!((outcome.calls.unexpected_lines, outcome.calls.unreadable), (0, 0));
     assert_eq!(outcome.from_callers.messages(Verb::Start), planned);
     assert_eq!(outcome.to_switches.messages(Verb::Start), planned);
     assert_eq!(outcome.from_switches.messages(Verb::Started), planned);
@@ -276,7 +282,7 @@
 #[test]
 fn a_core_switch_holds_a_connection_of_each_gateway_that_may_call_it() {
     for gateways in [1, 4, 16] {
-        let outcome = play(&Scenario::one_service(SEED, gateways, 3)).unwrap();
+        let outcome = simulate(&Scenario::one_service(SEED, gateways, 3)).unwrap();
         let held = outcome.role(Role::CoreSwitch).held(Quantity::Connections);
         assert_eq!(held, Some(f64::from(gateways)));
         let held = outcome.role(Role::GatewayCalls).held(Quantity::Connections);
@@ -292,20 +298,21 @@
         assert!((25..=26).contains(&scenario.switches_seen(service)));
     }
     for zone in 0..6 {
-        let there = (0..660).filter(|number| scenario.gateway_place(*number).zone == zone).count();
+        let there = (0..660).filter(|number| scenario.gateway_location(*number).zone == zone).count();
         assert_eq!(there, 110);
     }
-    let outcome = play(&Scenario::fleet(SEED, 60).measuring(seconds(1), seconds(1))).unwrap();
+    let outcome =
+        simulate(&Scenario::fleet(SEED, 60).with_measurement_window(seconds(1), seconds(1))).unwrap();
     let seen = outcome.role(Role::GatewayControl).held(Quantity::StateEntries);
     assert_eq!(seen, Some(20.0), "60 gateways are three services");
 }
 
 #[test]
 fn core_switches_with_calls_that_say_nothing_are_tested() {
-    let scenario = Scenario::one_service(SEED, 2, 3).holding(seconds(30));
-    let mut scenario = scenario.measuring(seconds(1), seconds(20)).calling(1.0);
+    let scenario = Scenario::one_service(SEED, 2, 3).with_hold_time(seconds(30));
+    let mut scenario = scenario.with_measurement_window(seconds(1), seconds(20)).with_call_rate(1.0);
     scenario.traffic.seconds = 2;
-    let outcome = play(&scenario).unwrap();
+    let outcome = simulate(&scenario).unwrap();
     let tests = outcome.to_switches.messages(Verb::Echo);
     assert!(tests > 0, "calls stand for long and nothing comes");
     assert_eq!(outcome.from_switches.messages(Verb::Echoed), tests);
@@ -315,36 +322,38 @@
 
 #[test]
 fn a_list_that_changes_is_taken_once_by_each_gateway() {
-    let scenario = Scenario::one_service(SEED, 3, 4).measuring(seconds(2), seconds(6)).changing(seconds(1));
-    let outcome = play(&scenario).unwrap();
+    let scenario = Scenario::one_service(SEED, 3, 4)
+        .with_measurement_window(seconds(2), seconds(6))
+        .with_list_change_interval(seconds(1));
+    let outcome = simulate(&scenario).unwrap();
     assert_eq!(outcome.list.changed, 6 * 3);
-    assert_eq!(outcome.list.answers, 6 * 4 * 3);
+    assert_eq!(outcome.list.responses, 6 * 4 * 3);
 }
 
 #[test]
 fn links_carry_what_crosses_their_zones_and_regions_borders() {
-    let scenario = Scenario::fleet(SEED, 12).measuring(seconds(1), seconds(5));
-    let outcome = play(&scenario).unwrap();
-    let answer = outcome.list.answer_bytes / outcome.list.answers;
+    let scenario = Scenario::fleet(SEED, 12).with_measurement_window(seconds(1), seconds(5));
+    let outcome = simulate(&scenario).unwrap();
+    let answer = outcome.list.response_bytes / outcome.list.responses;
     // The name server is in zone 0 of 6, in region 0 of 3, with two gateways in each zone; each asks 20 times.
     let zone = outcome.role(Role::ZoneLink);
     let region = outcome.role(Role::RegionLink);
     assert_eq!((zone.members, region.members), (6, 3));
-    assert_eq!(zone.busiest(Cause::List, Quantity::BytesOut), Some((10 * 20 * answer) as f64));
-    assert_eq!(region.busiest(Cause::List, Quantity::BytesOut), Some((8 * 20 * answer) as f64));
+    assert_eq!(zone.busiest_member(Cause::List, Quantity::BytesOut), Some((10 * 20 * answer) as f64));
+    assert_eq!(region.busiest_member(Cause::List, Quantity::BytesOut), Some((8 * 20 * answer) as f64));
     assert_eq!(zone.total.of(Cause::List).messages_in, 2 * 10 * 20);
     assert_eq!(region.total.of(Cause::List).messages_in, 2 * 8 * 20);
     assert_eq!(zone.total.of(Cause::All).bytes_in, zone.total.of(Cause::All).bytes_out);
-    assert_eq!(outcome.gateway_memory(), None, "no counting allocator is installed");
+    assert_eq!(outcome.gateway_memory_bytes(), None, "no counting allocator is installed");
 }
 
 // ---- Faults ---------------------------------------------------------------------------------------------------
 fn all_accounted(outcome: &Outcome) {
     let calls = outcome.calls;
-    assert!(calls.stood > 0);
+    assert!(calls.established > 0);
     assert_eq!((calls.unanswered, calls.answered_twice, calls.unreadable), (0, 0, 0), "{calls:?}");
-    let ended = calls.stood + calls.refused + calls.failed + calls.broken + calls.unplaced;
-    assert_eq!(calls.planned, ended, "{calls:?}");
+    let ended = calls.established + calls.refused + calls.failed + calls.gateway_lost + calls.no_gateway;
+    assert_eq!(calls.attempted, ended, "{calls:?}");
 }
 
 /// In one service of so many gateways and core switches: what gateways hold is what their core switches and callers hold,
@@ -358,30 +367,34 @@
 
 #[test]
 fn a_zone_that_goes_and_comes_back_leaves_no_call_without_an_answer_or_a_release() {
-    let outcome = play(&eventful(SEED).settling(seconds(15))).unwrap();
+    let outcome = simulate(&eventful(SEED).with_settle_time(seconds(15))).unwrap();
     all_accounted(&outcome);
-    assert_eq!(outcome.calls.unplaced, 0, "the other zones' gateways take the calls");
-    assert_eq!(outcome.calls.released, outcome.calls.stood, "{:?}", outcome.calls);
+    assert_eq!(outcome.calls.no_gateway, 0, "the other zones' gateways take the calls");
+    assert_eq!(outcome.calls.released, outcome.calls.established, "{:?}", outcome.calls);
     assert_eq!(outcome.configurations.read, 5, "a sixth of 30 gateways starts again");
 }
 
 #[test]
 fn a_rack_is_a_fifth_of_a_zone_and_comes_back() {
     let rack = FaultPlan::gone_and_back(seconds(2), seconds(5), Fault::RackGone(1), Fault::RackBack(1));
-    let scenario = Scenario::fleet(SEED, 30).measuring(seconds(1), seconds(8)).calling(2.0);
-    let outcome = play(&scenario.suffering(rack).settling(seconds(15))).unwrap();
+    let scenario =
+        Scenario::fleet(SEED, 30).with_measurement_window(seconds(1), seconds(8)).with_call_rate(2.0);
+    let outcome = simulate(&scenario.with_faults(rack).with_settle_time(seconds(15))).unwrap();
     all_accounted(&outcome);
     assert_eq!(outcome.configurations.read, 1, "a zone has five of 30 gateways");
-    assert_eq!(outcome.calls.released, outcome.calls.stood, "{:?}", outcome.calls);
+    assert_eq!(outcome.calls.released, outcome.calls.established, "{:?}", outcome.calls);
 }
 
 #[test]
 fn a_core_switch_that_vanishes_is_found_out_and_its_calls_are_cut() {
     let gone = FaultPlan::none().with(seconds(4), Fault::SwitchGone(0));
-    let scenario = Scenario::one_service(SEED, 4, 4).holding(seconds(20)).measuring(seconds(1), seconds(8));
-    let outcome = play(&scenario.calling(5.0).suffering(gone).settling(seconds(30))).unwrap();
+    let scenario = Scenario::one_service(SEED, 4, 4)
+        .with_hold_time(seconds(20))
+        .with_measurement_window(seconds(1), seconds(8));
+    let outcome =
+        simulate(&scenario.with_call_rate(5.0).with_faults(gone).with_settle_time(seconds(30))).unwrap();
     all_accounted(&outcome);
-    assert_eq!(outcome.calls.released, outcome.calls.stood);
+    assert_eq!(outcome.calls.released, outcome.calls.established);
     let seen = outcome.role(Role::GatewayControl).held(Quantity::StateEntries);
     assert_eq!(seen, Some(3.0));
 }
@@ -389,11 +402,14 @@
 #[test]
 fn calls_of_a_core_switch_that_is_listed_again_soon_after_it_vanished_are_cut() {
     let faults = FaultPlan::gone_and_back(seconds(4), seconds(2), Fault::SwitchGone(0), Fault::SwitchBack(0));
-    let scenario = Scenario::one_service(SEED, 2, 3).holding(seconds(20)).measuring(seconds(1), seconds(8));
-    let outcome = play(&scenario.calling(5.0).suffering(faults).settling(seconds(30))).unwrap();
+    let scenario = Scenario::one_service(SEED, 2, 3)
+        .with_hold_time(seconds(20))
+        .with_measurement_window(seconds(1), seconds(8));
+    let outcome =
+        simulate(&scenario.with_call_rate(5.0).with_faults(faults).with_settle_time(seconds(30))).unwrap();
     all_accounted(&outcome);
     assert_eq!(
-        outcome.calls.released, outcome.calls.stood,
+        outcome.calls.released, outcome.calls.established,
         "some callers are never told: {:?}",
         outcome.calls
     );
@@ -404,10 +420,16 @@
     let faults =
         FaultPlan::gone_and_back(seconds(5), seconds(2), Fault::SwitchStopped(1), Fault::SwitchBack(1))
             .with(seconds(2), Fault::SwitchDraining(1));
-    let scenario = Scenario::one_service(SEED, 3, 3).holding(seconds(1)).measuring(seconds(1), seconds(12));
-    let outcome = play(&scenario.calling(10.0).suffering(faults).settling(seconds(5))).unwrap();
+    let scenario = Scenario::one_service(SEED, 3, 3)
+        .with_hold_time(seconds(1))
+        .with_measurement_window(seconds(1), seconds(12));
+    let outcome =
+        simulate(&scenario.with_call_rate(10.0).with_faults(faults).with_settle_time(seconds(5))).unwrap();
     all_accounted(&outcome);
-    assert_eq!((outcome.calls.stood, outcome.calls.released), (outcome.calls.planned, outcome.calls.planned));
+    assert_eq!(
+        (outcome.calls.established, outcome.calls.released),
+        (outcome.calls.attempted, outcome.calls.attempted)
+    );
     assert_eq!(outcome.list.changed, 3 * 3, "three changes at three gateways");
     connections_agree(&outcome, 3);
 }
@@ -415,11 +437,14 @@
 #[test]
 fn a_service_whose_gateways_all_restart_at_once_is_back_and_keeps_its_standing_calls() {
     let faults = FaultPlan::none().with(seconds(3), Fault::ServiceRestart(0));
-    let scenario = Scenario::one_service(SEED, 4, 4).holding(seconds(6)).measuring(seconds(1), seconds(10));
-    let outcome = play(&scenario.calling(5.0).suffering(faults).settling(seconds(12))).unwrap();
+    let scenario = Scenario::one_service(SEED, 4, 4)
+        .with_hold_time(seconds(6))
+        .with_measurement_window(seconds(1), seconds(10));
+    let outcome =
+        simulate(&scenario.with_call_rate(5.0).with_faults(faults).with_settle_time(seconds(12))).unwrap();
     all_accounted(&outcome);
     assert_eq!(outcome.configurations.read, 4);
-    assert_eq!(outcome.calls.released, outcome.calls.stood);
+    assert_eq!(outcome.calls.released, outcome.calls.established);
     let told_again = outcome.from_callers.messages(Verb::Start) - outcome.measured_calls;
     assert!(told_again > 0, "calls that stood are told to the gateways after their restart");
     connections_agree(&outcome, 4);
@@ -428,14 +453,15 @@
 #[test]
 fn regions_that_lose_each_other_lose_the_list_of_the_far_ones() {
     let faults = FaultPlan::gone_and_back(seconds(2), seconds(8), Fault::RegionsApart, Fault::RegionsJoined);
-    let scenario = Scenario::fleet(SEED, 12).measuring(seconds(1), seconds(15)).calling(2.0);
-    let outcome = play(&scenario.suffering(faults).settling(seconds(20))).unwrap();
+    let scenario =
+        Scenario::fleet(SEED, 12).with_measurement_window(seconds(1), seconds(15)).with_call_rate(2.0);
+    let outcome = simulate(&scenario.with_faults(faults).with_settle_time(seconds(20))).unwrap();
     all_accounted(&outcome);
     // Two of three regions ask in vain, 4 times a second for 8 s.
     let in_vain = 8 * 4 * 8;
     assert!((in_vain - 8..=in_vain + 8).contains(&outcome.list.lost), "{}", outcome.list.lost);
-    assert!(outcome.list.oldest >= Duration::from_millis(7000), "{:?}", outcome.list.oldest);
-    assert!(outcome.list.oldest <= Duration::from_millis(8300), "{:?}", outcome.list.oldest);
+    assert!(outcome.list.max_list_age >= Duration::from_millis(7000), "{:?}", outcome.list.max_list_age);
+    assert!(outcome.list.max_list_age <= Duration::from_millis(8300), "{:?}", outcome.list.max_list_age);
     let region = outcome.role(Role::RegionLink);
     assert_eq!(region.members, 3);
     let total = region.total.of(Cause::All);
@@ -445,7 +471,7 @@
 #[test]
 fn scenarios_that_make_no_sense_are_refused() {
     let good = Scenario::one_service(SEED, 2, 2);
-    let refused = |scenario: Scenario, name: &str| match play(&scenario) {
+    let refused = |scenario: Scenario, name: &str| match simulate(&scenario) {
         Err(HollowError::Scenario { field, .. }) => assert_eq!(field, name),
         other => panic!("{name}: {other:?}"),
     };
@@ -461,7 +487,14 @@
 
 fn quick(only: Option<Role>) -> Vec<Run> {
     let mut ignore = |_: &str| {};
-    measure(HollowOptions { seed: SEED, quick: true, only, allocator: None, progress: &mut ignore }).unwrap()
+    measure(HollowOptions {
+        seed: SEED,
+        quick: true,
+        only_role: only,
+        allocator: None,
+        progress: &mut ignore,
+    })
+    .unwrap()
 }
 
 #[test]
--- a/crates/fawnrouter-capacity/tests/process.rs
+++ b/crates/fawnrouter-capacity/tests/process.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use fawnrouter_capacity::figures::Role;
-use fawnrouter_capacity::hollow::{ByVerb, Scenario, Volume};
+use fawnrouter_capacity::hollow::{Scenario, Volume, VolumeByVerb};
 use fawnrouter_capacity::process::lines::{LineReader, counted_since, volume_of_calls, volume_of_tests};
 use fawnrouter_capacity::process::usage::{
     Usage, machine_memory_mib, resident_bytes, schedstat_time, stat_time,
@@ -86,8 +86,8 @@
     assert_eq!(count, 1);
 }
 
-fn lines(counts: &[(&'static str, u64, u64)]) -> ByVerb {
-    ByVerb(counts.iter().map(|(verb, messages, bytes)| (*verb, volume(*messages, *bytes))).collect())
+fn lines(counts: &[(&'static str, u64, u64)]) -> VolumeByVerb {
+    VolumeByVerb(counts.iter().map(|(verb, messages, bytes)| (*verb, volume(*messages, *bytes))).collect())
 }
 
 const fn volume(messages: u64, bytes: u64) -> Volume {
--- a/crates/fawnrouter-lab/src/capacity.rs
+++ b/crates/fawnrouter-lab/src/capacity.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::AtomicBool;
 
 use fawnrouter_capacity::figures::{Machine, Report, ReportError, Role, SCHEMA};
-use fawnrouter_capacity::hollow::{self, Allocator, HollowError, HollowOptions};
+use fawnrouter_capacity::hollow::{self, CountingAllocator, HollowError, HollowOptions};
 use fawnrouter_capacity::page::{self, PageError};
 use fawnrouter_capacity::process::usage::machine_memory_mib;
 use fawnrouter_capacity::process::{self, ProcessError, ProcessOptions, check_program};
@@ -117,7 +117,10 @@
 ///
 /// # Errors
 /// Where a file or program is missing (before anything is measured), or a measurement fails.
-pub fn run_capacity(options: &CapacityOptions, allocator: Option<Allocator>) -> Result<(), CapacityError> {
+pub fn run_capacity(
+    options: &CapacityOptions,
+    allocator: Option<CountingAllocator>,
+) -> Result<(), CapacityError> {
     let program = options.program()?;
     if options.from.is_none() && !options.no_processes {
         check_program(&program)?;
@@ -158,7 +161,7 @@
 fn measure(
     options: &CapacityOptions,
     program: &Path,
-    allocator: Option<Allocator>,
+    allocator: Option<CountingAllocator>,
 ) -> Result<Report, CapacityError> {
     let bar = progress_bar();
     let mut progress = |part: &str| show(&bar, part);
@@ -166,7 +169,7 @@
     report.runs = hollow::measure(HollowOptions {
         seed: options.seed,
         quick: options.quick,
-        only: options.only,
+        only_role: options.only,
         allocator,
         progress: &mut progress,
     })?;
--- a/crates/fawnrouterd/tests/capacity.rs
+++ b/crates/fawnrouterd/tests/capacity.rs
@@ -5,7 +5,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use fawnrouter_capacity::hollow::{self, ByVerb, Scenario, Volume};
+use fawnrouter_capacity::hollow::{self, Scenario, Volume, VolumeByVerb};
 use fawnrouter_capacity::plan::TrafficPlan;
 use fawnrouter_capacity::process::lines::volume_of_calls;
 use fawnrouter_capacity::process::{self, CallsEnded, ProcessError, Rig, hop_plan};
@@ -66,12 +66,12 @@
     // It returns once every planned call has ended, so that what is compared is per plan and not per second.
     let played = process::play(&scenario, Duration::from_millis(500), rig(&stop)).unwrap();
     assert_no_child_is_left();
-    let hollow = hollow::play(&scenario).unwrap();
+    let hollow = hollow::simulate(&scenario).unwrap();
     let planned = scenario.traffic.calls().len() as u64;
-    assert_eq!((hollow.calls.planned, hollow.calls.released), (planned, planned));
+    assert_eq!((hollow.calls.attempted, hollow.calls.released), (planned, planned));
     assert_eq!((played.planned, played.ended.all()), (planned, planned));
     assert_agree("calls that stood", played.ended.released as f64, planned as f64);
-    let ways: [(&str, &ByVerb, &ByVerb); 4] = [
+    let ways: [(&str, &VolumeByVerb, &VolumeByVerb); 4] = [
         ("from callers", &played.busy.from_callers, &hollow.from_callers),
         ("to callers", &played.busy.to_callers, &hollow.to_callers),
         ("from core switches", &played.busy.from_switches, &hollow.from_switches),
@@ -81,8 +81,8 @@
         assert_volumes_agree(way, volume_of_calls(processes), volume_of_calls(hollow));
     }
     let list = hollow.list;
-    let questions = Volume { messages: list.questions, bytes: list.question_bytes };
-    let answers = Volume { messages: list.answers, bytes: list.answer_bytes };
+    let questions = Volume { messages: list.queries, bytes: list.query_bytes };
+    let answers = Volume { messages: list.responses, bytes: list.response_bytes };
     assert_agree("bytes of a question for the list", each(played.busy.questions), each(questions));
     assert_agree("bytes of an answer with the list", each(played.busy.answers), each(answers));
     assert_eq!(played.busy.questions.messages, played.busy.answers.messages);
