--- a/crates/fawnrouter-capacity/src/fit.rs
+++ b/crates/fawnrouter-capacity/src/fit.rs
@@ -63,7 +63,7 @@
 impl Line {
     /// The value on the line.
     #[must_use]
-    pub fn at(&self, size: f64) -> f64 {
+    pub fn value_at(&self, size: f64) -> f64 {
         self.base + self.slope * size
     }
 }
@@ -87,7 +87,7 @@
     ///
     /// # Errors
     /// Where points are too few, do not rise, or are no numbers.
-    pub fn of(points: &[Point]) -> Result<Self, FitError> {
+    pub fn from_points(points: &[Point]) -> Result<Self, FitError> {
         check(points)?;
         let line = line(points);
         let exponent = exponent(points);
@@ -108,11 +108,11 @@
 
     /// The fitted value at a size.
     #[must_use]
-    pub fn at(&self, size: f64) -> f64 {
+    pub fn value_at(&self, size: f64) -> f64 {
         match self.growth {
             Growth::Undetected(level) => level.mean,
-            Growth::Linear | Growth::Sublinear => self.line.at(size),
-            Growth::Superlinear(curve) => curve.at(size),
+            Growth::Linear | Growth::Sublinear => self.line.value_at(size),
+            Growth::Superlinear(curve) => curve.value_at(size),
         }
     }
 }
--- a/crates/fawnrouter-capacity/src/fit/estimate.rs
+++ b/crates/fawnrouter-capacity/src/fit/estimate.rs
@@ -39,7 +39,7 @@
         let value = low.value + share * (high.value - low.value);
         return Some(Estimate { value, origin: Origin::WithinRange });
     }
-    let fitted = fit.ok()?.at(size);
+    let fitted = fit.ok()?.value_at(size);
     let is_never_negative = points.iter().all(|point| point.value >= 0.0);
     let value = if is_never_negative { fitted.max(0.0) } else { fitted };
     Some(Estimate { value, origin: Origin::BeyondRange })
--- a/crates/fawnrouter-capacity/src/fit/power.rs
+++ b/crates/fawnrouter-capacity/src/fit/power.rs
@@ -22,7 +22,7 @@
 
     /// The size raised to this power.
     #[must_use]
-    pub fn of(self, size: f64) -> f64 {
+    pub fn apply(self, size: f64) -> f64 {
         match self {
             Self::One => size,
             Self::OneAndAHalf => size * size.sqrt(),
@@ -62,8 +62,8 @@
 impl Curve {
     /// The value on the curve.
     #[must_use]
-    pub fn at(&self, size: f64) -> f64 {
-        self.base + self.factor * self.power.of(size)
+    pub fn value_at(&self, size: f64) -> f64 {
+        self.base + self.factor * self.power.apply(size)
     }
 }
 
@@ -82,7 +82,7 @@
 
 fn curve(points: &[Point], power: Power) -> Curve {
     let (base, factor) = base_and_factor(points, power);
-    let residual = residual(points, |size| base + factor * power.of(size));
+    let residual = residual(points, |size| base + factor * power.apply(size));
     Curve { base, factor, power, residual, dominant_from: None }
 }
 
--- a/crates/fawnrouter-capacity/src/fit/terms.rs
+++ b/crates/fawnrouter-capacity/src/fit/terms.rs
@@ -22,7 +22,7 @@
     let greatest_value = points.iter().map(|point| point.value.abs()).fold(0.0, f64::max);
     let without_rounding =
         |coefficient: f64| if coefficient.abs() <= ROUNDING * greatest_value { 0.0 } else { coefficient };
-    (without_rounding(base), without_rounding(factor) / power.of(greatest_size(points)))
+    (without_rounding(base), without_rounding(factor) / power.apply(greatest_size(points)))
 }
 
 /// One term of a fitted sum.
@@ -36,7 +36,7 @@
     fn of(self, size: f64) -> f64 {
         match self {
             Self::Constant => 1.0,
-            Self::Power(power) => power.of(size),
+            Self::Power(power) => power.apply(size),
         }
     }
 }
--- a/crates/fawnrouter-capacity/src/hollow/ledger.rs
+++ b/crates/fawnrouter-capacity/src/hollow/ledger.rs
@@ -69,13 +69,13 @@
     }
 
     /// Takes the greater of each figure.
-    pub fn most(&mut self, other: Self) {
+    pub fn raise_to_max(&mut self, other: Self) {
         self.merge(other, u64::max);
     }
 
     /// The figure of a quantity that flows; `None` for what is held.
     #[must_use]
-    pub fn get(&self, quantity: Quantity) -> Option<f64> {
+    pub fn quantity_value(&self, quantity: Quantity) -> Option<f64> {
         const NANOS_OF_A_MICROSECOND: f64 = 1e3;
         match quantity {
             Quantity::MessagesIn => Some(self.messages_in as f64),
@@ -101,7 +101,7 @@
 
     /// What this cause brought; [`Cause::All`] is the sum.
     #[must_use]
-    pub fn of(&self, cause: Cause) -> Cost {
+    pub fn for_cause(&self, cause: Cause) -> Cost {
         match Self::place(cause) {
             Some(place) => self.0[place],
             None => self.all(),
@@ -125,7 +125,7 @@
     }
 
     fn most(&mut self, other: &Self) {
-        self.0.iter_mut().zip(&other.0).for_each(|(ours, theirs)| ours.most(*theirs));
+        self.0.iter_mut().zip(&other.0).for_each(|(ours, theirs)| ours.raise_to_max(*theirs));
     }
 }
 
@@ -152,7 +152,7 @@
     fn end_second(&mut self) {
         let in_second = std::mem::take(&mut self.in_second);
         self.peak.most(&in_second);
-        self.peak_of_all.most(in_second.all());
+        self.peak_of_all.raise_to_max(in_second.all());
         self.total.add_all(&in_second);
     }
 
@@ -164,6 +164,6 @@
 
     /// The busiest second's figures.
     pub fn peak(&self, cause: Cause) -> Cost {
-        if cause == Cause::All { self.peak_of_all } else { self.peak.of(cause) }
+        if cause == Cause::All { self.peak_of_all } else { self.peak.for_cause(cause) }
     }
 }
--- a/crates/fawnrouter-capacity/src/hollow/outcome.rs
+++ b/crates/fawnrouter-capacity/src/hollow/outcome.rs
@@ -37,7 +37,7 @@
 
     /// All messages.
     #[must_use]
-    pub fn all(&self) -> Volume {
+    pub fn total_volume(&self) -> Volume {
         let sum = |sum: Volume, one: &Volume| Volume {
             messages: sum.messages + one.messages,
             bytes: sum.bytes + one.bytes,
@@ -147,8 +147,8 @@
             let total = ledger.close();
             role.total.add_all(&total);
             for cause in CAUSES.into_iter().chain([Cause::All]) {
-                role.busiest.entry(cause).or_default().most(total.of(cause));
-                role.busiest_second.entry(cause).or_default().most(ledger.peak(cause));
+                role.busiest.entry(cause).or_default().raise_to_max(total.for_cause(cause));
+                role.busiest_second.entry(cause).or_default().raise_to_max(ledger.peak(cause));
             }
             sum.connections += held.connections;
             sum.entries += held.entries;
@@ -171,19 +171,19 @@
     /// What one member bears, in the mean over members.
     #[must_use]
     pub fn mean(&self, cause: Cause, quantity: Quantity) -> Option<f64> {
-        self.total.of(cause).get(quantity).map(|all| all / f64::from(self.members.max(1)))
+        self.total.for_cause(cause).quantity_value(quantity).map(|all| all / f64::from(self.members.max(1)))
     }
 
     /// What the busiest member bears from the start of what is measured to its end.
     #[must_use]
     pub fn busiest_member(&self, cause: Cause, quantity: Quantity) -> Option<f64> {
-        self.busiest.get(&cause).and_then(|flow| flow.get(quantity))
+        self.busiest.get(&cause).and_then(|flow| flow.quantity_value(quantity))
     }
 
     /// What the busiest member bears in its busiest second.
     #[must_use]
     pub fn busiest_member_second(&self, cause: Cause, quantity: Quantity) -> Option<f64> {
-        self.busiest_second.get(&cause).and_then(|flow| flow.get(quantity))
+        self.busiest_second.get(&cause).and_then(|flow| flow.quantity_value(quantity))
     }
 
     /// What one member holds at the end of what is measured, in the mean over members.
@@ -240,7 +240,7 @@
     /// What a call brings to all members of a role together; `None` without calls.
     #[must_use]
     pub fn mean_per_call(&self, role: Role, cause: Cause, quantity: Quantity) -> Option<f64> {
-        let all = self.roles.get(&role)?.total.of(cause).get(quantity)?;
+        let all = self.roles.get(&role)?.total.for_cause(cause).quantity_value(quantity)?;
         (self.measured_calls > 0).then(|| all / self.measured_calls as f64)
     }
 
--- a/crates/fawnrouter-capacity/src/hollow/runs/restarts.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/restarts.rs
@@ -84,7 +84,8 @@
         let spot = Spot { role, situation: Situation::OrdinaryDay, size: f64::from(members) };
         for cause in CAUSES {
             for quantity in COUNTED {
-                let figure = |outcome: &Outcome| outcome.role(role).total.of(cause).get(quantity);
+                let figure =
+                    |outcome: &Outcome| outcome.role(role).total.for_cause(cause).quantity_value(quantity);
                 let more = figure(with).zip(figure(without)).map(|(with, without)| with - without);
                 collector.put(spot, cause, quantity, Per::Event, more);
             }
--- a/crates/fawnrouter-capacity/src/hollow/runs/switches.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/switches.rs
@@ -106,7 +106,7 @@
 
 fn note_event(collector: &mut Collector, spot: Spot, cost: Cost, events: u64) {
     for quantity in WORK {
-        let value = cost.get(quantity).filter(|_| events > 0).map(|all| all / events as f64);
+        let value = cost.quantity_value(quantity).filter(|_| events > 0).map(|all| all / events as f64);
         collector.put(spot, Cause::List, quantity, Per::Event, value);
     }
 }
--- a/crates/fawnrouter-capacity/src/page/growth.rs
+++ b/crates/fawnrouter-capacity/src/page/growth.rs
@@ -67,7 +67,7 @@
 }
 
 fn power_cells(row: &Row<'_>, fit: &Fit, curve: &Curve) -> [String; 12] {
-    let value_there = |size| amount(row.measure, row.per, curve.at(size).max(0.0));
+    let value_there = |size| amount(row.measure, row.per, curve.value_at(size).max(0.0));
     [
         words::role(row.role).to_owned(),
         words::what(row.measure, row.cause, row.per),
--- a/crates/fawnrouter-capacity/src/page/rows.rs
+++ b/crates/fawnrouter-capacity/src/page/rows.rs
@@ -93,7 +93,7 @@
 }
 
 fn row<'a>(run: &'a Run, series: &Series, measure: Measure, points: &[Point], context: &Context) -> Row<'a> {
-    let fit = Fit::of(points);
+    let fit = Fit::from_points(points);
     let at = |size| estimate(points, fit.as_ref().map_err(|error| *error), size);
     let design_sizes = context.sizes.of(series.size);
     Row {
--- a/crates/fawnrouter-capacity/src/page/sizes.rs
+++ b/crates/fawnrouter-capacity/src/page/sizes.rs
@@ -52,7 +52,7 @@
 }
 
 fn whole_list_bytes(series: &Series) -> Option<f64> {
-    let fit = Fit::of(&series.points);
+    let fit = Fit::from_points(&series.points);
     let fit = fit.as_ref().map_err(|error| *error);
     estimate(&series.points, fit, design::GATEWAYS).map(|estimate| estimate.value)
 }
--- a/crates/fawnrouter-capacity/src/process/lines.rs
+++ b/crates/fawnrouter-capacity/src/process/lines.rs
@@ -54,12 +54,12 @@
 /// What set-ups, answers and releases come to.
 #[must_use]
 pub fn volume_of_calls(lines: &VolumeByVerb) -> Volume {
-    volume_since(volume_of_tests(lines), lines.all())
+    volume_since(volume_of_tests(lines), lines.total_volume())
 }
 
 /// What tests, their answers and told states come to.
 #[must_use]
 pub fn volume_of_tests(lines: &VolumeByVerb) -> Volume {
     let tests = lines.0.iter().filter(|(verb, _)| TEST_TYPES.contains(verb));
-    VolumeByVerb(tests.map(|(verb, volume)| (*verb, *volume)).collect()).all()
+    VolumeByVerb(tests.map(|(verb, volume)| (*verb, *volume)).collect()).total_volume()
 }
--- a/crates/fawnrouter-capacity/src/process/series.rs
+++ b/crates/fawnrouter-capacity/src/process/series.rs
@@ -134,13 +134,17 @@
     figures.add_flow(CALLS_OF_A_GATEWAY, calls, played.planned as f64);
     figures.add_flow(
         SECONDS_OF_A_GATEWAY,
-        ways_of_a_gateway(busy, |lines| lines.all()),
+        ways_of_a_gateway(busy, |lines| lines.total_volume()),
         gateways * busy_seconds,
     );
     let switch_seconds = switches * busy_seconds;
     figures.add_flow(CALLS_OF_A_SWITCH, ways_of_a_switch(busy, volume_of_calls), switch_seconds);
     figures.add_flow(TESTS_OF_A_SWITCH, ways_of_a_switch(busy, volume_of_tests), switch_seconds);
-    figures.add_flow(SECONDS_OF_A_SWITCH, ways_of_a_switch(busy, |lines| lines.all()), switch_seconds);
+    figures.add_flow(
+        SECONDS_OF_A_SWITCH,
+        ways_of_a_switch(busy, |lines| lines.total_volume()),
+        switch_seconds,
+    );
     let of_gateway = Ways { received: quiet.answers, sent: quiet.questions };
     figures.add_flow(LIST_OF_A_GATEWAY, of_gateway, gateways * quiet_seconds);
     let of_source = Ways { received: quiet.questions, sent: quiet.answers };
--- a/crates/fawnrouter-capacity/tests/fit.rs
+++ b/crates/fawnrouter-capacity/tests/fit.rs
@@ -13,7 +13,7 @@
 }
 
 fn fit_of(law: impl Fn(f64) -> f64) -> Fit {
-    Fit::of(&series(&SIZES, law)).expect("a series that has a fit")
+    Fit::from_points(&series(&SIZES, law)).expect("a series that has a fit")
 }
 
 #[track_caller]
@@ -41,7 +41,7 @@
 fn scattered(level: f64, above: &[f64; 6]) -> Fit {
     let point = |(size, above): (&f64, &f64)| Point { size: *size, value: level + above };
     let points: Vec<Point> = SIZES.iter().zip(above).map(point).collect();
-    Fit::of(&points).expect("six points")
+    Fit::from_points(&points).expect("six points")
 }
 
 #[test]
@@ -61,7 +61,7 @@
     let values = [2.0, 6.0, 4.0, 8.0];
     let points: Vec<Point> =
         values.iter().zip(1..).map(|(value, size)| Point { size: f64::from(size), value: *value }).collect();
-    let Line { base, slope, residual } = Fit::of(&points).expect("four points").line;
+    let Line { base, slope, residual } = Fit::from_points(&points).expect("four points").line;
     assert_near(slope, 1.6, 1e-12);
     assert_near(base, 1.0, 1e-12);
     // What is left: -0.6, 1.8, -1.8, 0.6; squares 7.2 of 20; root mean square 1.3416 over a mean of 5.
@@ -76,7 +76,7 @@
     assert_near(fit.line.base, 7.1, 1e-9);
     assert_eq!(fit.line.residual.r_squared, 1.0);
     assert_near(level_of(&fit).mean, 7.1, 1e-9);
-    assert_near(fit.at(2_640.0), 7.1, 1e-9);
+    assert_near(fit.value_at(2_640.0), 7.1, 1e-9);
     let zero = fit_of(|_| 0.0);
     assert_eq!((zero.line.base, zero.line.slope, zero.line.residual.relative_rms), (0.0, 0.0, 0.0));
     assert_eq!(zero.exponent, None);
@@ -85,14 +85,14 @@
 #[test]
 fn each_power_is_found_with_its_base_and_factor() {
     for power in [Power::OneAndAHalf, Power::Two, Power::Three] {
-        let fit = fit_of(|size| 100.0 + 0.02 * power.of(size));
+        let fit = fit_of(|size| 100.0 + 0.02 * power.apply(size));
         let curve = curve_of(&fit);
         assert_eq!(curve.power, power);
         assert_near(curve.base, 100.0, 1e-6);
         assert_near(curve.factor, 0.02, 1e-12);
         assert_near(fit.residual().relative_rms, 0.0, 1e-9);
         assert!(fit.line.residual.relative_rms > LINEAR_MAX_RELATIVE_RMS);
-        assert_near(fit.at(2_640.0), 100.0 + 0.02 * power.of(2_640.0), 1e-3);
+        assert_near(fit.value_at(2_640.0), 100.0 + 0.02 * power.apply(2_640.0), 1e-3);
     }
 }
 
@@ -132,7 +132,7 @@
             ..point
         })
         .collect();
-    let fit = Fit::of(&noisy).expect("a fit");
+    let fit = Fit::from_points(&noisy).expect("a fit");
     assert_eq!(fit.growth, Growth::Linear, "bend {}", fit.curvature);
 }
 
@@ -157,7 +157,7 @@
     assert_near(level.mean, 99.5, 1e-9);
     assert_eq!(fit.residual(), level.residual);
     assert_near(level.residual.r_squared, 0.0, 1e-12);
-    assert_near(fit.at(2_640.0), 99.5, 1e-9);
+    assert_near(fit.value_at(2_640.0), 99.5, 1e-9);
 }
 
 #[test]
@@ -172,7 +172,7 @@
     let points = [(2.0, 6.0), (5.0, 11.0), (10.0, 34.0), (20.0, 59.0)];
     let points: Vec<Point> =
         points.iter().map(|(size, value)| Point { size: *size, value: *value }).collect();
-    let fit = Fit::of(&points).expect("four points");
+    let fit = Fit::from_points(&points).expect("four points");
     assert!(fit.exponent.expect("points above 0") > 1.0);
     assert_eq!(fit.growth, Growth::Linear);
 }
@@ -181,41 +181,41 @@
 fn fewer_than_four_points_have_no_fit() {
     assert_eq!(MIN_POINTS, 4);
     let three = series(&SIZES[..3], |size| size);
-    assert_eq!(Fit::of(&three), Err(FitError::TooFewPoints { found: 3 }));
-    assert_eq!(Fit::of(&[]), Err(FitError::TooFewPoints { found: 0 }));
-    assert!(Fit::of(&series(&SIZES[..4], |size| size)).is_ok());
+    assert_eq!(Fit::from_points(&three), Err(FitError::TooFewPoints { found: 3 }));
+    assert_eq!(Fit::from_points(&[]), Err(FitError::TooFewPoints { found: 0 }));
+    assert!(Fit::from_points(&series(&SIZES[..4], |size| size)).is_ok());
 }
 
 #[test]
 fn points_that_do_not_rise_or_are_no_numbers_have_no_fit() {
     let twice = series(&[1.0, 2.0, 2.0, 3.0], |size| size);
-    assert_eq!(Fit::of(&twice), Err(FitError::SizesNotIncreasing { position: 3 }));
+    assert_eq!(Fit::from_points(&twice), Err(FitError::SizesNotIncreasing { position: 3 }));
     let falling = series(&[4.0, 3.0, 2.0, 1.0], |size| size);
-    assert_eq!(Fit::of(&falling), Err(FitError::SizesNotIncreasing { position: 2 }));
+    assert_eq!(Fit::from_points(&falling), Err(FitError::SizesNotIncreasing { position: 2 }));
     let not_a_number = series(&SIZES, |size| if size == 132.0 { f64::NAN } else { size });
-    assert_eq!(Fit::of(&not_a_number), Err(FitError::BadPoint { position: 3 }));
+    assert_eq!(Fit::from_points(&not_a_number), Err(FitError::BadPoint { position: 3 }));
     let negative = series(&[-1.0, 2.0, 3.0, 4.0], |size| size);
-    assert_eq!(Fit::of(&negative), Err(FitError::BadPoint { position: 1 }));
+    assert_eq!(Fit::from_points(&negative), Err(FitError::BadPoint { position: 1 }));
 }
 
 #[test]
 fn an_estimate_says_whether_its_size_was_measured_or_lies_within_the_range() {
     // Of no law: neither within the range nor at a point is the fit asked.
     let points = series(&SIZES, |size| if size == 660.0 { 1_000.0 } else { 2.0 * size });
-    let fit = Fit::of(&points).expect("a fit");
+    let fit = Fit::from_points(&points).expect("a fit");
     let at = |size| estimate(&points, Ok(&fit), size).expect("an estimate");
     assert_eq!(at(660.0), Estimate { value: 1_000.0, origin: Origin::Measured });
     assert_eq!(at(661.0), Estimate { value: 1_000.0, origin: Origin::Measured });
     assert_eq!(at(99.0), Estimate { value: 198.0, origin: Origin::WithinRange });
-    assert_eq!(at(2_640.0), Estimate { value: fit.at(2_640.0), origin: Origin::BeyondRange });
-    assert!(fit.at(1.0) < 0.0);
+    assert_eq!(at(2_640.0), Estimate { value: fit.value_at(2_640.0), origin: Origin::BeyondRange });
+    assert!(fit.value_at(1.0) < 0.0);
     assert_eq!(at(1.0), Estimate { value: 0.0, origin: Origin::BeyondRange });
 }
 
 #[test]
 fn a_series_without_a_fit_has_estimates_within_its_range_only() {
     let points = series(&[8.0, 30.0, 60.0], |size| 10.0 * size);
-    let error = Fit::of(&points).expect_err("three points");
+    let error = Fit::from_points(&points).expect_err("three points");
     let value = |size| estimate(&points, Err(error), size).map(|estimate| estimate.value);
     assert_eq!(value(30.0), Some(300.0));
     assert_eq!(value(45.0), Some(450.0));
@@ -226,7 +226,7 @@
 fn an_estimate_is_below_zero_only_where_a_point_is() {
     let at_2_640 = |law: fn(f64) -> f64| {
         let points = series(&SIZES, law);
-        let fit = Fit::of(&points).expect("a fit");
+        let fit = Fit::from_points(&points).expect("a fit");
         estimate(&points, Ok(&fit), 2_640.0).expect("an estimate").value
     };
     assert_eq!(at_2_640(|size| 2_000.0 - size), 0.0);
--- a/crates/fawnrouter-capacity/tests/hollow.rs
+++ b/crates/fawnrouter-capacity/tests/hollow.rs
@@ -229,8 +229,8 @@
     let bytes_in = outcome.mean_per_second(Role::GatewayControl, Cause::List, Quantity::BytesIn);
     assert_eq!(bytes_in, Some(4.0 * answer as f64));
     let source = outcome.role(Role::ListSource);
-    assert_eq!(source.total.of(Cause::List).messages_in, 4 * 4 * 3);
-    assert_eq!(source.total.of(Cause::List).bytes_out, 4 * 4 * 3 * answer);
+    assert_eq!(source.total.for_cause(Cause::List).messages_in, 4 * 4 * 3);
+    assert_eq!(source.total.for_cause(Cause::List).bytes_out, 4 * 4 * 3 * answer);
     assert_eq!(source.held(Quantity::StateEntries), Some(5.0));
 }
 
@@ -256,16 +256,16 @@
     assert_eq!(outcome.to_switches.messages(Verb::Finished), planned);
 
     let set_ups: u64 = calls.iter().map(|call| bytes_of(&call.set_up(4))).sum();
-    assert_eq!(outcome.from_callers.all().bytes, set_ups);
+    assert_eq!(outcome.from_callers.total_volume().bytes, set_ups);
     let answers = planned * bytes_of(&answer_of_switch(1));
     let releases = planned * bytes_of(&release_of_switch(1));
     let confirmed = planned * bytes_of(&Message::new(Verb::Finished, Tag(1)));
-    assert_eq!(outcome.to_callers.all().bytes, answers + releases);
-    let calls = |role| outcome.role(role).total.of(Cause::Calls);
+    assert_eq!(outcome.to_callers.total_volume().bytes, answers + releases);
+    let calls = |role| outcome.role(role).total.for_cause(Cause::Calls);
     let switches = calls(Role::CoreSwitch);
     assert_eq!(switches.bytes_out, answers + releases);
     assert_eq!(switches.messages_in, 2 * planned);
-    assert_eq!(switches.bytes_in, outcome.to_switches.all().bytes - tests(&outcome));
+    assert_eq!(switches.bytes_in, outcome.to_switches.total_volume().bytes - tests(&outcome));
     assert!(switches.bytes_in > confirmed);
     let gateways = calls(Role::GatewayCalls);
     assert_eq!((gateways.messages_in, gateways.messages_out), (3 * planned, 4 * planned));
@@ -316,7 +316,7 @@
     let tests = outcome.to_switches.messages(Verb::Echo);
     assert!(tests > 0, "calls stand for long and nothing comes");
     assert_eq!(outcome.from_switches.messages(Verb::Echoed), tests);
-    let probes = outcome.role(Role::CoreSwitch).total.of(Cause::Probes);
+    let probes = outcome.role(Role::CoreSwitch).total.for_cause(Cause::Probes);
     assert_eq!((probes.messages_in, probes.messages_out), (tests, tests));
 }
 
@@ -341,9 +341,9 @@
     assert_eq!((zone.members, region.members), (6, 3));
     assert_eq!(zone.busiest_member(Cause::List, Quantity::BytesOut), Some((10 * 20 * answer) as f64));
     assert_eq!(region.busiest_member(Cause::List, Quantity::BytesOut), Some((8 * 20 * answer) as f64));
-    assert_eq!(zone.total.of(Cause::List).messages_in, 2 * 10 * 20);
-    assert_eq!(region.total.of(Cause::List).messages_in, 2 * 8 * 20);
-    assert_eq!(zone.total.of(Cause::All).bytes_in, zone.total.of(Cause::All).bytes_out);
+    assert_eq!(zone.total.for_cause(Cause::List).messages_in, 2 * 10 * 20);
+    assert_eq!(region.total.for_cause(Cause::List).messages_in, 2 * 8 * 20);
+    assert_eq!(zone.total.for_cause(Cause::All).bytes_in, zone.total.for_cause(Cause::All).bytes_out);
     assert_eq!(outcome.gateway_memory_bytes(), None, "no counting allocator is installed");
 }
 
@@ -464,7 +464,7 @@
     assert!(outcome.list.max_list_age <= Duration::from_millis(8300), "{:?}", outcome.list.max_list_age);
     let region = outcome.role(Role::RegionLink);
     assert_eq!(region.members, 3);
-    let total = region.total.of(Cause::All);
+    let total = region.total.for_cause(Cause::All);
     assert_eq!((total.messages_in, total.bytes_in), (total.messages_out, total.bytes_out));
 }
 
