--- a/crates/fawnrouter-capacity/src/hollow.rs
+++ b/crates/fawnrouter-capacity/src/hollow.rs
@@ -21,20 +21,20 @@
 //! once, confirm no release and keep their connections open; an answer of the name server arrives whole however long it is,
 //! while the program reads 9,000 bytes at the most.
 
+mod cost;
 mod event;
-mod ledger;
 mod members;
 mod meter;
 mod outcome;
 mod recording;
 mod runs;
 mod scenario;
-mod world;
+mod simulation;
 
 use fawnrouter::SettingsError;
 use fawnrouter_node::BootError;
 
-pub use self::ledger::{CAUSES, Cost, CostByCause};
+pub use self::cost::{CAUSES, Cost, CostByCause};
 pub use self::meter::CountingAllocator;
 pub use self::outcome::{
     CallCounts, ConfigurationCounts, ListCounts, Outcome, RoleOutcome, Volume, VolumeByVerb,
@@ -113,6 +113,6 @@
     scenario: &Scenario,
     allocator: Option<CountingAllocator>,
 ) -> Result<Outcome, HollowError> {
-    let (outcome, _) = world::World::new(scenario, meter::Meter::new(allocator))?.play()?;
+    let (outcome, _) = simulation::World::new(scenario, meter::Meter::new(allocator))?.play()?;
     Ok(outcome)
 }
--- a/crates/fawnrouter-capacity/src/hollow/members.rs
+++ b/crates/fawnrouter-capacity/src/hollow/members.rs
@@ -9,8 +9,8 @@
 use fawnrouter_node::{Ask, ClientId, LinkId, Node};
 use rand_chacha::ChaCha8Rng;
 
+use super::cost::Ledger;
 use super::event::{ConnectionId, GatewayRun};
-use super::ledger::Ledger;
 use super::scenario::Location;
 use crate::figures::Cause;
 use crate::platform::{SwitchRow, list_answer};
--- a/crates/fawnrouter-capacity/src/hollow/meter.rs
+++ b/crates/fawnrouter-capacity/src/hollow/meter.rs
@@ -5,7 +5,7 @@
 
 use stats_alloc::{Region, StatsAlloc};
 
-use super::ledger::Cost;
+use super::cost::Cost;
 
 /// The counting allocator, which only a program can install.
 pub type CountingAllocator = &'static StatsAlloc<System>;
--- a/crates/fawnrouter-capacity/src/hollow/outcome.rs
+++ b/crates/fawnrouter-capacity/src/hollow/outcome.rs
@@ -5,7 +5,7 @@
 
 use fawnrouter_jsonl::Verb;
 
-use super::ledger::{CAUSES, Cost, CostByCause, Ledger};
+use super::cost::{CAUSES, Cost, CostByCause, Ledger};
 use super::members::Held;
 use crate::figures::{Cause, Quantity, Role};
 
--- a/crates/fawnrouter-capacity/src/hollow/recording.rs
+++ b/crates/fawnrouter-capacity/src/hollow/recording.rs
@@ -11,7 +11,7 @@
 use fawnrouter_node::{Ask, Boot, ClientId, Input, LinkEnd, LinkId, Node, NodeSettings, Output};
 
 use super::HollowError;
-use super::ledger::{Cost, Ledger};
+use super::cost::{Cost, Ledger};
 use super::members::{Held, cause_of};
 use super::meter::Meter;
 use super::outcome::RoleOutcome;
--- a/crates/fawnrouter-capacity/src/hollow/runs.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs.rs
@@ -3,8 +3,8 @@
 mod calls;
 mod configuration;
 mod gateways;
+mod parallel;
 mod restarts;
-mod side_by_side;
 mod situations;
 mod switches;
 
--- a/crates/fawnrouter-capacity/src/hollow/runs/configuration.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/configuration.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 
 use crate::hollow::HollowError;
-use crate::hollow::ledger::Cost;
+use crate::hollow::cost::Cost;
 use crate::hollow::members::switch_address;
 use crate::hollow::meter::{CountingAllocator, Meter};
 use crate::platform::{GatewayPlace, SwitchRow, gateway_configuration};
--- a/crates/fawnrouter-capacity/src/hollow/runs/gateways.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/gateways.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::side_by_side::{Planned, Played, play_all};
+use super::parallel::{Planned, Played, play_all};
 use super::{Collector, Session, Spot};
 use crate::figures::{Cause, Role, Run, Situation, Size};
 use crate::hollow::HollowError;
--- a/crates/fawnrouter-capacity/src/hollow/runs/side_by_side.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/parallel.rs
@@ -10,7 +10,7 @@
 use crate::hollow::outcome::Outcome;
 use crate::hollow::recording::Recording;
 use crate::hollow::scenario::Scenario;
-use crate::hollow::world::World;
+use crate::hollow::simulation::World;
 
 /// Plays at a time, at the most: each may hold more than a gigabyte.
 const MOST_AT_A_TIME: usize = 4;
--- a/crates/fawnrouter-capacity/src/hollow/runs/restarts.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/restarts.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::side_by_side::{Planned, play_all};
+use super::parallel::{Planned, play_all};
 use super::{COUNTED, Collector, Session, Spot};
 use crate::figures::{Cause, Per, Role, Run, Situation, Size};
 use crate::hollow::HollowError;
--- a/crates/fawnrouter-capacity/src/hollow/runs/switches.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/switches.rs
@@ -5,7 +5,7 @@
 use super::{Collector, Session, Spot, WORK, configuration};
 use crate::figures::{Cause, Per, Quantity, Role, Run, Situation, Size};
 use crate::hollow::HollowError;
-use crate::hollow::ledger::Cost;
+use crate::hollow::cost::Cost;
 use crate::hollow::outcome::Outcome;
 use crate::hollow::scenario::Scenario;
 
--- a/crates/fawnrouter-capacity/src/hollow/world.rs
+++ b/crates/fawnrouter-capacity/src/hollow/simulation.rs
@@ -16,8 +16,8 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::HollowError;
+use super::cost::{Cost, Ledger};
 use super::event::{ConnectionId, Event, Queue};
-use super::ledger::{Cost, Ledger};
 use super::members::{Callers, Connection, Gateway, Held, ListSource, ServiceList, Switch, switch_address};
 use super::meter::Meter;
 use super::outcome::{Outcome, RoleOutcome};
--- a/crates/fawnrouter-capacity/src/hollow/world/callers.rs
+++ b/crates/fawnrouter-capacity/src/hollow/simulation/callers.rs
@@ -7,8 +7,8 @@
 
 use super::{CALLER_DELAY, World};
 use crate::figures::Cause;
+use crate::hollow::cost::Cost;
 use crate::hollow::event::{Event, GatewayRun};
-use crate::hollow::ledger::Cost;
 use crate::hollow::members::{CallerCall, CallerState, cause_of};
 use crate::hollow::recording::Step;
 use crate::plan::{CALLER_WAIT, CAUSE_CLEARING, told_standing};
--- a/crates/fawnrouter-capacity/src/hollow/world/list.rs
+++ b/crates/fawnrouter-capacity/src/hollow/simulation/list.rs
@@ -7,8 +7,8 @@
 
 use super::World;
 use crate::figures::Cause;
+use crate::hollow::cost::Cost;
 use crate::hollow::event::{Event, GatewayRun, ListAnswer};
-use crate::hollow::ledger::Cost;
 use crate::hollow::recording::Step;
 use crate::platform::SwitchRow;
 
--- a/crates/fawnrouter-capacity/src/hollow/world/switches.rs
+++ b/crates/fawnrouter-capacity/src/hollow/simulation/switches.rs
@@ -5,8 +5,8 @@
 
 use super::{Load, World};
 use crate::figures::Cause;
+use crate::hollow::cost::Cost;
 use crate::hollow::event::{ConnectionId, Event};
-use crate::hollow::ledger::Cost;
 use crate::hollow::members::{SwitchCall, SwitchState, cause_of};
 use crate::plan::{answer_of_switch, passed_test, release_of_switch};
 
