--- a/crates/fawnrouter-capacity/src/hollow/runs/gateways.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/gateways.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::parallel::{Planned, Played, play_all};
+use super::parallel::{JobResult, Planned, play_all};
 use super::{Collector, Session, Spot};
 use crate::figures::{Cause, Role, Run, Situation, Size};
 use crate::hollow::HollowError;
@@ -57,7 +57,7 @@
     let mut played = play_all(&plans, session.options.progress)?.into_iter();
     let mut pairs = Vec::new();
     for gateways in sizes {
-        if let (Some(Played { outcome: quiet, .. }), Some(Played { outcome: calling, .. })) =
+        if let (Some(JobResult { outcome: quiet, .. }), Some(JobResult { outcome: calling, .. })) =
             (played.next(), played.next())
         {
             pairs.push(Pair { gateways, quiet, calling });
--- a/crates/fawnrouter-capacity/src/hollow/runs/situations.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/situations.rs
@@ -56,9 +56,9 @@
     let rate = if quick { DESIGN_RATE_QUICK } else { DESIGN_RATE };
     let apart = if quick { APART_QUICK } else { APART };
     let at = WARM_UP + BEFORE;
-    let gone = |fault| FaultPlan::none().with(at, fault);
-    let zone = FaultPlan::gone_and_back(at, ZONE_AWAY, Fault::ZoneGone(ZONE), Fault::ZoneBack(ZONE));
-    let regions = FaultPlan::gone_and_back(at, apart, Fault::RegionsApart, Fault::RegionsJoined);
+    let gone = |fault| FaultPlan::none().with_fault(at, fault);
+    let zone = FaultPlan::outage(at, ZONE_AWAY, Fault::ZoneGone(ZONE), Fault::ZoneBack(ZONE));
+    let regions = FaultPlan::outage(at, apart, Fault::RegionsApart, Fault::RegionsJoined);
     let part = |situation, name, rate, seconds, faults| Part {
         situation,
         name,
--- a/crates/fawnrouter-capacity/src/page.rs
+++ b/crates/fawnrouter-capacity/src/page.rs
@@ -4,18 +4,20 @@
 //! | module | what it does |
 //! | --- | --- |
 //! | `rows` | one row a series: fit, value at the design size, budget, ratio |
-//! | `sizes`, `budgets`, `frequency`, `mechanisms` | what a row is held against: design size, budget, how often its case comes, what carries it |
+//! | `design_sizes`, `budgets`, `frequency`, `mechanisms` | what a row is held against: design size, budget, how often its case comes, what carries it |
 //! | `selection` | which rows stand on the page and which in the full tables alone |
-//! | `roles`, `situations`, `peaks`, `growth`, `depth`, `beside`, `ranking`, `runs` | a section of the page each |
-//! | `words`, `numbers`, `table` | names, figures with units, tables as text |
+//! | `roles`, `situations`, `peaks`, `growth`, `depth`, `comparison`, `ranking`, `runs` | a section of the page each |
+//! | `labels`, `formatting`, `table` | names, figures with units, tables as text |
 
-mod beside;
 mod budgets;
+mod comparison;
 mod depth;
+mod design_sizes;
+mod formatting;
 mod frequency;
 mod growth;
+mod labels;
 mod mechanisms;
-mod numbers;
 mod peaks;
 mod ranking;
 mod roles;
@@ -23,9 +25,7 @@
 mod runs;
 mod selection;
 mod situations;
-mod sizes;
 mod table;
-mod words;
 
 use std::collections::BTreeSet;
 
@@ -52,10 +52,10 @@
     },
     /// The end marker stands before the begin marker.
     #[error("the marker `{END_MARKER}` stands before `{BEGIN_MARKER}`; turn them round")]
-    MarkersTurned,
+    MarkersOutOfOrder,
     /// Two runs have one name, so that a figure cannot say which it is from.
     #[error("two runs of the report are named `{id}`; write it anew with `fawnrouter-lab capacity`")]
-    RunTwice {
+    DuplicateRunId {
         /// The name.
         id: String,
     },
@@ -79,7 +79,7 @@
         peaks::section(&rows),
         growth::section(&rows, &shown),
         depth::section(&depths),
-        beside::summary(report),
+        comparison::summary(report),
         runs::section(report),
     ];
     Ok(sections.join("\n"))
@@ -92,7 +92,7 @@
 pub fn render_rows(report: &Report) -> Result<String, PageError> {
     check_run_names(report)?;
     let rows = rows::of_report(report);
-    let sections = [roles::section(&rows), growth::section(&rows, &rows), beside::section(report)];
+    let sections = [roles::section(&rows), growth::section(&rows, &rows), comparison::section(report)];
     Ok(sections.join("\n"))
 }
 
@@ -100,15 +100,15 @@
 ///
 /// # Errors
 /// Where a marker is missing or there more than once, or two runs have one name.
-pub fn replace(page: &str, report: &Report) -> Result<String, PageError> {
+pub fn update_page(page: &str, report: &Report) -> Result<String, PageError> {
     replace_tables(page, &render(report)?)
 }
 
 /// The page of the full tables, likewise.
 ///
 /// # Errors
-/// As [`replace`].
-pub fn replace_rows(page: &str, report: &Report) -> Result<String, PageError> {
+/// As [`update_page`].
+pub fn update_rows_page(page: &str, report: &Report) -> Result<String, PageError> {
     replace_tables(page, &render_rows(report)?)
 }
 
@@ -116,7 +116,7 @@
     let begin = only_place_of(BEGIN_MARKER, page)?;
     let end = only_place_of(END_MARKER, page)?;
     if end < begin {
-        return Err(PageError::MarkersTurned);
+        return Err(PageError::MarkersOutOfOrder);
     }
     let before = &page[..begin];
     let behind = &page[end + END_MARKER.len()..];
@@ -134,14 +134,14 @@
 fn check_run_names(report: &Report) -> Result<(), PageError> {
     let mut seen = BTreeSet::new();
     match report.runs.iter().find(|run| !seen.insert(run.id.as_str())) {
-        Some(run) => Err(PageError::RunTwice { id: run.id.clone() }),
+        Some(run) => Err(PageError::DuplicateRunId { id: run.id.clone() }),
         None => Ok(()),
     }
 }
 
 fn summary(report: &Report, rows: usize, shown: usize) -> String {
     let machine = &report.machine;
-    let memory = numbers::whole(machine.memory_mib as f64);
+    let memory = formatting::whole(machine.memory_mib as f64);
     let runs = report.runs.len();
     format!(
         "Measured on a machine of {} cores and {memory} MiB, in {runs} runs. {shown} of {rows} rows stand here; all of them, \
--- a/crates/fawnrouter-capacity/src/process.rs
+++ b/crates/fawnrouter-capacity/src/process.rs
@@ -9,13 +9,13 @@
 //! | --- | --- |
 //! | `error` | why processes cannot be measured |
 //! | [`usage`] | what a process uses of the machine, from the texts of `/proc` |
-//! | [`lines`] | lines on a socket and counts of them |
+//! | [`line_counts`] | lines on a socket and counts of them |
 //! | `watched` | a value that one thread changes and another waits for |
 //! | `event_loop` | a thread that serves the connections of a stand-in |
 //! | `switches`, `name_server`, `callers` | the stand-ins |
 //! | `gateway` | one gateway process |
 //! | `fleet` | gateways between stand-ins, from their start to the end of a plan |
-//! | `stamps`, `hop` | what one gateway adds to a call |
+//! | `timestamps`, `hop` | what one gateway adds to a call |
 //! | `series` | series of processes and of their hollow counterpart, by the same definitions |
 
 mod callers;
@@ -24,11 +24,11 @@
 mod fleet;
 mod gateway;
 mod hop;
-pub mod lines;
+pub mod line_counts;
 mod name_server;
 mod series;
-mod stamps;
 mod switches;
+mod timestamps;
 pub mod usage;
 mod watched;
 
@@ -36,10 +36,10 @@
 use std::sync::atomic::AtomicBool;
 use std::time::Duration;
 
-pub use self::callers::CallsEnded;
+pub use self::callers::CallOutcomes;
 pub use self::error::ProcessError;
-pub use self::fleet::{Observed, Played, Rig, check_program, play};
-pub use self::hop::{HopMeasured, hop_plan, through_gateway, without_gateway};
+pub use self::fleet::{FleetMeasurement, Observation, Testbed, check_program, run_scenario};
+pub use self::hop::{HopMeasurement, hop_plan, measure_baseline, measure_hop};
 use self::series::{Figures, Kind, of_hollow, of_processes, series};
 use crate::figures::{Method, Role, Run, Situation, Size};
 use crate::hollow::{CountingAllocator, Scenario, simulate_counting_allocations};
@@ -120,7 +120,7 @@
     gateways: u32,
     rate: f64,
     seconds: u64,
-    played: Played,
+    played: FleetMeasurement,
     processes: Figures,
     hollow: Figures,
 }
@@ -135,8 +135,8 @@
         if self.options.quick { quick.to_vec() } else { full.to_vec() }
     }
 
-    fn rig(&self) -> Rig<'_> {
-        Rig { program: self.options.program, seed: self.options.seed, stop: self.options.stop }
+    fn rig(&self) -> Testbed<'_> {
+        Testbed { program: self.options.program, seed: self.options.seed, stop: self.options.stop }
     }
 
     fn quiet(&self) -> Duration {
@@ -146,7 +146,7 @@
     fn play_both(&mut self, gateways: u32, rate: f64, seconds: u64) -> Result<Both, ProcessError> {
         let scenario = fleet_scenario(self.options.seed, gateways, rate, seconds);
         (self.options.progress)(&format!("processes, {gateways} at {rate} calls/s"));
-        let played = play(&scenario, self.quiet(), self.rig())?;
+        let played = run_scenario(&scenario, self.quiet(), self.rig())?;
         (self.options.progress)(&format!("hollow-beside-processes, {gateways} at {rate} calls/s"));
         let busy = simulate_counting_allocations(&scenario, self.options.allocator)?;
         let quiet = quiet_scenario(&scenario, self.quiet());
@@ -192,16 +192,16 @@
             let seconds = if self.options.quick { HOP_SECONDS_QUICK } else { seconds };
             let plan = hop_plan(self.options.seed, rate, seconds);
             (self.options.progress)(&format!("the stand-ins alone at {rate} calls/s"));
-            let without = without_gateway(&plan, self.rig())?;
+            let without = measure_baseline(&plan, self.rig())?;
             (self.options.progress)(&format!("a hop at {rate} calls/s"));
-            let through = through_gateway(plan.clone(), SWITCHES, self.rig())?;
+            let through = measure_hop(plan.clone(), SWITCHES, self.rig())?;
             runs.push(self.run_of_hop(&baseline_id(rate), &plan, without));
             runs.push(self.run_of_hop(&format!("processes-hop-{rate}"), &plan, through));
         }
         Ok(runs)
     }
 
-    fn run_of_hop(&self, id: &str, plan: &TrafficPlan, measured: HopMeasured) -> Run {
+    fn run_of_hop(&self, id: &str, plan: &TrafficPlan, measured: HopMeasurement) -> Run {
         let mut run = self.run(id, Method::Processes, setting_of_hop(plan, &measured));
         run.hop_delays = measured.delays;
         run
@@ -230,8 +230,8 @@
 fn setting_of_fleets(fleets: &[Both], quiet: Duration) -> String {
     let plays = fleets.iter().map(|both| {
         let Both { gateways, rate, seconds, played, .. } = both;
-        let descriptors = played.busy.descriptors as f64 / f64::from(*gateways);
-        let (planned, unanswered) = (played.planned, played.ended.unanswered);
+        let descriptors = played.during_calls.descriptors as f64 / f64::from(*gateways);
+        let (planned, unanswered) = (played.planned_calls, played.call_outcomes.unanswered);
         format!(
             "{gateways} gateways at {rate} calls/s for {seconds} s ({planned} calls, {unanswered} of them refused or \
              failed; {descriptors:.1} descriptors a gateway)"
@@ -256,8 +256,14 @@
         .to_owned()
 }
 
-fn setting_of_hop(plan: &TrafficPlan, measured: &HopMeasured) -> String {
-    let HopMeasured { planned, ended, sent_per_second, processor_microseconds_per_call, .. } = measured;
+fn setting_of_hop(plan: &TrafficPlan, measured: &HopMeasurement) -> String {
+    let HopMeasurement {
+        planned_calls: planned,
+        call_outcomes: ended,
+        sent_per_second,
+        processor_microseconds_per_call,
+        ..
+    } = measured;
     let answered = ended.released;
     let way = match processor_microseconds_per_call {
         Some(microseconds) => format!(
--- a/crates/fawnrouter-capacity/src/process/fleet.rs
+++ b/crates/fawnrouter-capacity/src/process/fleet.rs
@@ -12,15 +12,15 @@
 
 use crate::hollow::{Scenario, Volume, VolumeByVerb};
 use crate::plan::PlannedCall;
-use crate::platform::GatewayPlace;
-use crate::process::callers::{CallerTraffic, Callers, CallsEnded, connect, sleep_until};
+use crate::platform::GatewayParameters;
+use crate::process::callers::{CallOutcomes, CallerTraffic, Callers, connect, sleep_until};
 use crate::process::error::{ProcessError, doing};
 use crate::process::gateway::{GatewayProcess, next_address};
-use crate::process::lines::{counted_since, volume_since};
+use crate::process::line_counts::{counts_since, volume_since};
 use crate::process::name_server::{ListTraffic, NameServer};
-use crate::process::stamps::Stamps;
 use crate::process::switches::{SwitchTimes, SwitchTraffic, Switches};
-use crate::process::usage::Usage;
+use crate::process::timestamps::Stamps;
+use crate::process::usage::ProcessUsage;
 use crate::process::watched::Watched;
 
 /// Gateways get this long to be ready.
@@ -41,7 +41,7 @@
 
 /// What gateway processes are measured with.
 #[derive(Clone, Copy, Debug)]
-pub struct Rig<'a> {
+pub struct Testbed<'a> {
     /// The gateway's program.
     pub program: &'a Path,
     /// The seed of everything that is drawn.
@@ -52,9 +52,9 @@
 
 /// What the stand-ins and `/proc` told of some time. Counts are of all gateways together.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Observed {
+pub struct Observation {
     /// How long it was.
-    pub length: Duration,
+    pub duration: Duration,
     /// Lines that gateways got from callers.
     pub from_callers: VolumeByVerb,
     /// Lines that callers got from gateways.
@@ -64,9 +64,9 @@
     /// Lines that core switches got from gateways.
     pub to_switches: VolumeByVerb,
     /// Questions for the list.
-    pub questions: Volume,
+    pub list_queries: Volume,
     /// Answers to them.
-    pub answers: Volume,
+    pub list_answers: Volume,
     /// Processor time of the gateways.
     pub processor_time: Duration,
     /// Resident memory of the gateways at its end, in bytes.
@@ -81,22 +81,26 @@
 
 /// What gateway processes showed.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Played {
+pub struct FleetMeasurement {
     /// From the first call on, until all have ended and the measured time is over.
-    pub busy: Observed,
+    pub during_calls: Observation,
     /// Afterwards, with nothing to do but to ask for the list.
-    pub quiet: Observed,
+    pub after_calls: Observation,
     /// Calls of the plan.
-    pub planned: u64,
+    pub planned_calls: u64,
     /// What became of them.
-    pub ended: CallsEnded,
+    pub call_outcomes: CallOutcomes,
 }
 
 /// Plays a scenario of one service, without faults, with gateway processes, and after it a quiet time.
 ///
 /// # Errors
 /// Where the program is not there, or something fails on the way. All processes have ended then.
-pub fn play(scenario: &Scenario, quiet: Duration, rig: Rig<'_>) -> Result<Played, ProcessError> {
+pub fn run_scenario(
+    scenario: &Scenario,
+    quiet: Duration,
+    rig: Testbed<'_>,
+) -> Result<FleetMeasurement, ProcessError> {
     let calls = scenario.traffic.calls();
     let mut fleet = Fleet::start(scenario, None, rig)?;
     sleep_until(Instant::now() + LEAD, rig.stop)?;
@@ -106,11 +110,11 @@
     let all_ended = fleet.mark()?;
     sleep_until(all_ended.at + quiet, rig.stop)?;
     let end = fleet.mark()?;
-    Ok(Played {
-        busy: first_call.until(&all_ended),
-        quiet: all_ended.until(&end),
-        planned: calls.len() as u64,
-        ended: end.callers.ended,
+    Ok(FleetMeasurement {
+        during_calls: first_call.until(&all_ended),
+        after_calls: all_ended.until(&end),
+        planned_calls: calls.len() as u64,
+        call_outcomes: end.callers.ended,
     })
 }
 
@@ -122,7 +126,7 @@
     names: NameServer,
     switches: Switches,
     _folder: TempDir,
-    rig: Rig<'a>,
+    rig: Testbed<'a>,
 }
 
 /// All counters at one time.
@@ -132,7 +136,7 @@
     caller_connections: u64,
     switches: SwitchTraffic,
     list: ListTraffic,
-    usages: Vec<Usage>,
+    usages: Vec<ProcessUsage>,
 }
 
 impl<'a> Fleet<'a> {
@@ -141,12 +145,12 @@
     pub fn start(
         scenario: &Scenario,
         stamps: Option<Arc<Stamps>>,
-        rig: Rig<'a>,
+        rig: Testbed<'a>,
     ) -> Result<Self, ProcessError> {
         check_program(rig.program)?;
         check_descriptors(scenario)?;
         let deadline = Instant::now() + READY_WITHIN;
-        let times = SwitchTimes { answer: scenario.traffic.answer, hold: scenario.traffic.hold };
+        let times = SwitchTimes { answer: scenario.traffic.answer_delay, hold: scenario.traffic.hold };
         let switches = Switches::start(scenario.switches, times, stamps.clone());
         let switches = switches.map_err(doing("the stand-in core switches cannot be started"))?;
         let names = NameServer::start(switches.rows.clone());
@@ -197,16 +201,16 @@
         }
         played?;
         let deadline = Instant::now() + ENDED_WITHIN;
-        if wait(&self.callers.traffic, deadline, self.rig.stop, |callers| callers.ended.all() >= planned)? {
+        if wait(&self.callers.traffic, deadline, self.rig.stop, |callers| callers.ended.total() >= planned)? {
             return Ok(());
         }
         self.check_gateways()?;
-        let ended = self.ended().all();
-        Err(ProcessError::Unfinished { ended, planned, waited: ENDED_WITHIN })
+        let ended = self.ended().total();
+        Err(ProcessError::CallsUnfinished { ended, planned, waited: ENDED_WITHIN })
     }
 
     /// What became of calls so far.
-    pub fn ended(&self) -> CallsEnded {
+    pub fn ended(&self) -> CallOutcomes {
         self.callers.traffic.get().ended
     }
 
@@ -215,7 +219,7 @@
         Ok(self.usages()?.iter().map(|usage| usage.processor_time).sum())
     }
 
-    fn usages(&self) -> Result<Vec<Usage>, ProcessError> {
+    fn usages(&self) -> Result<Vec<ProcessUsage>, ProcessError> {
         self.gateways.iter().map(GatewayProcess::usage).collect()
     }
 
@@ -238,18 +242,18 @@
 }
 
 impl Mark {
-    fn until(&self, end: &Self) -> Observed {
-        let sum = |figure: fn(&Usage) -> u64| end.usages.iter().map(figure).sum();
+    fn until(&self, end: &Self) -> Observation {
+        let sum = |figure: fn(&ProcessUsage) -> u64| end.usages.iter().map(figure).sum();
         let ran = end.usages.iter().zip(&self.usages);
         let ran = ran.map(|(end, start)| end.processor_time.saturating_sub(start.processor_time));
-        Observed {
-            length: end.at - self.at,
-            from_callers: counted_since(&self.callers.said, &end.callers.said),
-            to_callers: counted_since(&self.callers.heard, &end.callers.heard),
-            from_switches: counted_since(&self.switches.said, &end.switches.said),
-            to_switches: counted_since(&self.switches.heard, &end.switches.heard),
-            questions: volume_since(self.list.all_questions(), end.list.all_questions()),
-            answers: volume_since(self.list.answers, end.list.answers),
+        Observation {
+            duration: end.at - self.at,
+            from_callers: counts_since(&self.callers.said, &end.callers.said),
+            to_callers: counts_since(&self.callers.heard, &end.callers.heard),
+            from_switches: counts_since(&self.switches.said, &end.switches.said),
+            to_switches: counts_since(&self.switches.heard, &end.switches.heard),
+            list_queries: volume_since(self.list.all_questions(), end.list.all_questions()),
+            list_answers: volume_since(self.list.answers, end.list.answers),
             processor_time: ran.sum(),
             resident_bytes: sum(|usage| usage.resident_bytes),
             descriptors: sum(|usage| usage.descriptors),
@@ -264,7 +268,7 @@
 /// # Errors
 /// Says how to build it.
 pub fn check_program(program: &Path) -> Result<(), ProcessError> {
-    if program.is_file() { Ok(()) } else { Err(ProcessError::NoProgram { program: program.to_owned() }) }
+    if program.is_file() { Ok(()) } else { Err(ProcessError::ProgramMissing { program: program.to_owned() }) }
 }
 
 /// Reading the limit changes nothing; one that is too low is told.
@@ -274,13 +278,13 @@
     let of_a_gateway = switches * CONNECTIONS_TO_A_SWITCH + 2 * u64::from(scenario.caller_connections);
     let needed = gateways * of_a_gateway + switches + OTHER_DESCRIPTORS;
     match getrlimit(Resource::Nofile).current {
-        Some(limit) if limit < needed => Err(ProcessError::Descriptors { needed, limit }),
+        Some(limit) if limit < needed => Err(ProcessError::TooFewDescriptors { needed, limit }),
         _ => Ok(()),
     }
 }
 
-fn place(scenario: &Scenario, number: u32, nameserver: SocketAddr) -> GatewayPlace {
-    GatewayPlace {
+fn place(scenario: &Scenario, number: u32, nameserver: SocketAddr) -> GatewayParameters {
+    GatewayParameters {
         name: format!("gateway-{number}"),
         listen: next_address(),
         nameserver,
@@ -306,7 +310,7 @@
                 sleep_until(Instant::now() + CONNECT_PAUSE, stop)?;
             }
             Err(source) => {
-                return Err(ProcessError::Machine { doing: "a gateway cannot be connected to", source });
+                return Err(ProcessError::System { doing: "a gateway cannot be connected to", source });
             }
         }
     }
@@ -326,7 +330,7 @@
             return Ok(true);
         }
         if stop.load(Ordering::Relaxed) {
-            return Err(ProcessError::Stopped);
+            return Err(ProcessError::Interrupted);
         }
         if now >= deadline {
             return Ok(false);
--- a/crates/fawnrouter-capacity/src/process/lines.rs
+++ b/crates/fawnrouter-capacity/src/process/line_counts.rs
@@ -34,7 +34,7 @@
 
 /// What was counted since an earlier reading of the same counter.
 #[must_use]
-pub fn counted_since(earlier: &VolumeByVerb, now: &VolumeByVerb) -> VolumeByVerb {
+pub fn counts_since(earlier: &VolumeByVerb, now: &VolumeByVerb) -> VolumeByVerb {
     let since = |(verb, volume): (&&'static str, &Volume)| {
         let before = earlier.0.get(verb).copied().unwrap_or_default();
         (*verb, volume_since(before, *volume))
@@ -53,13 +53,13 @@
 
 /// What set-ups, answers and releases come to.
 #[must_use]
-pub fn volume_of_calls(lines: &VolumeByVerb) -> Volume {
-    volume_since(volume_of_tests(lines), lines.total_volume())
+pub fn call_volume(lines: &VolumeByVerb) -> Volume {
+    volume_since(test_volume(lines), lines.total_volume())
 }
 
 /// What tests, their answers and told states come to.
 #[must_use]
-pub fn volume_of_tests(lines: &VolumeByVerb) -> Volume {
+pub fn test_volume(lines: &VolumeByVerb) -> Volume {
     let tests = lines.0.iter().filter(|(verb, _)| TEST_TYPES.contains(verb));
     VolumeByVerb(tests.map(|(verb, volume)| (*verb, *volume)).collect()).total_volume()
 }
--- a/crates/fawnrouter-capacity/src/process/series.rs
+++ b/crates/fawnrouter-capacity/src/process/series.rs
@@ -2,8 +2,8 @@
 
 use crate::figures::{Cause, Per, Point, Quantity, Role, Series, Situation, Size};
 use crate::hollow::{Outcome, Scenario, Volume};
-use crate::process::fleet::{Observed, Played};
-use crate::process::lines::{volume_of_calls, volume_of_tests};
+use crate::process::fleet::{FleetMeasurement, Observation};
+use crate::process::line_counts::{call_volume, test_volume};
 
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
@@ -109,15 +109,15 @@
 }
 
 /// What gateway processes showed.
-pub(super) fn of_processes(scenario: &Scenario, played: &Played) -> Figures {
+pub(super) fn of_processes(scenario: &Scenario, played: &FleetMeasurement) -> Figures {
     let mut figures = Figures::default();
     let [gateways, switches] = [scenario.gateways, scenario.switches].map(f64::from);
     add_flows_of_processes(&mut figures, played, gateways, switches);
-    let (quiet, busy) = (&played.quiet, &played.busy);
+    let (quiet, busy) = (&played.after_calls, &played.during_calls);
     let quiet_rate = microseconds_per_second(quiet);
     let busy_rate = microseconds_per_second(busy);
-    let of_calls = (busy_rate - quiet_rate) * busy.length.as_secs_f64();
-    figures.add(PROCESSOR_PER_CALL, Some(of_calls / played.planned as f64));
+    let of_calls = (busy_rate - quiet_rate) * busy.duration.as_secs_f64();
+    figures.add(PROCESSOR_PER_CALL, Some(of_calls / played.planned_calls as f64));
     figures.add(PROCESSOR_PER_SECOND, Some(busy_rate / gateways));
     figures.add(PROCESSOR_PER_QUIET_SECOND, Some(quiet_rate / gateways));
     let connections = busy.caller_connections + busy.switch_connections;
@@ -127,38 +127,41 @@
     figures
 }
 
-fn add_flows_of_processes(figures: &mut Figures, played: &Played, gateways: f64, switches: f64) {
-    let (quiet, busy) = (&played.quiet, &played.busy);
-    let [quiet_seconds, busy_seconds] = [quiet, busy].map(|observed| observed.length.as_secs_f64());
-    let calls = ways_of_a_gateway(busy, volume_of_calls);
-    figures.add_flow(CALLS_OF_A_GATEWAY, calls, played.planned as f64);
+fn add_flows_of_processes(figures: &mut Figures, played: &FleetMeasurement, gateways: f64, switches: f64) {
+    let (quiet, busy) = (&played.after_calls, &played.during_calls);
+    let [quiet_seconds, busy_seconds] = [quiet, busy].map(|observed| observed.duration.as_secs_f64());
+    let calls = ways_of_a_gateway(busy, call_volume);
+    figures.add_flow(CALLS_OF_A_GATEWAY, calls, played.planned_calls as f64);
     figures.add_flow(
         SECONDS_OF_A_GATEWAY,
         ways_of_a_gateway(busy, |lines| lines.total_volume()),
         gateways * busy_seconds,
     );
     let switch_seconds = switches * busy_seconds;
-    figures.add_flow(CALLS_OF_A_SWITCH, ways_of_a_switch(busy, volume_of_calls), switch_seconds);
-    figures.add_flow(TESTS_OF_A_SWITCH, ways_of_a_switch(busy, volume_of_tests), switch_seconds);
+    figures.add_flow(CALLS_OF_A_SWITCH, ways_of_a_switch(busy, call_volume), switch_seconds);
+    figures.add_flow(TESTS_OF_A_SWITCH, ways_of_a_switch(busy, test_volume), switch_seconds);
     figures.add_flow(
         SECONDS_OF_A_SWITCH,
         ways_of_a_switch(busy, |lines| lines.total_volume()),
         switch_seconds,
     );
-    let of_gateway = Ways { received: quiet.answers, sent: quiet.questions };
+    let of_gateway = Ways { received: quiet.list_answers, sent: quiet.list_queries };
     figures.add_flow(LIST_OF_A_GATEWAY, of_gateway, gateways * quiet_seconds);
-    let of_source = Ways { received: quiet.questions, sent: quiet.answers };
+    let of_source = Ways { received: quiet.list_queries, sent: quiet.list_answers };
     figures.add_flow(LIST_OF_THE_SOURCE, of_source, quiet_seconds);
 }
 
-fn ways_of_a_gateway(observed: &Observed, volume: impl Fn(&crate::hollow::VolumeByVerb) -> Volume) -> Ways {
+fn ways_of_a_gateway(
+    observed: &Observation,
+    volume: impl Fn(&crate::hollow::VolumeByVerb) -> Volume,
+) -> Ways {
     Ways {
         received: both(volume(&observed.from_callers), volume(&observed.from_switches)),
         sent: both(volume(&observed.to_callers), volume(&observed.to_switches)),
     }
 }
 
-fn ways_of_a_switch(observed: &Observed, volume: impl Fn(&crate::hollow::VolumeByVerb) -> Volume) -> Ways {
+fn ways_of_a_switch(observed: &Observation, volume: impl Fn(&crate::hollow::VolumeByVerb) -> Volume) -> Ways {
     Ways { received: volume(&observed.to_switches), sent: volume(&observed.from_switches) }
 }
 
@@ -166,8 +169,8 @@
     Volume { messages: one.messages + other.messages, bytes: one.bytes + other.bytes }
 }
 
-fn microseconds_per_second(observed: &Observed) -> f64 {
-    observed.processor_time.as_secs_f64() * MICROSECONDS_PER_SECOND / observed.length.as_secs_f64()
+fn microseconds_per_second(observed: &Observation) -> f64 {
+    observed.processor_time.as_secs_f64() * MICROSECONDS_PER_SECOND / observed.duration.as_secs_f64()
 }
 
 /// What hollow gateways showed without calls and with them.
--- a/crates/fawnrouterd/tests/capacity.rs
+++ b/crates/fawnrouterd/tests/capacity.rs
@@ -7,8 +7,8 @@
 
 use fawnrouter_capacity::hollow::{self, Scenario, Volume, VolumeByVerb};
 use fawnrouter_capacity::plan::TrafficPlan;
-use fawnrouter_capacity::process::lines::volume_of_calls;
-use fawnrouter_capacity::process::{self, CallsEnded, ProcessError, Rig, hop_plan};
+use fawnrouter_capacity::process::line_counts::call_volume;
+use fawnrouter_capacity::process::{self, CallOutcomes, ProcessError, Testbed, hop_plan};
 use rustix::io::Errno;
 use rustix::process::{WaitOptions, waitpid};
 
@@ -28,8 +28,8 @@
     assert_eq!(waitpid(None, WaitOptions::NOHANG).err(), Some(Errno::CHILD), "a gateway was left running");
 }
 
-fn rig(stop: &AtomicBool) -> Rig<'_> {
-    Rig { program: Path::new(env!("CARGO_BIN_EXE_fawnrouter")), seed: SEED, stop }
+fn rig(stop: &AtomicBool) -> Testbed<'_> {
+    Testbed { program: Path::new(env!("CARGO_BIN_EXE_fawnrouter")), seed: SEED, stop }
 }
 
 /// Calls that have all ended by the end of what is counted.
@@ -64,28 +64,28 @@
     let scenario = scenario();
     let stop = AtomicBool::new(false);
     // It returns once every planned call has ended, so that what is compared is per plan and not per second.
-    let played = process::play(&scenario, Duration::from_millis(500), rig(&stop)).unwrap();
+    let played = process::run_scenario(&scenario, Duration::from_millis(500), rig(&stop)).unwrap();
     assert_no_child_is_left();
     let hollow = hollow::simulate(&scenario).unwrap();
     let planned = scenario.traffic.calls().len() as u64;
     assert_eq!((hollow.calls.attempted, hollow.calls.released), (planned, planned));
-    assert_eq!((played.planned, played.ended.all()), (planned, planned));
-    assert_agree("calls that stood", played.ended.released as f64, planned as f64);
+    assert_eq!((played.planned_calls, played.call_outcomes.total()), (planned, planned));
+    assert_agree("calls that stood", played.call_outcomes.released as f64, planned as f64);
     let ways: [(&str, &VolumeByVerb, &VolumeByVerb); 4] = [
-        ("from callers", &played.busy.from_callers, &hollow.from_callers),
-        ("to callers", &played.busy.to_callers, &hollow.to_callers),
-        ("from core switches", &played.busy.from_switches, &hollow.from_switches),
-        ("to core switches", &played.busy.to_switches, &hollow.to_switches),
+        ("from callers", &played.during_calls.from_callers, &hollow.from_callers),
+        ("to callers", &played.during_calls.to_callers, &hollow.to_callers),
+        ("from core switches", &played.during_calls.from_switches, &hollow.from_switches),
+        ("to core switches", &played.during_calls.to_switches, &hollow.to_switches),
     ];
     for (way, processes, hollow) in ways {
-        assert_volumes_agree(way, volume_of_calls(processes), volume_of_calls(hollow));
+        assert_volumes_agree(way, call_volume(processes), call_volume(hollow));
     }
     let list = hollow.list;
     let questions = Volume { messages: list.queries, bytes: list.query_bytes };
     let answers = Volume { messages: list.responses, bytes: list.response_bytes };
-    assert_agree("bytes of a question for the list", each(played.busy.questions), each(questions));
-    assert_agree("bytes of an answer with the list", each(played.busy.answers), each(answers));
-    assert_eq!(played.busy.questions.messages, played.busy.answers.messages);
+    assert_agree("bytes of a question for the list", each(played.during_calls.list_queries), each(questions));
+    assert_agree("bytes of an answer with the list", each(played.during_calls.list_answers), each(answers));
+    assert_eq!(played.during_calls.list_queries.messages, played.during_calls.list_answers.messages);
 }
 
 #[test]
@@ -94,12 +94,12 @@
     let stop = AtomicBool::new(false);
     let plan = hop_plan(SEED, 50.0, 1);
     let planned = plan.calls().len() as u64;
-    let without = process::without_gateway(&plan, rig(&stop)).unwrap();
-    let through = process::through_gateway(plan, SWITCHES, rig(&stop)).unwrap();
+    let without = process::measure_baseline(&plan, rig(&stop)).unwrap();
+    let through = process::measure_hop(plan, SWITCHES, rig(&stop)).unwrap();
     assert_no_child_is_left();
-    let all_answered = CallsEnded { released: planned, unanswered: 0 };
+    let all_answered = CallOutcomes { released: planned, unanswered: 0 };
     for (way, measured) in [("without a gateway", without), ("through a gateway", through)] {
-        assert_eq!((measured.planned, measured.ended), (planned, all_answered), "{way}");
+        assert_eq!((measured.planned_calls, measured.call_outcomes), (planned, all_answered), "{way}");
         let delays: u64 = measured.delays.iter().map(|bucket| bucket.count).sum();
         assert_eq!(delays, planned, "{way}");
         assert!(measured.delays.is_sorted_by_key(|bucket| bucket.nanoseconds), "{way}");
@@ -110,7 +110,8 @@
 fn a_measurement_that_is_told_to_end_ends_its_gateways() {
     let _alone = alone();
     let stop = AtomicBool::new(true);
-    let told = process::play(&scenario(), Duration::ZERO, rig(&stop)).expect_err("it was told to end");
-    assert!(matches!(told, ProcessError::Stopped), "{told}");
+    let told =
+        process::run_scenario(&scenario(), Duration::ZERO, rig(&stop)).expect_err("it was told to end");
+    assert!(matches!(told, ProcessError::Interrupted), "{told}");
     assert_no_child_is_left();
 }
