--- a/crates/fawnrouter-capacity/src/hollow.rs
+++ b/crates/fawnrouter-capacity/src/hollow.rs
@@ -11,7 +11,7 @@
 //! | `scenario` | what is played: the fleet, where its members are, what happens to it and when it is measured |
 //! | `event` | what is under way, in virtual time |
 //! | `members` | gateways, core switches, callers, the name server, and what the rig knows of them |
-//! | `world` | the loop and the network; a file each for gateways, core switches, callers, the list, faults |
+//! | `simulation` | the loop and the network; a file each for gateways, core switches, callers, the list, faults |
 //! | `ledger`, `meter` | what members bear by cause, in all and in the busiest second; what work costs this process |
 //! | `outcome` | what a play showed |
 //! | `recording` | what happened to one gateway of a fleet, and its work measured alone |
@@ -89,15 +89,15 @@
     DamagedConfigurationAccepted,
 }
 
-/// Plays all runs of the report.
+/// Outcomes all runs of the report.
 ///
 /// # Errors
 /// Where the rig's own scenarios or configurations are refused.
 pub fn measure(options: HollowOptions<'_>) -> Result<Vec<Run>, HollowError> {
-    runs::all(options)
+    runs::all_runs(options)
 }
 
-/// Plays a scenario without counting allocations.
+/// Outcomes a scenario without counting allocations.
 ///
 /// # Errors
 /// Where the scenario makes no sense.
@@ -105,7 +105,7 @@
     simulate_counting_allocations(scenario, None)
 }
 
-/// Plays a scenario; with the counting allocator of the program also allocations and memory are told.
+/// Outcomes a scenario; with the counting allocator of the program also allocations and memory are told.
 ///
 /// # Errors
 /// Where the scenario makes no sense.
@@ -113,6 +113,6 @@
     scenario: &Scenario,
     allocator: Option<CountingAllocator>,
 ) -> Result<Outcome, HollowError> {
-    let (outcome, _) = simulation::World::new(scenario, meter::Meter::new(allocator))?.play()?;
+    let (outcome, _) = simulation::Simulation::new(scenario, meter::Meter::new(allocator))?.run()?;
     Ok(outcome)
 }
--- a/crates/fawnrouter-capacity/src/hollow/members.rs
+++ b/crates/fawnrouter-capacity/src/hollow/members.rs
@@ -1,4 +1,4 @@
-//! The members of a played fleet and what the rig knows of them.
+//! The members of a played fleet and what the simulation knows of them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -9,8 +9,8 @@
 use fawnrouter_node::{Ask, ClientId, LinkId, Node};
 use rand_chacha::ChaCha8Rng;
 
-use super::cost::Ledger;
-use super::event::{ConnectionId, GatewayRun};
+use super::cost::CostRecorder;
+use super::event::{ConnectionId, GatewayIncarnation};
 use super::scenario::Location;
 use crate::figures::Cause;
 use crate::platform::{ListedSwitch, encode_list_answer};
@@ -18,13 +18,13 @@
 /// A gateway's process.
 pub(crate) struct Process {
     pub node: Node,
-    pub ask: Ask,
+    pub list_queries: Ask,
     /// Numbers of questions.
-    pub ids: ChaCha8Rng,
+    pub query_ids: ChaCha8Rng,
     /// The number of the list that it was last given.
-    pub serial: u32,
+    pub list_serial: u32,
     /// For when its next wake-up is under way.
-    pub armed: Option<Duration>,
+    pub scheduled_wake: Option<Duration>,
     /// Callers' connections.
     pub clients: BTreeMap<ClientId, Decoder>,
     /// Connections to core switches.
@@ -35,55 +35,55 @@
 
 /// A gateway over all its starts.
 pub(crate) struct Gateway {
-    pub place: Location,
+    pub location: Location,
     /// How often it has been started.
     pub epoch: u32,
     pub process: Option<Process>,
     /// Connections of its last process that its core switches still take for open.
-    pub orphans: Vec<ConnectionId>,
+    pub stale_connections: Vec<ConnectionId>,
     /// When it last had an answer of the name server.
-    pub answered: Duration,
-    pub calls: Ledger,
-    pub control: Ledger,
-    pub held_for_calls: Held,
-    pub held_for_control: Held,
+    pub last_list_response: Duration,
+    pub call_costs: CostRecorder,
+    pub control_costs: CostRecorder,
+    pub call_state: HeldState,
+    pub control_state: HeldState,
 }
 
 impl Gateway {
-    pub fn new(place: Location) -> Self {
+    pub fn new(location: Location) -> Self {
         Self {
-            place,
+            location,
             epoch: 0,
             process: None,
-            orphans: Vec::new(),
-            answered: Duration::ZERO,
-            calls: Ledger::default(),
-            control: Ledger::default(),
-            held_for_calls: Held::default(),
-            held_for_control: Held::default(),
+            stale_connections: Vec::new(),
+            last_list_response: Duration::ZERO,
+            call_costs: CostRecorder::default(),
+            control_costs: CostRecorder::default(),
+            call_state: HeldState::default(),
+            control_state: HeldState::default(),
         }
     }
 
     /// Whether new calls are sent to it.
-    pub fn takes_calls(&self) -> bool {
+    pub fn accepts_calls(&self) -> bool {
         self.process.as_ref().is_some_and(|process| !process.stopping)
     }
 }
 
 /// What is held at the last look, and the most at any.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Held {
+pub(crate) struct HeldState {
     pub connections: u64,
     pub entries: u64,
-    pub most_connections: u64,
-    pub most_entries: u64,
+    pub max_connections: u64,
+    pub max_entries: u64,
 }
 
-impl Held {
-    pub fn look(&mut self, connections: usize, entries: usize) {
+impl HeldState {
+    pub fn sample(&mut self, connections: usize, entries: usize) {
         (self.connections, self.entries) = (connections as u64, entries as u64);
-        self.most_connections = self.most_connections.max(self.connections);
-        self.most_entries = self.most_entries.max(self.entries);
+        self.max_connections = self.max_connections.max(self.connections);
+        self.max_entries = self.max_entries.max(self.entries);
     }
 }
 
@@ -103,12 +103,12 @@
 pub(crate) struct SwitchCall {
     /// On which its set-up came.
     pub connection: ConnectionId,
-    pub stands: bool,
+    pub established: bool,
 }
 
 /// A stand-in core switch: it answers every set-up, holds the call and releases it.
 pub(crate) struct Switch {
-    pub place: Location,
+    pub location: Location,
     pub row: ListedSwitch,
     pub listed: bool,
     pub state: SwitchState,
@@ -118,38 +118,38 @@
     pub connections: BTreeSet<(usize, ConnectionId)>,
     pub calls: BTreeMap<u64, SwitchCall>,
     /// Releases that a gateway has not confirmed.
-    pub unheard: BTreeSet<(usize, u64)>,
-    pub ledger: Ledger,
-    pub held: Held,
+    pub unconfirmed_releases: BTreeSet<(usize, u64)>,
+    pub costs: CostRecorder,
+    pub held: HeldState,
 }
 
 impl Switch {
-    pub fn new(place: Location, row: ListedSwitch) -> Self {
+    pub fn new(location: Location, row: ListedSwitch) -> Self {
         Self {
-            place,
+            location,
             row,
             listed: true,
             state: SwitchState::Up,
             epoch: 0,
             connections: BTreeSet::new(),
             calls: BTreeMap::new(),
-            unheard: BTreeSet::new(),
-            ledger: Ledger::default(),
-            held: Held::default(),
+            unconfirmed_releases: BTreeSet::new(),
+            costs: CostRecorder::default(),
+            held: HeldState::default(),
         }
     }
 
     /// An open connection of this gateway's.
-    pub fn connection_of(&self, gateway: usize) -> Option<ConnectionId> {
-        let of_gateway = (gateway, ConnectionId(0))..=(gateway, ConnectionId(u64::MAX));
-        self.connections.range(of_gateway).next().map(|(_, connection)| *connection)
+    pub fn connection_from(&self, gateway: usize) -> Option<ConnectionId> {
+        let range = (gateway, ConnectionId(0))..=(gateway, ConnectionId(u64::MAX));
+        self.connections.range(range).next().map(|(_, connection)| *connection)
     }
 
     /// All that it held is lost.
-    pub fn lose_all(&mut self) -> Vec<ConnectionId> {
+    pub fn drop_all_state(&mut self) -> Vec<ConnectionId> {
         self.epoch += 1;
         self.calls.clear();
-        self.unheard.clear();
+        self.unconfirmed_releases.clear();
         std::mem::take(&mut self.connections).into_iter().map(|(_, connection)| connection).collect()
     }
 }
@@ -157,7 +157,7 @@
 /// A connection from a gateway to a core switch, as the network has it.
 #[derive(Debug)]
 pub(crate) struct Connection {
-    pub gateway: GatewayRun,
+    pub gateway: GatewayIncarnation,
     pub link: LinkId,
     pub switch: usize,
     /// It is up at the gateway.
@@ -166,7 +166,7 @@
     pub open_at_gateway: bool,
     pub open_at_switch: bool,
     /// The core switch has been reached, or will be.
-    pub reaches: bool,
+    pub reaches_switch: bool,
     /// Set-ups on it that the core switch has not answered.
     pub set_ups: BTreeSet<u64>,
 }
@@ -175,15 +175,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallerState {
     /// An answer, until then.
-    Answer(Duration),
+    AwaitingAnswer(Duration),
     /// The end of its call.
-    Release,
+    Established,
 }
 
 /// A call as its caller sees it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CallerCall {
-    pub planned: usize,
+    pub planned_call: usize,
     pub gateway: usize,
     pub client: ClientId,
     pub state: CallerState,
@@ -202,12 +202,12 @@
 
 impl Callers {
     /// The connections to a gateway are gone.
-    pub fn lose_gateway(&mut self, gateway: usize) {
-        self.connections.retain(|(of, _), _| *of != gateway);
+    pub fn drop_gateway_connections(&mut self, gateway: usize) {
+        self.connections.retain(|(owner, _), _| *owner != gateway);
     }
 
-    pub fn lose_connection(&mut self, gateway: usize, client: ClientId) {
-        self.connections.retain(|(of, _), open| *of != gateway || *open != client);
+    pub fn drop_connection(&mut self, gateway: usize, client: ClientId) {
+        self.connections.retain(|(owner, _), open| *owner != gateway || *open != client);
     }
 }
 
@@ -216,41 +216,41 @@
 pub(crate) struct ServiceList {
     pub serial: u32,
     pub rows: Vec<ListedSwitch>,
-    answer: Option<Rc<[u8]>>,
+    encoded: Option<Rc<[u8]>>,
 }
 
 impl ServiceList {
-    pub fn renew(&mut self, rows: Vec<ListedSwitch>) {
+    pub fn replace(&mut self, rows: Vec<ListedSwitch>) {
         self.serial += 1;
         self.rows = rows;
-        self.answer = None;
+        self.encoded = None;
     }
 
     /// The answer to a question; the same for all questions but for their ids.
-    pub fn answer(&mut self, question: &[u8]) -> Rc<[u8]> {
+    pub fn response(&mut self, question: &[u8]) -> Rc<[u8]> {
         let (serial, rows) = (self.serial, &self.rows);
-        self.answer.get_or_insert_with(|| encode_list_answer(question, serial, rows).into()).clone()
+        self.encoded.get_or_insert_with(|| encode_list_answer(question, serial, rows).into()).clone()
     }
 }
 
 /// The stand-in name server.
-pub(crate) struct ListSource {
-    pub place: Location,
+pub(crate) struct NameServer {
+    pub location: Location,
     pub services: Vec<ServiceList>,
-    pub ledger: Ledger,
-    pub held: Held,
+    pub costs: CostRecorder,
+    pub held: HeldState,
 }
 
 /// The address of a core switch: one host each.
 pub(crate) fn switch_address(number: usize) -> SocketAddr {
     const PORT: u16 = 5060;
-    // A rig has far fewer than 2^24 core switches.
+    // A simulation has far fewer than 2^24 core switches.
     let [_, high, middle, low] = u32::try_from(number).unwrap_or(u32::MAX).to_be_bytes();
     SocketAddr::from(([10, high, middle, low], PORT))
 }
 
 /// What a message is counted as.
-pub(crate) fn cause_of(verb: Verb) -> Cause {
+pub(crate) fn cause_of_verb(verb: Verb) -> Cause {
     match verb {
         Verb::Echo | Verb::Echoed | Verb::Load => Cause::Probes,
         _ => Cause::Calls,
@@ -258,7 +258,7 @@
 }
 
 /// Reads a line that a gateway has written.
-pub(crate) fn read_line(line: &[u8]) -> Option<Message> {
+pub(crate) fn decode_line(line: &[u8]) -> Option<Message> {
     let mut decoder = Decoder::new();
     decoder.push(line);
     decoder.next_message().ok().flatten()
--- a/crates/fawnrouter-capacity/src/hollow/meter.rs
+++ b/crates/fawnrouter-capacity/src/hollow/meter.rs
@@ -14,23 +14,23 @@
 /// as far as the machine has a core free for it.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Meter {
-    is_on: bool,
+    is_enabled: bool,
     allocator: Option<CountingAllocator>,
 }
 
 impl Meter {
     pub fn new(allocator: Option<CountingAllocator>) -> Self {
-        Self { is_on: true, allocator }
+        Self { is_enabled: true, allocator }
     }
 
     /// One that measures nothing.
-    pub fn off() -> Self {
+    pub fn disabled() -> Self {
         Self::default()
     }
 
     /// Does the work; with it what it cost.
     pub fn measure<T>(&self, work: impl FnOnce() -> T) -> (T, Cost) {
-        if !self.is_on {
+        if !self.is_enabled {
             return (work(), Cost::default());
         }
         let region = self.allocator.map(Region::new);
@@ -46,7 +46,7 @@
     }
 
     /// Drops something; the bytes that this freed, if they are counted.
-    pub fn size_of<T>(&self, held: T) -> Option<u64> {
+    pub fn bytes_freed_by_drop<T>(&self, held: T) -> Option<u64> {
         let region = self.allocator.map(Region::new);
         drop(held);
         region.map(|region| {
--- a/crates/fawnrouter-capacity/src/hollow/outcome.rs
+++ b/crates/fawnrouter-capacity/src/hollow/outcome.rs
@@ -5,8 +5,8 @@
 
 use fawnrouter_jsonl::Verb;
 
-use super::cost::{CAUSES, Cost, CostByCause, Ledger};
-use super::members::Held;
+use super::cost::{CAUSES, Cost, CostByCause, CostRecorder};
+use super::members::HeldState;
 use crate::figures::{Cause, Quantity, Role};
 
 /// Messages of one type and their bytes.
@@ -24,7 +24,7 @@
 
 impl VolumeByVerb {
     pub(crate) fn add(&mut self, verb: Verb, bytes: usize) {
-        let volume = self.0.entry(name(verb)).or_default();
+        let volume = self.0.entry(verb_name(verb)).or_default();
         volume.messages += 1;
         volume.bytes += bytes as u64;
     }
@@ -32,7 +32,7 @@
     /// Messages of a type.
     #[must_use]
     pub fn messages(&self, verb: Verb) -> u64 {
-        self.0.get(name(verb)).map_or(0, |volume| volume.messages)
+        self.0.get(verb_name(verb)).map_or(0, |volume| volume.messages)
     }
 
     /// All messages.
@@ -46,7 +46,7 @@
     }
 }
 
-fn name(verb: Verb) -> &'static str {
+fn verb_name(verb: Verb) -> &'static str {
     match verb {
         Verb::Start => "START",
         Verb::Pending => "PENDING",
@@ -135,31 +135,31 @@
     busiest: BTreeMap<Cause, Cost>,
     busiest_second: BTreeMap<Cause, Cost>,
     held: BTreeMap<Quantity, f64>,
-    most_held: BTreeMap<Quantity, f64>,
+    max_held: BTreeMap<Quantity, f64>,
 }
 
 impl RoleOutcome {
-    pub(crate) fn new<'a>(members: impl Iterator<Item = (&'a mut Ledger, Held)>) -> Self {
+    pub(crate) fn new<'a>(members: impl Iterator<Item = (&'a mut CostRecorder, HeldState)>) -> Self {
         let mut role = Self::default();
-        let mut sum = Held::default();
-        for (ledger, held) in members {
+        let mut sum = HeldState::default();
+        for (costs, held) in members {
             role.members += 1;
-            let total = ledger.close();
-            role.total.add_all(&total);
+            let total = costs.finish();
+            role.total.add_each(&total);
             for cause in CAUSES.into_iter().chain([Cause::All]) {
                 role.busiest.entry(cause).or_default().raise_to_max(total.for_cause(cause));
-                role.busiest_second.entry(cause).or_default().raise_to_max(ledger.peak(cause));
+                role.busiest_second.entry(cause).or_default().raise_to_max(costs.peak(cause));
             }
             sum.connections += held.connections;
             sum.entries += held.entries;
-            sum.most_connections = sum.most_connections.max(held.most_connections);
-            sum.most_entries = sum.most_entries.max(held.most_entries);
+            sum.max_connections = sum.max_connections.max(held.max_connections);
+            sum.max_entries = sum.max_entries.max(held.max_entries);
         }
         let members = f64::from(role.members.max(1));
         role.held.insert(Quantity::Connections, sum.connections as f64 / members);
         role.held.insert(Quantity::StateEntries, sum.entries as f64 / members);
-        role.most_held.insert(Quantity::Connections, sum.most_connections as f64);
-        role.most_held.insert(Quantity::StateEntries, sum.most_entries as f64);
+        role.max_held.insert(Quantity::Connections, sum.max_connections as f64);
+        role.max_held.insert(Quantity::StateEntries, sum.max_entries as f64);
         role
     }
 
@@ -177,13 +177,13 @@
     /// What the busiest member bears from the start of what is measured to its end.
     #[must_use]
     pub fn busiest_member(&self, cause: Cause, quantity: Quantity) -> Option<f64> {
-        self.busiest.get(&cause).and_then(|flow| flow.quantity_value(quantity))
+        self.busiest.get(&cause).and_then(|cost| cost.quantity_value(quantity))
     }
 
     /// What the busiest member bears in its busiest second.
     #[must_use]
     pub fn busiest_member_second(&self, cause: Cause, quantity: Quantity) -> Option<f64> {
-        self.busiest_second.get(&cause).and_then(|flow| flow.quantity_value(quantity))
+        self.busiest_second.get(&cause).and_then(|cost| cost.quantity_value(quantity))
     }
 
     /// What one member holds at the end of what is measured, in the mean over members.
@@ -195,7 +195,7 @@
     /// The most that one member held at any look, of which there is one a second.
     #[must_use]
     pub fn max_held(&self, quantity: Quantity) -> Option<f64> {
-        self.most_held.get(&quantity).copied()
+        self.max_held.get(&quantity).copied()
     }
 }
 
--- a/crates/fawnrouter-capacity/src/hollow/recording.rs
+++ b/crates/fawnrouter-capacity/src/hollow/recording.rs
@@ -11,8 +11,8 @@
 use fawnrouter_node::{Ask, Boot, ClientId, Input, LinkEnd, LinkId, Node, NodeSettings, Output};
 
 use super::HollowError;
-use super::cost::{Cost, Ledger};
-use super::members::{Held, cause_of};
+use super::cost::{Cost, CostRecorder};
+use super::members::{HeldState, cause_of_verb};
 use super::meter::Meter;
 use super::outcome::RoleOutcome;
 use crate::figures::Cause;
@@ -24,14 +24,14 @@
     Boot(String),
     /// Its process ended.
     Exit,
-    Ask(u16),
-    Answer(Vec<u8>),
+    ListQuery(u16),
+    ListResponse(Vec<u8>),
     ClientLine(ClientId, Vec<u8>),
     LinkLine(LinkId, Vec<u8>),
-    ClientUp(ClientId),
-    ClientReadOut(ClientId),
-    ClientDown(ClientId),
-    Unheard(Tag),
+    ClientConnected(ClientId),
+    ClientFullyRead(ClientId),
+    ClientDisconnected(ClientId),
+    NotDelivered(Tag),
     LinkUp(LinkId),
     LinkDown(LinkId, LinkEnd),
     Stop,
@@ -40,12 +40,12 @@
 
 impl Step {
     /// An input that is told in one piece; the others are lines, answers and configurations.
-    pub fn of(input: &Input) -> Option<Self> {
+    pub fn from_input(input: &Input) -> Option<Self> {
         Some(match input {
-            Input::ClientConnected { client } => Self::ClientUp(*client),
-            Input::ClientFullyRead { client } => Self::ClientReadOut(*client),
-            Input::ClientDisconnected { client } => Self::ClientDown(*client),
-            Input::NotDelivered { tag } => Self::Unheard(*tag),
+            Input::ClientConnected { client } => Self::ClientConnected(*client),
+            Input::ClientFullyRead { client } => Self::ClientFullyRead(*client),
+            Input::ClientDisconnected { client } => Self::ClientDisconnected(*client),
+            Input::NotDelivered { tag } => Self::NotDelivered(*tag),
             Input::LinkUp { link } => Self::LinkUp(*link),
             Input::LinkDown { link, end } => Self::LinkDown(*link, *end),
             Input::Stop => Self::Stop,
@@ -56,7 +56,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Recorded {
+struct RecordedStep {
     at: Time,
     /// The second of what is measured.
     second: Option<u64>,
@@ -66,42 +66,49 @@
 /// All that happened to one gateway, in order.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Recording {
-    steps: Vec<Recorded>,
+    steps: Vec<RecordedStep>,
     /// Bytes of all lines that it wrote.
-    written: u64,
+    bytes_written: u64,
 }
 
 impl Recording {
     pub fn add(&mut self, at: Time, second: Option<u64>, step: Step) {
-        self.steps.push(Recorded { at, second, step });
+        self.steps.push(RecordedStep { at, second, step });
     }
 
-    pub fn note_written(&mut self, outputs: &[Output]) {
-        self.written += written(outputs);
+    pub fn count_written(&mut self, outputs: &[Output]) {
+        self.bytes_written += bytes_written(outputs);
     }
 
-    /// Plays it again and measures the work.
-    pub fn replay(&self, meter: Meter) -> Result<Replayed, HollowError> {
+    /// Outcomes it again and measures the work.
+    pub fn replay(&self, meter: Meter) -> Result<ReplayCosts, HollowError> {
         let mut replay = Replay { meter, ..Replay::default() };
         for recorded in &self.steps {
-            replay.step(recorded)?;
+            replay.apply(recorded)?;
         }
-        if replay.written != self.written {
-            return Err(HollowError::ReplayMismatch { first: self.written, again: replay.written });
+        if replay.bytes_written != self.bytes_written {
+            return Err(HollowError::ReplayMismatch {
+                first: self.bytes_written,
+                again: replay.bytes_written,
+            });
         }
-        let role = |ledger: &mut Ledger| RoleOutcome::new([(ledger, Held::default())].into_iter());
-        Ok(Replayed { calls: role(&mut replay.calls), control: role(&mut replay.control) })
+        let outcome =
+            |costs: &mut CostRecorder| RoleOutcome::new([(costs, HeldState::default())].into_iter());
+        Ok(ReplayCosts {
+            calls: outcome(&mut replay.call_costs),
+            control: outcome(&mut replay.control_costs),
+        })
     }
 }
 
 /// What the work of one gateway cost.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Replayed {
+pub(crate) struct ReplayCosts {
     pub calls: RoleOutcome,
     pub control: RoleOutcome,
 }
 
-fn written(outputs: &[Output]) -> u64 {
+fn bytes_written(outputs: &[Output]) -> u64 {
     let length = |output: &Output| match output {
         Output::ToClient { line, .. }
         | Output::NotifyCaller { line, .. }
@@ -121,124 +128,128 @@
     clients: BTreeMap<ClientId, Decoder>,
     links: BTreeMap<LinkId, Decoder>,
     outputs: Vec<Output>,
-    written: u64,
-    calls: Ledger,
-    control: Ledger,
+    bytes_written: u64,
+    call_costs: CostRecorder,
+    control_costs: CostRecorder,
 }
 
 impl Replay {
-    fn step(&mut self, recorded: &Recorded) -> Result<(), HollowError> {
-        let Recorded { at, second, step } = recorded;
+    fn apply(&mut self, recorded: &RecordedStep) -> Result<(), HollowError> {
+        let RecordedStep { at, second, step } = recorded;
         match step {
-            Step::Boot(text) => self.boot(*at, *second, text)?,
+            Step::Boot(text) => self.start(*at, *second, text)?,
             Step::Exit => {
                 self.process = None;
                 self.clients.clear();
                 self.links.clear();
             }
-            Step::Ask(id) => {
-                if let Some((_, ask)) = &mut self.process {
-                    let (_, cost) = self.meter.measure(|| ask.next_query(*at, *id));
-                    self.note(*second, Cause::List, cost);
+            Step::ListQuery(id) => {
+                if let Some((_, queries)) = &mut self.process {
+                    let (_, cost) = self.meter.measure(|| queries.next_query(*at, *id));
+                    self.record_cost(*second, Cause::List, cost);
                 }
             }
-            Step::Answer(datagram) => self.answer(*at, *second, datagram),
+            Step::ListResponse(datagram) => self.receive_list_response(*at, *second, datagram),
             Step::ClientLine(client, line) => {
                 let decoder = self.clients.entry(*client).or_default();
-                let (read, cost) = read(self.meter, decoder, line);
+                let (read, cost) = measure_decode(self.meter, decoder, line);
                 let input = read.map(|read| match read {
                     Ok(message) => {
-                        (cause_of(message.verb), Input::ClientMessage { client: *client, message })
+                        (cause_of_verb(message.verb), Input::ClientMessage { client: *client, message })
                     }
-                    Err(fault) => (Cause::Calls, Input::ClientDecodeError { client: *client, error: fault }),
+                    Err(error) => (Cause::Calls, Input::ClientDecodeError { client: *client, error }),
                 });
-                self.line(*at, *second, cost, input);
+                self.deliver_line(*at, *second, cost, input);
             }
             Step::LinkLine(link, line) => {
                 let decoder = self.links.entry(*link).or_default();
-                let (read, cost) = read(self.meter, decoder, line);
+                let (read, cost) = measure_decode(self.meter, decoder, line);
                 let input = read.map(|read| match read {
-                    Ok(message) => (cause_of(message.verb), Input::LinkMessage { link: *link, message }),
-                    Err(fault) => (Cause::Calls, Input::LinkDecodeError { link: *link, error: fault }),
+                    Ok(message) => (cause_of_verb(message.verb), Input::LinkMessage { link: *link, message }),
+                    Err(error) => (Cause::Calls, Input::LinkDecodeError { link: *link, error }),
                 });
-                self.line(*at, *second, cost, input);
+                self.deliver_line(*at, *second, cost, input);
             }
-            Step::ClientUp(client) => {
-                self.feed(*at, *second, Cause::Connections, Input::ClientConnected { client: *client });
+            Step::ClientConnected(client) => {
+                self.deliver(*at, *second, Cause::Connections, Input::ClientConnected { client: *client });
             }
-            Step::ClientReadOut(client) => {
-                self.feed(*at, *second, Cause::Connections, Input::ClientFullyRead { client: *client });
+            Step::ClientFullyRead(client) => {
+                self.deliver(*at, *second, Cause::Connections, Input::ClientFullyRead { client: *client });
             }
-            Step::ClientDown(client) => {
-                self.feed(*at, *second, Cause::Connections, Input::ClientDisconnected { client: *client });
+            Step::ClientDisconnected(client) => {
+                self.deliver(*at, *second, Cause::Connections, Input::ClientDisconnected { client: *client });
                 self.clients.remove(client);
             }
-            Step::Unheard(tag) => self.feed(*at, *second, Cause::Calls, Input::NotDelivered { tag: *tag }),
-            Step::LinkUp(link) => self.feed(*at, *second, Cause::Connections, Input::LinkUp { link: *link }),
+            Step::NotDelivered(tag) => {
+                self.deliver(*at, *second, Cause::Calls, Input::NotDelivered { tag: *tag })
+            }
+            Step::LinkUp(link) => {
+                self.deliver(*at, *second, Cause::Connections, Input::LinkUp { link: *link })
+            }
             Step::LinkDown(link, end) => {
                 self.links.remove(link);
-                self.feed(*at, *second, Cause::Connections, Input::LinkDown { link: *link, end: *end });
+                self.deliver(*at, *second, Cause::Connections, Input::LinkDown { link: *link, end: *end });
             }
-            Step::Stop => self.feed(*at, *second, Cause::Connections, Input::Stop),
-            Step::Wake => self.feed(*at, *second, Cause::Timers, Input::Wake),
+            Step::Stop => self.deliver(*at, *second, Cause::Connections, Input::Stop),
+            Step::Wake => self.deliver(*at, *second, Cause::Timers, Input::Wake),
         }
         Ok(())
     }
 
-    fn boot(&mut self, at: Time, second: Option<u64>, text: &str) -> Result<(), HollowError> {
-        let (built, cost) = self.meter.measure(|| build(text));
-        let (node, known) = built?;
-        self.note(second, Cause::Configuration, cost);
+    fn start(&mut self, at: Time, second: Option<u64>, text: &str) -> Result<(), HollowError> {
+        let (built, cost) = self.meter.measure(|| build_gateway(text));
+        let (node, first_list) = built?;
+        self.record_cost(second, Cause::Configuration, cost);
         self.process = Some((node, Ask::new()));
-        self.feed(at, second, Cause::Configuration, known);
+        self.deliver(at, second, Cause::Configuration, first_list);
         Ok(())
     }
 
-    fn answer(&mut self, at: Time, second: Option<u64>, datagram: &[u8]) {
-        let Some((_, ask)) = &mut self.process else { return };
-        let (read, cost) = self.meter.measure(|| ask.accept_response(datagram));
-        self.note(second, Cause::List, cost);
+    fn receive_list_response(&mut self, at: Time, second: Option<u64>, datagram: &[u8]) {
+        let Some((_, queries)) = &mut self.process else { return };
+        let (read, cost) = self.meter.measure(|| queries.accept_response(datagram));
+        self.record_cost(second, Cause::List, cost);
         if let Ok(list) = read {
-            self.feed(at, second, Cause::List, Input::ListResponse(list));
+            self.deliver(at, second, Cause::List, Input::ListResponse(list));
         }
     }
 
-    fn line(&mut self, at: Time, second: Option<u64>, cost: Cost, input: Option<(Cause, Input)>) {
+    fn deliver_line(&mut self, at: Time, second: Option<u64>, cost: Cost, input: Option<(Cause, Input)>) {
         let cause = input.as_ref().map_or(Cause::Calls, |(cause, _)| *cause);
-        self.note(second, cause, cost);
+        self.record_cost(second, cause, cost);
         if let Some((cause, input)) = input {
-            self.feed(at, second, cause, input);
+            self.deliver(at, second, cause, input);
         }
     }
 
-    fn feed(&mut self, at: Time, second: Option<u64>, cause: Cause, input: Input) {
+    fn deliver(&mut self, at: Time, second: Option<u64>, cause: Cause, input: Input) {
         let Some((node, _)) = &mut self.process else { return };
         let outputs = &mut self.outputs;
         let ((), cost) = self.meter.measure(|| node.handle(at, input, outputs));
-        self.written += written(&self.outputs);
+        self.bytes_written += bytes_written(&self.outputs);
         self.outputs.clear();
-        self.note(second, cause, cost);
+        self.record_cost(second, cause, cost);
     }
 
-    fn note(&mut self, second: Option<u64>, cause: Cause, cost: Cost) {
+    fn record_cost(&mut self, second: Option<u64>, cause: Cause, cost: Cost) {
         let Some(second) = second else { return };
-        let ledger = match cause {
-            Cause::List | Cause::Configuration => &mut self.control,
-            _ => &mut self.calls,
+        let costs = match cause {
+            Cause::List | Cause::Configuration => &mut self.control_costs,
+            _ => &mut self.call_costs,
         };
-        ledger.add(second, cause, cost);
+        costs.add(second, cause, cost);
     }
 }
 
 /// A gateway from its configuration, and the list that it is given first.
-pub(crate) fn build(text: &str) -> Result<(Node, Input), HollowError> {
+pub(crate) fn build_gateway(text: &str) -> Result<(Node, Input), HollowError> {
     let boot = Boot::read(text.as_bytes())?;
     let node = Node::new(NodeSettings::new(&boot))?;
     Ok((node, Input::ConfiguredList(boot.known)))
 }
 
 /// Reads a line by the decoder of its connection.
-pub(crate) fn read(
+pub(crate) fn measure_decode(
     meter: Meter,
     decoder: &mut Decoder,
     line: &[u8],
--- a/crates/fawnrouter-capacity/src/hollow/runs.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs.rs
@@ -16,10 +16,10 @@
 use crate::figures::{Cause, Method, Per, Point, Quantity, Role, Run, Series, Situation, Size};
 
 /// The fewest points that a slope is taken over.
-const FEWEST_POINTS: usize = 4;
+const MIN_SERIES_POINTS: usize = 4;
 
 /// What flows in a second, by call and by event.
-const FLOWING: [Quantity; 7] = [
+const RATE_QUANTITIES: [Quantity; 7] = [
     Quantity::MessagesIn,
     Quantity::MessagesOut,
     Quantity::BytesIn,
@@ -30,7 +30,7 @@
 ];
 
 /// What is counted of it, which is exact.
-const COUNTED: [Quantity; 5] = [
+const EXACT_QUANTITIES: [Quantity; 5] = [
     Quantity::MessagesIn,
     Quantity::MessagesOut,
     Quantity::BytesIn,
@@ -39,10 +39,10 @@
 ];
 
 /// What is held.
-const HELD: [Quantity; 3] = [Quantity::Connections, Quantity::StateEntries, Quantity::MemoryBytes];
+const HELD_QUANTITIES: [Quantity; 3] = [Quantity::Connections, Quantity::StateEntries, Quantity::MemoryBytes];
 
 /// What costs the process that does it, and what goes over the network.
-const WORK: [Quantity; 2] = [Quantity::ProcessorMicroseconds, Quantity::Allocations];
+const WORK_QUANTITIES: [Quantity; 2] = [Quantity::ProcessorMicroseconds, Quantity::Allocations];
 
 /// Runs with the roles that they tell of.
 type MakeRun = fn(&mut Session<'_>) -> Result<Vec<Run>, HollowError>;
@@ -64,20 +64,20 @@
     ),
 ];
 
-pub(crate) fn all(options: HollowOptions<'_>) -> Result<Vec<Run>, HollowError> {
+pub(crate) fn all_runs(options: HollowOptions<'_>) -> Result<Vec<Run>, HollowError> {
     let only = options.only_role;
     let mut session = Session { options };
-    let mut made = Vec::new();
+    let mut runs = Vec::new();
     for (roles, make) in RUNS {
         if only.is_none_or(|role| roles.contains(&role)) {
-            made.extend(make(&mut session)?);
+            runs.extend(make(&mut session)?);
         }
     }
-    for run in &mut made {
+    for run in &mut runs {
         run.series.retain(|series| only.is_none_or(|role| series.role == role));
     }
-    made.retain(|run| !run.series.is_empty());
-    Ok(made)
+    runs.retain(|run| !run.series.is_empty());
+    Ok(runs)
 }
 
 /// What the runs share.
@@ -87,11 +87,11 @@
 
 impl Session<'_> {
     /// The sizes of a measurement, or those of a quick one.
-    fn choose<T: Clone>(&self, full: &[T], quick: &[T]) -> Vec<T> {
+    fn full_or_quick<T: Clone>(&self, full: &[T], quick: &[T]) -> Vec<T> {
         if self.options.quick { quick.to_vec() } else { full.to_vec() }
     }
 
-    fn play(
+    fn simulate(
         &mut self,
         name: &str,
         size: impl std::fmt::Display,
@@ -101,7 +101,7 @@
         simulate_counting_allocations(scenario, self.options.allocator)
     }
 
-    fn run(&self, id: &str, setting: String, series: Collector) -> Run {
+    fn run(&self, id: &str, setting: String, series: SeriesCollector) -> Run {
         Run {
             id: id.to_owned(),
             method: Method::Hollow,
@@ -115,7 +115,7 @@
 
 /// What tells one series of a run from the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Key {
+struct SeriesKey {
     role: Role,
     situation: Situation,
     cause: Cause,
@@ -124,68 +124,75 @@
 }
 
 /// The series of a run under construction.
-struct Collector {
+struct SeriesCollector {
     size: Size,
-    points: BTreeMap<Key, Vec<Point>>,
+    points: BTreeMap<SeriesKey, Vec<Point>>,
 }
 
 /// Where an outcome belongs.
 #[derive(Clone, Copy)]
-struct Spot {
+struct SeriesPosition {
     role: Role,
     situation: Situation,
     size: f64,
 }
 
-impl Collector {
+impl SeriesCollector {
     fn new(size: Size) -> Self {
         Self { size, points: BTreeMap::new() }
     }
 
-    fn put(&mut self, spot: Spot, cause: Cause, quantity: Quantity, per: Per, value: Option<f64>) {
-        let Spot { role, situation, size } = spot;
-        let key = Key { role, situation, cause, quantity, per };
+    fn add(
+        &mut self,
+        position: SeriesPosition,
+        cause: Cause,
+        quantity: Quantity,
+        per: Per,
+        value: Option<f64>,
+    ) {
+        let SeriesPosition { role, situation, size } = position;
+        let key = SeriesKey { role, situation, cause, quantity, per };
         if let Some(value) = value {
             self.points.entry(key).or_default().push(Point { size, value });
         }
     }
 
     /// What a member bears in a second.
-    fn seconds(&mut self, spot: Spot, outcome: &Outcome, causes: &[Cause]) {
+    fn add_per_second(&mut self, position: SeriesPosition, outcome: &Outcome, causes: &[Cause]) {
         for cause in causes {
-            for quantity in FLOWING {
-                let value = outcome.mean_per_second(spot.role, *cause, quantity);
-                self.put(spot, *cause, quantity, Per::Second, value);
+            for quantity in RATE_QUANTITIES {
+                let value = outcome.mean_per_second(position.role, *cause, quantity);
+                self.add(position, *cause, quantity, Per::Second, value);
             }
         }
     }
 
     /// What a call brings to all members together.
-    fn calls(&mut self, spot: Spot, outcome: &Outcome, causes: &[Cause]) {
+    fn add_per_call(&mut self, position: SeriesPosition, outcome: &Outcome, causes: &[Cause]) {
         for cause in causes {
-            for quantity in FLOWING {
-                let value = outcome.mean_per_call(spot.role, *cause, quantity);
-                self.put(spot, *cause, quantity, Per::Call, value);
+            for quantity in RATE_QUANTITIES {
+                let value = outcome.mean_per_call(position.role, *cause, quantity);
+                self.add(position, *cause, quantity, Per::Call, value);
             }
         }
     }
 
     /// What a member holds.
-    fn held(&mut self, spot: Spot, outcome: &Outcome) {
-        let role = outcome.role(spot.role);
-        for quantity in HELD {
-            self.put(spot, Cause::All, quantity, Per::Held, role.held(quantity));
+    fn add_held(&mut self, position: SeriesPosition, outcome: &Outcome) {
+        let role = outcome.role(position.role);
+        for quantity in HELD_QUANTITIES {
+            self.add(position, Cause::All, quantity, Per::Held, role.held(quantity));
         }
     }
 
     /// The series that say something: with enough points, not all of them 0.
     fn into_series(self) -> Vec<Series> {
         let size = self.size;
-        let says_something =
-            |points: &Vec<Point>| points.len() >= FEWEST_POINTS && points.iter().any(|p| p.value != 0.0);
-        let series = self.points.into_iter().filter(|(_, points)| says_something(points));
+        let is_meaningful =
+            |points: &Vec<Point>| points.len() >= MIN_SERIES_POINTS && points.iter().any(|p| p.value != 0.0);
+        let series = self.points.into_iter().filter(|(_, points)| is_meaningful(points));
         let series = series.map(|(key, points)| {
-            let Key { role, situation, cause, quantity, per } = key;
+            let SeriesKey { role, situation, cause, quantity, per } = key;
             Series { role, situation, cause, quantity, per, size, points }
         });
         series.collect()
--- a/crates/fawnrouter-capacity/src/hollow/runs/configuration.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/configuration.rs
@@ -12,12 +12,12 @@
 use crate::platform::{GatewayParameters, ListedSwitch, gateway_configuration};
 
 /// A configuration is read this often; the mean is told.
-const READINGS: u32 = 20;
+const READS: u32 = 20;
 
-/// The cost of reading one configuration.
-pub(super) struct Reading {
+/// The cost of cost one configuration.
+pub(super) struct ReadCost {
     pub bytes: usize,
-    /// Of one reading, in the mean.
+    /// Of one cost, in the mean.
     pub processor_microseconds: f64,
     pub allocations: f64,
 }
@@ -25,7 +25,7 @@
 /// A configuration whose list names so many core switches.
 fn configuration(seed: u64, switches: u32) -> Value {
     let address = SocketAddr::from(([10, 255, 0, 1], 53));
-    let place = GatewayParameters {
+    let parameters = GatewayParameters {
         name: "gateway-0".to_owned(),
         listen: address,
         nameserver: address,
@@ -43,7 +43,7 @@
         started_unix_ms: 0,
     };
     let rows: Vec<ListedSwitch> = (0..switches).map(row).collect();
-    gateway_configuration(&place, 1, &rows)
+    gateway_configuration(&parameters, 1, &rows)
 }
 
 /// The last core switch has no address: all that comes before it is read before that is found.
@@ -55,23 +55,23 @@
     configuration
 }
 
-fn read(text: &str, allocator: Option<CountingAllocator>) -> (bool, Reading) {
+fn measure_reads(text: &str, allocator: Option<CountingAllocator>) -> (bool, ReadCost) {
     let meter = Meter::new(allocator);
     let mut sum = Cost::default();
-    let mut taken = true;
-    for _ in 0..READINGS {
-        let (boot, cost) = meter.measure(|| Boot::read(text.as_bytes()));
-        taken &= boot.is_ok();
-        sum.add(cost);
+    let mut accepted = true;
+    for _ in 0..READS {
+        let (boot, one_cost) = meter.measure(|| Boot::read(text.as_bytes()));
+        accepted &= boot.is_ok();
+        sum.add(one_cost);
     }
-    const NANOS_OF_A_MICROSECOND: f64 = 1e3;
-    let readings = f64::from(READINGS);
-    let reading = Reading {
+    const NANOS_PER_MICROSECOND: f64 = 1e3;
+    let reads = f64::from(READS);
+    let cost = ReadCost {
         bytes: text.len(),
-        processor_microseconds: sum.processor_nanos as f64 / NANOS_OF_A_MICROSECOND / readings,
-        allocations: sum.allocations as f64 / readings,
+        processor_microseconds: sum.processor_nanos as f64 / NANOS_PER_MICROSECOND / reads,
+        allocations: sum.allocations as f64 / reads,
     };
-    (taken, reading)
+    (accepted, cost)
 }
 
 /// A good configuration is read.
@@ -79,10 +79,10 @@
     seed: u64,
     switches: u32,
     allocator: Option<CountingAllocator>,
-) -> Result<Reading, HollowError> {
+) -> Result<ReadCost, HollowError> {
     let text = configuration(seed, switches).to_string();
     Boot::read(text.as_bytes())?;
-    Ok(read(&text, allocator).1)
+    Ok(measure_reads(&text, allocator).1)
 }
 
 /// A damaged configuration is refused.
@@ -90,10 +90,10 @@
     seed: u64,
     switches: u32,
     allocator: Option<CountingAllocator>,
-) -> Result<Reading, HollowError> {
+) -> Result<ReadCost, HollowError> {
     let text = damaged(configuration(seed, switches)).to_string();
-    match read(&text, allocator) {
-        (false, reading) => Ok(reading),
+    match measure_reads(&text, allocator) {
+        (false, cost) => Ok(cost),
         (true, _) => Err(HollowError::DamagedConfigurationAccepted),
     }
 }
--- a/crates/fawnrouter-capacity/src/hollow/runs/gateways.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/gateways.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use super::parallel::{JobResult, Planned, play_all};
-use super::{Collector, Session, Spot};
+use super::parallel::{Job, JobResult, run_all};
+use super::{SeriesCollector, SeriesPosition, Session};
 use crate::figures::{Cause, Role, Run, Situation, Size};
 use crate::hollow::HollowError;
 use crate::hollow::outcome::Outcome;
@@ -12,7 +12,7 @@
 const GATEWAYS: [u32; 6] = [30, 110, 330, 660, 1320, 2640];
 const GATEWAYS_QUICK: [u32; 4] = [6, 12, 18, 24];
 /// Core switches that all gateways may call.
-const OPEN_SWITCHES: u32 = 26;
+const SHARED_SWITCHES: u32 = 26;
 /// Few calls, so that core switches are quiet for long enough to be tested.
 const CALLS_PER_SECOND: f64 = 2.0;
 const HOLD: Duration = Duration::from_secs(3);
@@ -34,14 +34,14 @@
     calling: Outcome,
 }
 
-fn play_pairs(
+fn run_pairs(
     session: &mut Session<'_>,
     name: &str,
     fleet: impl Fn(u64, u32) -> Scenario,
 ) -> Result<Vec<Pair>, HollowError> {
-    let sizes = session.choose(&GATEWAYS, &GATEWAYS_QUICK);
-    let measured = session.choose(&[MEASURED], &[MEASURED_QUICK])[0];
-    let mut plans = Vec::new();
+    let sizes = session.full_or_quick(&GATEWAYS, &GATEWAYS_QUICK);
+    let measured = session.full_or_quick(&[MEASURED], &[MEASURED_QUICK])[0];
+    let mut jobs = Vec::new();
     for gateways in &sizes {
         let quiet =
             fleet(session.options.seed, *gateways).with_measurement_window(QUIET_WARM_UP, QUIET_MEASURED);
@@ -51,14 +51,18 @@
             .with_measurement_window(WARM_UP, measured)
             .with_call_rate(CALLS_PER_SECOND);
         for (what, scenario) in [("quiet", quiet), ("calls", calling)] {
-            plans.push(Planned { name: format!("{name}, {what} at {gateways}"), scenario, watched: None });
+            jobs.push(Job {
+                name: format!("{name}, {what} at {gateways}"),
+                scenario,
+                recorded_gateway: None,
+            });
         }
     }
-    let mut played = play_all(&plans, session.options.progress)?.into_iter();
+    let mut results = run_all(&jobs, session.options.progress)?.into_iter();
     let mut pairs = Vec::new();
     for gateways in sizes {
         if let (Some(JobResult { outcome: quiet, .. }), Some(JobResult { outcome: calling, .. })) =
-            (played.next(), played.next())
+            (results.next(), results.next())
         {
             pairs.push(Pair { gateways, quiet, calling });
         }
@@ -67,14 +71,15 @@
 }
 
 fn in_services(session: &mut Session<'_>) -> Result<Run, HollowError> {
-    let mut collector = Collector::new(Size::Gateways);
-    for pair in play_pairs(session, "hollow-gateways", Scenario::fleet)? {
-        let spot = |role| Spot { role, situation: Situation::Quiet, size: f64::from(pair.gateways) };
+    let mut collector = SeriesCollector::new(Size::Gateways);
+    for pair in run_pairs(session, "hollow-gateways", Scenario::fleet)? {
+        let position =
+            |role| SeriesPosition { role, situation: Situation::Quiet, size: f64::from(pair.gateways) };
         for role in [Role::ListSource, Role::ZoneLink, Role::RegionLink] {
-            collector.seconds(spot(role), &pair.quiet, &[Cause::List]);
+            collector.add_per_second(position(role), &pair.quiet, &[Cause::List]);
         }
-        collector.held(spot(Role::ListSource), &pair.quiet);
-        note_switches(&mut collector, &pair);
+        collector.add_held(position(Role::ListSource), &pair.quiet);
+        collect_switches(&mut collector, &pair);
     }
     let setting = format!(
         "a fleet in services of 25 or 26 gateways and as many core switches, 6 zones, 3 regions, one name server; each \
@@ -86,22 +91,23 @@
 }
 
 fn in_one_service(session: &mut Session<'_>) -> Result<Run, HollowError> {
-    let mut collector = Collector::new(Size::Gateways);
-    let fleet = |seed, gateways| Scenario::one_service(seed, gateways, OPEN_SWITCHES);
-    for pair in play_pairs(session, "hollow-gateways-open", fleet)? {
-        note_switches(&mut collector, &pair);
+    let mut collector = SeriesCollector::new(Size::Gateways);
+    let fleet = |seed, gateways| Scenario::one_service(seed, gateways, SHARED_SWITCHES);
+    for pair in run_pairs(session, "hollow-gateways-open", fleet)? {
+        collect_switches(&mut collector, &pair);
     }
     let setting = format!(
-        "{OPEN_SWITCHES} core switches that every gateway may call; quiet: no calls; ordinary day: {CALLS_PER_SECOND} calls a \
+        "{SHARED_SWITCHES} core switches that every gateway may call; quiet: no calls; ordinary day: {CALLS_PER_SECOND} calls a \
          second at each gateway, held {} s",
         HOLD.as_secs()
     );
     Ok(session.run("hollow-gateways-open", setting, collector))
 }
 
-fn note_switches(collector: &mut Collector, pair: &Pair) {
-    let spot = |situation| Spot { role: Role::CoreSwitch, situation, size: f64::from(pair.gateways) };
-    collector.held(spot(Situation::Quiet), &pair.quiet);
-    collector.seconds(spot(Situation::OrdinaryDay), &pair.calling, &SWITCH_CAUSES);
-    collector.held(spot(Situation::OrdinaryDay), &pair.calling);
+fn collect_switches(collector: &mut SeriesCollector, pair: &Pair) {
+    let position =
+        |situation| SeriesPosition { role: Role::CoreSwitch, situation, size: f64::from(pair.gateways) };
+    collector.add_held(position(Situation::Quiet), &pair.quiet);
+    collector.add_per_second(position(Situation::OrdinaryDay), &pair.calling, &SWITCH_CAUSES);
+    collector.add_held(position(Situation::OrdinaryDay), &pair.calling);
 }
--- a/crates/fawnrouter-capacity/src/hollow/runs/restarts.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/restarts.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use super::parallel::{Planned, play_all};
-use super::{COUNTED, Collector, Session, Spot};
+use super::parallel::{Job, run_all};
+use super::{EXACT_QUANTITIES, SeriesCollector, SeriesPosition, Session};
 use crate::figures::{Cause, Per, Role, Run, Situation, Size};
 use crate::hollow::HollowError;
 use crate::hollow::outcome::Outcome;
@@ -11,31 +11,30 @@
 use crate::plan::{Fault, FaultPlan};
 
 /// Gateways of a service, and as many core switches.
-const SERVICE: [u32; 5] = [8, 16, 26, 40, 66];
-const SERVICE_QUICK: [u32; 4] = [3, 4, 6, 8];
-const PLAYS_OF_A_SIZE: usize = 3;
+const SERVICE_GATEWAYS: [u32; 5] = [8, 16, 26, 40, 66];
+const SERVICE_GATEWAYS_QUICK: [u32; 4] = [3, 4, 6, 8];
+const JOBS_PER_SIZE: usize = 3;
 const CALLS_PER_SECOND: f64 = 5.0;
 const WARM_UP: Duration = Duration::from_secs(4);
 const MEASURED: Duration = Duration::from_secs(12);
 /// From the start of what is measured to the restart.
-const AT: Duration = Duration::from_secs(1);
+const RESTART_DELAY: Duration = Duration::from_secs(1);
 /// A core switch stops so long after it is listed as draining, and is back so long after that.
-const DRAIN: Duration = Duration::from_secs(2);
-const AWAY: Duration = Duration::from_secs(3);
+const DRAIN_TIME: Duration = Duration::from_secs(2);
+const DOWN_TIME: Duration = Duration::from_secs(3);
 const CAUSES: [Cause; 3] = [Cause::Calls, Cause::Connections, Cause::Configuration];
 const ROLES: [Role; 3] = [Role::GatewayCalls, Role::GatewayControl, Role::CoreSwitch];
 
 pub(super) fn runs(session: &mut Session<'_>) -> Result<Vec<Run>, HollowError> {
-    let mut of_gateway = Collector::new(Size::Gateways);
-    let mut of_switch = Collector::new(Size::Gateways);
-    let sizes = session.choose(&SERVICE, &SERVICE_QUICK);
-    let plans: Vec<Planned> =
-        sizes.iter().flat_map(|members| plans(session.options.seed, *members)).collect();
-    let played = play_all(&plans, session.options.progress)?;
-    for (members, played) in sizes.iter().zip(played.chunks(PLAYS_OF_A_SIZE)) {
-        if let [without, gateway, switch] = played {
-            note(&mut of_gateway, *members, &gateway.outcome, &without.outcome);
-            note(&mut of_switch, *members, &switch.outcome, &without.outcome);
+    let mut of_gateway = SeriesCollector::new(Size::Gateways);
+    let mut of_switch = SeriesCollector::new(Size::Gateways);
+    let sizes = session.full_or_quick(&SERVICE_GATEWAYS, &SERVICE_GATEWAYS_QUICK);
+    let jobs: Vec<Job> = sizes.iter().flat_map(|members| jobs(session.options.seed, *members)).collect();
+    let results = run_all(&jobs, session.options.progress)?;
+    for (members, results) in sizes.iter().zip(results.chunks(JOBS_PER_SIZE)) {
+        if let [without, gateway, switch] = results {
+            collect_difference(&mut of_gateway, *members, &gateway.outcome, &without.outcome);
+            collect_difference(&mut of_switch, *members, &switch.outcome, &without.outcome);
         }
     }
     let setting = |what: &str| {
@@ -53,41 +52,41 @@
     ])
 }
 
-/// The plays at one size: without a restart, of a gateway, of a core switch.
-fn plans(seed: u64, members: u32) -> [Planned; PLAYS_OF_A_SIZE] {
+/// The outcomes at one size: without a restart, of a gateway, of a core switch.
+fn jobs(seed: u64, members: u32) -> [Job; JOBS_PER_SIZE] {
     let scenario = Scenario::one_service(seed, members, members);
     let scenario = scenario.with_measurement_window(WARM_UP, MEASURED).with_call_rate(CALLS_PER_SECOND);
-    let plan = |what, faults| Planned {
+    let job = |what, faults| Job {
         name: format!("hollow-restarts, {what} at {members}"),
         scenario: scenario.clone().with_faults(faults),
-        watched: None,
+        recorded_gateway: None,
     };
     [
-        plan("none", FaultPlan::none()),
-        plan("a gateway", gateway_restart()),
-        plan("a core switch", switch_restart()),
+        job("none", FaultPlan::none()),
+        job("a gateway", gateway_restart()),
+        job("a core switch", switch_restart()),
     ]
 }
 
 fn gateway_restart() -> FaultPlan {
-    FaultPlan::none().with_fault(WARM_UP + AT, Fault::GatewayRestart(0))
+    FaultPlan::none().with_fault(WARM_UP + RESTART_DELAY, Fault::GatewayRestart(0))
 }
 
 fn switch_restart() -> FaultPlan {
-    let drains = WARM_UP + AT;
-    FaultPlan::outage(drains + DRAIN, AWAY, Fault::SwitchStopped(0), Fault::SwitchBack(0))
+    let drains = WARM_UP + RESTART_DELAY;
+    FaultPlan::outage(drains + DRAIN_TIME, DOWN_TIME, Fault::SwitchStopped(0), Fault::SwitchBack(0))
         .with_fault(drains, Fault::SwitchDraining(0))
 }
 
-fn note(collector: &mut Collector, members: u32, with: &Outcome, without: &Outcome) {
+fn collect_difference(collector: &mut SeriesCollector, members: u32, with: &Outcome, without: &Outcome) {
     for role in ROLES {
-        let spot = Spot { role, situation: Situation::OrdinaryDay, size: f64::from(members) };
+        let position = SeriesPosition { role, situation: Situation::OrdinaryDay, size: f64::from(members) };
         for cause in CAUSES {
-            for quantity in COUNTED {
+            for quantity in EXACT_QUANTITIES {
                 let figure =
                     |outcome: &Outcome| outcome.role(role).total.for_cause(cause).quantity_value(quantity);
                 let more = figure(with).zip(figure(without)).map(|(with, without)| with - without);
-                collector.put(spot, cause, quantity, Per::Event, more);
+                collector.add(position, cause, quantity, Per::Event, more);
             }
         }
     }
--- a/crates/fawnrouter-capacity/src/hollow/runs/situations.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/situations.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use super::parallel::{Planned, play_all};
-use super::{COUNTED, Collector, Session, Spot, configuration};
+use super::parallel::{Job, run_all};
+use super::{EXACT_QUANTITIES, SeriesCollector, SeriesPosition, Session, configuration};
 use crate::figures::{Cause, Per, Quantity, Role, Run, Situation, Size};
 use crate::hollow::HollowError;
 use crate::hollow::meter::Meter;
 use crate::hollow::outcome::{Outcome, RoleOutcome};
-use crate::hollow::recording::Replayed;
+use crate::hollow::recording::ReplayCosts;
 use crate::hollow::scenario::Scenario;
 use crate::plan::{Fault, FaultPlan};
 
@@ -27,23 +27,23 @@
 const DESIGN_RATE_QUICK: f64 = 10.0;
 /// Calls a second while something breaks, and while regions are apart for long.
 const FAULT_RATE: f64 = 5.0;
-const APART_RATE: f64 = 1.0;
+const PARTITION_RATE: f64 = 1.0;
 const WARM_UP: Duration = Duration::from_secs(2);
 /// From the start of what is measured to the fault.
-const BEFORE: Duration = Duration::from_secs(1);
-const ZONE_AWAY: Duration = Duration::from_secs(5);
-const APART: Duration = Duration::from_secs(45);
-const APART_QUICK: Duration = Duration::from_secs(5);
+const FAULT_DELAY: Duration = Duration::from_secs(1);
+const ZONE_OUTAGE: Duration = Duration::from_secs(5);
+const PARTITION_TIME: Duration = Duration::from_secs(45);
+const PARTITION_TIME_QUICK: Duration = Duration::from_secs(5);
 /// The zone that fails, which is not the name server's, and what fails in it.
-const ZONE: u32 = 1;
-const SWITCH: u32 = 1;
-const SERVICE: u32 = 0;
+const FAILED_ZONE: u32 = 1;
+const FAILED_SWITCH: u32 = 1;
+const RESTARTED_SERVICE: u32 = 0;
 const CONFIGURED_SWITCHES: u32 = 26;
 /// A gateway of the service that is hit, in a zone that stays: it is called instead of the one before it.
-const WATCHED: usize = 2;
+const RECORDED_GATEWAY: usize = 2;
 
-/// A situation and how it is played.
-struct Part {
+/// A situation and how it is results.
+struct SituationPlan {
     situation: Situation,
     name: &'static str,
     /// Calls a second at each gateway.
@@ -52,14 +52,14 @@
     faults: FaultPlan,
 }
 
-fn parts(quick: bool) -> Vec<Part> {
+fn situation_plans(quick: bool) -> Vec<SituationPlan> {
     let rate = if quick { DESIGN_RATE_QUICK } else { DESIGN_RATE };
-    let apart = if quick { APART_QUICK } else { APART };
-    let at = WARM_UP + BEFORE;
+    let apart = if quick { PARTITION_TIME_QUICK } else { PARTITION_TIME };
+    let at = WARM_UP + FAULT_DELAY;
     let gone = |fault| FaultPlan::none().with_fault(at, fault);
-    let zone = FaultPlan::outage(at, ZONE_AWAY, Fault::ZoneGone(ZONE), Fault::ZoneBack(ZONE));
+    let zone = FaultPlan::outage(at, ZONE_OUTAGE, Fault::ZoneGone(FAILED_ZONE), Fault::ZoneBack(FAILED_ZONE));
     let regions = FaultPlan::outage(at, apart, Fault::RegionsApart, Fault::RegionsJoined);
-    let part = |situation, name, rate, seconds, faults| Part {
+    let plan = |situation, name, rate, seconds, faults| SituationPlan {
         situation,
         name,
         rate,
@@ -67,74 +67,77 @@
         faults,
     };
     vec![
-        part(Situation::Quiet, "quiet", 0.0, 3, FaultPlan::none()),
-        part(Situation::OrdinaryDay, "ordinary day", rate, 1, FaultPlan::none()),
-        part(Situation::MachineGone, "a machine gone", FAULT_RATE, 6, gone(Fault::SwitchGone(SWITCH))),
-        part(Situation::RackGone, "a rack gone", FAULT_RATE, 6, gone(Fault::RackGone(ZONE))),
-        part(Situation::ZoneGone, "a zone gone and back", FAULT_RATE, 12, zone),
-        part(Situation::RegionsApart, "regions apart", APART_RATE, apart.as_secs() + 7, regions),
-        part(
+        plan(Situation::Quiet, "quiet", 0.0, 3, FaultPlan::none()),
+        plan(Situation::OrdinaryDay, "ordinary day", rate, 1, FaultPlan::none()),
+        plan(Situation::MachineGone, "a machine gone", FAULT_RATE, 6, gone(Fault::SwitchGone(FAILED_SWITCH))),
+        plan(Situation::RackGone, "a rack gone", FAULT_RATE, 6, gone(Fault::RackGone(FAILED_ZONE))),
+        plan(Situation::ZoneGone, "a zone gone and back", FAULT_RATE, 12, zone),
+        plan(Situation::RegionsApart, "regions apart", PARTITION_RATE, apart.as_secs() + 7, regions),
+        plan(
             Situation::ServiceRestart,
             "a service restarted",
             FAULT_RATE,
             7,
-            gone(Fault::ServiceRestart(SERVICE)),
+            gone(Fault::ServiceRestart(RESTARTED_SERVICE)),
         ),
     ]
 }
 
 pub(super) fn runs(session: &mut Session<'_>) -> Result<Vec<Run>, HollowError> {
-    let mut collector = Collector::new(Size::Gateways);
+    let mut collector = SeriesCollector::new(Size::Gateways);
     let mut oldest_list = Duration::ZERO;
-    let sizes = session.choose(&GATEWAYS, &GATEWAYS_QUICK);
-    let parts = parts(session.options.quick);
-    let plans: Vec<(&Part, u32)> =
+    let sizes = session.full_or_quick(&GATEWAYS, &GATEWAYS_QUICK);
+    let parts = situation_plans(session.options.quick);
+    let plans: Vec<(&SituationPlan, u32)> =
         parts.iter().flat_map(|part| sizes.iter().map(move |gateways| (part, *gateways))).collect();
-    let planned: Vec<Planned> =
-        plans.iter().map(|(part, gateways)| plan(session.options.seed, part, *gateways)).collect();
-    let played = play_all(&planned, session.options.progress)?;
+    let planned: Vec<Job> =
+        plans.iter().map(|(part, gateways)| job(session.options.seed, part, *gateways)).collect();
+    let results = run_all(&planned, session.options.progress)?;
     let meter = Meter::new(session.options.allocator);
-    for ((part, gateways), played) in plans.into_iter().zip(&played) {
-        note_counts(&mut collector, part, gateways, &played.outcome);
-        note_work(&mut collector, part, gateways, &played.recording.replay(meter)?);
+    for ((part, gateways), results) in plans.into_iter().zip(&results) {
+        collect_counts(&mut collector, part, gateways, &results.outcome);
+        collect_work(&mut collector, part, gateways, &results.recording.replay(meter)?);
         if part.situation == Situation::RegionsApart {
-            oldest_list = oldest_list.max(played.outcome.list.max_list_age);
+            oldest_list = oldest_list.max(results.outcome.list.max_list_age);
         }
     }
     for gateways in sizes {
-        note_bad_configuration(session, &mut collector, gateways)?;
+        collect_bad_configuration(session, &mut collector, gateways)?;
     }
     let setting = setting(session, oldest_list);
     Ok(vec![session.run("hollow-situations", setting, collector)])
 }
 
 fn setting(session: &Session<'_>, oldest_list: Duration) -> String {
-    let (rate, apart) =
-        if session.options.quick { (DESIGN_RATE_QUICK, APART_QUICK) } else { (DESIGN_RATE, APART) };
+    let (rate, apart) = if session.options.quick {
+        (DESIGN_RATE_QUICK, PARTITION_TIME_QUICK)
+    } else {
+        (DESIGN_RATE, PARTITION_TIME)
+    };
     format!(
         "a fleet as in hollow-gateways, its name server in zone 0; calls a second at each gateway, held 2 s: {rate} on the \
-         ordinary day, {APART_RATE} while regions are apart, {FAULT_RATE} while anything else breaks, which begins after {} s; \
+         ordinary day, {PARTITION_RATE} while regions are apart, {FAULT_RATE} while anything else breaks, which begins after {} s; \
          a rack is a fifth of a zone; a zone is away {} s; regions are apart {} s, and at their join the oldest list in use \
          is {:.1} s old; of faults the busiest member is told, in its busiest second and from the start of what is measured to \
-         the end, and the most that one held at any whole second; processor time is that of gateway {WATCHED}, which is of the \
+         the end, and the most that one held at any whole second; processor time is that of gateway {RECORDED_GATEWAY}, which is of the \
          service that is hit and stays or comes back: its inputs are played again alone",
-        BEFORE.as_secs(),
-        ZONE_AWAY.as_secs(),
+        FAULT_DELAY.as_secs(),
+        ZONE_OUTAGE.as_secs(),
         apart.as_secs(),
         oldest_list.as_secs_f64()
     )
 }
 
-fn plan(seed: u64, part: &Part, gateways: u32) -> Planned {
+fn job(seed: u64, part: &SituationPlan, gateways: u32) -> Job {
     let scenario = Scenario::fleet(seed, gateways)
         .with_measurement_window(WARM_UP, part.measured)
         .with_call_rate(part.rate)
         .with_faults(part.faults.clone());
     let name = format!("hollow-situations, {} at {gateways}", part.name);
-    Planned { name, scenario, watched: Some(WATCHED) }
+    Job { name, scenario, recorded_gateway: Some(RECORDED_GATEWAY) }
 }
 
-impl Part {
+impl SituationPlan {
     /// Whether a second is like any other.
     fn is_steady(&self) -> bool {
         matches!(self.situation, Situation::Quiet | Situation::OrdinaryDay)
@@ -142,52 +145,63 @@
 }
 
 /// What goes over the network and what is held, of all members.
-fn note_counts(collector: &mut Collector, part: &Part, gateways: u32, outcome: &Outcome) {
+fn collect_counts(collector: &mut SeriesCollector, part: &SituationPlan, gateways: u32, outcome: &Outcome) {
     for role in ROLES {
-        let spot = Spot { role, situation: part.situation, size: f64::from(gateways) };
+        let position = SeriesPosition { role, situation: part.situation, size: f64::from(gateways) };
         let of_role = outcome.role(role);
-        for quantity in COUNTED {
-            note_flow(collector, spot, part, quantity, &of_role);
+        for quantity in EXACT_QUANTITIES {
+            collect_cost(collector, position, part, quantity, &of_role);
         }
         for quantity in [Quantity::Connections, Quantity::StateEntries] {
             let held = if part.is_steady() { of_role.held(quantity) } else { of_role.max_held(quantity) };
-            collector.put(spot, Cause::All, quantity, Per::Held, held);
+            collector.add(position, Cause::All, quantity, Per::Held, held);
         }
     }
 }
 
-/// What it costs the gateway that was watched.
-fn note_work(collector: &mut Collector, part: &Part, gateways: u32, replayed: &Replayed) {
+/// What it costs the gateway that was recorded_gateway.
+fn collect_work(
+    collector: &mut SeriesCollector,
+    part: &SituationPlan,
+    gateways: u32,
+    replayed: &ReplayCosts,
+) {
     let roles = [(Role::GatewayCalls, &replayed.calls), (Role::GatewayControl, &replayed.control)];
     for (role, of_role) in roles {
-        let spot = Spot { role, situation: part.situation, size: f64::from(gateways) };
-        note_flow(collector, spot, part, Quantity::ProcessorMicroseconds, of_role);
+        let position = SeriesPosition { role, situation: part.situation, size: f64::from(gateways) };
+        collect_cost(collector, position, part, Quantity::ProcessorMicroseconds, of_role);
     }
 }
 
-fn note_flow(collector: &mut Collector, spot: Spot, part: &Part, quantity: Quantity, of_role: &RoleOutcome) {
+fn collect_cost(
+    collector: &mut SeriesCollector,
+    position: SeriesPosition,
+    part: &SituationPlan,
+    quantity: Quantity,
+    of_role: &RoleOutcome,
+) {
     if part.is_steady() {
         let seconds = part.measured.as_secs_f64();
         let mean = of_role.mean(Cause::All, quantity).map(|whole| whole / seconds);
-        collector.put(spot, Cause::All, quantity, Per::Second, mean);
+        collector.add(position, Cause::All, quantity, Per::Second, mean);
     } else {
         let second = of_role.busiest_member_second(Cause::All, quantity);
-        collector.put(spot, Cause::All, quantity, Per::PeakSecond, second);
+        collector.add(position, Cause::All, quantity, Per::PeakSecond, second);
         let whole = of_role.busiest_member(Cause::All, quantity);
-        collector.put(spot, Cause::All, quantity, Per::Situation, whole);
+        collector.add(position, Cause::All, quantity, Per::Situation, whole);
     }
 }
 
 /// All gateways of a fleet are told to read a bad configuration: what one of them bears, whatever the fleet's size.
-fn note_bad_configuration(
+fn collect_bad_configuration(
     session: &mut Session<'_>,
-    collector: &mut Collector,
+    collector: &mut SeriesCollector,
     gateways: u32,
 ) -> Result<(), HollowError> {
     (session.options.progress)(&format!("hollow-situations, a bad configuration at {gateways}"));
     let (seed, allocator) = (session.options.seed, session.options.allocator);
     let reading = configuration::read_damaged(seed, CONFIGURED_SWITCHES, allocator)?;
-    let spot = Spot {
+    let position = SeriesPosition {
         role: Role::GatewayControl,
         situation: Situation::BadConfiguration,
         size: f64::from(gateways),
@@ -196,7 +210,7 @@
     let figures =
         [(Quantity::BytesIn, bytes), (Quantity::ProcessorMicroseconds, reading.processor_microseconds)];
     for (quantity, value) in figures {
-        collector.put(spot, Cause::Configuration, quantity, Per::Situation, Some(value));
+        collector.add(position, Cause::Configuration, quantity, Per::Situation, Some(value));
     }
     Ok(())
 }
--- a/crates/fawnrouter-capacity/src/hollow/runs/switches.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/switches.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{Collector, Session, Spot, WORK, configuration};
+use super::{SeriesCollector, SeriesPosition, Session, WORK_QUANTITIES, configuration};
 use crate::figures::{Cause, Per, Quantity, Role, Run, Situation, Size};
 use crate::hollow::HollowError;
 use crate::hollow::cost::Cost;
@@ -13,53 +13,55 @@
 const SWITCHES_QUICK: [u32; 4] = [4, 8, 16, 25];
 const GATEWAYS: u32 = 2;
 const CALLS_PER_SECOND: f64 = 40.0;
-const LIST_CHANGE_EVERY: Duration = Duration::from_millis(500);
+const LIST_CHANGE_INTERVAL: Duration = Duration::from_millis(500);
 const WARM_UP: Duration = Duration::from_secs(4);
 /// An idle connection is replaced after 42 s, 0.7 of the platform's idle time: each is, once.
 const QUIET_MEASURED: Duration = Duration::from_secs(42);
 const MEASURED: Duration = Duration::from_secs(20);
 const MEASURED_QUICK: Duration = Duration::from_secs(4);
 
-/// The plays at one size.
-struct Plays {
+/// The outcomes at one size.
+struct Outcomes {
     switches: u32,
     quiet: Outcome,
     calling: Outcome,
     changing: Outcome,
 }
 
-impl Plays {
+impl Outcomes {
     /// Bytes of one answer with the whole list.
     fn list_bytes(&self) -> f64 {
         self.quiet.list.response_bytes as f64 / self.quiet.list.responses.max(1) as f64
     }
 }
 
-fn run_scenario(session: &mut Session<'_>, switches: u32) -> Result<Plays, HollowError> {
-    let quiet_measured = session.choose(&[QUIET_MEASURED], &[MEASURED_QUICK])[0];
-    let measured = session.choose(&[MEASURED], &[MEASURED_QUICK])[0];
+fn simulate_all(session: &mut Session<'_>, switches: u32) -> Result<Outcomes, HollowError> {
+    let quiet_measured = session.full_or_quick(&[QUIET_MEASURED], &[MEASURED_QUICK])[0];
+    let measured = session.full_or_quick(&[MEASURED], &[MEASURED_QUICK])[0];
     let quiet = Scenario::one_service(session.options.seed, GATEWAYS, switches);
     let quiet = quiet.with_measurement_window(WARM_UP, quiet_measured);
     let calling = quiet.clone().with_measurement_window(WARM_UP, measured).with_call_rate(CALLS_PER_SECOND);
-    let changing =
-        quiet.clone().with_measurement_window(WARM_UP, measured).with_list_change_interval(LIST_CHANGE_EVERY);
-    Ok(Plays {
+    let changing = quiet
+        .clone()
+        .with_measurement_window(WARM_UP, measured)
+        .with_list_change_interval(LIST_CHANGE_INTERVAL);
+    Ok(Outcomes {
         switches,
-        quiet: session.play("hollow-switches, quiet", switches, &quiet)?,
-        calling: session.play("hollow-switches, calls", switches, &calling)?,
-        changing: session.play("hollow-switches, list changes", switches, &changing)?,
+        quiet: session.simulate("hollow-switches, quiet", switches, &quiet)?,
+        calling: session.simulate("hollow-switches, calls", switches, &calling)?,
+        changing: session.simulate("hollow-switches, list changes", switches, &changing)?,
     })
 }
 
 pub(super) fn runs(session: &mut Session<'_>) -> Result<Vec<Run>, HollowError> {
-    let mut by_switches = Collector::new(Size::SwitchesSeen);
-    let mut by_bytes = Collector::new(Size::ListBytes);
-    for switches in session.choose(&SWITCHES, &SWITCHES_QUICK) {
-        let plays = run_scenario(session, switches)?;
-        note_switches(&mut by_switches, &plays);
-        note_configuration(session, &mut by_switches, switches)?;
-        note_list(&mut by_switches, &plays, f64::from(switches));
-        note_list(&mut by_bytes, &plays, plays.list_bytes());
+    let mut by_switches = SeriesCollector::new(Size::SwitchesSeen);
+    let mut by_bytes = SeriesCollector::new(Size::ListBytes);
+    for switches in session.full_or_quick(&SWITCHES, &SWITCHES_QUICK) {
+        let outcomes = simulate_all(session, switches)?;
+        collect_switches(&mut by_switches, &outcomes);
+        collect_configuration(session, &mut by_switches, switches)?;
+        collect_list(&mut by_switches, &outcomes, f64::from(switches));
+        collect_list(&mut by_bytes, &outcomes, outcomes.list_bytes());
     }
     let setting = format!(
         "{GATEWAYS} gateways that see all core switches; quiet: no calls; ordinary day: {CALLS_PER_SECOND} calls a second \
@@ -72,48 +74,48 @@
     Ok(vec![by_switches, by_bytes])
 }
 
-fn note_switches(collector: &mut Collector, plays: &Plays) {
-    let spot = |role, situation| Spot { role, situation, size: f64::from(plays.switches) };
-    let quiet = spot(Role::GatewayCalls, Situation::Quiet);
-    collector.seconds(quiet, &plays.quiet, &[Cause::Timers, Cause::Connections, Cause::All]);
-    collector.held(quiet, &plays.quiet);
-    let control = spot(Role::GatewayControl, Situation::Quiet);
-    collector.held(control, &plays.quiet);
-    let calling = spot(Role::GatewayCalls, Situation::OrdinaryDay);
-    collector.calls(calling, &plays.calling, &[Cause::Calls, Cause::All]);
-    collector.seconds(
+fn collect_switches(collector: &mut SeriesCollector, outcomes: &Outcomes) {
+    let position = |role, situation| SeriesPosition { role, situation, size: f64::from(outcomes.switches) };
+    let quiet = position(Role::GatewayCalls, Situation::Quiet);
+    collector.add_per_second(quiet, &outcomes.quiet, &[Cause::Timers, Cause::Connections, Cause::All]);
+    collector.add_held(quiet, &outcomes.quiet);
+    let control = position(Role::GatewayControl, Situation::Quiet);
+    collector.add_held(control, &outcomes.quiet);
+    let calling = position(Role::GatewayCalls, Situation::OrdinaryDay);
+    collector.add_per_call(calling, &outcomes.calling, &[Cause::Calls, Cause::All]);
+    collector.add_per_second(
         calling,
-        &plays.calling,
+        &outcomes.calling,
         &[Cause::Calls, Cause::Probes, Cause::Connections, Cause::Timers, Cause::All],
     );
-    collector.held(calling, &plays.calling);
+    collector.add_held(calling, &outcomes.calling);
 }
 
 /// What one answer costs its reader and how long it is, and what all answers bring in a second.
-fn note_list(collector: &mut Collector, plays: &Plays, size: f64) {
-    let spot = |situation| Spot { role: Role::GatewayControl, situation, size };
-    let source = Spot { role: Role::ListSource, ..spot(Situation::Quiet) };
-    let bytes = Some(plays.list_bytes());
-    collector.put(spot(Situation::Quiet), Cause::List, Quantity::BytesIn, Per::Event, bytes);
-    collector.put(source, Cause::List, Quantity::BytesOut, Per::Event, bytes);
-    collector.seconds(spot(Situation::Quiet), &plays.quiet, &[Cause::List]);
-    let list = &plays.quiet.list;
+fn collect_list(collector: &mut SeriesCollector, outcomes: &Outcomes, size: f64) {
+    let position = |situation| SeriesPosition { role: Role::GatewayControl, situation, size };
+    let source = SeriesPosition { role: Role::ListSource, ..position(Situation::Quiet) };
+    let bytes = Some(outcomes.list_bytes());
+    collector.add(position(Situation::Quiet), Cause::List, Quantity::BytesIn, Per::Event, bytes);
+    collector.add(source, Cause::List, Quantity::BytesOut, Per::Event, bytes);
+    collector.add_per_second(position(Situation::Quiet), &outcomes.quiet, &[Cause::List]);
+    let list = &outcomes.quiet.list;
     let unchanged = list.responses - list.changed;
-    note_event(collector, spot(Situation::Quiet), list.unchanged_cost, unchanged);
-    let list = &plays.changing.list;
-    note_event(collector, spot(Situation::OrdinaryDay), list.changed_cost, list.changed);
+    collect_event(collector, position(Situation::Quiet), list.unchanged_cost, unchanged);
+    let list = &outcomes.changing.list;
+    collect_event(collector, position(Situation::OrdinaryDay), list.changed_cost, list.changed);
 }
 
-fn note_event(collector: &mut Collector, spot: Spot, cost: Cost, events: u64) {
-    for quantity in WORK {
+fn collect_event(collector: &mut SeriesCollector, position: SeriesPosition, cost: Cost, events: u64) {
+    for quantity in WORK_QUANTITIES {
         let value = cost.quantity_value(quantity).filter(|_| events > 0).map(|all| all / events as f64);
-        collector.put(spot, Cause::List, quantity, Per::Event, value);
+        collector.add(position, Cause::List, quantity, Per::Event, value);
     }
 }
 
-fn note_configuration(
+fn collect_configuration(
     session: &mut Session<'_>,
-    collector: &mut Collector,
+    collector: &mut SeriesCollector,
     switches: u32,
 ) -> Result<(), HollowError> {
     let (seed, allocator) = (session.options.seed, session.options.allocator);
@@ -122,14 +124,14 @@
         (Situation::BadConfiguration, configuration::read_damaged(seed, switches, allocator)?),
     ];
     for (situation, reading) in readings {
-        let spot = Spot { role: Role::GatewayControl, situation, size: f64::from(switches) };
+        let position = SeriesPosition { role: Role::GatewayControl, situation, size: f64::from(switches) };
         let figures = [
             (Quantity::BytesIn, reading.bytes as f64),
             (Quantity::ProcessorMicroseconds, reading.processor_microseconds),
             (Quantity::Allocations, reading.allocations),
         ];
         for (quantity, value) in figures {
-            collector.put(spot, Cause::Configuration, quantity, Per::Event, Some(value));
+            collector.add(position, Cause::Configuration, quantity, Per::Event, Some(value));
         }
     }
     Ok(())
--- a/crates/fawnrouter-capacity/src/hollow/scenario.rs
+++ b/crates/fawnrouter-capacity/src/hollow/scenario.rs
@@ -9,7 +9,7 @@
 const DESIGN_ZONES: u32 = 6;
 const DESIGN_REGIONS: u32 = 3;
 /// A zone has this many racks.
-const RACKS_OF_A_ZONE: u32 = 5;
+const RACKS_PER_ZONE: u32 = 5;
 /// Core switches of a service of the design, of which there are 26 for 660.
 const DESIGN_SERVICES: u32 = 26;
 const DESIGN_GATEWAYS: u32 = 660;
@@ -17,11 +17,11 @@
 const CALLER_CONNECTIONS: u32 = 8;
 /// Descriptors of a gateway at the least, and for each core switch that it sees: a quarter of them are for
 /// connections to core switches, of which each may need two.
-const DESCRIPTORS: u32 = 1024;
-const DESCRIPTORS_OF_A_SWITCH: u32 = 8;
+const MIN_DESCRIPTORS: u32 = 1024;
+const DESCRIPTORS_PER_SWITCH: u32 = 8;
 /// How long a call stands and how long a core switch takes to answer, if the scenario says nothing else.
-const HOLD: Duration = Duration::from_secs(2);
-const ANSWER: Duration = Duration::from_millis(20);
+const DEFAULT_HOLD: Duration = Duration::from_secs(2);
+const DEFAULT_ANSWER_DELAY: Duration = Duration::from_millis(20);
 
 /// Where a gateway or a core switch is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -78,8 +78,8 @@
             gateways,
             calls_per_second: 0.0,
             seconds: 0,
-            hold: HOLD,
-            answer_delay: ANSWER,
+            hold: DEFAULT_HOLD,
+            answer_delay: DEFAULT_ANSWER_DELAY,
         };
         Self {
             seed,
@@ -88,7 +88,7 @@
             services: 1,
             zones: 1,
             regions: 1,
-            descriptors: DESCRIPTORS.max(switches * DESCRIPTORS_OF_A_SWITCH),
+            descriptors: MIN_DESCRIPTORS.max(switches * DESCRIPTORS_PER_SWITCH),
             caller_connections: CALLER_CONNECTIONS,
             traffic,
             faults: FaultPlan::none(),
@@ -127,10 +127,10 @@
     #[must_use]
     pub fn with_measurement_window(mut self, warm_up: Duration, measured: Duration) -> Self {
         (self.warm_up, self.measured) = (warm_up, measured);
-        self.calling_as_before()
+        self.with_same_call_rate()
     }
 
-    fn calling_as_before(self) -> Self {
+    fn with_same_call_rate(self) -> Self {
         let rate = self.traffic.calls_per_second;
         self.with_call_rate(rate)
     }
@@ -165,20 +165,20 @@
     /// Where a gateway is.
     #[must_use]
     pub fn gateway_location(&self, number: u32) -> Location {
-        self.place(number, self.gateways)
+        self.location(number, self.gateways)
     }
 
     /// Where a core switch is.
     #[must_use]
     pub fn switch_location(&self, number: u32) -> Location {
-        self.place(number, self.switches)
+        self.location(number, self.switches)
     }
 
     /// The members of each service follow each other, and each goes to another zone than the one before.
-    fn place(&self, number: u32, of: u32) -> Location {
-        let service = u64::from(number) * u64::from(self.services) / u64::from(of.max(1));
+    fn location(&self, number: u32, count: u32) -> Location {
+        let service = u64::from(number) * u64::from(self.services) / u64::from(count.max(1));
         let zone = number % self.zones;
-        let rack = number / self.zones % RACKS_OF_A_ZONE;
+        let rack = number / self.zones % RACKS_PER_ZONE;
         // Both are below the counts they are taken from.
         Location { service: service as u32, zone, region: zone * self.regions / self.zones, rack }
     }
--- a/crates/fawnrouter-capacity/src/hollow/simulation/callers.rs
+++ b/crates/fawnrouter-capacity/src/hollow/simulation/callers.rs
@@ -5,128 +5,136 @@
 use fawnrouter_jsonl::{Decoder, Message, Tag, Verb};
 use fawnrouter_node::{ClientId, Input};
 
-use super::{CALLER_DELAY, World};
+use super::{CALLER_DELAY, Simulation};
 use crate::figures::Cause;
 use crate::hollow::cost::Cost;
-use crate::hollow::event::{Event, GatewayRun};
-use crate::hollow::members::{CallerCall, CallerState, cause_of};
+use crate::hollow::event::{Event, GatewayIncarnation};
+use crate::hollow::members::{CallerCall, CallerState, cause_of_verb};
 use crate::hollow::recording::Step;
 use crate::plan::{CALLER_TIMEOUT, CAUSE_NORMAL_CLEARING, existing_call_notice};
 
 /// Who finds no gateway looks again after this time.
-const LOOK_AGAIN: Duration = Duration::from_millis(200);
+const GATEWAY_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Calls that stood at a gateway which is gone are told to others within this time.
-const RETELL_SPREAD_MS: u64 = 1000;
+const REPORT_SPREAD_MS: u64 = 1000;
 /// Causes that say refused: trying again is harmless.
-const REFUSALS: [i64; 3] = [34, 42, 102];
+const REFUSAL_CAUSES: [i64; 3] = [34, 42, 102];
 
-impl World<'_> {
+impl Simulation<'_> {
     /// Puts the planned call of this place in, if there is one.
-    pub(super) fn put_call(&mut self, planned: usize) {
+    pub(super) fn schedule_call(&mut self, planned: usize) {
         if let Some(call) = self.calls.get(planned) {
-            let at = self.planned(call.at);
-            self.queue.put(at, Event::Call { planned, until: at + CALLER_TIMEOUT });
+            let at = self.scenario_time(call.at);
+            self.queue.schedule(at, Event::SendSetUp { planned, until: at + CALLER_TIMEOUT });
         }
     }
 
-    pub(super) fn call(&mut self, planned: usize, until: Duration) {
+    pub(super) fn send_set_up(&mut self, planned: usize, until: Duration) {
         let call = self.calls[planned];
         if self.now + CALLER_TIMEOUT == until {
             self.outcome.calls.attempted += 1;
-            self.put_call(planned + 1);
+            self.schedule_call(planned + 1);
         }
         if self.now >= until {
             self.outcome.calls.no_gateway += 1;
             return;
         }
-        let Some(gateway) = self.gateway_for(call.gateway as usize) else {
-            self.queue.put(self.now + LOOK_AGAIN, Event::Call { planned, until });
+        let Some(gateway) = self.choose_gateway(call.gateway as usize) else {
+            self.queue.schedule(self.now + GATEWAY_RETRY_DELAY, Event::SendSetUp { planned, until });
             return;
         };
-        let client = self.client_of(gateway, call.tag);
+        let client = self.connection_for_call(gateway, call.tag);
         let deadline = self.now + CALLER_TIMEOUT;
-        let state = CallerState::Answer(deadline);
-        self.callers.calls.insert(call.tag, CallerCall { planned, gateway, client, state, switch: None });
-        self.outcome.measured_calls += u64::from(self.second().is_some());
-        let service = self.gateways[gateway].place.service as usize;
+        let state = CallerState::AwaitingAnswer(deadline);
+        self.callers
+            .calls
+            .insert(call.tag, CallerCall { planned_call: planned, gateway, client, state, switch: None });
+        self.outcome.measured_calls += u64::from(self.measured_second().is_some());
+        let service = self.gateways[gateway].location.service as usize;
         let cells = self.members[service].1.len() as u32;
-        self.write_from_caller(gateway, client, &call.set_up_message(cells));
-        self.queue.put(deadline, Event::CallerWaitOver { tag: call.tag });
+        self.send_from_caller(gateway, client, &call.set_up_message(cells));
+        self.queue.schedule(deadline, Event::CallerTimeout { tag: call.tag });
     }
 
     /// The gateway that is called, or the next of its service that takes calls, or one on its way out.
-    fn gateway_for(&self, wanted: usize) -> Option<usize> {
-        let members = &self.members[self.gateways[wanted].place.service as usize].0;
+    fn choose_gateway(&self, wanted: usize) -> Option<usize> {
+        let members = &self.members[self.gateways[wanted].location.service as usize].0;
         let from = members.iter().position(|member| *member == wanted)?;
         let in_order = || members[from..].iter().chain(&members[..from]).copied();
-        let takes = in_order().find(|member| self.gateways[*member].takes_calls());
+        let takes = in_order().find(|member| self.gateways[*member].accepts_calls());
         takes.or_else(|| in_order().find(|member| self.gateways[*member].process.is_some()))
     }
 
     /// The connection that a call uses.
-    fn client_of(&mut self, gateway: usize, tag: u64) -> ClientId {
-        let place = (tag % u64::from(self.scenario.caller_connections)) as u32;
-        if let Some(client) = self.callers.connections.get(&(gateway, place)) {
+    fn connection_for_call(&mut self, gateway: usize, tag: u64) -> ClientId {
+        let index = (tag % u64::from(self.scenario.caller_connections)) as u32;
+        if let Some(client) = self.callers.connections.get(&(gateway, index)) {
             return *client;
         }
         self.callers.next_client += 1;
         let client = ClientId(self.callers.next_client);
-        self.callers.connections.insert((gateway, place), client);
-        let to = self.run_of(gateway);
-        self.queue.put(self.now + CALLER_DELAY, Event::ClientUp { to, client });
+        self.callers.connections.insert((gateway, index), client);
+        let to = self.incarnation_of(gateway);
+        self.queue.schedule(self.now + CALLER_DELAY, Event::ClientConnected { to, client });
         client
     }
 
-    fn write_from_caller(&mut self, gateway: usize, client: ClientId, message: &Message) {
+    fn send_from_caller(&mut self, gateway: usize, client: ClientId, message: &Message) {
         let mut line = Vec::new();
         message.encode(&mut line);
-        let to = self.run_of(gateway);
-        let event = Event::ClientLine { to, client, tag: message.tag.0, line };
-        self.queue.put(self.now + CALLER_DELAY, event);
+        let to = self.incarnation_of(gateway);
+        let event = Event::LineFromCaller { to, client, tag: message.tag.0, line };
+        self.queue.schedule(self.now + CALLER_DELAY, event);
     }
 
-    pub(super) fn client_up(&mut self, to: GatewayRun, client: ClientId) {
-        let Some(process) = self.running(to) else { return };
+    pub(super) fn client_connected(&mut self, to: GatewayIncarnation, client: ClientId) {
+        let Some(process) = self.process_of(to) else { return };
         process.clients.insert(client, Decoder::new());
-        self.note_gateway(to.gateway, Cause::Connections, Cost::connected());
-        self.feed(to.gateway, Cause::Connections, Input::ClientConnected { client });
+        self.record_gateway_cost(to.gateway, Cause::Connections, Cost::connection_opened());
+        self.deliver_input(to.gateway, Cause::Connections, Input::ClientConnected { client });
     }
 
-    pub(super) fn client_line(&mut self, to: GatewayRun, client: ClientId, tag: u64, line: &[u8]) {
-        if !self.running(to).is_some_and(|process| process.clients.contains_key(&client)) {
-            return self.crossed_a_close(tag);
+    pub(super) fn line_from_caller(
+        &mut self,
+        to: GatewayIncarnation,
+        client: ClientId,
+        tag: u64,
+        line: &[u8],
+    ) {
+        if !self.process_of(to).is_some_and(|process| process.clients.contains_key(&client)) {
+            return self.resend_after_close(tag);
         }
-        self.record(to.gateway, || Step::ClientLine(client, line.to_vec()));
+        self.record_step(to.gateway, || Step::ClientLine(client, line.to_vec()));
         let read = self.decode(to.gateway, line, |process| process.clients.get_mut(&client));
         let Some(read) = read else { return };
         match read {
             Ok(message) => {
-                if self.second().is_some() {
+                if self.measured_second().is_some() {
                     self.outcome.from_callers.add(message.verb, line.len());
                 }
-                let cause = cause_of(message.verb);
-                self.feed(to.gateway, cause, Input::ClientMessage { client, message });
+                let cause = cause_of_verb(message.verb);
+                self.deliver_input(to.gateway, cause, Input::ClientMessage { client, message });
             }
-            Err(fault) => {
-                self.feed(to.gateway, Cause::Calls, Input::ClientDecodeError { client, error: fault });
+            Err(error) => {
+                self.deliver_input(to.gateway, Cause::Calls, Input::ClientDecodeError { client, error });
             }
         }
     }
 
     /// "A set-up that crosses such a close is sent once more, on a new connection."
-    fn crossed_a_close(&mut self, tag: u64) {
+    fn resend_after_close(&mut self, tag: u64) {
         let Some(call) = self.callers.calls.get(&tag).copied() else { return };
         match call.state {
-            CallerState::Answer(deadline) => {
+            CallerState::AwaitingAnswer(deadline) => {
                 self.callers.calls.remove(&tag);
-                let event = Event::Call { planned: call.planned, until: deadline };
-                self.queue.put(self.now, event);
+                let event = Event::SendSetUp { planned: call.planned_call, until: deadline };
+                self.queue.schedule(self.now, event);
             }
-            CallerState::Release => self.queue.put(self.now, Event::Retell { tag }),
+            CallerState::Established => self.queue.schedule(self.now, Event::ReportEstablishedCall { tag }),
         }
     }
 
-    pub(super) fn line_to_caller(&mut self, from: GatewayRun, message: &Message) {
+    pub(super) fn line_to_caller(&mut self, from: GatewayIncarnation, message: &Message) {
         let tag = message.tag.0;
         let call = self.callers.calls.get_mut(&tag).filter(|call| call.gateway == from.gateway);
         let Some(call) = call else {
@@ -136,18 +144,20 @@
         };
         let counts = &mut self.outcome.calls;
         match (message.verb, call.state) {
-            (Verb::Started, CallerState::Answer(_)) => {
-                call.state = CallerState::Release;
+            (Verb::Started, CallerState::AwaitingAnswer(_)) => {
+                call.state = CallerState::Established;
                 counts.established += 1;
             }
-            (Verb::Started, CallerState::Release) => counts.answered_twice += 1,
+            (Verb::Started, CallerState::Established) => counts.answered_twice += 1,
             (Verb::Finish, state) => {
                 match state {
-                    CallerState::Release => counts.released += 1,
-                    CallerState::Answer(_) if message.rc.is_some_and(|rc| REFUSALS.contains(&rc)) => {
+                    CallerState::Established => counts.released += 1,
+                    CallerState::AwaitingAnswer(_)
+                        if message.rc.is_some_and(|rc| REFUSAL_CAUSES.contains(&rc)) =>
+                    {
                         counts.refused += 1;
                     }
-                    CallerState::Answer(_) => counts.failed += 1,
+                    CallerState::AwaitingAnswer(_) => counts.failed += 1,
                 }
                 self.callers.calls.remove(&tag);
             }
@@ -155,53 +165,54 @@
         }
     }
 
-    pub(super) fn caller_wait_over(&mut self, tag: u64) {
+    pub(super) fn caller_timeout(&mut self, tag: u64) {
         let Some(call) = self.callers.calls.get(&tag).copied() else { return };
-        let CallerState::Answer(deadline) = call.state else { return };
+        let CallerState::AwaitingAnswer(deadline) = call.state else { return };
         if self.now < deadline {
             return;
         }
         self.outcome.calls.unanswered += 1;
         self.callers.calls.remove(&tag);
         let given_up = Message::new(Verb::Finish, Tag(tag)).with_cause(CAUSE_NORMAL_CLEARING);
-        self.write_from_caller(call.gateway, call.client, &given_up);
+        self.send_from_caller(call.gateway, call.client, &given_up);
     }
 
     // ---- A gateway is gone ------------------------------------------------------------------------------------
     /// Set-ups at a gateway are broken with it; calls that stand are told to others.
-    pub(super) fn callers_lose(&mut self, gateway: usize) {
-        self.callers.lose_gateway(gateway);
+    pub(super) fn callers_lose_gateway(&mut self, gateway: usize) {
+        self.callers.drop_gateway_connections(gateway);
         let at_gateway = self.callers.calls.iter().filter(|(_, call)| call.gateway == gateway);
         let lost: Vec<(u64, CallerState)> = at_gateway.map(|(tag, call)| (*tag, call.state)).collect();
         for (tag, state) in lost {
             match state {
-                CallerState::Answer(_) => {
+                CallerState::AwaitingAnswer(_) => {
                     self.callers.calls.remove(&tag);
                     self.outcome.calls.gateway_lost += 1;
                 }
-                CallerState::Release => {
-                    let after = Duration::from_millis(1 + tag % RETELL_SPREAD_MS);
-                    self.queue.put(self.now + after, Event::Retell { tag });
+                CallerState::Established => {
+                    let after = Duration::from_millis(1 + tag % REPORT_SPREAD_MS);
+                    self.queue.schedule(self.now + after, Event::ReportEstablishedCall { tag });
                 }
             }
         }
     }
 
-    pub(super) fn retell(&mut self, tag: u64) {
+    pub(super) fn report_established_call(&mut self, tag: u64) {
         let Some(call) = self.callers.calls.get(&tag).copied() else { return };
-        let (CallerState::Release, Some(switch)) = (call.state, call.switch) else { return };
-        let planned = self.calls[call.planned].gateway as usize;
-        let Some(gateway) = self.gateway_for(planned).filter(|found| self.gateways[*found].takes_calls())
+        let (CallerState::Established, Some(switch)) = (call.state, call.switch) else { return };
+        let planned = self.calls[call.planned_call].gateway as usize;
+        let Some(gateway) =
+            self.choose_gateway(planned).filter(|found| self.gateways[*found].accepts_calls())
         else {
-            self.queue.put(self.now + LOOK_AGAIN, Event::Retell { tag });
+            self.queue.schedule(self.now + GATEWAY_RETRY_DELAY, Event::ReportEstablishedCall { tag });
             return;
         };
-        let client = self.client_of(gateway, tag);
+        let client = self.connection_for_call(gateway, tag);
         if let Some(call) = self.callers.calls.get_mut(&tag) {
             (call.gateway, call.client) = (gateway, client);
         }
         let line = existing_call_notice(tag, &self.switches[switch].row.id);
-        self.write_from_caller(gateway, client, &line);
-        self.release_again(switch, tag, call.gateway, gateway);
+        self.send_from_caller(gateway, client, &line);
+        self.move_release(switch, tag, call.gateway, gateway);
     }
 }
--- a/crates/fawnrouter-capacity/src/hollow/simulation/faults.rs
+++ b/crates/fawnrouter-capacity/src/hollow/simulation/faults.rs
@@ -4,7 +4,7 @@
 
 use fawnrouter_node::LinkEnd;
 
-use super::{UNIX_START, World};
+use super::{Simulation, UNIX_START};
 use crate::hollow::event::{ConnectionId, Event};
 use crate::hollow::members::SwitchState;
 use crate::hollow::scenario::Location;
@@ -13,61 +13,65 @@
 /// The rack of a zone that vanishes.
 const FIRST_RACK: u32 = 0;
 
-impl World<'_> {
-    pub(super) fn fault(&mut self, fault: Fault) {
+impl Simulation<'_> {
+    pub(super) fn inject_fault(&mut self, fault: Fault) {
         match fault {
-            Fault::SwitchGone(switch) => self.switches_vanish(&[switch as usize]),
-            Fault::SwitchDraining(switch) => self.switch_drains(switch as usize),
-            Fault::SwitchStopped(switch) => self.switch_stops(switch as usize),
-            Fault::SwitchBack(switch) => self.switches_return(&[switch as usize]),
-            Fault::RackGone(zone) => self.vanish(|place| place.zone == zone && place.rack == FIRST_RACK),
-            Fault::RackBack(zone) => self.return_all(|place| place.zone == zone && place.rack == FIRST_RACK),
-            Fault::ZoneGone(zone) => self.vanish(|place| place.zone == zone),
-            Fault::ZoneBack(zone) => self.return_all(|place| place.zone == zone),
+            Fault::SwitchGone(switch) => self.fail_switches(&[switch as usize]),
+            Fault::SwitchDraining(switch) => self.drain_switch(switch as usize),
+            Fault::SwitchStopped(switch) => self.stop_switch(switch as usize),
+            Fault::SwitchBack(switch) => self.recover_switches(&[switch as usize]),
+            Fault::RackGone(zone) => {
+                self.fail_all_at(|location| location.zone == zone && location.rack == FIRST_RACK)
+            }
+            Fault::RackBack(zone) => {
+                self.recover_all_at(|location| location.zone == zone && location.rack == FIRST_RACK)
+            }
+            Fault::ZoneGone(zone) => self.fail_all_at(|location| location.zone == zone),
+            Fault::ZoneBack(zone) => self.recover_all_at(|location| location.zone == zone),
             Fault::GatewayRestart(gateway) => self.stop_gateway(gateway as usize),
             Fault::ServiceRestart(service) => {
                 for gateway in self.members[service as usize].0.clone() {
                     self.stop_gateway(gateway);
                 }
             }
-            Fault::RegionsApart => self.regions_apart = true,
-            Fault::RegionsJoined => self.join_regions(),
+            Fault::RegionsApart => self.regions_partitioned = true,
+            Fault::RegionsJoined => self.heal_partition(),
         }
     }
 
-    fn vanish(&mut self, is_hit: impl Fn(&Location) -> bool) {
+    fn fail_all_at(&mut self, is_hit: impl Fn(&Location) -> bool) {
         let switches = self.switches_at(&is_hit);
-        self.switches_vanish(&switches);
+        self.fail_switches(&switches);
         for gateway in self.gateways_at(&is_hit) {
-            self.gateway_vanishes(gateway);
+            self.fail_gateway(gateway);
         }
     }
 
-    fn return_all(&mut self, is_hit: impl Fn(&Location) -> bool) {
+    fn recover_all_at(&mut self, is_hit: impl Fn(&Location) -> bool) {
         let switches = self.switches_at(&is_hit);
-        self.switches_return(&switches);
+        self.recover_switches(&switches);
         for gateway in self.gateways_at(&is_hit) {
-            self.gateway_returns(gateway);
+            self.schedule_gateway_start(gateway);
         }
     }
 
     fn switches_at(&self, is_hit: impl Fn(&Location) -> bool) -> Vec<usize> {
-        (0..self.switches.len()).filter(|switch| is_hit(&self.switches[*switch].place)).collect()
+        (0..self.switches.len()).filter(|switch| is_hit(&self.switches[*switch].location)).collect()
     }
 
     fn gateways_at(&self, is_hit: impl Fn(&Location) -> bool) -> Vec<usize> {
-        (0..self.gateways.len()).filter(|gateway| is_hit(&self.gateways[*gateway].place)).collect()
+        (0..self.gateways.len()).filter(|gateway| is_hit(&self.gateways[*gateway].location)).collect()
     }
 
-    fn switches_vanish(&mut self, switches: &[usize]) {
+    fn fail_switches(&mut self, switches: &[usize]) {
         for switch in switches {
-            self.switch_loses_all(*switch, SwitchState::Silent);
+            self.drop_switch_state(*switch, SwitchState::Silent);
             self.switches[*switch].listed = false;
         }
-        self.lists_change(switches);
+        self.schedule_list_updates(switches);
     }
 
-    fn switches_return(&mut self, switches: &[usize]) {
+    fn recover_switches(&mut self, switches: &[usize]) {
         let started = (UNIX_START + self.now).as_millis();
         for switch in switches {
             let switch = &mut self.switches[*switch];
@@ -77,28 +81,28 @@
             switch.row.draining = false;
             switch.row.started_unix_ms = u64::try_from(started).unwrap_or(u64::MAX);
         }
-        self.lists_change(switches);
+        self.schedule_list_updates(switches);
     }
 
-    fn switch_drains(&mut self, switch: usize) {
+    fn drain_switch(&mut self, switch: usize) {
         self.switches[switch].row.draining = true;
-        self.lists_change(&[switch]);
+        self.schedule_list_updates(&[switch]);
     }
 
-    fn switch_stops(&mut self, switch: usize) {
+    fn stop_switch(&mut self, switch: usize) {
         self.switches[switch].listed = false;
-        for connection in self.switch_loses_all(switch, SwitchState::Refusing) {
+        for connection in self.drop_switch_state(switch, SwitchState::Refusing) {
             let Some(record) = self.connections.get(&connection) else { continue };
-            let (from, to) = (self.switches[switch].place, self.gateways[record.gateway.gateway].place);
-            let end = Event::ConnectionEnd { connection, end: LinkEnd::Broken };
+            let (from, to) = (self.switches[switch].location, self.gateways[record.gateway.gateway].location);
+            let end = Event::ConnectionEnded { connection, end: LinkEnd::Broken };
             self.transmit(from, to, None, end);
         }
-        self.lists_change(&[switch]);
+        self.schedule_list_updates(&[switch]);
     }
 
-    fn switch_loses_all(&mut self, switch: usize, state: SwitchState) -> Vec<ConnectionId> {
+    fn drop_switch_state(&mut self, switch: usize, state: SwitchState) -> Vec<ConnectionId> {
         self.switches[switch].state = state;
-        let lost = self.switches[switch].lose_all();
+        let lost = self.switches[switch].drop_all_state();
         for connection in &lost {
             if let Some(record) = self.connections.get_mut(connection) {
                 record.open_at_switch = false;
@@ -109,11 +113,11 @@
     }
 
     /// The lists of the services that these belong to change, each once.
-    fn lists_change(&mut self, switches: &[usize]) {
+    fn schedule_list_updates(&mut self, switches: &[usize]) {
         let services: BTreeSet<u32> =
-            switches.iter().map(|switch| self.switches[*switch].place.service).collect();
+            switches.iter().map(|switch| self.switches[*switch].location.service).collect();
         for service in services {
-            self.list_changes(service as usize);
+            self.schedule_list_update(service as usize);
         }
     }
 }
--- a/crates/fawnrouter-capacity/src/hollow/simulation/gateways.rs
+++ b/crates/fawnrouter-capacity/src/hollow/simulation/gateways.rs
@@ -9,86 +9,86 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::{CALLER_DELAY, Load, START_UP, UNIX_START, World};
+use super::{CALLER_DELAY, START_UP, Simulation, Traffic, UNIX_START};
 use crate::figures::Cause;
 use crate::hollow::HollowError;
 use crate::hollow::cost::Cost;
-use crate::hollow::event::{ConnectionId, Event, GatewayRun};
-use crate::hollow::members::{Connection, Process, SwitchState, cause_of, read_line};
-use crate::hollow::recording::{Step, build, read};
+use crate::hollow::event::{ConnectionId, Event, GatewayIncarnation};
+use crate::hollow::members::{Connection, Process, SwitchState, cause_of_verb, decode_line};
+use crate::hollow::recording::{Step, build_gateway, measure_decode};
 use crate::platform::{GatewayParameters, gateway_configuration};
 
 /// A gateway that is restarted is back this long after its end.
 const RESTART_PAUSE: Duration = Duration::from_secs(1);
 /// Streams of the seed that are each gateway's own: of its decisions, and of its questions' numbers.
 const DECISION_STREAMS: u64 = 1 << 32;
-const QUESTION_STREAMS: u64 = 2 << 32;
+const QUERY_ID_STREAMS: u64 = 2 << 32;
 
 /// An input and what it is counted as.
-type Counted = (Cause, Input);
+type CountedInput = (Cause, Input);
 
-impl World<'_> {
-    fn stream(&self, streams: u64, gateway: usize) -> ChaCha8Rng {
+impl Simulation<'_> {
+    fn random_stream(&self, streams: u64, gateway: usize) -> ChaCha8Rng {
         let mut random = ChaCha8Rng::seed_from_u64(self.scenario.seed);
         random.set_stream(streams + gateway as u64);
         random
     }
 
     /// The configuration that lies there for a gateway.
-    fn configuration(&self, gateway: usize) -> String {
+    fn configuration_of(&self, gateway: usize) -> String {
         const NAME_SERVER: ([u8; 4], u16) = ([10, 255, 0, 1], 53);
         const LISTEN: ([u8; 4], u16) = ([0, 0, 0, 0], 5060);
-        let service = self.gateways[gateway].place.service as usize;
+        let service = self.gateways[gateway].location.service as usize;
         let gateways = &self.members[service].0;
-        let place = GatewayParameters {
+        let parameters = GatewayParameters {
             name: format!("gateway-{gateway}"),
             listen: SocketAddr::from(LISTEN),
             nameserver: SocketAddr::from(NAME_SERVER),
-            seed: self.stream(DECISION_STREAMS, gateway).random(),
+            seed: self.random_stream(DECISION_STREAMS, gateway).random(),
             gateways: gateways.len() as u32,
             number: gateways.iter().position(|member| *member == gateway).unwrap_or(0) as u32,
             descriptors: self.scenario.descriptors,
         };
-        let list = &self.source.services[service];
-        gateway_configuration(&place, list.serial, &list.rows).to_string()
+        let list = &self.name_server.services[service];
+        gateway_configuration(&parameters, list.serial, &list.rows).to_string()
     }
 
-    pub(super) fn boot(&mut self, gateway: usize) -> Result<(), HollowError> {
+    pub(super) fn start_gateway(&mut self, gateway: usize) -> Result<(), HollowError> {
         if self.gateways[gateway].process.is_some() {
             return Ok(());
         }
-        for connection in std::mem::take(&mut self.gateways[gateway].orphans) {
-            self.tell_switch_of_close(connection);
+        for connection in std::mem::take(&mut self.gateways[gateway].stale_connections) {
+            self.close_towards_switch(connection);
         }
-        let text = self.configuration(gateway);
-        let (built, cost) = self.meter.measure(|| build(&text));
-        let (node, known) = built?;
-        self.note_configuration(gateway, text.len(), cost);
-        self.record(gateway, || Step::Boot(text));
-        let ids = self.stream(QUESTION_STREAMS, gateway);
+        let text = self.configuration_of(gateway);
+        let (built, cost) = self.meter.measure(|| build_gateway(&text));
+        let (node, first_list) = built?;
+        self.record_configuration(gateway, text.len(), cost);
+        self.record_step(gateway, || Step::Boot(text));
+        let query_ids = self.random_stream(QUERY_ID_STREAMS, gateway);
         let epoch = self.gateways[gateway].epoch + 1;
         let process = Process {
             node,
-            ask: Ask::new(),
-            ids,
-            serial: self.source.services[self.gateways[gateway].place.service as usize].serial,
-            armed: None,
+            list_queries: Ask::new(),
+            query_ids,
+            list_serial: self.name_server.services[self.gateways[gateway].location.service as usize].serial,
+            scheduled_wake: None,
             clients: BTreeMap::new(),
             links: BTreeMap::new(),
             stopping: false,
         };
-        let run = GatewayRun { gateway, epoch };
+        let run = GatewayIncarnation { gateway, epoch };
         (self.gateways[gateway].epoch, self.gateways[gateway].process) = (epoch, Some(process));
-        self.gateways[gateway].answered = self.now;
-        self.feed(gateway, Cause::Configuration, known);
-        self.queue.put(self.now, Event::Ask(run));
+        self.gateways[gateway].last_list_response = self.now;
+        self.deliver_input(gateway, Cause::Configuration, first_list);
+        self.queue.schedule(self.now, Event::SendListQuery(run));
         Ok(())
     }
 
-    fn note_configuration(&mut self, gateway: usize, bytes: usize, cost: Cost) {
-        self.note_gateway(gateway, Cause::Configuration, cost);
-        self.note_gateway(gateway, Cause::Configuration, Cost::received(bytes));
-        if self.second().is_some() {
+    fn record_configuration(&mut self, gateway: usize, bytes: usize, cost: Cost) {
+        self.record_gateway_cost(gateway, Cause::Configuration, cost);
+        self.record_gateway_cost(gateway, Cause::Configuration, Cost::message_received(bytes));
+        if self.measured_second().is_some() {
             let counts = &mut self.outcome.configurations;
             counts.read += 1;
             counts.bytes += bytes as u64;
@@ -97,25 +97,25 @@
     }
 
     /// The process of this start, if it still runs.
-    pub(super) fn running(&mut self, run: GatewayRun) -> Option<&mut Process> {
+    pub(super) fn process_of(&mut self, run: GatewayIncarnation) -> Option<&mut Process> {
         let gateway = &mut self.gateways[run.gateway];
         gateway.process.as_mut().filter(|_| gateway.epoch == run.epoch)
     }
 
-    pub(super) fn run_of(&self, gateway: usize) -> GatewayRun {
-        GatewayRun { gateway, epoch: self.gateways[gateway].epoch }
+    pub(super) fn incarnation_of(&self, gateway: usize) -> GatewayIncarnation {
+        GatewayIncarnation { gateway, epoch: self.gateways[gateway].epoch }
     }
 
     // ---- Inputs -----------------------------------------------------------------------------------------------
     /// Gives a gateway an input and carries out what it says, and what follows from that; what the input cost.
-    pub(super) fn feed(&mut self, gateway: usize, cause: Cause, input: Input) -> Cost {
-        let mut sum = Cost::default();
+    pub(super) fn deliver_input(&mut self, gateway: usize, cause: Cause, input: Input) -> Cost {
+        let mut total = Cost::default();
         let mut inputs = VecDeque::from([(cause, input)]);
         while let Some((cause, input)) = inputs.pop_front() {
-            let time = self.time();
+            let time = self.gateway_time();
             let mut outputs = std::mem::take(&mut self.outputs);
-            if let Some(step) = Step::of(&input) {
-                self.record(gateway, || step);
+            if let Some(step) = Step::from_input(&input) {
+                self.record_step(gateway, || step);
             }
             let ended = match &input {
                 Input::ClientDisconnected { client } => Some(*client),
@@ -123,41 +123,43 @@
             };
             let Some(process) = self.gateways[gateway].process.as_mut() else { break };
             let ((), cost) = self.meter.measure(|| process.node.handle(time, input, &mut outputs));
-            sum.add(cost);
+            total.add(cost);
             if let Some(client) = ended {
                 process.clients.remove(&client);
             }
-            self.note_gateway(gateway, cause, cost);
-            if self.watched == Some(gateway) {
-                self.recording.note_written(&outputs);
+            self.record_gateway_cost(gateway, cause, cost);
+            if self.recorded_gateway == Some(gateway) {
+                self.recording.count_written(&outputs);
             }
             for output in outputs.drain(..) {
-                self.carry_out(gateway, output, &mut inputs);
+                self.perform_output(gateway, output, &mut inputs);
             }
             self.outputs = outputs;
         }
-        self.arm(gateway);
-        sum
+        self.schedule_wake(gateway);
+        total
     }
 
     /// Has the gateway woken when it asks for it.
-    fn arm(&mut self, gateway: usize) {
-        let run = self.run_of(gateway);
+    fn schedule_wake(&mut self, gateway: usize) {
+        let run = self.incarnation_of(gateway);
         let now = self.now;
         let Some(process) = self.gateways[gateway].process.as_mut() else { return };
         let Some(wanted) = process.node.next_wake() else { return };
         let wanted = wanted.0.saturating_sub(UNIX_START).max(now);
-        if process.armed.is_none_or(|armed| wanted < armed) {
-            process.armed = Some(wanted);
-            self.queue.put(wanted, Event::Wake(run));
+        if process.scheduled_wake.is_none_or(|scheduled| wanted < scheduled) {
+            process.scheduled_wake = Some(wanted);
+            self.queue.schedule(wanted, Event::WakeGateway(run));
         }
     }
 
-    pub(super) fn wake(&mut self, run: GatewayRun) {
+    pub(super) fn wake_gateway(&mut self, run: GatewayIncarnation) {
         let now = self.now;
-        let Some(process) = self.running(run).filter(|process| process.armed == Some(now)) else { return };
-        process.armed = None;
-        self.feed(run.gateway, Cause::Timers, Input::Wake);
+        let Some(process) = self.process_of(run).filter(|process| process.scheduled_wake == Some(now)) else {
+            return;
+        };
+        process.scheduled_wake = None;
+        self.deliver_input(run.gateway, Cause::Timers, Input::Wake);
     }
 
     /// Reads a line by the decoder of its connection; what that cost is counted as the message is.
@@ -169,16 +171,16 @@
     ) -> Option<Result<Message, DecodeError>> {
         let process = self.gateways[gateway].process.as_mut()?;
         let decoder = decoder(process)?;
-        let (read, cost) = read(self.meter, decoder, line);
+        let (read, cost) = measure_decode(self.meter, decoder, line);
         let message = read.as_ref().and_then(|read| read.as_ref().ok());
-        let cause = message.map_or(Cause::Calls, |message| cause_of(message.verb));
-        self.note_gateway(gateway, cause, cost);
-        self.note_gateway(gateway, cause, Cost::received(line.len()));
+        let cause = message.map_or(Cause::Calls, |message| cause_of_verb(message.verb));
+        self.record_gateway_cost(gateway, cause, cost);
+        self.record_gateway_cost(gateway, cause, Cost::message_received(line.len()));
         read
     }
 
     // ---- Outputs ----------------------------------------------------------------------------------------------
-    fn carry_out(&mut self, gateway: usize, output: Output, inputs: &mut VecDeque<Counted>) {
+    fn perform_output(&mut self, gateway: usize, output: Output, inputs: &mut VecDeque<CountedInput>) {
         match output {
             Output::ToClient { client, line } => {
                 self.write_to_client(gateway, client, &line);
@@ -189,7 +191,7 @@
                 }
             }
             Output::CloseClient { client } => {
-                self.callers.lose_connection(gateway, client);
+                self.callers.drop_connection(gateway, client);
                 inputs.push_back((Cause::Connections, Input::ClientFullyRead { client }));
                 inputs.push_back((Cause::Connections, Input::ClientDisconnected { client }));
             }
@@ -198,7 +200,7 @@
             | Output::SetUp { link, line, .. }
             | Output::CancelSetUp { link, line, .. } => self.write_to_link(gateway, link, &line),
             Output::CloseLink { link } => self.close_link(gateway, link),
-            Output::Done => self.gateway_exits(gateway),
+            Output::Done => self.exit_gateway(gateway),
             // All is written at once, so that there is nothing to take back.
             Output::RecallSetUps { .. } | Output::Log(_) => {}
         }
@@ -209,27 +211,28 @@
         if !open {
             return false;
         }
-        let Some(message) = read_line(line) else {
+        let Some(message) = decode_line(line) else {
             self.outcome.calls.unreadable += 1;
             return true;
         };
-        self.note_gateway(gateway, cause_of(message.verb), Cost::sent(line.len()));
-        if self.second().is_some() {
+        self.record_gateway_cost(gateway, cause_of_verb(message.verb), Cost::message_sent(line.len()));
+        if self.measured_second().is_some() {
             self.outcome.to_callers.add(message.verb, line.len());
         }
-        let from = self.run_of(gateway);
-        self.queue.put(self.now + CALLER_DELAY, Event::LineToCaller { from, message });
+        let from = self.incarnation_of(gateway);
+        self.queue.schedule(self.now + CALLER_DELAY, Event::LineToCaller { from, message });
         true
     }
 
     fn open_link(&mut self, gateway: usize, link: LinkId, address: SocketAddr, within: Duration) {
-        self.note_gateway(gateway, Cause::Connections, Cost::connected());
+        self.record_gateway_cost(gateway, Cause::Connections, Cost::connection_opened());
         let Some(switch) = self.addresses.get(&address).copied() else { return };
         self.next_connection += 1;
         let connection = ConnectionId(self.next_connection);
-        let (from, to) = (self.gateways[gateway].place, self.switches[switch].place);
-        let reaches = self.switches[switch].state != SwitchState::Silent && !self.is_cut(from, to);
-        let run = self.run_of(gateway);
+        let (from, to) = (self.gateways[gateway].location, self.switches[switch].location);
+        let reaches_switch =
+            self.switches[switch].state != SwitchState::Silent && !self.is_partitioned(from, to);
+        let run = self.incarnation_of(gateway);
         let record = Connection {
             gateway: run,
             link,
@@ -237,17 +240,17 @@
             up: false,
             open_at_gateway: true,
             open_at_switch: false,
-            reaches,
+            reaches_switch,
             set_ups: Default::default(),
         };
         self.connections.insert(connection, record);
         if let Some(process) = self.gateways[gateway].process.as_mut() {
             process.links.insert(link, (connection, Decoder::new()));
         }
-        let end = Event::ConnectionEnd { connection, end: LinkEnd::Unreachable };
-        self.queue.put(self.now + within, end);
-        if reaches {
-            self.transmit(from, to, None, Event::Dial { connection });
+        let end = Event::ConnectionEnded { connection, end: LinkEnd::Unreachable };
+        self.queue.schedule(self.now + within, end);
+        if reaches_switch {
+            self.transmit(from, to, None, Event::ConnectToSwitch { connection });
         }
     }
 
@@ -255,85 +258,85 @@
         let process = self.gateways[gateway].process.as_ref();
         let Some((connection, _)) = process.and_then(|p| p.links.get(&link)) else { return };
         let connection = *connection;
-        let Some(message) = read_line(line) else {
+        let Some(message) = decode_line(line) else {
             self.outcome.calls.unreadable += 1;
             return;
         };
-        let cause = cause_of(message.verb);
-        self.note_gateway(gateway, cause, Cost::sent(line.len()));
-        if self.second().is_some() {
+        let cause = cause_of_verb(message.verb);
+        self.record_gateway_cost(gateway, cause, Cost::message_sent(line.len()));
+        if self.measured_second().is_some() {
             self.outcome.to_switches.add(message.verb, line.len());
         }
         let Some(record) = self.connections.get(&connection) else { return };
-        let (from, to) = (self.gateways[gateway].place, self.switches[record.switch].place);
-        let load = Load { cause, bytes: line.len() };
+        let (from, to) = (self.gateways[gateway].location, self.switches[record.switch].location);
+        let traffic = Traffic { cause, bytes: line.len() };
         let event = Event::LineToSwitch { connection, message, bytes: line.len() };
-        self.transmit(from, to, Some(load), event);
+        self.transmit(from, to, Some(traffic), event);
     }
 
     fn close_link(&mut self, gateway: usize, link: LinkId) {
         let process = self.gateways[gateway].process.as_mut();
         let Some((connection, _)) = process.and_then(|p| p.links.remove(&link)) else { return };
-        self.tell_switch_of_close(connection);
+        self.close_towards_switch(connection);
     }
 
     /// The gateway's side of a connection is closed, and the core switch hears of it where it can.
-    fn tell_switch_of_close(&mut self, connection: ConnectionId) {
+    fn close_towards_switch(&mut self, connection: ConnectionId) {
         let Some(record) = self.connections.get_mut(&connection) else { return };
         record.open_at_gateway = false;
         let (gateway, switch) = (record.gateway.gateway, record.switch);
-        if !record.reaches {
+        if !record.reaches_switch {
             self.connections.remove(&connection);
             return;
         }
-        let (from, to) = (self.gateways[gateway].place, self.switches[switch].place);
-        self.transmit(from, to, None, Event::CloseAtSwitch { connection });
+        let (from, to) = (self.gateways[gateway].location, self.switches[switch].location);
+        self.transmit(from, to, None, Event::CloseReachesSwitch { connection });
     }
 
     // ---- Connections ------------------------------------------------------------------------------------------
-    pub(super) fn dial_up(&mut self, connection: ConnectionId) {
+    pub(super) fn connection_up(&mut self, connection: ConnectionId) {
         let Some(record) = self.connections.get_mut(&connection).filter(|r| r.open_at_gateway) else {
             return;
         };
         record.up = true;
         let (run, link) = (record.gateway, record.link);
-        if self.running(run).is_some() {
-            self.feed(run.gateway, Cause::Connections, Input::LinkUp { link });
+        if self.process_of(run).is_some() {
+            self.deliver_input(run.gateway, Cause::Connections, Input::LinkUp { link });
         }
     }
 
     /// A connection has ended, or has not come up in time.
-    pub(super) fn connection_end(&mut self, connection: ConnectionId, end: LinkEnd) {
+    pub(super) fn connection_ended(&mut self, connection: ConnectionId, end: LinkEnd) {
         let Some(record) = self.connections.get(&connection).filter(|r| r.open_at_gateway) else { return };
         if end == LinkEnd::Unreachable && record.up {
             return;
         }
         let (run, link) = (record.gateway, record.link);
-        let Some(process) = self.running(run) else { return };
+        let Some(process) = self.process_of(run) else { return };
         process.links.remove(&link);
-        self.tell_switch_of_close(connection);
-        self.feed(run.gateway, Cause::Connections, Input::LinkDown { link, end });
+        self.close_towards_switch(connection);
+        self.deliver_input(run.gateway, Cause::Connections, Input::LinkDown { link, end });
     }
 
     pub(super) fn line_to_gateway(&mut self, connection: ConnectionId, line: &[u8]) {
         let Some(record) = self.connections.get(&connection).filter(|r| r.open_at_gateway) else { return };
         let (run, link) = (record.gateway, record.link);
-        if self.running(run).is_none() {
+        if self.process_of(run).is_none() {
             return;
         }
-        self.record(run.gateway, || Step::LinkLine(link, line.to_vec()));
+        self.record_step(run.gateway, || Step::LinkLine(link, line.to_vec()));
         let read = self.decode(run.gateway, line, |process| process.links.get_mut(&link).map(|(_, d)| d));
         let Some(read) = read else { return };
         match read {
             Ok(message) => {
-                if self.second().is_some() {
+                if self.measured_second().is_some() {
                     self.outcome.from_switches.add(message.verb, line.len());
                 }
-                let cause = cause_of(message.verb);
-                self.feed(run.gateway, cause, Input::LinkMessage { link, message });
+                let cause = cause_of_verb(message.verb);
+                self.deliver_input(run.gateway, cause, Input::LinkMessage { link, message });
             }
-            Err(fault) => {
-                self.feed(run.gateway, Cause::Calls, Input::LinkDecodeError { link, error: fault });
+            Err(error) => {
+                self.deliver_input(run.gateway, Cause::Calls, Input::LinkDecodeError { link, error });
             }
         }
     }
@@ -343,43 +346,43 @@
     pub(super) fn stop_gateway(&mut self, gateway: usize) {
         let Some(process) = self.gateways[gateway].process.as_mut().filter(|p| !p.stopping) else { return };
         process.stopping = true;
-        self.feed(gateway, Cause::Connections, Input::Stop);
+        self.deliver_input(gateway, Cause::Connections, Input::Stop);
     }
 
-    fn gateway_exits(&mut self, gateway: usize) {
+    fn exit_gateway(&mut self, gateway: usize) {
         let Some(process) = self.gateways[gateway].process.take() else { return };
-        self.record(gateway, || Step::Exit);
+        self.record_step(gateway, || Step::Exit);
         for (connection, _) in process.links.into_values() {
-            self.tell_switch_of_close(connection);
+            self.close_towards_switch(connection);
         }
-        self.callers_lose(gateway);
-        self.queue.put(self.now + RESTART_PAUSE, Event::Boot { gateway });
+        self.callers_lose_gateway(gateway);
+        self.queue.schedule(self.now + RESTART_PAUSE, Event::StartGateway { gateway });
     }
 
     /// The gateway's machine vanishes: its core switches hear nothing of it.
-    pub(super) fn gateway_vanishes(&mut self, gateway: usize) {
+    pub(super) fn fail_gateway(&mut self, gateway: usize) {
         let Some(process) = self.gateways[gateway].process.take() else { return };
-        self.record(gateway, || Step::Exit);
+        self.record_step(gateway, || Step::Exit);
         for (connection, _) in process.links.into_values() {
             if let Some(record) = self.connections.get_mut(&connection) {
                 record.open_at_gateway = false;
             }
-            self.gateways[gateway].orphans.push(connection);
+            self.gateways[gateway].stale_connections.push(connection);
         }
-        self.callers_lose(gateway);
+        self.callers_lose_gateway(gateway);
     }
 
-    pub(super) fn gateway_returns(&mut self, gateway: usize) {
+    pub(super) fn schedule_gateway_start(&mut self, gateway: usize) {
         let at = self.now + self.drawn_boot();
-        self.queue.put(at, Event::Boot { gateway });
+        self.queue.schedule(at, Event::StartGateway { gateway });
     }
 
     fn drawn_boot(&mut self) -> Duration {
-        self.drawn(super::BOOT_SPREAD)
+        self.random_up_to(super::BOOT_SPREAD)
     }
 
     /// When the plan's time begins.
-    pub(super) fn planned(&self, at: Duration) -> Duration {
+    pub(super) fn scenario_time(&self, at: Duration) -> Duration {
         START_UP + at
     }
 }
--- a/crates/fawnrouter-capacity/src/hollow/simulation/list.rs
+++ b/crates/fawnrouter-capacity/src/hollow/simulation/list.rs
@@ -5,79 +5,80 @@
 use fawnrouter_node::Input;
 use rand::Rng;
 
-use super::World;
+use super::Simulation;
 use crate::figures::Cause;
 use crate::hollow::cost::Cost;
-use crate::hollow::event::{Event, GatewayRun, ListAnswer};
+use crate::hollow::event::{EncodedListResponse, Event, GatewayIncarnation};
 use crate::hollow::recording::Step;
 use crate::platform::ListedSwitch;
 
 /// From a change to the name server's hearing of it: within the 1.5 s that the platform's page allows.
-const NEWS_DELAY: Duration = Duration::from_millis(500);
+const LIST_UPDATE_DELAY: Duration = Duration::from_millis(500);
 
-impl World<'_> {
-    pub(super) fn ask(&mut self, run: GatewayRun) {
-        let time = self.time();
+impl Simulation<'_> {
+    pub(super) fn send_list_query(&mut self, run: GatewayIncarnation) {
+        let time = self.gateway_time();
         let gateway = run.gateway;
         let meter = self.meter;
-        let Some(process) = self.running(run) else { return };
-        let id = process.ids.random();
-        let (asked, cost) = meter.measure(|| process.ask.next_query(time, id));
+        let Some(process) = self.process_of(run) else { return };
+        let id = process.query_ids.random();
+        let (asked, cost) = meter.measure(|| process.list_queries.next_query(time, id));
         let bytes = asked.datagram.len();
-        self.record(gateway, || Step::Ask(id));
-        self.note_gateway(gateway, Cause::List, cost);
-        self.note_gateway(gateway, Cause::List, Cost::sent(bytes));
-        let (from, to) = (self.gateways[gateway].place, self.source.place);
-        let event = Event::Question { from: run, datagram: asked.datagram };
+        self.record_step(gateway, || Step::ListQuery(id));
+        self.record_gateway_cost(gateway, Cause::List, cost);
+        self.record_gateway_cost(gateway, Cause::List, Cost::message_sent(bytes));
+        let (from, to) = (self.gateways[gateway].location, self.name_server.location);
+        let event = Event::ListQuery { from: run, datagram: asked.datagram };
         let arrives = self.send_datagram(from, to, bytes, event);
-        if self.second().is_some() {
+        if self.measured_second().is_some() {
             let list = &mut self.outcome.list;
             list.queries += 1;
             list.query_bytes += bytes as u64;
             list.lost += u64::from(!arrives);
         }
         let next = asked.next_at.since(time);
-        self.queue.put(self.now + next, Event::Ask(run));
+        self.queue.schedule(self.now + next, Event::SendListQuery(run));
     }
 
-    pub(super) fn question(&mut self, from: GatewayRun, datagram: &[u8]) {
-        let place = self.gateways[from.gateway].place;
-        let list = &mut self.source.services[place.service as usize];
-        let bytes = list.answer(datagram);
+    pub(super) fn answer_list_query(&mut self, from: GatewayIncarnation, datagram: &[u8]) {
+        let location = self.gateways[from.gateway].location;
+        let list = &mut self.name_server.services[location.service as usize];
+        let bytes = list.response(datagram);
         let id = [datagram[0], datagram[1]];
-        let answer = ListAnswer { id, serial: list.serial, bytes };
-        let length = answer.bytes.len();
-        if let Some(second) = self.second() {
-            self.source.ledger.add(second, Cause::List, Cost::received(datagram.len()));
-            self.source.ledger.add(second, Cause::List, Cost::sent(length));
+        let response = EncodedListResponse { id, serial: list.serial, bytes };
+        let length = response.bytes.len();
+        if let Some(second) = self.measured_second() {
+            self.name_server.costs.add(second, Cause::List, Cost::message_received(datagram.len()));
+            self.name_server.costs.add(second, Cause::List, Cost::message_sent(length));
         }
-        let source = self.source.place;
-        let arrives = self.send_datagram(source, place, length, Event::Answer { to: from, answer });
-        if self.second().is_some() {
+        let source = self.name_server.location;
+        let arrives =
+            self.send_datagram(source, location, length, Event::ListResponse { to: from, response });
+        if self.measured_second().is_some() {
             self.outcome.list.lost += u64::from(!arrives);
         }
     }
 
-    pub(super) fn answer(&mut self, to: GatewayRun, answer: &ListAnswer) {
+    pub(super) fn receive_list_response(&mut self, to: GatewayIncarnation, response: &EncodedListResponse) {
         let meter = self.meter;
-        let Some(process) = self.running(to) else { return };
-        let mut datagram = answer.bytes.to_vec();
-        datagram[..2].copy_from_slice(&answer.id);
-        let changed = process.serial != answer.serial;
-        let (read, mut cost) = meter.measure(|| process.ask.accept_response(&datagram));
-        process.serial = answer.serial;
-        self.record(to.gateway, || Step::Answer(datagram.clone()));
-        self.note_gateway(to.gateway, Cause::List, cost);
-        self.note_gateway(to.gateway, Cause::List, Cost::received(datagram.len()));
-        self.gateways[to.gateway].answered = self.now;
+        let Some(process) = self.process_of(to) else { return };
+        let mut datagram = response.bytes.to_vec();
+        datagram[..2].copy_from_slice(&response.id);
+        let changed = process.list_serial != response.serial;
+        let (read, mut cost) = meter.measure(|| process.list_queries.accept_response(&datagram));
+        process.list_serial = response.serial;
+        self.record_step(to.gateway, || Step::ListResponse(datagram.clone()));
+        self.record_gateway_cost(to.gateway, Cause::List, cost);
+        self.record_gateway_cost(to.gateway, Cause::List, Cost::message_received(datagram.len()));
+        self.gateways[to.gateway].last_list_response = self.now;
         let readable = match read {
             Ok(list) => {
-                cost.add(self.feed(to.gateway, Cause::List, Input::ListResponse(list)));
+                cost.add(self.deliver_input(to.gateway, Cause::List, Input::ListResponse(list)));
                 true
             }
             Err(_) => false,
         };
-        if self.second().is_none() {
+        if self.measured_second().is_none() {
             return;
         }
         let list = &mut self.outcome.list;
@@ -91,27 +92,27 @@
 
     // ---- Changes ----------------------------------------------------------------------------------------------
     /// Something has changed in a service; the name server hears of it a little later.
-    pub(super) fn list_changes(&mut self, service: usize) {
-        self.queue.put(self.now + NEWS_DELAY, Event::ListNews { service });
+    pub(super) fn schedule_list_update(&mut self, service: usize) {
+        self.queue.schedule(self.now + LIST_UPDATE_DELAY, Event::ListUpdate { service });
     }
 
-    pub(super) fn renew_list(&mut self, service: usize) {
+    pub(super) fn refresh_list(&mut self, service: usize) {
         let switches = self.members[service].1.iter().map(|switch| &self.switches[*switch]);
         let rows: Vec<ListedSwitch> = switches.filter(|s| s.listed).map(|s| s.row.clone()).collect();
-        self.source.services[service].renew(rows);
+        self.name_server.services[service].replace(rows);
     }
 
     /// The first core switch of each service drains, or takes calls again.
-    pub(super) fn change_lists(&mut self) {
+    pub(super) fn toggle_first_switches(&mut self) {
         for service in 0..self.members.len() {
             if let Some(first) = self.members[service].1.first().copied() {
                 let row = &mut self.switches[first].row;
                 row.draining = !row.draining;
             }
-            self.renew_list(service);
+            self.refresh_list(service);
         }
         if let Some(every) = self.scenario.list_change_every {
-            self.queue.put(self.now + every, Event::ListChange);
+            self.queue.schedule(self.now + every, Event::PeriodicListChange);
         }
     }
 }
