--- a/crates/fawnrouter-capacity/src/delay.rs
+++ b/crates/fawnrouter-capacity/src/delay.rs
@@ -1,50 +1,51 @@
-//! The delay of several hops from the measured delay of one, by convolution.
+//! Delay of several hops, computed by convolution from the measured delay of one.
 //!
-//! A percentile of a sum is not the sum of percentiles: in 28 hops some few are slow, hardly ever all. So the whole
-//! distribution of one hop is laid on a grid and convolved with itself. Hops are taken as independent of each other.
+//! A percentile of a sum is not the sum of percentiles: of 28 hops a few are slow, hardly ever all. So the
+//! whole distribution of one hop is put on a grid and convolved with itself. Hops are assumed to be
+//! independent of each other.
 
 use std::num::NonZeroU64;
 
 use crate::figures::DelayBucket;
 
-/// Bins of the grid. Delays beyond it are counted together: hops only add, so they never come back.
+/// Number of bins of the grid. Delays beyond it have no bins: adding hops only makes them longer.
 pub const GRID_BINS: usize = 4_096;
-/// The width of a bin wherever the delays fit into that grid, in nanoseconds.
+/// Width of a bin in nanoseconds, unless the delays do not fit into the grid.
 pub const FINEST_BIN_NANOSECONDS: NonZeroU64 = NonZeroU64::new(1_000).unwrap();
-/// The widest bin, in nanoseconds; the grid then ends at 537 s.
+/// Greatest width of a bin in nanoseconds; the grid then ends at 537 s.
 pub const COARSEST_BIN_NANOSECONDS: NonZeroU64 = NonZeroU64::new(131_072_000).unwrap();
-/// The share of the delays that lie within the median.
+/// Share of the delays up to the median.
 pub const P50: f64 = 0.5;
-/// The share of the delays that lie within the 99th percentile.
+/// Share of the delays up to the 99th percentile.
 pub const P99: f64 = 0.99;
-/// The share of the delays that lie within the 99.9th percentile.
+/// Share of the delays up to the 99.9th percentile.
 pub const P999: f64 = 0.999;
-/// Shares that differ by less are the same: what rounding can add up to over a grid.
+/// Shares that differ by less are equal: rounding errors can add up to this over a grid.
 const ROUNDING: f64 = 1e-9;
-/// The share of a bin that counts as none: all pairs of such bins add up to less than [`ROUNDING`].
+/// Share of a bin that counts as 0: all pairs of such bins add up to less than [`ROUNDING`].
 const NEGLIGIBLE: f64 = 1e-18;
 const TWICE: NonZeroU64 = NonZeroU64::new(2).unwrap();
 
-/// Why delays make no distribution.
+/// Why there is no distribution of delays.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum DelayError {
-    /// There is none.
+    /// No delay was counted.
     #[error("no delay of a hop was counted")]
     Empty,
 }
 
-/// Where delays are counted: bins of one width from 0 on.
+/// Bins of equal width, from delay 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Grid {
-    /// The width of a bin in nanoseconds.
+    /// Width of a bin in nanoseconds.
     pub bin_nanoseconds: NonZeroU64,
-    /// How many bins there are.
+    /// Number of bins.
     pub bins: usize,
 }
 
 impl Grid {
-    /// The bin nearest to a delay; none beyond the grid.
+    /// The bin nearest to a delay; `None` beyond the grid.
     fn bin_of(self, nanoseconds: u64) -> Option<usize> {
         let width = self.bin_nanoseconds.get();
         let nearest = nanoseconds.saturating_add(width / 2) / width;
@@ -56,19 +57,19 @@
     }
 }
 
-/// How likely each delay is.
+/// Probability distribution of delays.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Distribution {
     grid: Grid,
-    /// The share of each bin, up to the last that has one.
+    /// Share of each bin, up to the last one with a share.
     shares: Vec<f64>,
 }
 
 impl Distribution {
-    /// The distribution of one hop, from a measured histogram.
+    /// Distribution of one hop, from a measured histogram.
     ///
     /// # Errors
-    /// Where nothing was counted.
+    /// Returns an error if no delay was counted.
     pub fn from_histogram(buckets: &[DelayBucket], grid: Grid) -> Result<Self, DelayError> {
         let total: f64 = buckets.iter().map(|bucket| bucket.count as f64).sum();
         if total == 0.0 {
@@ -83,7 +84,7 @@
         Ok(Self::trimmed(grid, shares))
     }
 
-    /// The distribution of so many hops one behind the other, by doubling.
+    /// Distribution of the sum of this many hops, by repeated doubling.
     #[must_use]
     pub fn of_hops(&self, hops: u32) -> Self {
         let mut sum = Self { grid: self.grid, shares: vec![1.0] };
@@ -101,7 +102,7 @@
         sum
     }
 
-    /// The distribution of the sum of a delay of this one and one of the other, which must lie on the same grid.
+    /// Distribution of the sum of two independent delays. Both distributions must have the same grid.
     fn followed_by(&self, other: &Self) -> Self {
         let mut sums = vec![0.0; self.grid.bins];
         for (bin, share) in self.shares.iter().enumerate() {
@@ -115,7 +116,8 @@
         Self::trimmed(self.grid, sums)
     }
 
-    /// The smallest delay, in nanoseconds, within which this share of the delays lies; none if it is beyond the grid.
+    /// The smallest delay in nanoseconds within which this share of the delays lies; `None` if it is beyond
+    /// the grid.
     #[must_use]
     pub fn percentile(&self, share: f64) -> Option<u64> {
         let mut within = 0.0;
@@ -128,8 +130,8 @@
         None
     }
 
-    /// Whether the grid holds the highest percentile of so many hops. One that does not hold it for one hop is not asked
-    /// for more.
+    /// Whether the grid holds the highest percentile of this many hops. Checks one hop first, which is
+    /// cheaper.
     fn holds_hops(&self, hops: u32) -> bool {
         self.percentile(P999).is_some() && self.of_hops(hops).percentile(P999).is_some()
     }
@@ -141,32 +143,32 @@
     }
 }
 
-/// Percentiles of the delay of so many hops, in nanoseconds; none where one lies beyond the widest grid.
+/// Percentiles of the delay of several hops, in nanoseconds; `None` if one is beyond the widest grid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DelayPercentiles {
-    /// How many hops.
+    /// Number of hops.
     pub hops: u32,
-    /// Half of the calls.
+    /// Delay of at most half of the calls.
     pub p50_nanoseconds: Option<u64>,
-    /// 99 in 100.
+    /// Delay of at most 99 of 100 calls.
     pub p99_nanoseconds: Option<u64>,
-    /// 999 in 1,000.
+    /// Delay of at most 999 of 1,000 calls.
     pub p999_nanoseconds: Option<u64>,
 }
 
-/// The delays of several depths on one grid.
+/// Delays of several numbers of hops on one grid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DelaysByDepth {
-    /// The grid they lie on.
+    /// The common grid.
     pub grid: Grid,
-    /// One for each depth that was asked for.
+    /// One entry for each requested number of hops.
     pub delays: Vec<DelayPercentiles>,
 }
 
-/// The delays of these depths, on the finest grid that holds the percentiles of the deepest.
+/// Delays of these numbers of hops, on the finest grid that holds the percentiles of the greatest.
 ///
 /// # Errors
-/// Where no delay was counted.
+/// Returns an error if no delay was counted.
 pub fn delays_by_depth(buckets: &[DelayBucket], hops: &[u32]) -> Result<DelaysByDepth, DelayError> {
     let deepest = hops.iter().copied().max().unwrap_or(0);
     let mut grid = Grid { bin_nanoseconds: FINEST_BIN_NANOSECONDS, bins: GRID_BINS };
@@ -189,10 +191,10 @@
     }
 }
 
-/// How many hops, up to `most`, have their 99th percentile within a limit.
+/// The greatest number of hops, up to `most`, whose 99th percentile is within a limit.
 ///
 /// # Errors
-/// Where no delay was counted.
+/// Returns an error if no delay was counted.
 pub fn max_hops_within(
     buckets: &[DelayBucket],
     limit_nanoseconds: u64,
--- a/crates/fawnrouter-capacity/src/fit.rs
+++ b/crates/fawnrouter-capacity/src/fit.rs
@@ -1,7 +1,6 @@
-//! Base, slope and residual of a series; the power by which it grows; its value at another size.
+//! Fits of a series: base, slope and residual of a line, growth by a power, and values at other sizes.
 //!
-//! Every fit is one by ordinary least squares. The rule by which a series counts as not linear is in [`Growth`] and the
-//! constants that it names.
+//! All fits are ordinary least squares. [`Growth`] and its constants define which series count as not linear.
 
 mod estimate;
 mod growth;
@@ -22,81 +21,81 @@
 use self::terms::{base_and_factor, residual};
 use crate::figures::Point;
 
-/// Points that a fit needs.
+/// Least number of points for a fit.
 pub const MIN_POINTS: usize = 4;
 
 /// Why a series has no fit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum FitError {
-    /// There are too few points.
+    /// There are fewer than [`MIN_POINTS`] points.
     #[error("too few points ({found} of {MIN_POINTS})")]
     TooFewPoints {
-        /// How many there are.
+        /// Number of points.
         found: usize,
     },
     /// A size is not greater than the one before it.
     #[error("the sizes do not rise at point {position}")]
     SizesNotIncreasing {
-        /// The place of the point, from 1.
+        /// Position of the point, from 1.
         position: usize,
     },
-    /// A size is negative, or a figure is no finite number.
+    /// A size is negative, or a size or value is not finite.
     #[error("point {position} has a negative size or is no finite number")]
     BadPoint {
-        /// The place of the point, from 1.
+        /// Position of the point, from 1.
         position: usize,
     },
 }
 
-/// `base + slope x size`.
+/// The line `base + slope x size`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Line {
-    /// The value at size 0.
+    /// Value at size 0.
     pub base: f64,
-    /// The growth with each unit of size.
+    /// Increase per unit of size.
     pub slope: f64,
-    /// How far the line lies from the points.
+    /// Distance of the line from the points.
     pub residual: Residual,
 }
 
 impl Line {
-    /// The value on the line.
+    /// Value of the line at this size.
     #[must_use]
     pub fn value_at(&self, size: f64) -> f64 {
         self.base + self.slope * size
     }
 }
 
-/// What is known of a series.
+/// Line, exponent, curvature and kind of growth of a series.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fit {
     /// The line through the points.
     pub line: Line,
-    /// Slope of the line through the logarithms, over points above 0; none where there are fewer than two.
+    /// Slope of the line through the logarithms of the points above 0; `None` with fewer than two of them.
     pub exponent: Option<f64>,
-    /// How far the quadratic fit leaves its chord in the middle, as a share of the spread of the values; above 0 if it
-    /// bends upwards.
+    /// Distance of the quadratic fit from its chord in the middle, as a share of the spread of the values.
+    /// Positive if it bends upwards.
     pub curvature: f64,
-    /// How it grows.
+    /// Kind of growth.
     pub growth: Growth,
 }
 
 impl Fit {
-    /// The fit of a series whose points stand by rising size.
+    /// Fits a series whose points are sorted by size.
     ///
     /// # Errors
-    /// Where points are too few, do not rise, or are no numbers.
+    /// Returns an error if there are too few points, if sizes do not increase, or if a number is invalid.
     pub fn from_points(points: &[Point]) -> Result<Self, FitError> {
         check(points)?;
         let line = line(points);
         let exponent = exponent(points);
         let quadratic = quadratic(points);
         let growth = growth(points, &line, exponent, quadratic);
-        Ok(Self { line, exponent, curvature: quadratic.bend, growth })
+        Ok(Self { line, exponent, curvature: quadratic.curvature, growth })
     }
 
-    /// The residual of what describes the series: of the mean, the line or the curve.
+    /// Residual of the mean, line or curve that describes the series.
     #[must_use]
     pub fn residual(&self) -> Residual {
         match self.growth {
@@ -106,7 +105,7 @@
         }
     }
 
-    /// The fitted value at a size.
+    /// Fitted value at this size.
     #[must_use]
     pub fn value_at(&self, size: f64) -> f64 {
         match self.growth {
--- a/crates/fawnrouter-capacity/src/fit/estimate.rs
+++ b/crates/fawnrouter-capacity/src/fit/estimate.rs
@@ -1,33 +1,34 @@
-//! The value of a series at some size, and where it comes from.
+//! Estimates of a series' value at any size, with their origin.
 
 use super::{Fit, FitError};
 use crate::figures::Point;
 
-/// A point whose size differs from a wanted one by this share of it or less is one at that size.
+/// Relative difference up to which a measured size counts as the wanted size.
 pub const SAME_SIZE_TOLERANCE: f64 = 0.005;
 
-/// Where an estimate comes from.
+/// Origin of an estimate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// A point was measured at that size, to within [`SAME_SIZE_TOLERANCE`].
+    /// Measured at that size, to within [`SAME_SIZE_TOLERANCE`].
     Measured,
-    /// The size lies within the measured range: on the straight line between its two neighbours.
+    /// Within the measured range: interpolated linearly between the two neighbours.
     WithinRange,
-    /// The size lies beyond the measured range: on the fit.
+    /// Beyond the measured range: value of the fit.
     BeyondRange,
 }
 
-/// The value of a series at some size.
+/// An estimated value of a series.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
-    /// The value.
+    /// Estimated value.
     pub value: f64,
-    /// Where it comes from.
+    /// How the value was obtained.
     pub origin: Origin,
 }
 
-/// The value of a series at a size: measured, else between its neighbours, else, beyond the measured range, on the
-/// fit, but not below 0 where no point is. Nothing beyond the range of a series without a fit.
+/// Estimates the value at a size: measured, else interpolated between its neighbours, else, beyond the
+/// measured range, taken from the fit. The estimate is not below 0 unless a point is. A series without a fit
+/// has no estimate beyond its range.
 #[must_use]
 pub fn estimate(points: &[Point], fit: Result<&Fit, FitError>, size: f64) -> Option<Estimate> {
     if let Some(point) = point_at(points, size) {
@@ -45,7 +46,7 @@
     Some(Estimate { value, origin: Origin::BeyondRange })
 }
 
-/// The point nearest to a size, if it is one at that size.
+/// The point nearest to a size, if it is within [`SAME_SIZE_TOLERANCE`].
 fn point_at(points: &[Point], size: f64) -> Option<&Point> {
     let distance = |point: &Point| (point.size - size).abs();
     let nearest = points.iter().min_by(|one, other| distance(one).total_cmp(&distance(other)));
--- a/crates/fawnrouter-capacity/src/fit/least_squares.rs
+++ b/crates/fawnrouter-capacity/src/fit/least_squares.rs
@@ -1,19 +1,21 @@
-//! Ordinary least squares over a few columns, by Gram and Schmidt's orthogonalisation (in its modified form).
+//! Ordinary least squares over a few columns, by the modified Gram-Schmidt process.
 
-/// The coefficient of each column such that their sum lies nearest to the values. No column may depend on the others.
+/// Coefficients of the linear combination of the columns that is nearest to the values. The columns must be
+/// linearly independent.
 pub(super) fn least_squares(columns: &[Vec<f64>], values: &[f64]) -> Vec<f64> {
     let mut directions: Vec<Vec<f64>> = Vec::new();
-    // For each column its shares in the directions before it.
+    // For each column, its coefficients along the orthogonal directions before it.
     let mut shares: Vec<Vec<f64>> = Vec::new();
     for column in columns {
         let mut rest = column.clone();
-        let shares_of_column = directions.iter().map(|direction| take_out(direction, &mut rest)).collect();
-        shares.push(shares_of_column);
+        let column_coefficients =
+            directions.iter().map(|direction| subtract_projection(direction, &mut rest)).collect();
+        shares.push(column_coefficients);
         directions.push(rest);
     }
     let mut rest = values.to_vec();
     let mut coefficients: Vec<f64> =
-        directions.iter().map(|direction| take_out(direction, &mut rest)).collect();
+        directions.iter().map(|direction| subtract_projection(direction, &mut rest)).collect();
     for column in (0..columns.len()).rev() {
         let coefficient = coefficients[column];
         for (earlier, share) in shares[column].iter().enumerate() {
@@ -23,8 +25,8 @@
     coefficients
 }
 
-/// Takes the part along `direction` out of `rest`, and returns how many times it was in it.
-fn take_out(direction: &[f64], rest: &mut [f64]) -> f64 {
+/// Subtracts the projection on `direction` from `rest` and returns its coefficient.
+fn subtract_projection(direction: &[f64], rest: &mut [f64]) -> f64 {
     let share = dot(direction, rest) / dot(direction, direction);
     for (value, along) in rest.iter_mut().zip(direction) {
         *value -= share * along;
--- a/crates/fawnrouter-capacity/src/fit/power.rs
+++ b/crates/fawnrouter-capacity/src/fit/power.rs
@@ -1,12 +1,12 @@
-//! Curves of `base + factor x size^power`, and from which size the power hurts.
+//! Curves `base + factor x size^power`, and the size from which the power dominates.
 
 use super::terms::{Residual, Term, base_and_factor, coefficients, greatest_size, residual};
 use crate::figures::Point;
 
-/// The powers that are tried.
+/// Powers that are fitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Power {
-    /// Linear.
+    /// size
     One,
     /// size^1.5
     OneAndAHalf,
@@ -17,7 +17,7 @@
 }
 
 impl Power {
-    /// All of them, the smallest first.
+    /// All powers in increasing order.
     pub const ALL: [Self; 4] = [Self::One, Self::OneAndAHalf, Self::Two, Self::Three];
 
     /// The size raised to this power.
@@ -31,8 +31,7 @@
         }
     }
 
-    /// The size whose power beyond the first is this: where `factor x size^power` equals `slope x size` if `ratio` is
-    /// `slope / factor`.
+    /// The size at which `factor x size^power` equals `slope x size`, where `ratio` is `slope / factor`.
     fn size_of_ratio(self, ratio: f64) -> f64 {
         match self {
             Self::One => f64::INFINITY,
@@ -43,31 +42,32 @@
     }
 }
 
-/// `base + factor x size^power`.
+/// The curve `base + factor x size^power`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Curve {
-    /// The value at size 0.
+    /// Value at size 0.
     pub base: f64,
-    /// What the power of the size is multiplied by.
+    /// Factor of the power.
     pub factor: f64,
     /// The power whose fit has the smallest residual.
     pub power: Power,
-    /// How far the curve lies from the points.
+    /// Distance of the curve from the points.
     pub residual: Residual,
-    /// From where it hurts: the size from which, in a fit of `base + slope x size + factor x size^power`, the part
-    /// with the power exceeds the linear one. The smallest measured size where there is no linear part.
+    /// Size from which the power's term exceeds the linear term, in a fit of `base + slope x size + factor x
+    /// size^power`. The smallest measured size if the linear term is not positive; `None` if the power's term
+    /// is not.
     pub dominant_from: Option<f64>,
 }
 
 impl Curve {
-    /// The value on the curve.
+    /// Value of the curve at this size.
     #[must_use]
     pub fn value_at(&self, size: f64) -> f64 {
         self.base + self.factor * self.power.apply(size)
     }
 }
 
-/// The curve of the power that leaves least; the smaller power where two leave the same.
+/// The curve with the smallest residual; of equal ones that with the smaller power.
 pub(super) fn best_curve(points: &[Point]) -> Curve {
     let mut best = curve(points, Power::One);
     for power in Power::ALL {
@@ -76,7 +76,7 @@
             best = candidate;
         }
     }
-    best.dominant_from = hurts_from(points, best.power);
+    best.dominant_from = dominant_from(points, best.power);
     best
 }
 
@@ -86,8 +86,8 @@
     Curve { base, factor, power, residual, dominant_from: None }
 }
 
-/// Where the part with the power exceeds the linear one, in a fit that has both.
-fn hurts_from(points: &[Point], power: Power) -> Option<f64> {
+/// Size from which the power's term exceeds the linear one, in a fit of both.
+fn dominant_from(points: &[Point], power: Power) -> Option<f64> {
     if power == Power::One {
         return None;
     }
@@ -98,6 +98,6 @@
     }
     let smallest = points.first()?.size;
     let crossing = power.size_of_ratio(linear.max(0.0) / powered);
-    // The sizes were scaled so that the greatest is 1.
+    // The fit scales sizes so that the greatest is 1.
     Some((crossing * greatest_size(points)).max(smallest))
 }
--- a/crates/fawnrouter-capacity/src/fit/terms.rs
+++ b/crates/fawnrouter-capacity/src/fit/terms.rs
@@ -1,18 +1,18 @@
-//! Sums of powers of the size, fitted to points, and what they leave.
+//! Fits of sums of powers of the size, and their residuals.
 
 use super::least_squares::least_squares;
 use super::power::Power;
 use crate::figures::Point;
 
-/// A coefficient whose part of the values is below this share is what rounding has left over, and counts as 0.
+/// A coefficient whose contribution is below this share of the values is a rounding error and counts as 0.
 const ROUNDING: f64 = 1e-9;
 
-/// How far a fit lies from its points.
+/// Distance of a fit from its points.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Residual {
-    /// Root mean square of what is left, over the mean of the values.
+    /// Root mean square of the residuals, over the mean magnitude of the values.
     pub relative_rms: f64,
-    /// The share of the values' variance that the fit explains; 1 where they do not vary.
+    /// Share of the values' variance that the fit explains; 1 if they do not vary.
     pub r_squared: f64,
 }
 
@@ -25,7 +25,7 @@
     (without_rounding(base), without_rounding(factor) / power.apply(greatest_size(points)))
 }
 
-/// One term of a fitted sum.
+/// A term of the fitted sum.
 #[derive(Clone, Copy)]
 pub(super) enum Term {
     Constant,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Least-squares coefficients of some terms of the size, where sizes are scaled so that the greatest is 1.
+/// Least-squares coefficients of these terms, with sizes scaled so that the greatest is 1.
 pub(super) fn coefficients<const TERMS: usize>(points: &[Point], terms: [Term; TERMS]) -> [f64; TERMS] {
     let greatest = greatest_size(points);
     let column =
--- a/crates/fawnrouter-capacity/src/hollow.rs
+++ b/crates/fawnrouter-capacity/src/hollow.rs
@@ -1,25 +1,27 @@
-//! Hundreds of gateways in one process, without sockets and in virtual time: what a fleet costs, by role and cause.
+//! Simulation of hundreds of gateways in one process, without sockets and in virtual time. It measures what a
+//! fleet costs, by role and cause.
 //!
-//! The gateways are the real ones ([`fawnrouter_node::Node`] with its controller, [`fawnrouter_node::Ask`], the codecs);
-//! callers, core switches, the name server and the network are stand-ins on one queue of events. All bytes are real: lines
-//! are written and read by `fawnrouter-jsonl`, the list by `fawnrouter-dns`, [`crate::platform`] and `Pool::answer`.
-//! Counts are exact under a seed. Processor time and allocations are taken around the gateways' code alone: reading a
-//! configuration, a line or an answer, and what the state machines do with it.
+//! The gateways run the real code ([`fawnrouter_node::Node`] with its controller, [`fawnrouter_node::Ask`]
+//! and the codecs). Callers, core switches, the name server and the network are simulated on one event queue.
+//! All bytes are real: `fawnrouter-jsonl` encodes and decodes the lines, [`crate::platform`] encodes the list
+//! of core switches, and `fawnrouter-dns` and `Pool::from_response` decode it. Counts are exact for a given
+//! seed. Processor time and allocations are measured around the gateways' code only: decoding a
+//! configuration, a line or a list response, and what the state machines do with it.
 //!
-//! | module | what it does |
+//! | module | content |
 //! | --- | --- |
-//! | `scenario` | what is played: the fleet, where its members are, what happens to it and when it is measured |
-//! | `event` | what is under way, in virtual time |
-//! | `members` | gateways, core switches, callers, the name server, and what the rig knows of them |
-//! | `simulation` | the loop and the network; a file each for gateways, core switches, callers, the list, faults |
-//! | `ledger`, `meter` | what members bear by cause, in all and in the busiest second; what work costs this process |
-//! | `outcome` | what a play showed |
-//! | `recording` | what happened to one gateway of a fleet, and its work measured alone |
-//! | `runs` | the plays that make up the report |
+//! | `scenario` | the fleet, where its members are, its traffic and faults, when it is measured |
+//! | `event` | scheduled events in virtual time |
+//! | `members` | state of gateways, core switches, callers, the name server and connections |
+//! | `simulation` | the event loop and the network; a file each for members, list and faults |
+//! | `cost`, `meter` | cost of a member by cause, in total and per second; cost of a function call |
+//! | `outcome` | the result of a simulation |
+//! | `recording` | the inputs of one gateway of a fleet, replayed alone to measure its work |
+//! | `runs` | the simulations that make up the report |
 //!
-//! What the stand-ins leave out: core switches have no capacity, send no reports and no progress; callers try each call
-//! once, confirm no release and keep their connections open; an answer of the name server arrives whole however long it is,
-//! while the program reads 9,000 bytes at the most.
+//! Simplifications: core switches have no capacity limit and send no load reports and no progress. Callers
+//! try each call once, confirm no release and keep their connections open. A response of the name server
+//! arrives whole whatever its length, while the program reads at most 9,000 bytes.
 
 mod cost;
 mod event;
@@ -42,73 +44,74 @@
 pub use self::scenario::{Location, Scenario};
 use crate::figures::{Role, Run};
 
-/// What is measured, and how.
+/// Options of [`measure`].
 pub struct HollowOptions<'a> {
-    /// What all is drawn from.
+    /// Seed of all random values.
     pub seed: u64,
-    /// Smaller sizes and shorter plays.
+    /// Use smaller sizes and shorter simulations.
     pub quick: bool,
-    /// Only what this role bears.
+    /// Measure only the costs of this role.
     pub only_role: Option<Role>,
-    /// The counting allocator, if the program has installed it; without it no allocations and no memory are told.
+    /// The counting allocator, if the program has installed it. Without it allocations and memory are not
+    /// reported.
     pub allocator: Option<CountingAllocator>,
-    /// Told of each play before it begins.
+    /// Called with the name of each simulation before it starts.
     pub progress: &'a mut dyn FnMut(&str),
 }
 
-/// Why nothing can be played.
+/// Why a simulation cannot run or its result cannot be used.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum HollowError {
-    /// The scenario makes no sense.
+    /// A field of the scenario is invalid.
     #[error("scenario: {field}: it must be {wanted}")]
     Scenario {
-        /// Which field.
+        /// Name of the field.
         field: &'static str,
-        /// What it should be.
+        /// What the field must be.
         wanted: &'static str,
     },
-    /// A gateway refuses the configuration that the rig made.
+    /// A gateway rejects the generated configuration.
     #[error("a hollow gateway's configuration is refused: {0}")]
     Boot(#[from] BootError),
-    /// The decision module refuses the settings.
+    /// The decision module rejects the settings.
     #[error("a hollow gateway's settings are refused: {0}")]
     Settings(#[from] SettingsError),
-    /// A gateway said something else when it was given the same again.
+    /// A replayed gateway wrote a different number of bytes than it did in the simulation.
     #[error(
         "a gateway wrote {first} bytes, and {again} when it was given the same again: it is not deterministic"
     )]
     ReplayMismatch {
-        /// Bytes that it wrote.
+        /// Bytes written in the simulation.
         first: u64,
-        /// Bytes that it wrote the second time.
+        /// Bytes written in the replay.
         again: u64,
     },
-    /// A gateway takes a configuration that should be refused.
+    /// A gateway accepts a configuration that was damaged on purpose.
     #[error("a damaged configuration was not refused: the rig damages it in the wrong place")]
     DamagedConfigurationAccepted,
 }
 
-/// Outcomes all runs of the report.
+/// Runs all simulations of the report.
 ///
 /// # Errors
-/// Where the rig's own scenarios or configurations are refused.
+/// Returns an error if a generated scenario or configuration is rejected, or if a replay differs.
 pub fn measure(options: HollowOptions<'_>) -> Result<Vec<Run>, HollowError> {
     runs::all_runs(options)
 }
 
-/// Outcomes a scenario without counting allocations.
+/// Simulates a scenario without counting allocations.
 ///
 /// # Errors
-/// Where the scenario makes no sense.
+/// Returns an error if the scenario is invalid.
 pub fn simulate(scenario: &Scenario) -> Result<Outcome, HollowError> {
     simulate_counting_allocations(scenario, None)
 }
 
-/// Outcomes a scenario; with the counting allocator of the program also allocations and memory are told.
+/// Simulates a scenario. With the program's counting allocator, allocations and memory are reported too.
 ///
 /// # Errors
-/// Where the scenario makes no sense.
+/// Returns an error if the scenario is invalid.
 pub fn simulate_counting_allocations(
     scenario: &Scenario,
     allocator: Option<CountingAllocator>,
--- a/crates/fawnrouter-capacity/src/hollow/cost.rs
+++ b/crates/fawnrouter-capacity/src/hollow/cost.rs
@@ -1,12 +1,12 @@
-//! What members of a role bear, by cause: in all, and in the busiest second.
+//! Costs of the members of a role, by cause: in total and in the busiest second.
 
 use crate::figures::{Cause, Quantity};
 
-/// The causes that are told apart.
+/// All causes that are counted separately.
 pub const CAUSES: [Cause; 6] =
     [Cause::Calls, Cause::Probes, Cause::List, Cause::Connections, Cause::Timers, Cause::Configuration];
 
-/// What was borne in some time.
+/// Messages, bytes, connections, processor time and allocations counted over some time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Cost {
     /// Messages received.
@@ -17,28 +17,28 @@
     pub bytes_in: u64,
     /// Bytes sent.
     pub bytes_out: u64,
-    /// Connections opened, or tried.
+    /// Connections opened or attempted.
     pub connections: u64,
     /// Processor time in nanoseconds.
     pub processor_nanos: u64,
-    /// Allocations.
+    /// Allocations, including reallocations.
     pub allocations: u64,
 }
 
 impl Cost {
-    /// One message received.
+    /// Cost of one received message.
     #[must_use]
     pub(crate) fn message_received(bytes: usize) -> Self {
         Self { messages_in: 1, bytes_in: bytes as u64, ..Self::default() }
     }
 
-    /// One message sent.
+    /// Cost of one sent message.
     #[must_use]
     pub(crate) fn message_sent(bytes: usize) -> Self {
         Self { messages_out: 1, bytes_out: bytes as u64, ..Self::default() }
     }
 
-    /// One connection opened.
+    /// Cost of one opened connection.
     #[must_use]
     pub(crate) fn connection_opened() -> Self {
         Self { connections: 1, ..Self::default() }
@@ -63,17 +63,17 @@
         }
     }
 
-    /// Adds another.
+    /// Adds each figure of `other`.
     pub fn add(&mut self, other: Self) {
         self.combine(other, |left, right| left + right);
     }
 
-    /// Takes the greater of each figure.
+    /// Raises each figure to that of `other` if that is greater.
     pub fn raise_to_max(&mut self, other: Self) {
         self.combine(other, u64::max);
     }
 
-    /// The figure of a quantity that flows; `None` for what is held.
+    /// The value of a quantity; `None` for quantities that are held rather than counted over time.
     #[must_use]
     pub fn quantity_value(&self, quantity: Quantity) -> Option<f64> {
         const NANOS_PER_MICROSECOND: f64 = 1e3;
@@ -90,7 +90,7 @@
     }
 }
 
-/// A flow for each cause.
+/// Costs, separate for each cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CostByCause([Cost; CAUSES.len()]);
 
@@ -99,7 +99,7 @@
         CAUSES.iter().position(|known| *known == cause)
     }
 
-    /// What this cause brought; [`Cause::All`] is the sum.
+    /// Cost of one cause; [`Cause::All`] returns the sum of all.
     #[must_use]
     pub fn for_cause(&self, cause: Cause) -> Cost {
         match Self::index_of(cause) {
@@ -110,13 +110,13 @@
 
     fn sum(&self) -> Cost {
         let mut sum = Cost::default();
-        self.0.iter().for_each(|flow| sum.add(*flow));
+        self.0.iter().for_each(|cost| sum.add(*cost));
         sum
     }
 
-    pub(crate) fn add(&mut self, cause: Cause, flow: Cost) {
+    pub(crate) fn add(&mut self, cause: Cause, cost: Cost) {
         if let Some(index) = Self::index_of(cause) {
-            self.0[index].add(flow);
+            self.0[index].add(cost);
         }
     }
 
@@ -129,7 +129,7 @@
     }
 }
 
-/// What one member of a role bears while it is measured.
+/// Records the costs of one member of a role during the measurement.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CostRecorder {
     total: CostByCause,
@@ -140,13 +140,13 @@
 }
 
 impl CostRecorder {
-    /// Adds what was borne in a second of what is measured. Seconds only move forward.
-    pub fn add(&mut self, second: u64, cause: Cause, flow: Cost) {
+    /// Adds a cost in a second of the measurement. Seconds must not decrease.
+    pub fn add(&mut self, second: u64, cause: Cause, cost: Cost) {
         if second != self.second {
             self.end_second();
             self.second = second;
         }
-        self.current.add(cause, flow);
+        self.current.add(cause, cost);
     }
 
     fn end_second(&mut self) {
@@ -156,13 +156,14 @@
         self.total.add_each(&current);
     }
 
-    /// The sums, once nothing more is added.
+    /// Ends the current second and returns the totals. Nothing may be added afterwards.
     pub fn finish(&mut self) -> CostByCause {
         self.end_second();
         self.total
     }
 
-    /// The busiest second's figures.
+    /// Cost in the busiest second of this cause, each figure on its own. For [`Cause::All`], the greatest sum
+    /// over causes in one second.
     pub fn peak(&self, cause: Cause) -> Cost {
         if cause == Cause::All { self.peak_sum } else { self.peak.for_cause(cause) }
     }
--- a/crates/fawnrouter-capacity/src/hollow/event.rs
+++ b/crates/fawnrouter-capacity/src/hollow/event.rs
@@ -1,4 +1,4 @@
-//! What is under way, in virtual time.
+//! The events of a simulation and their queue, in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -8,18 +8,18 @@
 use fawnrouter_jsonl::Message;
 use fawnrouter_node::{ClientId, LinkEnd};
 
-/// A gateway by its number and how often it has been started; what concerns an earlier start is dropped.
+/// A gateway and how often it has been started. Events for an earlier start are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct GatewayIncarnation {
     pub gateway: usize,
     pub epoch: u32,
 }
 
-/// A connection between a gateway and a core switch. Numbers are never used again.
+/// A connection between a gateway and a core switch. Ids are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ConnectionId(pub u64);
 
-/// An answer of the name server, which many gateways get under their own ids.
+/// A response of the name server. Gateways share the bytes; each gets it with the id of its own query.
 #[derive(Clone, Debug)]
 pub(crate) struct EncodedListResponse {
     pub id: [u8; 2],
@@ -27,54 +27,54 @@
     pub bytes: Rc<[u8]>,
 }
 
-/// What happens next.
+/// An event of the simulation.
 #[derive(Debug)]
 pub(crate) enum Event {
     /// A gateway's process starts.
     StartGateway { gateway: usize },
-    /// A gateway wants to be woken.
+    /// A gateway's timer expires.
     WakeGateway(GatewayIncarnation),
-    /// A gateway asks for the list.
+    /// A gateway sends its next query for the list.
     SendListQuery(GatewayIncarnation),
-    /// A question reaches_switch the name server.
+    /// A list query arrives at the name server.
     ListQuery { from: GatewayIncarnation, datagram: Vec<u8> },
-    /// An answer reaches_switch a gateway.
+    /// A list response arrives at a gateway.
     ListResponse { to: GatewayIncarnation, response: EncodedListResponse },
-    /// A caller sends the set-up of the planned call of this place.
+    /// A caller sends the set-up of the planned call with this index, unless `until` has passed.
     SendSetUp { planned: usize, until: Duration },
-    /// A caller tells of a call that stands to another gateway than before.
+    /// A caller reports an established call to another gateway than the one that set it up.
     ReportEstablishedCall { tag: u64 },
-    /// A caller waits no longer.
+    /// A caller stops waiting for an answer.
     CallerTimeout { tag: u64 },
-    /// A caller's connection reaches_switch a gateway.
+    /// A caller's connection arrives at a gateway.
     ClientConnected { to: GatewayIncarnation, client: ClientId },
-    /// A caller's line reaches_switch a gateway.
+    /// A caller's line arrives at a gateway.
     LineFromCaller { to: GatewayIncarnation, client: ClientId, tag: u64, line: Vec<u8> },
-    /// A gateway's line reaches_switch a caller.
+    /// A gateway's line arrives at a caller.
     LineToCaller { from: GatewayIncarnation, message: Message },
-    /// A connection reaches_switch a core switch.
+    /// A gateway's connection attempt arrives at a core switch.
     ConnectToSwitch { connection: ConnectionId },
-    /// A connection is up at its gateway.
+    /// The gateway learns that its connection is up.
     ConnectionUp { connection: ConnectionId },
-    /// A connection has ended at its gateway.
+    /// The gateway learns that its connection has ended.
     ConnectionEnded { connection: ConnectionId, end: LinkEnd },
-    /// A gateway's line reaches_switch a core switch.
+    /// A gateway's line arrives at a core switch.
     LineToSwitch { connection: ConnectionId, message: Message, bytes: usize },
-    /// A core switch's line reaches_switch a gateway.
+    /// A core switch's line arrives at a gateway.
     LineToGateway { connection: ConnectionId, line: Vec<u8> },
-    /// A gateway's close reaches_switch a core switch.
+    /// A gateway's close arrives at a core switch.
     CloseReachesSwitch { connection: ConnectionId },
     /// A core switch answers a set-up.
     SwitchAnswersSetUp { switch: usize, epoch: u32, tag: u64 },
-    /// A call at a core switch comes to its end.
+    /// A core switch ends a call and releases it.
     SwitchReleasesCall { switch: usize, epoch: u32, tag: u64 },
-    /// The planned fault of this place.
+    /// The planned fault with this index occurs.
     InjectFault(usize),
-    /// The name server hears what has changed in a service.
+    /// The name server learns the current list of a service.
     ListUpdate { service: usize },
-    /// The list changes with no fault.
+    /// The list changes although no fault occurred; see `Scenario::list_change_every`.
     PeriodicListChange,
-    /// What is held is looked at.
+    /// The state that members hold is sampled.
     SampleHeld,
 }
 
@@ -104,7 +104,7 @@
     }
 }
 
-/// Events by time; those of one time in the order in which they were put in.
+/// A queue of events by time. Events of the same time keep the order in which they were scheduled.
 #[derive(Default)]
 pub(crate) struct EventQueue {
     entries: BinaryHeap<Reverse<QueuedEvent>>,
@@ -117,7 +117,7 @@
         self.entries.push(Reverse(QueuedEvent { at, order: self.order, event }));
     }
 
-    /// Takes the first that happens by then.
+    /// Removes and returns the first event due at or before `by`.
     pub fn pop_due(&mut self, by: Duration) -> Option<(Duration, Event)> {
         if self.entries.peek().is_none_or(|Reverse(entry)| entry.at > by) {
             return None;
--- a/crates/fawnrouter-capacity/src/hollow/members.rs
+++ b/crates/fawnrouter-capacity/src/hollow/members.rs
@@ -1,4 +1,4 @@
-//! The members of a played fleet and what the simulation knows of them.
+//! State of the simulated members of a fleet.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -15,33 +15,33 @@
 use crate::figures::Cause;
 use crate::platform::{ListedSwitch, encode_list_answer};
 
-/// A gateway's process.
+/// A running gateway process.
 pub(crate) struct Process {
     pub node: Node,
     pub list_queries: Ask,
-    /// Numbers of questions.
+    /// Random source of query ids.
     pub query_ids: ChaCha8Rng,
-    /// The number of the list that it was last given.
+    /// Serial of the last list that it received.
     pub list_serial: u32,
-    /// For when its next wake-up is under way.
+    /// Time of the earliest wake-up event in the queue.
     pub scheduled_wake: Option<Duration>,
-    /// Callers' connections.
+    /// Connections from callers.
     pub clients: BTreeMap<ClientId, Decoder>,
     /// Connections to core switches.
     pub links: BTreeMap<LinkId, (ConnectionId, Decoder)>,
-    /// It has been told to end.
+    /// Whether it has been told to stop.
     pub stopping: bool,
 }
 
-/// A gateway over all its starts.
+/// A gateway across all its starts.
 pub(crate) struct Gateway {
     pub location: Location,
-    /// How often it has been started.
+    /// Number of starts.
     pub epoch: u32,
     pub process: Option<Process>,
-    /// Connections of its last process that its core switches still take for open.
+    /// Connections of its last process that core switches still consider open.
     pub stale_connections: Vec<ConnectionId>,
-    /// When it last had an answer of the name server.
+    /// Time of the last response from the name server.
     pub last_list_response: Duration,
     pub call_costs: CostRecorder,
     pub control_costs: CostRecorder,
@@ -64,13 +64,13 @@
         }
     }
 
-    /// Whether new calls are sent to it.
+    /// Whether callers send new calls to it.
     pub fn accepts_calls(&self) -> bool {
         self.process.as_ref().is_some_and(|process| !process.stopping)
     }
 }
 
-/// What is held at the last look, and the most at any.
+/// Connections and state entries at the last sample, and the most at any sample.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct HeldState {
     pub connections: u64,
@@ -87,37 +87,37 @@
     }
 }
 
-/// What a core switch does with connections.
+/// How a core switch reacts to connection attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SwitchState {
-    /// It takes them.
+    /// Accepts them.
     Up,
-    /// Its process is not there: they are refused.
+    /// Refuses them, as its process is not running.
     Refusing,
-    /// Its machine is not there: nothing is said.
+    /// Does not react, as its machine is down.
     Silent,
 }
 
-/// A call at a core switch.
+/// A call held by a core switch.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SwitchCall {
-    /// On which its set-up came.
+    /// Connection on which the set-up arrived.
     pub connection: ConnectionId,
     pub established: bool,
 }
 
-/// A stand-in core switch: it answers every set-up, holds the call and releases it.
+/// A simulated core switch: it answers every set-up, holds the call and releases it.
 pub(crate) struct Switch {
     pub location: Location,
     pub row: ListedSwitch,
     pub listed: bool,
     pub state: SwitchState,
-    /// How often its state has changed; what concerns an earlier time is dropped.
+    /// Number of state changes; events scheduled before the last one are dropped.
     pub epoch: u32,
-    /// Open connections, by the gateway that opened them.
+    /// Open connections, as pairs of gateway and connection.
     pub connections: BTreeSet<(usize, ConnectionId)>,
     pub calls: BTreeMap<u64, SwitchCall>,
-    /// Releases that a gateway has not confirmed.
+    /// Releases that a gateway has not confirmed, as pairs of gateway and tag.
     pub unconfirmed_releases: BTreeSet<(usize, u64)>,
     pub costs: CostRecorder,
     pub held: HeldState,
@@ -139,13 +139,13 @@
         }
     }
 
-    /// An open connection of this gateway's.
+    /// An open connection from this gateway, if any.
     pub fn connection_from(&self, gateway: usize) -> Option<ConnectionId> {
         let range = (gateway, ConnectionId(0))..=(gateway, ConnectionId(u64::MAX));
         self.connections.range(range).next().map(|(_, connection)| *connection)
     }
 
-    /// All that it held is lost.
+    /// Drops all calls and connections, as the process or machine is gone. Returns the connections.
     pub fn drop_all_state(&mut self) -> Vec<ConnectionId> {
         self.epoch += 1;
         self.calls.clear();
@@ -154,29 +154,29 @@
     }
 }
 
-/// A connection from a gateway to a core switch, as the network has it.
+/// A connection from a gateway to a core switch.
 #[derive(Debug)]
 pub(crate) struct Connection {
     pub gateway: GatewayIncarnation,
     pub link: LinkId,
     pub switch: usize,
-    /// It is up at the gateway.
+    /// Whether the gateway has been told that it is up.
     pub up: bool,
-    /// The gateway has not closed it, and has not been told of its end.
+    /// Whether it is open at the gateway: neither closed by it nor reported as ended to it.
     pub open_at_gateway: bool,
     pub open_at_switch: bool,
-    /// The core switch has been reached, or will be.
+    /// Whether the connection attempt reaches the core switch.
     pub reaches_switch: bool,
-    /// Set-ups on it that the core switch has not answered.
+    /// Tags of set-ups on it that the core switch has not answered.
     pub set_ups: BTreeSet<u64>,
 }
 
-/// What a caller waits for.
+/// State of a call at its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallerState {
-    /// An answer, until then.
+    /// Waits for an answer until this time.
     AwaitingAnswer(Duration),
-    /// The end of its call.
+    /// Established; waits for its release.
     Established,
 }
 
@@ -187,21 +187,21 @@
     pub gateway: usize,
     pub client: ClientId,
     pub state: CallerState,
-    /// Where it stands.
+    /// The core switch that holds the established call.
     pub switch: Option<usize>,
 }
 
-/// All callers.
+/// All callers and their calls.
 #[derive(Default)]
 pub(crate) struct Callers {
-    /// Open connections of each gateway's callers, by place.
+    /// Open connections, by gateway and index.
     pub connections: BTreeMap<(usize, u32), ClientId>,
     pub next_client: u64,
     pub calls: BTreeMap<u64, CallerCall>,
 }
 
 impl Callers {
-    /// The connections to a gateway are gone.
+    /// Drops all connections to a gateway that is gone.
     pub fn drop_gateway_connections(&mut self, gateway: usize) {
         self.connections.retain(|(owner, _), _| *owner != gateway);
     }
@@ -211,7 +211,7 @@
     }
 }
 
-/// The list of one service.
+/// The list of one service at the name server.
 #[derive(Default)]
 pub(crate) struct ServiceList {
     pub serial: u32,
@@ -226,14 +226,14 @@
         self.encoded = None;
     }
 
-    /// The answer to a question; the same for all questions but for their ids.
+    /// The encoded response to a query. All responses are equal except for their ids.
     pub fn response(&mut self, question: &[u8]) -> Rc<[u8]> {
         let (serial, rows) = (self.serial, &self.rows);
         self.encoded.get_or_insert_with(|| encode_list_answer(question, serial, rows).into()).clone()
     }
 }
 
-/// The stand-in name server.
+/// The simulated name server.
 pub(crate) struct NameServer {
     pub location: Location,
     pub services: Vec<ServiceList>,
@@ -241,7 +241,7 @@
     pub held: HeldState,
 }
 
-/// The address of a core switch: one host each.
+/// Address of a core switch; each has a host of its own.
 pub(crate) fn switch_address(number: usize) -> SocketAddr {
     const PORT: u16 = 5060;
     // A simulation has far fewer than 2^24 core switches.
@@ -249,7 +249,7 @@
     SocketAddr::from(([10, high, middle, low], PORT))
 }
 
-/// What a message is counted as.
+/// The cause that a message is counted under.
 pub(crate) fn cause_of_verb(verb: Verb) -> Cause {
     match verb {
         Verb::Echo | Verb::Echoed | Verb::Load => Cause::Probes,
@@ -257,7 +257,7 @@
     }
 }
 
-/// Reads a line that a gateway has written.
+/// Decodes a line written by a gateway; `None` if it is no message.
 pub(crate) fn decode_line(line: &[u8]) -> Option<Message> {
     let mut decoder = Decoder::new();
     decoder.push(line);
--- a/crates/fawnrouter-capacity/src/hollow/meter.rs
+++ b/crates/fawnrouter-capacity/src/hollow/meter.rs
@@ -1,4 +1,4 @@
-//! What a piece of work costs this process: time on the clock, allocations, memory.
+//! Measures what a function call costs this process: elapsed time, allocations and memory.
 
 use std::alloc::System;
 use std::time::Instant;
@@ -7,11 +7,11 @@
 
 use super::cost::Cost;
 
-/// The counting allocator, which only a program can install.
+/// The counting allocator. Only a program can install it, as the global allocator.
 pub type CountingAllocator = &'static StatsAlloc<System>;
 
-/// Measures work. What is measured runs in one thread and waits for nothing, so that time on the clock is processor time
-/// as far as the machine has a core free for it.
+/// Measures function calls. They run in one thread and never wait, so elapsed time equals processor time as
+/// long as the machine has a core free for the thread.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Meter {
     is_enabled: bool,
@@ -23,12 +23,12 @@
         Self { is_enabled: true, allocator }
     }
 
-    /// One that measures nothing.
+    /// A meter that measures nothing.
     pub fn disabled() -> Self {
         Self::default()
     }
 
-    /// Does the work; with it what it cost.
+    /// Runs `work` and returns its result and its cost.
     pub fn measure<T>(&self, work: impl FnOnce() -> T) -> (T, Cost) {
         if !self.is_enabled {
             return (work(), Cost::default());
@@ -45,7 +45,7 @@
         (result, Cost { processor_nanos, allocations: allocations as u64, ..Cost::default() })
     }
 
-    /// Drops something; the bytes that this freed, if they are counted.
+    /// Drops a value and returns the number of bytes freed, if they are counted.
     pub fn bytes_freed_by_drop<T>(&self, held: T) -> Option<u64> {
         let region = self.allocator.map(Region::new);
         drop(held);
--- a/crates/fawnrouter-capacity/src/hollow/outcome.rs
+++ b/crates/fawnrouter-capacity/src/hollow/outcome.rs
@@ -1,4 +1,4 @@
-//! What a play showed.
+//! The result of a simulation.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,16 +9,16 @@
 use super::members::HeldState;
 use crate::figures::{Cause, Quantity, Role};
 
-/// Messages of one type and their bytes.
+/// Number and bytes of messages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Volume {
-    /// How many.
+    /// Number of messages.
     pub messages: u64,
-    /// Bytes in all.
+    /// Bytes of all messages.
     pub bytes: u64,
 }
 
-/// Messages by type, as the platform's page names the types.
+/// Volume of messages by verb, under the verbs' names on the wire.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct VolumeByVerb(pub BTreeMap<&'static str, Volume>);
 
@@ -29,13 +29,13 @@
         volume.bytes += bytes as u64;
     }
 
-    /// Messages of a type.
+    /// Number of messages with this verb.
     #[must_use]
     pub fn messages(&self, verb: Verb) -> u64 {
         self.0.get(verb_name(verb)).map_or(0, |volume| volume.messages)
     }
 
-    /// All messages.
+    /// Volume of all messages.
     #[must_use]
     pub fn total_volume(&self) -> Volume {
         let sum = |sum: Volume, one: &Volume| Volume {
@@ -60,77 +60,77 @@
     }
 }
 
-/// What became of the calls of a whole play.
+/// Outcomes of all calls of a simulation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallCounts {
-    /// Calls whose time came.
+    /// Calls whose planned time has come.
     pub attempted: u64,
-    /// Answered: the call stood.
+    /// Calls answered by a core switch.
     pub established: u64,
-    /// Answered: refused.
+    /// Calls refused with a cause after which another attempt does no harm.
     pub refused: u64,
-    /// Answered: failed.
+    /// Calls that failed with another cause.
     pub failed: u64,
-    /// Their gateway vanished before it answered.
+    /// Calls whose gateway went away before it answered.
     pub gateway_lost: u64,
-    /// No gateway of their service was there while they waited.
+    /// Calls that found no running gateway in their service until their time-out.
     pub no_gateway: u64,
-    /// Not answered by a gateway that was there.
+    /// Calls that a running gateway did not answer in time.
     pub unanswered: u64,
-    /// Calls that stood and whose caller was told of the end.
+    /// Established calls whose caller received the release.
     pub released: u64,
-    /// Answers to calls that had one.
+    /// Answers to calls that were answered before.
     pub answered_twice: u64,
-    /// Lines for calls that their callers do not know, or know no more.
+    /// Answers and releases of calls that the caller does not know, or no longer knows.
     pub unexpected_lines: u64,
-    /// Set-ups of a call that its core switch holds already.
+    /// Set-ups of a call that its core switch already holds.
     pub set_up_twice: u64,
-    /// Lines of gateways that are no messages, or name no call.
+    /// Lines written by gateways that could not be decoded.
     pub unreadable: u64,
 }
 
-/// The list, over all gateways, while it was measured.
+/// Queries and responses of the list during the measurement, over all gateways.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ListCounts {
-    /// Questions sent.
+    /// Queries sent.
     pub queries: u64,
-    /// Their bytes.
+    /// Bytes of all queries.
     pub query_bytes: u64,
-    /// Answers received.
+    /// Responses received.
     pub responses: u64,
-    /// Their bytes.
+    /// Bytes of all responses.
     pub response_bytes: u64,
-    /// Questions and answers that were lost.
+    /// Queries and responses that were lost.
     pub lost: u64,
-    /// Answers that could not be read.
+    /// Responses that could not be decoded.
     pub unreadable: u64,
-    /// Answers with a list that the gateway did not have.
+    /// Responses with a list that the gateway did not have yet.
     pub changed: u64,
-    /// What those cost.
+    /// Cost of processing the responses that changed the list.
     pub changed_cost: Cost,
-    /// What the others cost.
+    /// Cost of processing the other responses.
     pub unchanged_cost: Cost,
-    /// The longest time that a gateway had been without an answer.
+    /// Longest time that a gateway had gone without a response.
     pub max_list_age: Duration,
 }
 
-/// Configurations read while it was measured.
+/// Configurations read by gateways during the measurement.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConfigurationCounts {
-    /// How many.
+    /// Number of configurations.
     pub read: u64,
-    /// Bytes of them all.
+    /// Bytes of all configurations.
     pub bytes: u64,
-    /// What they cost, with the gateway built from them.
+    /// Cost of reading them and building the gateways.
     pub cost: Cost,
 }
 
-/// What the members of a role bore while it was measured.
+/// Costs of the members of a role during the measurement.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RoleOutcome {
-    /// How many there are.
+    /// Number of members.
     pub members: u32,
-    /// All of them together.
+    /// Costs of all members together.
     pub total: CostByCause,
     busiest: BTreeMap<Cause, Cost>,
     busiest_second: BTreeMap<Cause, Cost>,
@@ -163,88 +163,89 @@
         role
     }
 
-    /// Memory that each member held at the end of the play.
+    /// Sets the memory of one member at the end of the simulation.
     pub(crate) fn set_memory(&mut self, bytes: f64) {
         self.held.insert(Quantity::MemoryBytes, bytes);
     }
 
-    /// What one member bears, in the mean over members.
+    /// Cost of one member over the whole measurement, mean over members.
     #[must_use]
     pub fn mean(&self, cause: Cause, quantity: Quantity) -> Option<f64> {
         self.total.for_cause(cause).quantity_value(quantity).map(|all| all / f64::from(self.members.max(1)))
     }
 
-    /// What the busiest member bears from the start of what is measured to its end.
+    /// Cost of the busiest member over the whole measurement.
     #[must_use]
     pub fn busiest_member(&self, cause: Cause, quantity: Quantity) -> Option<f64> {
         self.busiest.get(&cause).and_then(|cost| cost.quantity_value(quantity))
     }
 
-    /// What the busiest member bears in its busiest second.
+    /// Cost of the busiest member in its busiest second.
     #[must_use]
     pub fn busiest_member_second(&self, cause: Cause, quantity: Quantity) -> Option<f64> {
         self.busiest_second.get(&cause).and_then(|cost| cost.quantity_value(quantity))
     }
 
-    /// What one member holds at the end of what is measured, in the mean over members.
+    /// What one member holds at the end of the measurement, mean over members.
     #[must_use]
     pub fn held(&self, quantity: Quantity) -> Option<f64> {
         self.held.get(&quantity).copied()
     }
 
-    /// The most that one member held at any look, of which there is one a second.
+    /// The most that any member held at a sample. Samples are taken once a second.
     #[must_use]
     pub fn max_held(&self, quantity: Quantity) -> Option<f64> {
         self.max_held.get(&quantity).copied()
     }
 }
 
-/// What a play showed. Counts are exact under a seed; processor time, allocations and memory are as measured.
+/// The result of a simulation. Counts are exact for a given seed; processor time, allocations and memory are
+/// measured.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// How long it was measured.
+    /// Duration of the measurement.
     pub measured: Duration,
-    /// Set-ups that callers sent while it was measured.
+    /// Set-ups that callers sent during the measurement.
     pub measured_calls: u64,
-    /// What became of all calls of the play.
+    /// Outcomes of all calls, also before and after the measurement.
     pub calls: CallCounts,
-    /// The list.
+    /// Queries and responses of the list.
     pub list: ListCounts,
-    /// Configurations.
+    /// Configurations read.
     pub configurations: ConfigurationCounts,
-    /// Written to core switches.
+    /// Messages written to core switches.
     pub to_switches: VolumeByVerb,
-    /// Received from core switches.
+    /// Messages received from core switches.
     pub from_switches: VolumeByVerb,
-    /// Written to callers.
+    /// Messages written to callers.
     pub to_callers: VolumeByVerb,
-    /// Received from callers.
+    /// Messages received from callers.
     pub from_callers: VolumeByVerb,
-    /// What the roles bore.
+    /// Costs by role.
     pub roles: BTreeMap<Role, RoleOutcome>,
 }
 
 impl Outcome {
-    /// What a role bore. A role that is not played has no members.
+    /// Costs of a role. A role that is not simulated has no members.
     #[must_use]
     pub fn role(&self, role: Role) -> RoleOutcome {
         self.roles.get(&role).cloned().unwrap_or_default()
     }
 
-    /// What one member of a role bears in a second, in the mean over members and seconds.
+    /// Cost of one member of a role per second, mean over members and seconds.
     #[must_use]
     pub fn mean_per_second(&self, role: Role, cause: Cause, quantity: Quantity) -> Option<f64> {
         self.roles.get(&role)?.mean(cause, quantity).map(|mean| mean / self.measured.as_secs_f64())
     }
 
-    /// What a call brings to all members of a role together; `None` without calls.
+    /// Cost of one call to all members of a role together; `None` without calls.
     #[must_use]
     pub fn mean_per_call(&self, role: Role, cause: Cause, quantity: Quantity) -> Option<f64> {
         let all = self.roles.get(&role)?.total.for_cause(cause).quantity_value(quantity)?;
         (self.measured_calls > 0).then(|| all / self.measured_calls as f64)
     }
 
-    /// Memory that one gateway held at the end, if it was counted.
+    /// Memory of one gateway in bytes at the end of the simulation, if it was counted.
     #[must_use]
     pub fn gateway_memory_bytes(&self) -> Option<f64> {
         self.roles.get(&Role::GatewayCalls)?.held(Quantity::MemoryBytes)
--- a/crates/fawnrouter-capacity/src/hollow/recording.rs
+++ b/crates/fawnrouter-capacity/src/hollow/recording.rs
@@ -1,8 +1,9 @@
-//! What one gateway of a fleet was given, and the same given to it again, alone.
+//! Records the inputs of one gateway of a fleet and replays them alone.
 //!
-//! Hundreds of gateways in one process contend for its caches: each call costs up to three times of what it costs a gateway
-//! that has a core for itself. So the work of a gateway in a fleet is measured by playing its inputs again, which is exact:
-//! the same inputs bring the same outputs, and a replay that says other bytes is an error.
+//! Hundreds of gateways in one process contend for its caches: a call then costs up to three times of what it
+//! costs a gateway with a core to itself. So the work of a gateway of a fleet is measured in a replay of its
+//! inputs. The replay is exact, as equal inputs give equal outputs; if it writes another number of bytes,
+//! that is an error.
 
 use std::collections::BTreeMap;
 
@@ -17,7 +18,7 @@
 use super::outcome::RoleOutcome;
 use crate::figures::Cause;
 
-/// One thing that happened to the gateway.
+/// A recorded event at the gateway.
 #[derive(Clone, Debug)]
 pub(crate) enum Step {
     /// Its process started with this configuration.
@@ -39,7 +40,8 @@
 }
 
 impl Step {
-    /// An input that is told in one piece; the others are lines, answers and configurations.
+    /// Converts the inputs that need no decoding; `None` for lines, list responses and configurations, which
+    /// are recorded as bytes.
     pub fn from_input(input: &Input) -> Option<Self> {
         Some(match input {
             Input::ClientConnected { client } => Self::ClientConnected(*client),
@@ -58,16 +60,16 @@
 #[derive(Clone, Debug)]
 struct RecordedStep {
     at: Time,
-    /// The second of what is measured.
+    /// The second of the measurement, if the step falls into it.
     second: Option<u64>,
     step: Step,
 }
 
-/// All that happened to one gateway, in order.
+/// All recorded steps of one gateway, in order.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Recording {
     steps: Vec<RecordedStep>,
-    /// Bytes of all lines that it wrote.
+    /// Bytes of all lines that the gateway wrote.
     bytes_written: u64,
 }
 
@@ -80,7 +82,7 @@
         self.bytes_written += bytes_written(outputs);
     }
 
-    /// Outcomes it again and measures the work.
+    /// Replays all steps and measures the work.
     pub fn replay(&self, meter: Meter) -> Result<ReplayCosts, HollowError> {
         let mut replay = Replay { meter, ..Replay::default() };
         for recorded in &self.steps {
@@ -101,7 +103,7 @@
     }
 }
 
-/// What the work of one gateway cost.
+/// Costs of the replayed gateway.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ReplayCosts {
     pub calls: RoleOutcome,
@@ -120,7 +122,7 @@
     outputs.iter().map(length).sum()
 }
 
-/// The gateway's process once more.
+/// The replayed gateway process.
 #[derive(Default)]
 struct Replay {
     meter: Meter,
@@ -241,14 +243,14 @@
     }
 }
 
-/// A gateway from its configuration, and the list that it is given first.
+/// Builds a gateway from its configuration. Returns it with the input that gives it its first list.
 pub(crate) fn build_gateway(text: &str) -> Result<(Node, Input), HollowError> {
     let boot = Boot::read(text.as_bytes())?;
     let node = Node::new(NodeSettings::new(&boot))?;
     Ok((node, Input::ConfiguredList(boot.known)))
 }
 
-/// Reads a line by the decoder of its connection.
+/// Decodes a line with the decoder of its connection and measures the cost.
 pub(crate) fn measure_decode(
     meter: Meter,
     decoder: &mut Decoder,
--- a/crates/fawnrouter-capacity/src/hollow/runs.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs.rs
@@ -1,4 +1,4 @@
-//! The plays that make up the report, and how their outcomes become series.
+//! The simulations that make up the report, and how their outcomes become series.
 
 mod calls;
 mod configuration;
@@ -15,10 +15,10 @@
 use super::{HollowError, HollowOptions, simulate_counting_allocations};
 use crate::figures::{Cause, Method, Per, Point, Quantity, Role, Run, Series, Situation, Size};
 
-/// The fewest points that a slope is taken over.
+/// Least number of points of a series.
 const MIN_SERIES_POINTS: usize = 4;
 
-/// What flows in a second, by call and by event.
+/// Quantities counted per second, per call and per event.
 const RATE_QUANTITIES: [Quantity; 7] = [
     Quantity::MessagesIn,
     Quantity::MessagesOut,
@@ -29,7 +29,7 @@
     Quantity::Allocations,
 ];
 
-/// What is counted of it, which is exact.
+/// Those of [`RATE_QUANTITIES`] that are exact for a given seed.
 const EXACT_QUANTITIES: [Quantity; 5] = [
     Quantity::MessagesIn,
     Quantity::MessagesOut,
@@ -38,13 +38,13 @@
     Quantity::Connections,
 ];
 
-/// What is held.
+/// Quantities held at one time.
 const HELD_QUANTITIES: [Quantity; 3] = [Quantity::Connections, Quantity::StateEntries, Quantity::MemoryBytes];
 
-/// What costs the process that does it, and what goes over the network.
+/// Costs of the work itself, without what goes over the network.
 const WORK_QUANTITIES: [Quantity; 2] = [Quantity::ProcessorMicroseconds, Quantity::Allocations];
 
-/// Runs with the roles that they tell of.
+/// Makes some runs. [`RUNS`] lists each with the roles whose costs it measures.
 type MakeRun = fn(&mut Session<'_>) -> Result<Vec<Run>, HollowError>;
 const RUNS: [(&[Role], MakeRun); 5] = [
     (&[Role::GatewayCalls, Role::GatewayControl, Role::ListSource], switches::runs),
@@ -80,13 +80,13 @@
     Ok(runs)
 }
 
-/// What the runs share.
+/// What all runs share.
 struct Session<'a> {
     options: HollowOptions<'a>,
 }
 
 impl Session<'_> {
-    /// The sizes of a measurement, or those of a quick one.
+    /// The sizes of a full measurement, or those of a quick one.
     fn full_or_quick<T: Clone>(&self, full: &[T], quick: &[T]) -> Vec<T> {
         if self.options.quick { quick.to_vec() } else { full.to_vec() }
     }
@@ -113,7 +113,7 @@
     }
 }
 
-/// What tells one series of a run from the others.
+/// Distinguishes the series of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct SeriesKey {
     role: Role,
@@ -123,13 +123,13 @@
     per: Per,
 }
 
-/// The series of a run under construction.
+/// Collects the points of a run's series.
 struct SeriesCollector {
     size: Size,
     points: BTreeMap<SeriesKey, Vec<Point>>,
 }
 
-/// Where an outcome belongs.
+/// Role and situation of a series, and the size of its next point.
 #[derive(Clone, Copy)]
 struct SeriesPosition {
     role: Role,
@@ -157,7 +157,7 @@
         }
     }
 
-    /// What a member bears in a second.
+    /// Adds the cost of a member per second.
     fn add_per_second(&mut self, position: SeriesPosition, outcome: &Outcome, causes: &[Cause]) {
         for cause in causes {
             for quantity in RATE_QUANTITIES {
@@ -167,7 +167,7 @@
         }
     }
 
-    /// What a call brings to all members together.
+    /// Adds the cost of a call to all members together.
     fn add_per_call(&mut self, position: SeriesPosition, outcome: &Outcome, causes: &[Cause]) {
         for cause in causes {
             for quantity in RATE_QUANTITIES {
@@ -177,7 +177,7 @@
         }
     }
 
-    /// What a member holds.
+    /// Adds what a member holds.
     fn add_held(&mut self, position: SeriesPosition, outcome: &Outcome) {
         let role = outcome.role(position.role);
         for quantity in HELD_QUANTITIES {
@@ -185,7 +185,7 @@
         }
     }
 
-    /// The series that say something: with enough points, not all of them 0.
+    /// The series with enough points and at least one value other than 0.
     fn into_series(self) -> Vec<Series> {
         let size = self.size;
         let is_meaningful =
--- a/crates/fawnrouter-capacity/src/hollow/runs/calls.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/calls.rs
@@ -1,4 +1,4 @@
-//! Slopes over the calls a second at one gateway, and over the changes of the list.
+//! Series by calls per second at one gateway and by changes of the list.
 
 use std::time::Duration;
 
@@ -17,16 +17,16 @@
 const LONG_RATES_QUICK: [f64; 4] = [2.0, 5.0, 10.0, 20.0];
 const LONG_HOLD: Duration = Duration::from_secs(100);
 const LONG_HOLD_QUICK: Duration = Duration::from_secs(10);
-/// Until the calls that end are as many as those that come.
+/// Time until as many calls end as begin.
 const RAMP_UP: Duration = Duration::from_secs(3);
 const MEASURED: Duration = Duration::from_secs(10);
 const MEASURED_QUICK: Duration = Duration::from_secs(3);
 const CALL_CAUSES: [Cause; 5] = [Cause::Calls, Cause::Probes, Cause::Connections, Cause::Timers, Cause::All];
-/// What standing calls cost beside their set-up and their release.
+/// Causes of the cost of established calls, beyond set-up and release.
 const ESTABLISHED_CALL_CAUSES: [Cause; 4] = [Cause::Probes, Cause::Connections, Cause::Timers, Cause::All];
 
 const SECONDS_PER_DAY: f64 = crate::design::SECONDS_PER_DAY;
-/// Seconds between two changes of the list; 0: none.
+/// Seconds between two changes of the list; 0 stands for no changes.
 const CHANGE_INTERVALS_SECONDS: [f64; 5] = [0.0, 10.0, 4.0, 2.0, 1.0];
 const CHANGES_MEASURED: Duration = Duration::from_secs(40);
 const CHANGES_MEASURED_QUICK: Duration = Duration::from_secs(20);
@@ -64,8 +64,8 @@
         collect_rate(session, "hollow-calls", &mut collector, &CALL_CAUSES, (rate, hold))?;
     }
     let setting = format!(
-        "1 gateway that sees {SWITCHES_SEEN} core switches; calls held {} s and answered in 20 ms; connections in a second are \
-         those opened, held ones those open",
+        "1 gateway that sees {SWITCHES_SEEN} core switches; calls held {} s and answered in 20 ms; \
+         connections in a second are those opened, held ones those open",
         hold.as_secs()
     );
     Ok(session.run("hollow-calls", setting, collector))
@@ -78,7 +78,8 @@
         collect_rate(session, "hollow-standing", &mut collector, &ESTABLISHED_CALL_CAUSES, (rate, hold))?;
     }
     let setting = format!(
-        "as hollow-calls, with calls held {} s: what many standing calls add; a gateway takes 50,000 at the most",
+        "as hollow-calls, with calls held {} s: what many standing calls add; a gateway takes 50,000 at the \
+         most",
         hold.as_secs()
     );
     Ok(session.run("hollow-standing", setting, collector))
@@ -101,7 +102,8 @@
         }
     }
     let setting = format!(
-        "2 gateways that see {SWITCHES_SEEN} core switches, no calls; at each change one core switch drains or is ready again"
+        "2 gateways that see {SWITCHES_SEEN} core switches, no calls; at each change one core switch drains \
+         or is ready again"
     );
     Ok(session.run("hollow-changes", setting, collector))
 }
--- a/crates/fawnrouter-capacity/src/hollow/runs/configuration.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/configuration.rs
@@ -1,4 +1,4 @@
-//! What it costs a gateway to read a configuration, and to find that it is damaged.
+//! Cost to a gateway of reading a configuration and of detecting a damaged one.
 
 use std::net::SocketAddr;
 
@@ -11,18 +11,18 @@
 use crate::hollow::meter::{CountingAllocator, Meter};
 use crate::platform::{GatewayParameters, ListedSwitch, gateway_configuration};
 
-/// A configuration is read this often; the mean is told.
+/// Number of reads; the reported cost is the mean.
 const READS: u32 = 20;
 
-/// The cost of cost one configuration.
+/// Cost of reading one configuration.
 pub(super) struct ReadCost {
     pub bytes: usize,
-    /// Of one cost, in the mean.
+    /// Mean of one read.
     pub processor_microseconds: f64,
     pub allocations: f64,
 }
 
-/// A configuration whose list names so many core switches.
+/// A configuration whose list has this many core switches.
 fn configuration(seed: u64, switches: u32) -> Value {
     let address = SocketAddr::from(([10, 255, 0, 1], 53));
     let parameters = GatewayParameters {
@@ -46,7 +46,7 @@
     gateway_configuration(&parameters, 1, &rows)
 }
 
-/// The last core switch has no address: all that comes before it is read before that is found.
+/// Removes the address of the last core switch, so that all before it is read before the damage is found.
 fn damaged(mut configuration: Value) -> Value {
     let instances = configuration.pointer_mut("/known/results/0/fleet/instances");
     if let Some(last) = instances.and_then(Value::as_array_mut).and_then(|rows| rows.last_mut()) {
@@ -74,7 +74,7 @@
     (accepted, cost)
 }
 
-/// A good configuration is read.
+/// Cost of reading a valid configuration.
 pub(super) fn read_good(
     seed: u64,
     switches: u32,
@@ -85,7 +85,7 @@
     Ok(measure_reads(&text, allocator).1)
 }
 
-/// A damaged configuration is refused.
+/// Cost of reading a damaged configuration, which must be rejected.
 pub(super) fn read_damaged(
     seed: u64,
     switches: u32,
--- a/crates/fawnrouter-capacity/src/hollow/runs/gateways.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/gateways.rs
@@ -1,4 +1,4 @@
-//! Slopes over the gateways of a fleet: what core switches, the list's source and the links bear.
+//! Series by gateways of a fleet: costs of core switches, of the name server and of the links.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 const GATEWAYS_QUICK: [u32; 4] = [6, 12, 18, 24];
 /// Core switches that all gateways may call.
 const SHARED_SWITCHES: u32 = 26;
-/// Few calls, so that core switches are quiet for long enough to be tested.
+/// So few calls that core switches are silent for long enough to be tested.
 const CALLS_PER_SECOND: f64 = 2.0;
 const HOLD: Duration = Duration::from_secs(3);
 const WARM_UP: Duration = Duration::from_secs(4);
@@ -27,7 +27,7 @@
     Ok(vec![in_services(session)?, in_one_service(session)?])
 }
 
-/// The same fleets without calls and with a few, at each size.
+/// The outcomes at one size, without calls and with a few.
 struct Pair {
     gateways: u32,
     quiet: Outcome,
@@ -82,9 +82,9 @@
         collect_switches(&mut collector, &pair);
     }
     let setting = format!(
-        "a fleet in services of 25 or 26 gateways and as many core switches, 6 zones, 3 regions, one name server; each \
-         gateway sees its service's core switches; quiet: no calls; ordinary day: {CALLS_PER_SECOND} calls a second at each \
-         gateway, held {} s",
+        "a fleet in services of 25 or 26 gateways and as many core switches, 6 zones, 3 regions, one name \
+         server; each gateway sees its service's core switches; quiet: no calls; ordinary day: \
+         {CALLS_PER_SECOND} calls a second at each gateway, held {} s",
         HOLD.as_secs()
     );
     Ok(session.run("hollow-gateways", setting, collector))
@@ -97,8 +97,8 @@
         collect_switches(&mut collector, &pair);
     }
     let setting = format!(
-        "{SHARED_SWITCHES} core switches that every gateway may call; quiet: no calls; ordinary day: {CALLS_PER_SECOND} calls a \
-         second at each gateway, held {} s",
+        "{SHARED_SWITCHES} core switches that every gateway may call; quiet: no calls; ordinary day: \
+         {CALLS_PER_SECOND} calls a second at each gateway, held {} s",
         HOLD.as_secs()
     );
     Ok(session.run("hollow-gateways-open", setting, collector))
--- a/crates/fawnrouter-capacity/src/hollow/runs/parallel.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/parallel.rs
@@ -1,4 +1,5 @@
-//! Outcomes of which only counts are taken, several at a time: counts do not depend on what else runs.
+//! Runs several simulations in parallel. Only for counts and recordings, which do not depend on what else
+//! runs.
 
 use std::num::NonZero;
 use std::sync::Mutex;
@@ -12,19 +13,19 @@
 use crate::hollow::scenario::Scenario;
 use crate::hollow::simulation::Simulation;
 
-/// Outcomes at a time, at the most: each may hold more than a gigabyte.
+/// Each simulation may hold more than a gigabyte of memory.
 const MAX_PARALLEL_JOBS: usize = 4;
 
-/// A play that is to be made.
+/// A simulation to run.
 #[derive(Clone, Debug)]
 pub(super) struct Job {
     pub name: String,
     pub scenario: Scenario,
-    /// The gateway whose work is measured afterwards.
+    /// The gateway whose inputs are recorded.
     pub recorded_gateway: Option<usize>,
 }
 
-/// What it showed.
+/// The result of a job.
 #[derive(Debug)]
 pub(super) struct JobResult {
     pub outcome: Outcome,
@@ -36,7 +37,7 @@
     Done(usize, Box<Result<JobResult, HollowError>>),
 }
 
-/// Makes all jobs; their results in the order in which they were given. The largest begin first.
+/// Runs all jobs and returns their results in the given order. The largest jobs start first.
 pub(super) fn run_all(jobs: &[Job], progress: &mut dyn FnMut(&str)) -> Result<Vec<JobResult>, HollowError> {
     let mut order: Vec<usize> = (0..jobs.len()).collect();
     order.sort_by_key(|index| estimated_work(&jobs[*index].scenario));
@@ -61,7 +62,7 @@
     Ok(results.into_iter().map(|(_, result)| result).collect())
 }
 
-/// How much there is to do, roughly: calls, and the seconds that gateways stand there.
+/// Rough estimate of a simulation's work: calls and gateway seconds.
 fn estimated_work(scenario: &Scenario) -> u64 {
     let seconds = (scenario.measurement_end() + scenario.settle).as_secs_f64();
     let per_gateway = seconds + scenario.traffic.calls_per_second * scenario.traffic.seconds as f64;
@@ -73,11 +74,11 @@
 }
 
 fn run_jobs(jobs: &[Job], pending: &Mutex<Vec<usize>>, reports: &Sender<Progress>) {
-    // The list is whole between any two steps, so that another thread's panic spoils nothing.
+    // A poisoned lock is harmless: the list is consistent between any two operations.
     let next = || pending.lock().unwrap_or_else(std::sync::PoisonError::into_inner).pop();
     while let Some(index) = next() {
         let job = &jobs[index];
-        // Nobody listens any more after an error elsewhere: there is nothing left to do.
+        // The receiver is gone after an error in another job; the remaining jobs are not needed.
         if reports.send(Progress::Started(job.name.clone())).is_err() {
             return;
         }
--- a/crates/fawnrouter-capacity/src/hollow/runs/restarts.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/restarts.rs
@@ -1,4 +1,4 @@
-//! What one restart brings to all members of a role together: a play with it, less the same play without.
+//! Cost of one restart to all members of a role together: a simulation with it minus the same one without.
 
 use std::time::Duration;
 
@@ -10,16 +10,16 @@
 use crate::hollow::scenario::Scenario;
 use crate::plan::{Fault, FaultPlan};
 
-/// Gateways of a service, and as many core switches.
+/// Gateways of the service, and as many core switches.
 const SERVICE_GATEWAYS: [u32; 5] = [8, 16, 26, 40, 66];
 const SERVICE_GATEWAYS_QUICK: [u32; 4] = [3, 4, 6, 8];
 const JOBS_PER_SIZE: usize = 3;
 const CALLS_PER_SECOND: f64 = 5.0;
 const WARM_UP: Duration = Duration::from_secs(4);
 const MEASURED: Duration = Duration::from_secs(12);
-/// From the start of what is measured to the restart.
+/// Time from the start of the measurement to the restart.
 const RESTART_DELAY: Duration = Duration::from_secs(1);
-/// A core switch stops so long after it is listed as draining, and is back so long after that.
+/// Time from the listing of a core switch as draining to its stop, and from its stop to its return.
 const DRAIN_TIME: Duration = Duration::from_secs(2);
 const DOWN_TIME: Duration = Duration::from_secs(3);
 const CAUSES: [Cause; 3] = [Cause::Calls, Cause::Connections, Cause::Configuration];
@@ -39,8 +39,9 @@
     }
     let setting = |what: &str| {
         format!(
-            "one service of as many gateways as core switches, {CALLS_PER_SECOND} calls a second at each gateway, held 2 s; \
-             what {what} brings to all members of a role together: {} s with it less the same without",
+            "one service of as many gateways as core switches, {CALLS_PER_SECOND} calls a second at each \
+             gateway, held 2 s; what {what} brings to all members of a role together: {} s with it less the \
+             same without",
             MEASURED.as_secs()
         )
     };
@@ -52,7 +53,7 @@
     ])
 }
 
-/// The outcomes at one size: without a restart, of a gateway, of a core switch.
+/// The jobs of one size: no restart, restart of a gateway, restart of a core switch.
 fn jobs(seed: u64, members: u32) -> [Job; JOBS_PER_SIZE] {
     let scenario = Scenario::one_service(seed, members, members);
     let scenario = scenario.with_measurement_window(WARM_UP, MEASURED).with_call_rate(CALLS_PER_SECOND);
--- a/crates/fawnrouter-capacity/src/hollow/runs/situations.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/situations.rs
@@ -1,4 +1,4 @@
-//! What each role bears in each situation, over the gateways of a fleet.
+//! Costs of each role in each situation, by gateways of a fleet.
 
 use std::time::Duration;
 
@@ -22,31 +22,33 @@
     Role::ZoneLink,
     Role::RegionLink,
 ];
-/// Calls a second at a gateway of the design where calls pass one gateway: 100,000 in 660.
+/// Calls per second at a gateway of the design size if each call passes one gateway: 100,000 over 660
+/// gateways.
 const DESIGN_RATE: f64 = 152.0;
 const DESIGN_RATE_QUICK: f64 = 10.0;
-/// Calls a second while something breaks, and while regions are apart for long.
+/// Calls per second during a fault, and during the long partition of regions.
 const FAULT_RATE: f64 = 5.0;
 const PARTITION_RATE: f64 = 1.0;
 const WARM_UP: Duration = Duration::from_secs(2);
-/// From the start of what is measured to the fault.
+/// Time from the start of the measurement to the fault.
 const FAULT_DELAY: Duration = Duration::from_secs(1);
 const ZONE_OUTAGE: Duration = Duration::from_secs(5);
 const PARTITION_TIME: Duration = Duration::from_secs(45);
 const PARTITION_TIME_QUICK: Duration = Duration::from_secs(5);
-/// The zone that fails, which is not the name server's, and what fails in it.
+/// The zone that fails, other than the name server's zone, and the core switch and service that fail.
 const FAILED_ZONE: u32 = 1;
 const FAILED_SWITCH: u32 = 1;
 const RESTARTED_SERVICE: u32 = 0;
 const CONFIGURED_SWITCHES: u32 = 26;
-/// A gateway of the service that is hit, in a zone that stays: it is called instead of the one before it.
+/// A gateway of the service that the faults hit, in a zone that stays up. It receives the calls of the
+/// gateway before it, which fails.
 const RECORDED_GATEWAY: usize = 2;
 
-/// A situation and how it is results.
+/// A situation and the scenario that produces it.
 struct SituationPlan {
     situation: Situation,
     name: &'static str,
-    /// Calls a second at each gateway.
+    /// Calls per second at each gateway.
     rate: f64,
     measured: Duration,
     faults: FaultPlan,
@@ -87,18 +89,18 @@
     let mut collector = SeriesCollector::new(Size::Gateways);
     let mut oldest_list = Duration::ZERO;
     let sizes = session.full_or_quick(&GATEWAYS, &GATEWAYS_QUICK);
-    let parts = situation_plans(session.options.quick);
-    let plans: Vec<(&SituationPlan, u32)> =
-        parts.iter().flat_map(|part| sizes.iter().map(move |gateways| (part, *gateways))).collect();
-    let planned: Vec<Job> =
-        plans.iter().map(|(part, gateways)| job(session.options.seed, part, *gateways)).collect();
-    let results = run_all(&planned, session.options.progress)?;
+    let plans = situation_plans(session.options.quick);
+    let sized_plans: Vec<(&SituationPlan, u32)> =
+        plans.iter().flat_map(|plan| sizes.iter().map(move |gateways| (plan, *gateways))).collect();
+    let jobs: Vec<Job> =
+        sized_plans.iter().map(|(plan, gateways)| job(session.options.seed, plan, *gateways)).collect();
+    let results = run_all(&jobs, session.options.progress)?;
     let meter = Meter::new(session.options.allocator);
-    for ((part, gateways), results) in plans.into_iter().zip(&results) {
-        collect_counts(&mut collector, part, gateways, &results.outcome);
-        collect_work(&mut collector, part, gateways, &results.recording.replay(meter)?);
-        if part.situation == Situation::RegionsApart {
-            oldest_list = oldest_list.max(results.outcome.list.max_list_age);
+    for ((plan, gateways), result) in sized_plans.into_iter().zip(&results) {
+        collect_counts(&mut collector, plan, gateways, &result.outcome);
+        collect_work(&mut collector, plan, gateways, &result.recording.replay(meter)?);
+        if plan.situation == Situation::RegionsApart {
+            oldest_list = oldest_list.max(result.outcome.list.max_list_age);
         }
     }
     for gateways in sizes {
@@ -115,11 +117,12 @@
         (DESIGN_RATE, PARTITION_TIME)
     };
     format!(
-        "a fleet as in hollow-gateways, its name server in zone 0; calls a second at each gateway, held 2 s: {rate} on the \
-         ordinary day, {PARTITION_RATE} while regions are apart, {FAULT_RATE} while anything else breaks, which begins after {} s; \
-         a rack is a fifth of a zone; a zone is away {} s; regions are apart {} s, and at their join the oldest list in use \
-         is {:.1} s old; of faults the busiest member is told, in its busiest second and from the start of what is measured to \
-         the end, and the most that one held at any whole second; processor time is that of gateway {RECORDED_GATEWAY}, which is of the \
+        "a fleet as in hollow-gateways, its name server in zone 0; calls a second at each gateway, held 2 s: \
+         {rate} on the ordinary day, {PARTITION_RATE} while regions are apart, {FAULT_RATE} while anything \
+         else breaks, which begins after {} s; a rack is a fifth of a zone; a zone is away {} s; regions are \
+         apart {} s, and at their join the oldest list in use is {:.1} s old; of faults the busiest member \
+         is told, in its busiest second and from the start of what is measured to the end, and the most that \
+         one held at any whole second; processor time is that of gateway {RECORDED_GATEWAY}, which is of the \
          service that is hit and stays or comes back: its inputs are played again alone",
         FAULT_DELAY.as_secs(),
         ZONE_OUTAGE.as_secs(),
@@ -128,60 +131,60 @@
     )
 }
 
-fn job(seed: u64, part: &SituationPlan, gateways: u32) -> Job {
+fn job(seed: u64, plan: &SituationPlan, gateways: u32) -> Job {
     let scenario = Scenario::fleet(seed, gateways)
-        .with_measurement_window(WARM_UP, part.measured)
-        .with_call_rate(part.rate)
-        .with_faults(part.faults.clone());
-    let name = format!("hollow-situations, {} at {gateways}", part.name);
+        .with_measurement_window(WARM_UP, plan.measured)
+        .with_call_rate(plan.rate)
+        .with_faults(plan.faults.clone());
+    let name = format!("hollow-situations, {} at {gateways}", plan.name);
     Job { name, scenario, recorded_gateway: Some(RECORDED_GATEWAY) }
 }
 
 impl SituationPlan {
-    /// Whether a second is like any other.
+    /// Whether all seconds of the situation are alike.
     fn is_steady(&self) -> bool {
         matches!(self.situation, Situation::Quiet | Situation::OrdinaryDay)
     }
 }
 
-/// What goes over the network and what is held, of all members.
-fn collect_counts(collector: &mut SeriesCollector, part: &SituationPlan, gateways: u32, outcome: &Outcome) {
+/// Collects network traffic and held state of all roles.
+fn collect_counts(collector: &mut SeriesCollector, plan: &SituationPlan, gateways: u32, outcome: &Outcome) {
     for role in ROLES {
-        let position = SeriesPosition { role, situation: part.situation, size: f64::from(gateways) };
+        let position = SeriesPosition { role, situation: plan.situation, size: f64::from(gateways) };
         let of_role = outcome.role(role);
         for quantity in EXACT_QUANTITIES {
-            collect_cost(collector, position, part, quantity, &of_role);
+            collect_cost(collector, position, plan, quantity, &of_role);
         }
         for quantity in [Quantity::Connections, Quantity::StateEntries] {
-            let held = if part.is_steady() { of_role.held(quantity) } else { of_role.max_held(quantity) };
+            let held = if plan.is_steady() { of_role.held(quantity) } else { of_role.max_held(quantity) };
             collector.add(position, Cause::All, quantity, Per::Held, held);
         }
     }
 }
 
-/// What it costs the gateway that was recorded_gateway.
+/// Collects the work of the recorded gateway.
 fn collect_work(
     collector: &mut SeriesCollector,
-    part: &SituationPlan,
+    plan: &SituationPlan,
     gateways: u32,
     replayed: &ReplayCosts,
 ) {
     let roles = [(Role::GatewayCalls, &replayed.calls), (Role::GatewayControl, &replayed.control)];
     for (role, of_role) in roles {
-        let position = SeriesPosition { role, situation: part.situation, size: f64::from(gateways) };
-        collect_cost(collector, position, part, Quantity::ProcessorMicroseconds, of_role);
+        let position = SeriesPosition { role, situation: plan.situation, size: f64::from(gateways) };
+        collect_cost(collector, position, plan, Quantity::ProcessorMicroseconds, of_role);
     }
 }
 
 fn collect_cost(
     collector: &mut SeriesCollector,
     position: SeriesPosition,
-    part: &SituationPlan,
+    plan: &SituationPlan,
     quantity: Quantity,
     of_role: &RoleOutcome,
 ) {
-    if part.is_steady() {
-        let seconds = part.measured.as_secs_f64();
+    if plan.is_steady() {
+        let seconds = plan.measured.as_secs_f64();
         let mean = of_role.mean(Cause::All, quantity).map(|whole| whole / seconds);
         collector.add(position, Cause::All, quantity, Per::Second, mean);
     } else {
@@ -192,7 +195,8 @@
     }
 }
 
-/// All gateways of a fleet are told to read a bad configuration: what one of them bears, whatever the fleet's size.
+/// Collects the cost of a damaged configuration that is sent to all gateways. The cost of one gateway does
+/// not depend on the size of the fleet.
 fn collect_bad_configuration(
     session: &mut Session<'_>,
     collector: &mut SeriesCollector,
--- a/crates/fawnrouter-capacity/src/hollow/runs/switches.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/switches.rs
@@ -1,4 +1,4 @@
-//! Slopes over the core switches that a gateway sees, and over the bytes of their list.
+//! Series by core switches that a gateway sees, and by bytes of their list.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 const CALLS_PER_SECOND: f64 = 40.0;
 const LIST_CHANGE_INTERVAL: Duration = Duration::from_millis(500);
 const WARM_UP: Duration = Duration::from_secs(4);
-/// An idle connection is replaced after 42 s, 0.7 of the platform's idle time: each is, once.
+/// An idle connection is replaced after 42 s (0.7 of the platform's idle time), so each is replaced once.
 const QUIET_MEASURED: Duration = Duration::from_secs(42);
 const MEASURED: Duration = Duration::from_secs(20);
 const MEASURED_QUICK: Duration = Duration::from_secs(4);
@@ -29,7 +29,7 @@
 }
 
 impl Outcomes {
-    /// Bytes of one answer with the whole list.
+    /// Bytes of one response with the whole list.
     fn list_bytes(&self) -> f64 {
         self.quiet.list.response_bytes as f64 / self.quiet.list.responses.max(1) as f64
     }
@@ -64,10 +64,11 @@
         collect_list(&mut by_bytes, &outcomes, outcomes.list_bytes());
     }
     let setting = format!(
-        "{GATEWAYS} gateways that see all core switches; quiet: no calls; ordinary day: {CALLS_PER_SECOND} calls a second \
-         at each gateway, each held 2 s and answered in 20 ms; a list event of the quiet second is an answer that changes \
-         nothing, one of the ordinary day an answer in which one core switch drains or is ready again (every 0.5 s, no \
-         calls); answers arrive whole at every size; a bad configuration has a wrong address in its last row"
+        "{GATEWAYS} gateways that see all core switches; quiet: no calls; ordinary day: {CALLS_PER_SECOND} \
+         calls a second at each gateway, each held 2 s and answered in 20 ms; a list event of the quiet \
+         second is an answer that changes nothing, one of the ordinary day an answer in which one core \
+         switch drains or is ready again (every 0.5 s, no calls); answers arrive whole at every size; a bad \
+         configuration has a wrong address in its last row"
     );
     let by_switches = session.run("hollow-switches", setting.clone(), by_switches);
     let by_bytes = session.run("hollow-list", format!("the plays of hollow-switches: {setting}"), by_bytes);
@@ -91,7 +92,7 @@
     collector.add_held(calling, &outcomes.calling);
 }
 
-/// What one answer costs its reader and how long it is, and what all answers bring in a second.
+/// Collects size and processing cost of one list response, and the cost of all responses per second.
 fn collect_list(collector: &mut SeriesCollector, outcomes: &Outcomes, size: f64) {
     let position = |situation| SeriesPosition { role: Role::GatewayControl, situation, size };
     let source = SeriesPosition { role: Role::ListSource, ..position(Situation::Quiet) };
--- a/crates/fawnrouter-capacity/src/hollow/scenario.rs
+++ b/crates/fawnrouter-capacity/src/hollow/scenario.rs
@@ -1,76 +1,77 @@
-//! What is played: the fleet, where its members are, what happens to it and when it is measured.
+//! Scenarios of a simulation: the fleet, where its members are, its traffic and faults, and when it is
+//! measured.
 
 use std::time::Duration;
 
 use super::HollowError;
 use crate::plan::{FaultPlan, TrafficPlan};
 
-/// Zones and regions of the design.
+/// Zones and regions of the fleet's design size.
 const DESIGN_ZONES: u32 = 6;
 const DESIGN_REGIONS: u32 = 3;
-/// A zone has this many racks.
 const RACKS_PER_ZONE: u32 = 5;
-/// Core switches of a service of the design, of which there are 26 for 660.
+/// Services of the design size, over 660 gateways and as many core switches.
 const DESIGN_SERVICES: u32 = 26;
 const DESIGN_GATEWAYS: u32 = 660;
-/// Connections that the callers of one gateway hold.
+/// Connections from callers to one gateway.
 const CALLER_CONNECTIONS: u32 = 8;
-/// Descriptors of a gateway at the least, and for each core switch that it sees: a quarter of them are for
-/// connections to core switches, of which each may need two.
+/// Least number of a gateway's descriptors, and descriptors for each core switch that it sees. The gateway
+/// uses a quarter of its descriptors for connections to core switches and may need two for each.
 const MIN_DESCRIPTORS: u32 = 1024;
 const DESCRIPTORS_PER_SWITCH: u32 = 8;
-/// How long a call stands and how long a core switch takes to answer, if the scenario says nothing else.
+/// How long a call lasts and how long a core switch takes to answer, unless the scenario sets another time.
 const DEFAULT_HOLD: Duration = Duration::from_secs(2);
 const DEFAULT_ANSWER_DELAY: Duration = Duration::from_millis(20);
 
-/// Where a gateway or a core switch is.
+/// Location of a gateway or core switch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Location {
-    /// Its service: the gateways of a service see the core switches of that service and no others.
+    /// Service. Gateways see the core switches of their own service only.
     pub service: u32,
-    /// Its zone.
+    /// Zone.
     pub zone: u32,
-    /// Its region.
+    /// Region.
     pub region: u32,
-    /// Its rack in its zone.
+    /// Rack within the zone.
     pub rack: u32,
 }
 
-/// A fleet and what happens to it. Times count from when all gateways have started.
+/// A fleet with its traffic and faults. Times count from when all gateways have started.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// What all is drawn from.
+    /// Seed of all random values.
     pub seed: u64,
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: u32,
-    /// Core switches.
+    /// Number of core switches.
     pub switches: u32,
-    /// Services that they are divided into.
+    /// Number of services that gateways and core switches are divided into.
     pub services: u32,
-    /// Zones that they are spread over.
+    /// Number of zones that they are spread over.
     pub zones: u32,
-    /// Regions that the zones belong to.
+    /// Number of regions that the zones belong to.
     pub regions: u32,
-    /// Descriptors that a gateway may hold.
+    /// Limit of descriptors of a gateway.
     pub descriptors: u32,
-    /// Connections that the callers of one gateway use.
+    /// Connections from callers to one gateway.
     pub caller_connections: u32,
-    /// Calls.
+    /// Planned calls.
     pub traffic: TrafficPlan,
-    /// Faults.
+    /// Planned faults.
     pub faults: FaultPlan,
-    /// The first core switch of each service is listed as draining and as ready in turn, this often.
+    /// Interval at which the first core switch of each service alternates between draining and ready in the
+    /// list.
     pub list_change_every: Option<Duration>,
-    /// Nothing is measured before this time.
+    /// Time before the measurement starts.
     pub warm_up: Duration,
-    /// Figures are taken for this long.
+    /// Duration of the measurement.
     pub measured: Duration,
-    /// What goes on is played to its end for this long, unmeasured.
+    /// Time that the simulation goes on after the measurement, so that calls can end.
     pub settle: Duration,
 }
 
 impl Scenario {
-    /// One service of so many gateways and core switches in one zone, without calls.
+    /// One service in one zone with these numbers of gateways and core switches, without calls.
     #[must_use]
     pub fn one_service(seed: u64, gateways: u32, switches: u32) -> Self {
         let traffic = TrafficPlan {
@@ -99,7 +100,8 @@
         }
     }
 
-    /// A fleet of so many gateways, each with its core switch, in services, zones and regions as in the design.
+    /// A fleet of this many gateways and as many core switches, with services, zones and regions in the
+    /// proportions of the design size.
     #[must_use]
     pub fn fleet(seed: u64, gateways: u32) -> Self {
         let services = (gateways * DESIGN_SERVICES).div_ceil(DESIGN_GATEWAYS).max(1);
@@ -108,7 +110,7 @@
         Self { services, zones, regions, ..Self::one_service(seed, gateways, gateways) }
     }
 
-    /// The same with calls at this rate at each gateway, from the start to the end of what is measured.
+    /// Sets the rate of calls at each gateway, from the start to the end of the measurement.
     #[must_use]
     pub fn with_call_rate(mut self, calls_per_second: f64) -> Self {
         self.traffic.calls_per_second = calls_per_second;
@@ -116,14 +118,14 @@
         self
     }
 
-    /// The same with calls that stand for so long.
+    /// Sets how long calls last.
     #[must_use]
     pub fn with_hold_time(mut self, hold: Duration) -> Self {
         self.traffic.hold = hold;
         self
     }
 
-    /// The same measured at another time. Calls go on to its end.
+    /// Sets when the measurement starts and how long it lasts. Calls go on to its end.
     #[must_use]
     pub fn with_measurement_window(mut self, warm_up: Duration, measured: Duration) -> Self {
         (self.warm_up, self.measured) = (warm_up, measured);
@@ -135,55 +137,55 @@
         self.with_call_rate(rate)
     }
 
-    /// The same played on for so long after what is measured.
+    /// Sets how long the simulation goes on after the measurement.
     #[must_use]
     pub fn with_settle_time(mut self, settle: Duration) -> Self {
         self.settle = settle;
         self
     }
 
-    /// The same with these faults.
+    /// Sets the planned faults.
     #[must_use]
     pub fn with_faults(mut self, faults: FaultPlan) -> Self {
         self.faults = faults;
         self
     }
 
-    /// The same with a list that changes this often.
+    /// Lets the list change at this interval.
     #[must_use]
     pub fn with_list_change_interval(mut self, every: Duration) -> Self {
         self.list_change_every = Some(every);
         self
     }
 
-    /// When what is measured ends.
+    /// Time at which the measurement ends.
     #[must_use]
     pub fn measurement_end(&self) -> Duration {
         self.warm_up + self.measured
     }
 
-    /// Where a gateway is.
+    /// Location of a gateway.
     #[must_use]
     pub fn gateway_location(&self, number: u32) -> Location {
         self.location(number, self.gateways)
     }
 
-    /// Where a core switch is.
+    /// Location of a core switch.
     #[must_use]
     pub fn switch_location(&self, number: u32) -> Location {
         self.location(number, self.switches)
     }
 
-    /// The members of each service follow each other, and each goes to another zone than the one before.
+    /// Members of a service are numbered consecutively; consecutive members are in different zones.
     fn location(&self, number: u32, count: u32) -> Location {
         let service = u64::from(number) * u64::from(self.services) / u64::from(count.max(1));
         let zone = number % self.zones;
         let rack = number / self.zones % RACKS_PER_ZONE;
-        // Both are below the counts they are taken from.
+        // The casts lose nothing: service and region are less than the counts that they are derived from.
         Location { service: service as u32, zone, region: zone * self.regions / self.zones, rack }
     }
 
-    /// Core switches that the gateways of a service see.
+    /// Number of core switches that the gateways of a service see.
     #[must_use]
     pub fn switches_seen(&self, service: u32) -> u32 {
         (0..self.switches).filter(|number| self.switch_location(*number).service == service).count() as u32
--- a/crates/fawnrouter-capacity/src/hollow/simulation.rs
+++ b/crates/fawnrouter-capacity/src/hollow/simulation.rs
@@ -1,4 +1,4 @@
-//! The loop in virtual time, and the network between the members.
+//! The event loop in virtual time, and the network between the members.
 
 mod callers;
 mod faults;
@@ -29,37 +29,44 @@
 use crate::plan::{PlannedCall, PlannedFault};
 use crate::platform::ListedSwitch;
 
-/// The clock of all gateways at the start: some time in 2027.
+/// Clock of all gateways at the start, in the year 2027.
 const UNIX_START: Duration = Duration::from_secs(1_800_000_000);
-/// Gateways start and connect in this time; then the scenario's times begin.
+/// Time for gateways to start and connect. The scenario's times count from its end.
 const START_UP: Duration = Duration::from_secs(1);
-/// Gateways that start together do so within this time.
+/// Gateways that start together do so spread over this time.
 const BOOT_SPREAD: Duration = Duration::from_millis(250);
-/// One way between a caller and its gateway.
+/// One-way delay between a caller and its gateway.
 const CALLER_DELAY: Duration = Duration::from_micros(100);
-/// One way in a zone, between zones of a region, between regions.
+/// One-way delays within a zone, between zones of a region and between regions.
 const INTRA_ZONE_DELAY: Duration = Duration::from_micros(200);
 const INTER_ZONE_DELAY: Duration = Duration::from_micros(500);
 const INTER_REGION_DELAY: Duration = Duration::from_millis(5);
-/// Between two looks at what is held.
+/// Interval between two samples of what members hold.
 const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What goes over the network, for those who count it.
+/// Bytes sent over the network and the cause that they are counted under.
 #[derive(Clone, Copy)]
 struct Traffic {
     cause: Cause,
     bytes: usize,
 }
 
-/// What waits for the regions to reach each other again.
+/// A transmission that waits until the regions reach each other again.
 struct DelayedTransmission {
     from: Location,
     to: Location,
-    load: Traffic,
+    traffic: Traffic,
     event: Event,
 }
 
-/// Everything that is played.
+/// Indices of the gateways and core switches of a service.
+#[derive(Clone, Default)]
+struct ServiceMembers {
+    gateways: Vec<usize>,
+    switches: Vec<usize>,
+}
+
+/// A running simulation.
 pub(crate) struct Simulation<'a> {
     scenario: &'a Scenario,
     now: Duration,
@@ -69,8 +76,7 @@
     calls: Vec<PlannedCall>,
     faults: Vec<PlannedFault>,
     gateways: Vec<Gateway>,
-    /// Gateways and core switches of each service.
-    members: Vec<(Vec<usize>, Vec<usize>)>,
+    services: Vec<ServiceMembers>,
     switches: Vec<Switch>,
     addresses: BTreeMap<SocketAddr, usize>,
     connections: BTreeMap<ConnectionId, Connection>,
@@ -93,12 +99,12 @@
         let gateway_locations = (0..scenario.gateways).map(|number| scenario.gateway_location(number));
         let gateways: Vec<Gateway> = gateway_locations.map(Gateway::new).collect();
         let switches: Vec<Switch> = new_switches(scenario);
-        let mut members = vec![(Vec::new(), Vec::new()); scenario.services as usize];
+        let mut services = vec![ServiceMembers::default(); scenario.services as usize];
         for (index, gateway) in gateways.iter().enumerate() {
-            members[gateway.location.service as usize].0.push(index);
+            services[gateway.location.service as usize].gateways.push(index);
         }
         for (index, switch) in switches.iter().enumerate() {
-            members[switch.location.service as usize].1.push(index);
+            services[switch.location.service as usize].switches.push(index);
         }
         let addresses = switches.iter().enumerate().map(|(index, switch)| (switch.row.address, index));
         let mut simulation = Self {
@@ -111,7 +117,7 @@
             faults: scenario.faults.faults.clone(),
             addresses: addresses.collect(),
             gateways,
-            members,
+            services,
             switches,
             connections: BTreeMap::new(),
             next_connection: 0,
@@ -137,7 +143,7 @@
     }
 
     fn schedule_initial_events(&mut self) {
-        for service in 0..self.members.len() {
+        for service in 0..self.services.len() {
             self.refresh_list(service);
         }
         for gateway in 0..self.gateways.len() {
@@ -151,7 +157,7 @@
             self.queue.schedule(START_UP + every, Event::PeriodicListChange);
         }
         self.schedule_call(0);
-        // The first look is when the first second that is measured ends.
+        // The first sample is taken at the end of the first measured second.
         self.queue.schedule(self.measurement_start() + SAMPLE_INTERVAL, Event::SampleHeld);
     }
 
@@ -163,13 +169,13 @@
         START_UP + self.scenario.measurement_end()
     }
 
-    /// The same with what happens to one gateway recorded.
+    /// Records the inputs of one gateway.
     pub fn recording_gateway(mut self, gateway: usize) -> Self {
         self.recorded_gateway = Some(gateway);
         self
     }
 
-    /// Outcomes all to the end.
+    /// Runs the simulation to its end.
     pub fn run(mut self) -> Result<(Outcome, Recording), HollowError> {
         let end = self.measurement_end() + self.scenario.settle;
         while let Some((at, event)) = self.queue.pop_due(end) {
@@ -183,8 +189,8 @@
     fn dispatch(&mut self, event: Event) -> Result<(), HollowError> {
         match event {
             Event::StartGateway { gateway } => return self.start_gateway(gateway),
-            Event::WakeGateway(run) => self.wake_gateway(run),
-            Event::SendListQuery(run) => self.send_list_query(run),
+            Event::WakeGateway(incarnation) => self.wake_gateway(incarnation),
+            Event::SendListQuery(incarnation) => self.send_list_query(incarnation),
             Event::ListQuery { from, datagram } => self.answer_list_query(from, &datagram),
             Event::ListResponse { to, response } => self.receive_list_response(to, &response),
             Event::SendSetUp { planned, until } => self.send_set_up(planned, until),
@@ -211,56 +217,56 @@
         Ok(())
     }
 
-    // ---- Time -------------------------------------------------------------------------------------------------
+    // ---- Time
     fn gateway_time(&self) -> Time {
         Time(UNIX_START + self.now)
     }
 
-    /// The second of what is measured, while it is.
+    /// The current second of the measurement; `None` before and after it.
     fn measured_second(&self) -> Option<u64> {
         let measured = (self.measurement_start()..self.measurement_end()).contains(&self.now);
         measured.then(|| (self.now - self.measurement_start()).as_secs())
     }
 
-    /// A random time up to this.
+    /// A random duration up to `most`.
     fn random_up_to(&mut self, most: Duration) -> Duration {
         most.mul_f64(rand::Rng::random(&mut self.random))
     }
 
-    /// Records what happens to a gateway, if it is the one that is recorded_gateway.
+    /// Records a step if it belongs to the recorded gateway.
     fn record_step(&mut self, gateway: usize, step: impl FnOnce() -> Step) {
         if self.recorded_gateway == Some(gateway) {
             self.recording.add(self.gateway_time(), self.measured_second(), step());
         }
     }
 
-    // ---- Counting ---------------------------------------------------------------------------------------------
-    fn record_gateway_cost(&mut self, gateway: usize, cause: Cause, flow: Cost) {
+    // ---- Cost recording
+    fn record_gateway_cost(&mut self, gateway: usize, cause: Cause, cost: Cost) {
         let Some(second) = self.measured_second() else { return };
         let gateway = &mut self.gateways[gateway];
         let costs = match cause {
             Cause::List | Cause::Configuration => &mut gateway.control_costs,
             _ => &mut gateway.call_costs,
         };
-        costs.add(second, cause, flow);
+        costs.add(second, cause, cost);
     }
 
-    fn record_switch_cost(&mut self, switch: usize, cause: Cause, flow: Cost) {
+    fn record_switch_cost(&mut self, switch: usize, cause: Cause, cost: Cost) {
         if let Some(second) = self.measured_second() {
-            self.switches[switch].costs.add(second, cause, flow);
+            self.switches[switch].costs.add(second, cause, cost);
         }
     }
 
-    fn record_link_traffic(&mut self, from: Location, to: Location, load: Traffic) {
+    fn record_link_traffic(&mut self, from: Location, to: Location, traffic: Traffic) {
         let Some(second) = self.measured_second() else { return };
-        let (sent, received) = (Cost::message_sent(load.bytes), Cost::message_received(load.bytes));
+        let (sent, received) = (Cost::message_sent(traffic.bytes), Cost::message_received(traffic.bytes));
         if from.zone != to.zone {
-            self.zone_link_costs[from.zone as usize].add(second, load.cause, sent);
-            self.zone_link_costs[to.zone as usize].add(second, load.cause, received);
+            self.zone_link_costs[from.zone as usize].add(second, traffic.cause, sent);
+            self.zone_link_costs[to.zone as usize].add(second, traffic.cause, received);
         }
         if from.region != to.region {
-            self.region_link_costs[from.region as usize].add(second, load.cause, sent);
-            self.region_link_costs[to.region as usize].add(second, load.cause, received);
+            self.region_link_costs[from.region as usize].add(second, traffic.cause, sent);
+            self.region_link_costs[to.region as usize].add(second, traffic.cause, received);
         }
     }
 
@@ -285,25 +291,26 @@
         }
     }
 
-    // ---- The network ------------------------------------------------------------------------------------------
+    // ---- Network
     fn is_partitioned(&self, from: Location, to: Location) -> bool {
         self.regions_partitioned && from.region != to.region
     }
 
-    /// Sends on a connection, in order; while regions are apart it waits, as TCP sends it again until it arrives.
-    fn transmit(&mut self, from: Location, to: Location, load: Option<Traffic>, event: Event) {
-        let load = load.unwrap_or(Traffic { cause: Cause::Connections, bytes: 0 });
+    /// Sends over a connection, in order. While regions are partitioned the data waits, as TCP retransmits it
+    /// until it arrives.
+    fn transmit(&mut self, from: Location, to: Location, traffic: Option<Traffic>, event: Event) {
+        let traffic = traffic.unwrap_or(Traffic { cause: Cause::Connections, bytes: 0 });
         if self.is_partitioned(from, to) {
-            self.delayed.push(DelayedTransmission { from, to, load, event });
+            self.delayed.push(DelayedTransmission { from, to, traffic, event });
             return;
         }
-        if load.bytes > 0 {
-            self.record_link_traffic(from, to, load);
+        if traffic.bytes > 0 {
+            self.record_link_traffic(from, to, traffic);
         }
         self.queue.schedule(self.now + network_delay(from, to), event);
     }
 
-    /// Sends a datagram; whether it arrives.
+    /// Sends a datagram. Returns whether it arrives.
     fn send_datagram(&mut self, from: Location, to: Location, bytes: usize, event: Event) -> bool {
         if self.is_partitioned(from, to) {
             return false;
@@ -316,11 +323,11 @@
     fn heal_partition(&mut self) {
         self.regions_partitioned = false;
         for delayed in std::mem::take(&mut self.delayed) {
-            self.transmit(delayed.from, delayed.to, Some(delayed.load), delayed.event);
+            self.transmit(delayed.from, delayed.to, Some(delayed.traffic), delayed.event);
         }
     }
 
-    // ---- The end ----------------------------------------------------------------------------------------------
+    // ---- Outcome
     fn into_outcome(mut self) -> Outcome {
         let calls = self.gateways.iter_mut().map(|gateway| (&mut gateway.call_costs, gateway.call_state));
         let calls = RoleOutcome::new(calls);
--- a/crates/fawnrouter-capacity/src/hollow/simulation/callers.rs
+++ b/crates/fawnrouter-capacity/src/hollow/simulation/callers.rs
@@ -1,4 +1,5 @@
-//! Callers: each planned call is one set-up; who loses a gateway turns to another of the same service.
+//! Callers: each planned call is one set-up. Callers that lose their gateway use another one of the same
+//! service.
 
 use std::time::Duration;
 
@@ -13,15 +14,16 @@
 use crate::hollow::recording::Step;
 use crate::plan::{CALLER_TIMEOUT, CAUSE_NORMAL_CLEARING, existing_call_notice};
 
-/// Who finds no gateway looks again after this time.
+/// A caller that finds no gateway tries again after this time.
 const GATEWAY_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Calls that stood at a gateway which is gone are told to others within this time.
+/// Callers of a gateway that is gone report their established calls to other gateways, spread over this time.
 const REPORT_SPREAD_MS: u64 = 1000;
-/// Causes that say refused: trying again is harmless.
+/// Causes that mean refusal, after which another attempt does no harm: no circuit available, switching
+/// congestion, timer expired.
 const REFUSAL_CAUSES: [i64; 3] = [34, 42, 102];
 
 impl Simulation<'_> {
-    /// Puts the planned call of this place in, if there is one.
+    /// Schedules the set-up of the planned call with this index, if there is one.
     pub(super) fn schedule_call(&mut self, planned: usize) {
         if let Some(call) = self.calls.get(planned) {
             let at = self.scenario_time(call.at);
@@ -51,21 +53,21 @@
             .insert(call.tag, CallerCall { planned_call: planned, gateway, client, state, switch: None });
         self.outcome.measured_calls += u64::from(self.measured_second().is_some());
         let service = self.gateways[gateway].location.service as usize;
-        let cells = self.members[service].1.len() as u32;
+        let cells = self.services[service].switches.len() as u32;
         self.send_from_caller(gateway, client, &call.set_up_message(cells));
         self.queue.schedule(deadline, Event::CallerTimeout { tag: call.tag });
     }
 
-    /// The gateway that is called, or the next of its service that takes calls, or one on its way out.
+    /// The preferred gateway, else the next of its service that accepts calls, else one that is stopping.
     fn choose_gateway(&self, wanted: usize) -> Option<usize> {
-        let members = &self.members[self.gateways[wanted].location.service as usize].0;
+        let members = &self.services[self.gateways[wanted].location.service as usize].gateways;
         let from = members.iter().position(|member| *member == wanted)?;
         let in_order = || members[from..].iter().chain(&members[..from]).copied();
         let takes = in_order().find(|member| self.gateways[*member].accepts_calls());
         takes.or_else(|| in_order().find(|member| self.gateways[*member].process.is_some()))
     }
 
-    /// The connection that a call uses.
+    /// The connection for a call. Opens it if needed.
     fn connection_for_call(&mut self, gateway: usize, tag: u64) -> ClientId {
         let index = (tag % u64::from(self.scenario.caller_connections)) as u32;
         if let Some(client) = self.callers.connections.get(&(gateway, index)) {
@@ -121,7 +123,7 @@
         }
     }
 
-    /// "A set-up that crosses such a close is sent once more, on a new connection."
+    /// The platform requires that a set-up that crosses a close is sent once more, on a new connection.
     fn resend_after_close(&mut self, tag: u64) {
         let Some(call) = self.callers.calls.get(&tag).copied() else { return };
         match call.state {
@@ -177,8 +179,8 @@
         self.send_from_caller(call.gateway, call.client, &given_up);
     }
 
-    // ---- A gateway is gone ------------------------------------------------------------------------------------
-    /// Set-ups at a gateway are broken with it; calls that stand are told to others.
+    // ---- Loss of a gateway
+    /// Set-ups at a lost gateway fail with it; its established calls are reported to other gateways.
     pub(super) fn callers_lose_gateway(&mut self, gateway: usize) {
         self.callers.drop_gateway_connections(gateway);
         let at_gateway = self.callers.calls.iter().filter(|(_, call)| call.gateway == gateway);
--- a/crates/fawnrouter-capacity/src/hollow/simulation/faults.rs
+++ b/crates/fawnrouter-capacity/src/hollow/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Faults: what vanishes, stops and comes back.
+//! Injected faults: failures, stops and recoveries.
 
 use std::collections::BTreeSet;
 
@@ -10,7 +10,7 @@
 use crate::hollow::scenario::Location;
 use crate::plan::Fault;
 
-/// The rack of a zone that vanishes.
+/// The rack of a zone that fails.
 const FIRST_RACK: u32 = 0;
 
 impl Simulation<'_> {
@@ -30,7 +30,7 @@
             Fault::ZoneBack(zone) => self.recover_all_at(|location| location.zone == zone),
             Fault::GatewayRestart(gateway) => self.stop_gateway(gateway as usize),
             Fault::ServiceRestart(service) => {
-                for gateway in self.members[service as usize].0.clone() {
+                for gateway in self.services[service as usize].gateways.clone() {
                     self.stop_gateway(gateway);
                 }
             }
@@ -112,7 +112,7 @@
         lost
     }
 
-    /// The lists of the services that these belong to change, each once.
+    /// Schedules one update of the list for each service of these core switches.
     fn schedule_list_updates(&mut self, switches: &[usize]) {
         let services: BTreeSet<u32> =
             switches.iter().map(|switch| self.switches[*switch].location.service).collect();
--- a/crates/fawnrouter-capacity/src/hollow/simulation/gateways.rs
+++ b/crates/fawnrouter-capacity/src/hollow/simulation/gateways.rs
@@ -1,4 +1,4 @@
-//! Gateways: their processes, what they are given and what they want done.
+//! Gateways: their processes, inputs and outputs.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -18,13 +18,13 @@
 use crate::hollow::recording::{Step, build_gateway, measure_decode};
 use crate::platform::{GatewayParameters, gateway_configuration};
 
-/// A gateway that is restarted is back this long after its end.
+/// Time from the end of a stopped gateway's process to its next start.
 const RESTART_PAUSE: Duration = Duration::from_secs(1);
-/// Streams of the seed that are each gateway's own: of its decisions, and of its questions' numbers.
+/// Random streams of the seed, one for each gateway: for its decisions and for its query ids.
 const DECISION_STREAMS: u64 = 1 << 32;
 const QUERY_ID_STREAMS: u64 = 2 << 32;
 
-/// An input and what it is counted as.
+/// An input and the cause that its cost is counted under.
 type CountedInput = (Cause, Input);
 
 impl Simulation<'_> {
@@ -34,12 +34,12 @@
         random
     }
 
-    /// The configuration that lies there for a gateway.
+    /// The configuration that a gateway finds when it starts.
     fn configuration_of(&self, gateway: usize) -> String {
         const NAME_SERVER: ([u8; 4], u16) = ([10, 255, 0, 1], 53);
         const LISTEN: ([u8; 4], u16) = ([0, 0, 0, 0], 5060);
         let service = self.gateways[gateway].location.service as usize;
-        let gateways = &self.members[service].0;
+        let gateways = &self.services[service].gateways;
         let parameters = GatewayParameters {
             name: format!("gateway-{gateway}"),
             listen: SocketAddr::from(LISTEN),
@@ -77,11 +77,11 @@
             links: BTreeMap::new(),
             stopping: false,
         };
-        let run = GatewayIncarnation { gateway, epoch };
+        let incarnation = GatewayIncarnation { gateway, epoch };
         (self.gateways[gateway].epoch, self.gateways[gateway].process) = (epoch, Some(process));
         self.gateways[gateway].last_list_response = self.now;
         self.deliver_input(gateway, Cause::Configuration, first_list);
-        self.queue.schedule(self.now, Event::SendListQuery(run));
+        self.queue.schedule(self.now, Event::SendListQuery(incarnation));
         Ok(())
     }
 
@@ -97,17 +97,18 @@
     }
 
     /// The process of this start, if it still runs.
-    pub(super) fn process_of(&mut self, run: GatewayIncarnation) -> Option<&mut Process> {
-        let gateway = &mut self.gateways[run.gateway];
-        gateway.process.as_mut().filter(|_| gateway.epoch == run.epoch)
+    pub(super) fn process_of(&mut self, incarnation: GatewayIncarnation) -> Option<&mut Process> {
+        let gateway = &mut self.gateways[incarnation.gateway];
+        gateway.process.as_mut().filter(|_| gateway.epoch == incarnation.epoch)
     }
 
     pub(super) fn incarnation_of(&self, gateway: usize) -> GatewayIncarnation {
         GatewayIncarnation { gateway, epoch: self.gateways[gateway].epoch }
     }
 
-    // ---- Inputs -----------------------------------------------------------------------------------------------
-    /// Gives a gateway an input and carries out what it says, and what follows from that; what the input cost.
+    // ---- Inputs
+    /// Gives a gateway an input, performs its outputs and delivers the inputs that follow from them. Returns
+    /// the cost of all these inputs.
     pub(super) fn deliver_input(&mut self, gateway: usize, cause: Cause, input: Input) -> Cost {
         let mut total = Cost::default();
         let mut inputs = VecDeque::from([(cause, input)]);
@@ -140,29 +141,31 @@
         total
     }
 
-    /// Has the gateway woken when it asks for it.
+    /// Schedules the wake-up that the gateway requests.
     fn schedule_wake(&mut self, gateway: usize) {
-        let run = self.incarnation_of(gateway);
+        let incarnation = self.incarnation_of(gateway);
         let now = self.now;
         let Some(process) = self.gateways[gateway].process.as_mut() else { return };
         let Some(wanted) = process.node.next_wake() else { return };
         let wanted = wanted.0.saturating_sub(UNIX_START).max(now);
         if process.scheduled_wake.is_none_or(|scheduled| wanted < scheduled) {
             process.scheduled_wake = Some(wanted);
-            self.queue.schedule(wanted, Event::WakeGateway(run));
+            self.queue.schedule(wanted, Event::WakeGateway(incarnation));
         }
     }
 
-    pub(super) fn wake_gateway(&mut self, run: GatewayIncarnation) {
+    pub(super) fn wake_gateway(&mut self, incarnation: GatewayIncarnation) {
         let now = self.now;
-        let Some(process) = self.process_of(run).filter(|process| process.scheduled_wake == Some(now)) else {
+        let Some(process) =
+            self.process_of(incarnation).filter(|process| process.scheduled_wake == Some(now))
+        else {
             return;
         };
         process.scheduled_wake = None;
-        self.deliver_input(run.gateway, Cause::Timers, Input::Wake);
+        self.deliver_input(incarnation.gateway, Cause::Timers, Input::Wake);
     }
 
-    /// Reads a line by the decoder of its connection; what that cost is counted as the message is.
+    /// Decodes a line with the decoder of its connection. The cost is counted under the message's cause.
     pub(super) fn decode(
         &mut self,
         gateway: usize,
@@ -179,7 +182,7 @@
         read
     }
 
-    // ---- Outputs ----------------------------------------------------------------------------------------------
+    // ---- Outputs
     fn perform_output(&mut self, gateway: usize, output: Output, inputs: &mut VecDeque<CountedInput>) {
         match output {
             Output::ToClient { client, line } => {
@@ -201,7 +204,7 @@
             | Output::CancelSetUp { link, line, .. } => self.write_to_link(gateway, link, &line),
             Output::CloseLink { link } => self.close_link(gateway, link),
             Output::Done => self.exit_gateway(gateway),
-            // All is written at once, so that there is nothing to take back.
+            // Every line is sent at once, so no set-up can be recalled.
             Output::RecallSetUps { .. } | Output::Log(_) => {}
         }
     }
@@ -232,9 +235,9 @@
         let (from, to) = (self.gateways[gateway].location, self.switches[switch].location);
         let reaches_switch =
             self.switches[switch].state != SwitchState::Silent && !self.is_partitioned(from, to);
-        let run = self.incarnation_of(gateway);
+        let incarnation = self.incarnation_of(gateway);
         let record = Connection {
-            gateway: run,
+            gateway: incarnation,
             link,
             switch,
             up: false,
@@ -280,7 +283,7 @@
         self.close_towards_switch(connection);
     }
 
-    /// The gateway's side of a connection is closed, and the core switch hears of it where it can.
+    /// Closes the gateway's side of a connection and notifies the core switch if it is reachable.
     fn close_towards_switch(&mut self, connection: ConnectionId) {
         let Some(record) = self.connections.get_mut(&connection) else { return };
         record.open_at_gateway = false;
@@ -293,39 +296,40 @@
         self.transmit(from, to, None, Event::CloseReachesSwitch { connection });
     }
 
-    // ---- Connections ------------------------------------------------------------------------------------------
+    // ---- Connections
     pub(super) fn connection_up(&mut self, connection: ConnectionId) {
         let Some(record) = self.connections.get_mut(&connection).filter(|r| r.open_at_gateway) else {
             return;
         };
         record.up = true;
-        let (run, link) = (record.gateway, record.link);
-        if self.process_of(run).is_some() {
-            self.deliver_input(run.gateway, Cause::Connections, Input::LinkUp { link });
+        let (incarnation, link) = (record.gateway, record.link);
+        if self.process_of(incarnation).is_some() {
+            self.deliver_input(incarnation.gateway, Cause::Connections, Input::LinkUp { link });
         }
     }
 
-    /// A connection has ended, or has not come up in time.
+    /// Ends a connection that was closed by its core switch or has not come up in time.
     pub(super) fn connection_ended(&mut self, connection: ConnectionId, end: LinkEnd) {
         let Some(record) = self.connections.get(&connection).filter(|r| r.open_at_gateway) else { return };
         if end == LinkEnd::Unreachable && record.up {
             return;
         }
-        let (run, link) = (record.gateway, record.link);
-        let Some(process) = self.process_of(run) else { return };
+        let (incarnation, link) = (record.gateway, record.link);
+        let Some(process) = self.process_of(incarnation) else { return };
         process.links.remove(&link);
         self.close_towards_switch(connection);
-        self.deliver_input(run.gateway, Cause::Connections, Input::LinkDown { link, end });
+        self.deliver_input(incarnation.gateway, Cause::Connections, Input::LinkDown { link, end });
     }
 
     pub(super) fn line_to_gateway(&mut self, connection: ConnectionId, line: &[u8]) {
         let Some(record) = self.connections.get(&connection).filter(|r| r.open_at_gateway) else { return };
-        let (run, link) = (record.gateway, record.link);
-        if self.process_of(run).is_none() {
+        let (incarnation, link) = (record.gateway, record.link);
+        if self.process_of(incarnation).is_none() {
             return;
         }
-        self.record_step(run.gateway, || Step::LinkLine(link, line.to_vec()));
-        let read = self.decode(run.gateway, line, |process| process.links.get_mut(&link).map(|(_, d)| d));
+        self.record_step(incarnation.gateway, || Step::LinkLine(link, line.to_vec()));
+        let read =
+            self.decode(incarnation.gateway, line, |process| process.links.get_mut(&link).map(|(_, d)| d));
         let Some(read) = read else { return };
         match read {
             Ok(message) => {
@@ -333,16 +337,16 @@
                     self.outcome.from_switches.add(message.verb, line.len());
                 }
                 let cause = cause_of_verb(message.verb);
-                self.deliver_input(run.gateway, cause, Input::LinkMessage { link, message });
+                self.deliver_input(incarnation.gateway, cause, Input::LinkMessage { link, message });
             }
             Err(error) => {
-                self.deliver_input(run.gateway, Cause::Calls, Input::LinkDecodeError { link, error });
+                self.deliver_input(incarnation.gateway, Cause::Calls, Input::LinkDecodeError { link, error });
             }
         }
     }
 
-    // ---- The end of a process ---------------------------------------------------------------------------------
-    /// The gateway is told to end, and is started again afterwards.
+    // ---- Stops and failures
+    /// Tells a gateway to stop. It is started again after its exit.
     pub(super) fn stop_gateway(&mut self, gateway: usize) {
         let Some(process) = self.gateways[gateway].process.as_mut().filter(|p| !p.stopping) else { return };
         process.stopping = true;
@@ -359,7 +363,7 @@
         self.queue.schedule(self.now + RESTART_PAUSE, Event::StartGateway { gateway });
     }
 
-    /// The gateway's machine vanishes: its core switches hear nothing of it.
+    /// The gateway's machine fails; its core switches receive no close.
     pub(super) fn fail_gateway(&mut self, gateway: usize) {
         let Some(process) = self.gateways[gateway].process.take() else { return };
         self.record_step(gateway, || Step::Exit);
@@ -381,7 +385,7 @@
         self.random_up_to(super::BOOT_SPREAD)
     }
 
-    /// When the plan's time begins.
+    /// Converts a time of the scenario to one of the simulation.
     pub(super) fn scenario_time(&self, at: Duration) -> Duration {
         START_UP + at
     }
--- a/crates/fawnrouter-capacity/src/hollow/simulation/list.rs
+++ b/crates/fawnrouter-capacity/src/hollow/simulation/list.rs
@@ -1,4 +1,4 @@
-//! The list of core switches: questions, answers, changes.
+//! The list of core switches: queries, responses and changes.
 
 use std::time::Duration;
 
@@ -12,15 +12,15 @@
 use crate::hollow::recording::Step;
 use crate::platform::ListedSwitch;
 
-/// From a change to the name server's hearing of it: within the 1.5 s that the platform's page allows.
+/// Time from a change to the name server's update. The platform allows up to 1.5 s.
 const LIST_UPDATE_DELAY: Duration = Duration::from_millis(500);
 
 impl Simulation<'_> {
-    pub(super) fn send_list_query(&mut self, run: GatewayIncarnation) {
+    pub(super) fn send_list_query(&mut self, incarnation: GatewayIncarnation) {
         let time = self.gateway_time();
-        let gateway = run.gateway;
+        let gateway = incarnation.gateway;
         let meter = self.meter;
-        let Some(process) = self.process_of(run) else { return };
+        let Some(process) = self.process_of(incarnation) else { return };
         let id = process.query_ids.random();
         let (asked, cost) = meter.measure(|| process.list_queries.next_query(time, id));
         let bytes = asked.datagram.len();
@@ -28,7 +28,7 @@
         self.record_gateway_cost(gateway, Cause::List, cost);
         self.record_gateway_cost(gateway, Cause::List, Cost::message_sent(bytes));
         let (from, to) = (self.gateways[gateway].location, self.name_server.location);
-        let event = Event::ListQuery { from: run, datagram: asked.datagram };
+        let event = Event::ListQuery { from: incarnation, datagram: asked.datagram };
         let arrives = self.send_datagram(from, to, bytes, event);
         if self.measured_second().is_some() {
             let list = &mut self.outcome.list;
@@ -37,7 +37,7 @@
             list.lost += u64::from(!arrives);
         }
         let next = asked.next_at.since(time);
-        self.queue.schedule(self.now + next, Event::SendListQuery(run));
+        self.queue.schedule(self.now + next, Event::SendListQuery(incarnation));
     }
 
     pub(super) fn answer_list_query(&mut self, from: GatewayIncarnation, datagram: &[u8]) {
@@ -90,22 +90,22 @@
         sum.add(cost);
     }
 
-    // ---- Changes ----------------------------------------------------------------------------------------------
-    /// Something has changed in a service; the name server hears of it a little later.
+    // ---- Changes
+    /// Schedules an update of a service's list at the name server after a change.
     pub(super) fn schedule_list_update(&mut self, service: usize) {
         self.queue.schedule(self.now + LIST_UPDATE_DELAY, Event::ListUpdate { service });
     }
 
     pub(super) fn refresh_list(&mut self, service: usize) {
-        let switches = self.members[service].1.iter().map(|switch| &self.switches[*switch]);
+        let switches = self.services[service].switches.iter().map(|switch| &self.switches[*switch]);
         let rows: Vec<ListedSwitch> = switches.filter(|s| s.listed).map(|s| s.row.clone()).collect();
         self.name_server.services[service].replace(rows);
     }
 
-    /// The first core switch of each service drains, or takes calls again.
+    /// Switches the first core switch of each service between draining and ready.
     pub(super) fn toggle_first_switches(&mut self) {
-        for service in 0..self.members.len() {
-            if let Some(first) = self.members[service].1.first().copied() {
+        for service in 0..self.services.len() {
+            if let Some(first) = self.services[service].switches.first().copied() {
                 let row = &mut self.switches[first].row;
                 row.draining = !row.draining;
             }
--- a/crates/fawnrouter-capacity/src/hollow/simulation/switches.rs
+++ b/crates/fawnrouter-capacity/src/hollow/simulation/switches.rs
@@ -1,4 +1,4 @@
-//! Stand-in core switches: they take connections, answer set-ups and tests, and release calls.
+//! Simulated core switches: they accept connections, answer set-ups and tests, and release calls.
 
 use fawnrouter_jsonl::{Message, Verb};
 use fawnrouter_node::LinkEnd;
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Releases that a gateway has not confirmed are sent again on its next connection.
+    /// Sends the releases that a gateway has not confirmed again on its next connection.
     fn resend_releases(&mut self, switch: usize, gateway: usize, connection: ConnectionId) {
         let of_gateway = (gateway, u64::MIN)..=(gateway, u64::MAX);
         let tags: Vec<u64> =
@@ -47,7 +47,7 @@
         let Some(record) = self.connections.remove(&connection) else { return };
         let switch = &mut self.switches[record.switch];
         switch.connections.remove(&(record.gateway.gateway, connection));
-        // "Closing a connection gives up every set-up open on it."
+        // The platform requires that closing a connection cancels every open set-up on it.
         for tag in record.set_ups {
             switch.calls.remove(&tag);
         }
@@ -118,8 +118,8 @@
         self.queue.schedule(ends, Event::SwitchReleasesCall { switch, epoch, tag });
     }
 
-    /// Releases a call towards the gateway that its caller uses now, on the connection of its set-up if that is this
-    /// gateway's and open, else on any open one, else on the next.
+    /// Releases a call towards the gateway that its caller uses now: on the connection of its set-up if that
+    /// is open and leads to this gateway, else on any open connection, else on the next one.
     pub(super) fn release_call(&mut self, switch: usize, epoch: u32, tag: u64) {
         if self.switches[switch].epoch != epoch {
             return;
@@ -140,7 +140,7 @@
         }
     }
 
-    /// A release that the caller's last gateway has not confirmed goes to its new one as well.
+    /// Sends a release that the caller's last gateway has not confirmed to its new gateway.
     pub(super) fn move_release(&mut self, switch: usize, tag: u64, from: usize, to: usize) {
         if from == to || !self.switches[switch].unconfirmed_releases.remove(&(from, tag)) {
             return;
