--- a/crates/fawnrouter-capacity/src/hollow/runs/calls.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/calls.rs
@@ -3,18 +3,21 @@
 use std::time::Duration;
 
 use super::{SeriesCollector, SeriesPosition, Session};
+use crate::design::SECONDS_PER_DAY;
 use crate::figures::{Cause, Role, Run, Situation, Size};
 use crate::hollow::HollowError;
 use crate::hollow::scenario::Scenario;
 
 /// Core switches of a service.
 const SWITCHES_SEEN: u32 = 26;
-const RATES: [f64; 7] = [0.0, 10.0, 40.0, 152.0, 600.0, 1500.0, 4240.0];
-const RATES_QUICK: [f64; 4] = [0.0, 10.0, 40.0, 152.0];
+const CALLS_PER_SECOND: [f64; 7] = [0.0, 10.0, 40.0, 152.0, 600.0, 1500.0, 4240.0];
+const CALLS_PER_SECOND_QUICK: [f64; 4] = [0.0, 10.0, 40.0, 152.0];
+/// How long calls last.
 const HOLD: Duration = Duration::from_secs(5);
 const HOLD_QUICK: Duration = Duration::from_secs(2);
-const LONG_RATES: [f64; 4] = [10.0, 40.0, 152.0, 400.0];
-const LONG_RATES_QUICK: [f64; 4] = [2.0, 5.0, 10.0, 20.0];
+/// Rates and duration of long calls, of which many are established at a time.
+const LONG_CALLS_PER_SECOND: [f64; 4] = [10.0, 40.0, 152.0, 400.0];
+const LONG_CALLS_PER_SECOND_QUICK: [f64; 4] = [2.0, 5.0, 10.0, 20.0];
 const LONG_HOLD: Duration = Duration::from_secs(100);
 const LONG_HOLD_QUICK: Duration = Duration::from_secs(10);
 /// Time until as many calls end as begin.
@@ -25,7 +28,6 @@
 /// Causes of the cost of established calls, beyond set-up and release.
 const ESTABLISHED_CALL_CAUSES: [Cause; 4] = [Cause::Probes, Cause::Connections, Cause::Timers, Cause::All];
 
-const SECONDS_PER_DAY: f64 = crate::design::SECONDS_PER_DAY;
 /// Seconds between two changes of the list; 0 stands for no changes.
 const CHANGE_INTERVALS_SECONDS: [f64; 5] = [0.0, 10.0, 4.0, 2.0, 1.0];
 const CHANGES_MEASURED: Duration = Duration::from_secs(40);
@@ -60,7 +62,7 @@
 fn by_rate(session: &mut Session<'_>) -> Result<Run, HollowError> {
     let mut collector = SeriesCollector::new(Size::CallsPerSecond);
     let hold = session.full_or_quick(&[HOLD], &[HOLD_QUICK])[0];
-    for rate in session.full_or_quick(&RATES, &RATES_QUICK) {
+    for rate in session.full_or_quick(&CALLS_PER_SECOND, &CALLS_PER_SECOND_QUICK) {
         collect_rate(session, "hollow-calls", &mut collector, &CALL_CAUSES, (rate, hold))?;
     }
     let setting = format!(
@@ -74,7 +76,7 @@
 fn by_rate_with_long_calls(session: &mut Session<'_>) -> Result<Run, HollowError> {
     let mut collector = SeriesCollector::new(Size::CallsPerSecond);
     let hold = session.full_or_quick(&[LONG_HOLD], &[LONG_HOLD_QUICK])[0];
-    for rate in session.full_or_quick(&LONG_RATES, &LONG_RATES_QUICK) {
+    for rate in session.full_or_quick(&LONG_CALLS_PER_SECOND, &LONG_CALLS_PER_SECOND_QUICK) {
         collect_rate(session, "hollow-standing", &mut collector, &ESTABLISHED_CALL_CAUSES, (rate, hold))?;
     }
     let setting = format!(
--- a/crates/fawnrouter-capacity/src/hollow/runs/situations.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/situations.rs
@@ -24,11 +24,11 @@
 ];
 /// Calls per second at a gateway of the design size if each call passes one gateway: 100,000 over 660
 /// gateways.
-const DESIGN_RATE: f64 = 152.0;
-const DESIGN_RATE_QUICK: f64 = 10.0;
+const DESIGN_CALLS_PER_SECOND: f64 = 152.0;
+const DESIGN_CALLS_PER_SECOND_QUICK: f64 = 10.0;
 /// Calls per second during a fault, and during the long partition of regions.
-const FAULT_RATE: f64 = 5.0;
-const PARTITION_RATE: f64 = 1.0;
+const FAULT_CALLS_PER_SECOND: f64 = 5.0;
+const PARTITION_CALLS_PER_SECOND: f64 = 1.0;
 const WARM_UP: Duration = Duration::from_secs(2);
 /// Time from the start of the measurement to the fault.
 const FAULT_DELAY: Duration = Duration::from_secs(1);
@@ -55,7 +55,7 @@
 }
 
 fn situation_plans(quick: bool) -> Vec<SituationPlan> {
-    let rate = if quick { DESIGN_RATE_QUICK } else { DESIGN_RATE };
+    let rate = if quick { DESIGN_CALLS_PER_SECOND_QUICK } else { DESIGN_CALLS_PER_SECOND };
     let apart = if quick { PARTITION_TIME_QUICK } else { PARTITION_TIME };
     let at = WARM_UP + FAULT_DELAY;
     let gone = |fault| FaultPlan::none().with_fault(at, fault);
@@ -71,14 +71,32 @@
     vec![
         plan(Situation::Quiet, "quiet", 0.0, 3, FaultPlan::none()),
         plan(Situation::OrdinaryDay, "ordinary day", rate, 1, FaultPlan::none()),
-        plan(Situation::MachineGone, "a machine gone", FAULT_RATE, 6, gone(Fault::SwitchGone(FAILED_SWITCH))),
-        plan(Situation::RackGone, "a rack gone", FAULT_RATE, 6, gone(Fault::RackGone(FAILED_ZONE))),
-        plan(Situation::ZoneGone, "a zone gone and back", FAULT_RATE, 12, zone),
-        plan(Situation::RegionsApart, "regions apart", PARTITION_RATE, apart.as_secs() + 7, regions),
+        plan(
+            Situation::MachineGone,
+            "a machine gone",
+            FAULT_CALLS_PER_SECOND,
+            6,
+            gone(Fault::SwitchGone(FAILED_SWITCH)),
+        ),
+        plan(
+            Situation::RackGone,
+            "a rack gone",
+            FAULT_CALLS_PER_SECOND,
+            6,
+            gone(Fault::RackGone(FAILED_ZONE)),
+        ),
+        plan(Situation::ZoneGone, "a zone gone and back", FAULT_CALLS_PER_SECOND, 12, zone),
+        plan(
+            Situation::RegionsApart,
+            "regions apart",
+            PARTITION_CALLS_PER_SECOND,
+            apart.as_secs() + 7,
+            regions,
+        ),
         plan(
             Situation::ServiceRestart,
             "a service restarted",
-            FAULT_RATE,
+            FAULT_CALLS_PER_SECOND,
             7,
             gone(Fault::ServiceRestart(RESTARTED_SERVICE)),
         ),
@@ -112,18 +130,19 @@
 
 fn setting(session: &Session<'_>, oldest_list: Duration) -> String {
     let (rate, apart) = if session.options.quick {
-        (DESIGN_RATE_QUICK, PARTITION_TIME_QUICK)
+        (DESIGN_CALLS_PER_SECOND_QUICK, PARTITION_TIME_QUICK)
     } else {
-        (DESIGN_RATE, PARTITION_TIME)
+        (DESIGN_CALLS_PER_SECOND, PARTITION_TIME)
     };
     format!(
         "a fleet as in hollow-gateways, its name server in zone 0; calls a second at each gateway, held 2 s: \
-         {rate} on the ordinary day, {PARTITION_RATE} while regions are apart, {FAULT_RATE} while anything \
-         else breaks, which begins after {} s; a rack is a fifth of a zone; a zone is away {} s; regions are \
-         apart {} s, and at their join the oldest list in use is {:.1} s old; of faults the busiest member \
-         is told, in its busiest second and from the start of what is measured to the end, and the most that \
-         one held at any whole second; processor time is that of gateway {RECORDED_GATEWAY}, which is of the \
-         service that is hit and stays or comes back: its inputs are played again alone",
+         {rate} on the ordinary day, {PARTITION_CALLS_PER_SECOND} while regions are apart, \
+         {FAULT_CALLS_PER_SECOND} while anything else breaks, which begins after {} s; a rack is a fifth of \
+         a zone; a zone is away {} s; regions are apart {} s, and at their join the oldest list in use is \
+         {:.1} s old; of faults the busiest member is told, in its busiest second and from the start of what \
+         is measured to the end, and the most that one held at any whole second; processor time is that of \
+         gateway {RECORDED_GATEWAY}, which is of the service that is hit and stays or comes back: its inputs \
+         are played again alone",
         FAULT_DELAY.as_secs(),
         ZONE_OUTAGE.as_secs(),
         apart.as_secs(),
@@ -204,15 +223,15 @@
 ) -> Result<(), HollowError> {
     (session.options.progress)(&format!("hollow-situations, a bad configuration at {gateways}"));
     let (seed, allocator) = (session.options.seed, session.options.allocator);
-    let reading = configuration::read_damaged(seed, CONFIGURED_SWITCHES, allocator)?;
+    let cost = configuration::read_damaged(seed, CONFIGURED_SWITCHES, allocator)?;
     let position = SeriesPosition {
         role: Role::GatewayControl,
         situation: Situation::BadConfiguration,
         size: f64::from(gateways),
     };
-    let bytes = reading.bytes as f64;
+    let bytes = cost.bytes as f64;
     let figures =
-        [(Quantity::BytesIn, bytes), (Quantity::ProcessorMicroseconds, reading.processor_microseconds)];
+        [(Quantity::BytesIn, bytes), (Quantity::ProcessorMicroseconds, cost.processor_microseconds)];
     for (quantity, value) in figures {
         collector.add(position, Cause::Configuration, quantity, Per::Situation, Some(value));
     }
--- a/crates/fawnrouter-capacity/src/hollow/runs/switches.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/switches.rs
@@ -120,16 +120,16 @@
     switches: u32,
 ) -> Result<(), HollowError> {
     let (seed, allocator) = (session.options.seed, session.options.allocator);
-    let readings = [
+    let costs = [
         (Situation::OrdinaryDay, configuration::read_good(seed, switches, allocator)?),
         (Situation::BadConfiguration, configuration::read_damaged(seed, switches, allocator)?),
     ];
-    for (situation, reading) in readings {
+    for (situation, cost) in costs {
         let position = SeriesPosition { role: Role::GatewayControl, situation, size: f64::from(switches) };
         let figures = [
-            (Quantity::BytesIn, reading.bytes as f64),
-            (Quantity::ProcessorMicroseconds, reading.processor_microseconds),
-            (Quantity::Allocations, reading.allocations),
+            (Quantity::BytesIn, cost.bytes as f64),
+            (Quantity::ProcessorMicroseconds, cost.processor_microseconds),
+            (Quantity::Allocations, cost.allocations),
         ];
         for (quantity, value) in figures {
             collector.add(position, Cause::Configuration, quantity, Per::Event, Some(value));
--- a/crates/fawnrouter-capacity/src/hollow/simulation.rs
+++ b/crates/fawnrouter-capacity/src/hollow/simulation.rs
@@ -273,8 +273,8 @@
     fn sample(&mut self) {
         for gateway in &mut self.gateways {
             let held = gateway.process.as_ref().map(|process| process.node.state_sizes()).unwrap_or_default();
-            let [open, standing, clients, links, servers] = held;
-            gateway.call_state.sample(clients + links, open + standing);
+            let [open, established, clients, links, servers] = held;
+            gateway.call_state.sample(clients + links, open + established);
             gateway.control_state.sample(usize::from(gateway.process.is_some()), servers);
             if gateway.process.is_some() {
                 let age = self.now.saturating_sub(gateway.last_list_response);
@@ -336,7 +336,8 @@
         let control = RoleOutcome::new(control);
         let switches = self.switches.iter_mut().map(|switch| (&mut switch.costs, switch.held));
         let switches = RoleOutcome::new(switches);
-        let source = RoleOutcome::new([(&mut self.name_server.costs, self.name_server.held)].into_iter());
+        let name_server =
+            RoleOutcome::new([(&mut self.name_server.costs, self.name_server.held)].into_iter());
         let zones =
             RoleOutcome::new(self.zone_link_costs.iter_mut().map(|costs| (costs, HeldState::default())));
         let regions =
@@ -345,7 +346,7 @@
             (Role::GatewayCalls, calls),
             (Role::GatewayControl, control),
             (Role::CoreSwitch, switches),
-            (Role::ListSource, source),
+            (Role::ListSource, name_server),
             (Role::ZoneLink, zones),
             (Role::RegionLink, regions),
         ];
--- a/crates/fawnrouter-capacity/src/hollow/simulation/callers.rs
+++ b/crates/fawnrouter-capacity/src/hollow/simulation/callers.rs
@@ -59,12 +59,12 @@
     }
 
     /// The preferred gateway, else the next of its service that accepts calls, else one that is stopping.
-    fn choose_gateway(&self, wanted: usize) -> Option<usize> {
-        let members = &self.services[self.gateways[wanted].location.service as usize].gateways;
-        let from = members.iter().position(|member| *member == wanted)?;
+    fn choose_gateway(&self, preferred: usize) -> Option<usize> {
+        let members = &self.services[self.gateways[preferred].location.service as usize].gateways;
+        let from = members.iter().position(|member| *member == preferred)?;
         let in_order = || members[from..].iter().chain(&members[..from]).copied();
-        let takes = in_order().find(|member| self.gateways[*member].accepts_calls());
-        takes.or_else(|| in_order().find(|member| self.gateways[*member].process.is_some()))
+        let accepting = in_order().find(|member| self.gateways[*member].accepts_calls());
+        accepting.or_else(|| in_order().find(|member| self.gateways[*member].process.is_some()))
     }
 
     /// The connection for a call. Opens it if needed.
@@ -175,8 +175,8 @@
         }
         self.outcome.calls.unanswered += 1;
         self.callers.calls.remove(&tag);
-        let given_up = Message::new(Verb::Finish, Tag(tag)).with_cause(CAUSE_NORMAL_CLEARING);
-        self.send_from_caller(call.gateway, call.client, &given_up);
+        let abandon = Message::new(Verb::Finish, Tag(tag)).with_cause(CAUSE_NORMAL_CLEARING);
+        self.send_from_caller(call.gateway, call.client, &abandon);
     }
 
     // ---- Loss of a gateway
@@ -202,9 +202,9 @@
     pub(super) fn report_established_call(&mut self, tag: u64) {
         let Some(call) = self.callers.calls.get(&tag).copied() else { return };
         let (CallerState::Established, Some(switch)) = (call.state, call.switch) else { return };
-        let planned = self.calls[call.planned_call].gateway as usize;
+        let preferred = self.calls[call.planned_call].gateway as usize;
         let Some(gateway) =
-            self.choose_gateway(planned).filter(|found| self.gateways[*found].accepts_calls())
+            self.choose_gateway(preferred).filter(|found| self.gateways[*found].accepts_calls())
         else {
             self.queue.schedule(self.now + GATEWAY_RETRY_DELAY, Event::ReportEstablishedCall { tag });
             return;
--- a/crates/fawnrouter-capacity/src/hollow/simulation/faults.rs
+++ b/crates/fawnrouter-capacity/src/hollow/simulation/faults.rs
@@ -11,7 +11,7 @@
 use crate::plan::Fault;
 
 /// The rack of a zone that fails.
-const FIRST_RACK: u32 = 0;
+const FAILED_RACK: u32 = 0;
 
 impl Simulation<'_> {
     pub(super) fn inject_fault(&mut self, fault: Fault) {
@@ -21,10 +21,10 @@
             Fault::SwitchStopped(switch) => self.stop_switch(switch as usize),
             Fault::SwitchBack(switch) => self.recover_switches(&[switch as usize]),
             Fault::RackGone(zone) => {
-                self.fail_all_at(|location| location.zone == zone && location.rack == FIRST_RACK)
+                self.fail_all_at(|location| location.zone == zone && location.rack == FAILED_RACK)
             }
             Fault::RackBack(zone) => {
-                self.recover_all_at(|location| location.zone == zone && location.rack == FIRST_RACK)
+                self.recover_all_at(|location| location.zone == zone && location.rack == FAILED_RACK)
             }
             Fault::ZoneGone(zone) => self.fail_all_at(|location| location.zone == zone),
             Fault::ZoneBack(zone) => self.recover_all_at(|location| location.zone == zone),
--- a/crates/fawnrouter-capacity/src/hollow/simulation/gateways.rs
+++ b/crates/fawnrouter-capacity/src/hollow/simulation/gateways.rs
@@ -118,14 +118,14 @@
             if let Some(step) = Step::from_input(&input) {
                 self.record_step(gateway, || step);
             }
-            let ended = match &input {
+            let disconnected = match &input {
                 Input::ClientDisconnected { client } => Some(*client),
                 _ => None,
             };
             let Some(process) = self.gateways[gateway].process.as_mut() else { break };
             let ((), cost) = self.meter.measure(|| process.node.handle(time, input, &mut outputs));
             total.add(cost);
-            if let Some(client) = ended {
+            if let Some(client) = disconnected {
                 process.clients.remove(&client);
             }
             self.record_gateway_cost(gateway, cause, cost);
@@ -146,11 +146,11 @@
         let incarnation = self.incarnation_of(gateway);
         let now = self.now;
         let Some(process) = self.gateways[gateway].process.as_mut() else { return };
-        let Some(wanted) = process.node.next_wake() else { return };
-        let wanted = wanted.0.saturating_sub(UNIX_START).max(now);
-        if process.scheduled_wake.is_none_or(|scheduled| wanted < scheduled) {
-            process.scheduled_wake = Some(wanted);
-            self.queue.schedule(wanted, Event::WakeGateway(incarnation));
+        let Some(requested) = process.node.next_wake() else { return };
+        let requested = requested.0.saturating_sub(UNIX_START).max(now);
+        if process.scheduled_wake.is_none_or(|scheduled| requested < scheduled) {
+            process.scheduled_wake = Some(requested);
+            self.queue.schedule(requested, Event::WakeGateway(incarnation));
         }
     }
 
@@ -209,6 +209,7 @@
         }
     }
 
+    /// Sends a line to a caller. Returns false if the connection is not open.
     fn write_to_client(&mut self, gateway: usize, client: ClientId, line: &[u8]) -> bool {
         let open = self.gateways[gateway].process.as_ref().is_some_and(|p| p.clients.contains_key(&client));
         if !open {
@@ -376,15 +377,12 @@
         self.callers_lose_gateway(gateway);
     }
 
+    /// Schedules the start of a gateway whose machine is back.
     pub(super) fn schedule_gateway_start(&mut self, gateway: usize) {
-        let at = self.now + self.drawn_boot();
+        let at = self.now + self.random_up_to(super::BOOT_SPREAD);
         self.queue.schedule(at, Event::StartGateway { gateway });
     }
 
-    fn drawn_boot(&mut self) -> Duration {
-        self.random_up_to(super::BOOT_SPREAD)
-    }
-
     /// Converts a time of the scenario to one of the simulation.
     pub(super) fn scenario_time(&self, at: Duration) -> Duration {
         START_UP + at
--- a/crates/fawnrouter-capacity/src/hollow/simulation/switches.rs
+++ b/crates/fawnrouter-capacity/src/hollow/simulation/switches.rs
@@ -14,12 +14,12 @@
     pub(super) fn accept_connection(&mut self, connection: ConnectionId) {
         let Some(record) = self.connections.get(&connection) else { return };
         let (gateway, switch) = (record.gateway.gateway, record.switch);
-        let (here, there) = (self.switches[switch].location, self.gateways[gateway].location);
+        let (from, to) = (self.switches[switch].location, self.gateways[gateway].location);
         match self.switches[switch].state {
             SwitchState::Silent => {}
             SwitchState::Refusing => {
                 let end = Event::ConnectionEnded { connection, end: LinkEnd::Refused };
-                self.transmit(here, there, None, end);
+                self.transmit(from, to, None, end);
             }
             SwitchState::Up => {
                 if let Some(record) = self.connections.get_mut(&connection) {
@@ -27,7 +27,7 @@
                 }
                 self.switches[switch].connections.insert((gateway, connection));
                 self.record_switch_cost(switch, Cause::Connections, Cost::connection_opened());
-                self.transmit(here, there, None, Event::ConnectionUp { connection });
+                self.transmit(from, to, None, Event::ConnectionUp { connection });
                 self.resend_releases(switch, gateway, connection);
             }
         }
@@ -56,20 +56,20 @@
     pub(super) fn line_to_switch(&mut self, connection: ConnectionId, message: &Message, bytes: usize) {
         let Some(record) = self.connections.get(&connection) else { return };
         let (gateway, switch) = (record.gateway.gateway, record.switch);
-        let (here, there) = (self.switches[switch].location, self.gateways[gateway].location);
+        let (from, to) = (self.switches[switch].location, self.gateways[gateway].location);
         if self.switches[switch].state == SwitchState::Silent {
             return;
         }
         if !record.open_at_switch {
             let end = Event::ConnectionEnded { connection, end: LinkEnd::Broken };
-            return self.transmit(here, there, None, end);
+            return self.transmit(from, to, None, end);
         }
         self.record_switch_cost(switch, cause_of_verb(message.verb), Cost::message_received(bytes));
         let tag = message.tag.0;
         match message.verb {
             Verb::Start => self.receive_set_up(switch, connection, tag),
             Verb::Finish => {
-                self.set_up_done(connection, tag);
+                self.remove_open_set_up(connection, tag);
                 self.switches[switch].calls.remove(&tag);
             }
             Verb::Finished => {
@@ -94,7 +94,7 @@
         self.queue.schedule(answers, Event::SwitchAnswersSetUp { switch, epoch, tag });
     }
 
-    fn set_up_done(&mut self, connection: ConnectionId, tag: u64) {
+    fn remove_open_set_up(&mut self, connection: ConnectionId, tag: u64) {
         if let Some(record) = self.connections.get_mut(&connection) {
             record.set_ups.remove(&tag);
         }
@@ -109,7 +109,7 @@
         };
         call.established = true;
         let connection = call.connection;
-        self.set_up_done(connection, tag);
+        self.remove_open_set_up(connection, tag);
         self.send_from_switch(connection, &switch_answer(tag));
         if let Some(call) = self.callers.calls.get_mut(&tag) {
             call.switch = Some(switch);
