--- a/crates/fawnrouter-capacity/src/delay.rs
+++ b/crates/fawnrouter-capacity/src/delay.rs
@@ -21,10 +21,10 @@
 /// Share of the delays up to the 99.9th percentile.
 pub const P999: f64 = 0.999;
 /// Shares that differ by less are equal: rounding errors can add up to this over a grid.
-const ROUNDING: f64 = 1e-9;
-/// Share of a bin that counts as 0: all pairs of such bins add up to less than [`ROUNDING`].
-const NEGLIGIBLE: f64 = 1e-18;
-const TWICE: NonZeroU64 = NonZeroU64::new(2).unwrap();
+const ROUNDING_ERROR: f64 = 1e-9;
+/// Share of a bin that counts as 0: all pairs of such bins add up to less than [`ROUNDING_ERROR`].
+const NEGLIGIBLE_SHARE: f64 = 1e-18;
+const TWO: NonZeroU64 = NonZeroU64::new(2).unwrap();
 
 /// Why there is no distribution of delays.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -46,14 +46,14 @@
 
 impl Grid {
     /// The bin nearest to a delay; `None` beyond the grid.
-    fn bin_of(self, nanoseconds: u64) -> Option<usize> {
+    fn nearest_bin(self, nanoseconds: u64) -> Option<usize> {
         let width = self.bin_nanoseconds.get();
         let nearest = nanoseconds.saturating_add(width / 2) / width;
         usize::try_from(nearest).ok().filter(|bin| *bin < self.bins)
     }
 
     fn with_bins_twice_as_wide(self) -> Self {
-        Self { bin_nanoseconds: self.bin_nanoseconds.saturating_mul(TWICE), ..self }
+        Self { bin_nanoseconds: self.bin_nanoseconds.saturating_mul(TWO), ..self }
     }
 }
 
@@ -77,7 +77,7 @@
         }
         let mut shares = vec![0.0; grid.bins];
         for bucket in buckets {
-            if let Some(bin) = grid.bin_of(bucket.nanoseconds) {
+            if let Some(bin) = grid.nearest_bin(bucket.nanoseconds) {
                 shares[bin] += bucket.count as f64 / total;
             }
         }
@@ -89,24 +89,24 @@
     pub fn of_hops(&self, hops: u32) -> Self {
         let mut sum = Self { grid: self.grid, shares: vec![1.0] };
         let mut doubled = self.clone();
-        let mut left = hops;
-        while left > 0 {
-            if left % 2 == 1 {
-                sum = sum.followed_by(&doubled);
+        let mut remaining = hops;
+        while remaining > 0 {
+            if remaining % 2 == 1 {
+                sum = sum.convolve(&doubled);
             }
-            left /= 2;
-            if left > 0 {
-                doubled = doubled.followed_by(&doubled);
+            remaining /= 2;
+            if remaining > 0 {
+                doubled = doubled.convolve(&doubled);
             }
         }
         sum
     }
 
     /// Distribution of the sum of two independent delays. Both distributions must have the same grid.
-    fn followed_by(&self, other: &Self) -> Self {
+    fn convolve(&self, other: &Self) -> Self {
         let mut sums = vec![0.0; self.grid.bins];
         for (bin, share) in self.shares.iter().enumerate() {
-            if *share <= NEGLIGIBLE {
+            if *share <= NEGLIGIBLE_SHARE {
                 continue;
             }
             for (sum, other_share) in sums[bin..].iter_mut().zip(&other.shares) {
@@ -120,10 +120,10 @@
     /// the grid.
     #[must_use]
     pub fn percentile(&self, share: f64) -> Option<u64> {
-        let mut within = 0.0;
+        let mut cumulative = 0.0;
         for (bin, share_of_bin) in self.shares.iter().enumerate() {
-            within += share_of_bin;
-            if within >= share - ROUNDING {
+            cumulative += share_of_bin;
+            if cumulative >= share - ROUNDING_ERROR {
                 return Some(bin as u64 * self.grid.bin_nanoseconds.get());
             }
         }
@@ -137,7 +137,7 @@
     }
 
     fn trimmed(grid: Grid, mut shares: Vec<f64>) -> Self {
-        let used = shares.iter().rposition(|share| *share > NEGLIGIBLE).map_or(0, |last| last + 1);
+        let used = shares.iter().rposition(|share| *share > NEGLIGIBLE_SHARE).map_or(0, |last| last + 1);
         shares.truncate(used);
         Self { grid, shares }
     }
@@ -172,17 +172,17 @@
 pub fn delays_by_depth(buckets: &[DelayBucket], hops: &[u32]) -> Result<DelaysByDepth, DelayError> {
     let deepest = hops.iter().copied().max().unwrap_or(0);
     let mut grid = Grid { bin_nanoseconds: FINEST_BIN_NANOSECONDS, bins: GRID_BINS };
-    let mut one = Distribution::from_histogram(buckets, grid)?;
-    while !one.holds_hops(deepest) && grid.bin_nanoseconds < COARSEST_BIN_NANOSECONDS {
+    let mut one_hop = Distribution::from_histogram(buckets, grid)?;
+    while !one_hop.holds_hops(deepest) && grid.bin_nanoseconds < COARSEST_BIN_NANOSECONDS {
         grid = grid.with_bins_twice_as_wide();
-        one = Distribution::from_histogram(buckets, grid)?;
+        one_hop = Distribution::from_histogram(buckets, grid)?;
     }
-    let delays = hops.iter().map(|hops| percentiles(&one, *hops)).collect();
+    let delays = hops.iter().map(|hops| percentiles(&one_hop, *hops)).collect();
     Ok(DelaysByDepth { grid, delays })
 }
 
-fn percentiles(one: &Distribution, hops: u32) -> DelayPercentiles {
-    let sum = one.of_hops(hops);
+fn percentiles(one_hop: &Distribution, hops: u32) -> DelayPercentiles {
+    let sum = one_hop.of_hops(hops);
     DelayPercentiles {
         hops,
         p50_nanoseconds: sum.percentile(P50),
@@ -191,26 +191,26 @@
     }
 }
 
-/// The greatest number of hops, up to `most`, whose 99th percentile is within a limit.
+/// The greatest number of hops, up to `max_hops`, whose 99th percentile is within a limit.
 ///
 /// # Errors
 /// Returns an error if no delay was counted.
 pub fn max_hops_within(
     buckets: &[DelayBucket],
     limit_nanoseconds: u64,
-    most: u32,
+    max_hops: u32,
 ) -> Result<u32, DelayError> {
     let mut grid = Grid { bin_nanoseconds: FINEST_BIN_NANOSECONDS, bins: GRID_BINS };
-    while grid.bin_of(limit_nanoseconds).is_none() {
+    while grid.nearest_bin(limit_nanoseconds).is_none() {
         grid = grid.with_bins_twice_as_wide();
     }
-    let one = Distribution::from_histogram(buckets, grid)?;
+    let one_hop = Distribution::from_histogram(buckets, grid)?;
     let is_within = |sum: &Distribution| sum.percentile(P99).is_some_and(|delay| delay <= limit_nanoseconds);
-    let mut sum = one.clone();
+    let mut sum = one_hop.clone();
     let mut hops = 0;
-    while hops < most && is_within(&sum) {
+    while hops < max_hops && is_within(&sum) {
         hops += 1;
-        sum = sum.followed_by(&one);
+        sum = sum.convolve(&one_hop);
     }
     Ok(hops)
 }
--- a/crates/fawnrouter-capacity/src/fit.rs
+++ b/crates/fawnrouter-capacity/src/fit.rs
@@ -16,7 +16,7 @@
 pub use self::power::{Curve, Power};
 pub use self::terms::Residual;
 
-use self::growth::{growth, quadratic};
+use self::growth::{classify, fit_quadratic};
 use self::least_squares::least_squares;
 use self::terms::{base_and_factor, residual};
 use crate::figures::Point;
@@ -87,11 +87,11 @@
     /// # Errors
     /// Returns an error if there are too few points, if sizes do not increase, or if a number is invalid.
     pub fn from_points(points: &[Point]) -> Result<Self, FitError> {
-        check(points)?;
-        let line = line(points);
+        check_points(points)?;
+        let line = fit_line(points);
         let exponent = exponent(points);
-        let quadratic = quadratic(points);
-        let growth = growth(points, &line, exponent, quadratic);
+        let quadratic = fit_quadratic(points);
+        let growth = classify(points, &line, exponent, quadratic);
         Ok(Self { line, exponent, curvature: quadratic.curvature, growth })
     }
 
@@ -116,7 +116,7 @@
     }
 }
 
-fn check(points: &[Point]) -> Result<(), FitError> {
+fn check_points(points: &[Point]) -> Result<(), FitError> {
     let is_bad = |point: &Point| !point.size.is_finite() || point.size < 0.0 || !point.value.is_finite();
     if let Some(index) = points.iter().position(is_bad) {
         return Err(FitError::BadPoint { position: index + 1 });
@@ -130,7 +130,7 @@
     Ok(())
 }
 
-fn line(points: &[Point]) -> Line {
+fn fit_line(points: &[Point]) -> Line {
     let (base, slope) = base_and_factor(points, Power::One);
     let residual = residual(points, |size| base + slope * size);
     Line { base, slope, residual }
--- a/crates/fawnrouter-capacity/src/fit/growth.rs
+++ b/crates/fawnrouter-capacity/src/fit/growth.rs
@@ -28,7 +28,7 @@
     /// The line fits, or nothing contradicts it.
     Linear,
     /// Slower than linear: the quadratic fit bends downwards by at least [`NONLINEAR_MIN_CURVATURE`], or
-    /// falls and flattens by as much, and fits better ([`NONLINEAR_MIN_R_SQUARED`],
+    /// falls and flattening by as much, and fits better ([`NONLINEAR_MIN_R_SQUARED`],
     /// [`NONLINEAR_MAX_RESIDUAL_RATIO`]).
     Sublinear,
     /// Faster than linear: the series rises and bends upwards by at least [`NONLINEAR_MIN_CURVATURE`], or
@@ -46,30 +46,31 @@
     pub residual: Residual,
 }
 
-pub(super) fn growth(points: &[Point], line: &Line, exponent: Option<f64>, quadratic: Quadratic) -> Growth {
-    let is_better = |form: Residual| {
-        let holds = line.residual.relative_rms <= LINEAR_MAX_RELATIVE_RMS;
-        let leaves_less = form.relative_rms <= NONLINEAR_MAX_RESIDUAL_RATIO * line.residual.relative_rms;
-        !holds && leaves_less && form.r_squared >= NONLINEAR_MIN_R_SQUARED
+pub(super) fn classify(points: &[Point], line: &Line, exponent: Option<f64>, quadratic: Quadratic) -> Growth {
+    let fits_better = |form: Residual| {
+        let line_fits = line.residual.relative_rms <= LINEAR_MAX_RELATIVE_RMS;
+        let has_smaller_residual =
+            form.relative_rms <= NONLINEAR_MAX_RESIDUAL_RATIO * line.residual.relative_rms;
+        !line_fits && has_smaller_residual && form.r_squared >= NONLINEAR_MIN_R_SQUARED
     };
     let curvature = quadratic.curvature;
-    let by_exponent =
+    let bends_with_exponent =
         curvature > 0.0 && exponent.is_some_and(|exponent| exponent >= SUPERLINEAR_MIN_EXPONENT);
-    if line.slope > 0.0 && (curvature >= NONLINEAR_MIN_CURVATURE || by_exponent) {
+    if line.slope > 0.0 && (curvature >= NONLINEAR_MIN_CURVATURE || bends_with_exponent) {
         let curve = best_curve(points);
-        if curve.power != Power::One && is_better(curve.residual) {
+        if curve.power != Power::One && fits_better(curve.residual) {
             return Growth::Superlinear(curve);
         }
     }
     if line.slope == 0.0 || line.residual.r_squared < LINEAR_MIN_R_SQUARED {
-        return Growth::Undetected(level(points));
+        return Growth::Undetected(mean_fit(points));
     }
-    let flattens = if line.slope > 0.0 { -curvature } else { curvature };
-    let is_slower = flattens >= NONLINEAR_MIN_CURVATURE && is_better(quadratic.residual);
-    if is_slower { Growth::Sublinear } else { Growth::Linear }
+    let flattening = if line.slope > 0.0 { -curvature } else { curvature };
+    let is_sublinear = flattening >= NONLINEAR_MIN_CURVATURE && fits_better(quadratic.residual);
+    if is_sublinear { Growth::Sublinear } else { Growth::Linear }
 }
 
-fn level(points: &[Point]) -> MeanFit {
+fn mean_fit(points: &[Point]) -> MeanFit {
     let mean = points.iter().map(|point| point.value).sum::<f64>() / points.len() as f64;
     MeanFit { mean, residual: residual(points, |_| mean) }
 }
@@ -82,7 +83,7 @@
     residual: Residual,
 }
 
-pub(super) fn quadratic(points: &[Point]) -> Quadratic {
+pub(super) fn fit_quadratic(points: &[Point]) -> Quadratic {
     let terms = [Term::Constant, Term::Power(Power::One), Term::Power(Power::Two)];
     let [base, linear, squared] = coefficients(points, terms);
     let greatest = greatest_size(points);
--- a/crates/fawnrouter-capacity/src/fit/least_squares.rs
+++ b/crates/fawnrouter-capacity/src/fit/least_squares.rs
@@ -5,21 +5,21 @@
 pub(super) fn least_squares(columns: &[Vec<f64>], values: &[f64]) -> Vec<f64> {
     let mut directions: Vec<Vec<f64>> = Vec::new();
     // For each column, its coefficients along the orthogonal directions before it.
-    let mut shares: Vec<Vec<f64>> = Vec::new();
+    let mut projections: Vec<Vec<f64>> = Vec::new();
     for column in columns {
         let mut rest = column.clone();
-        let column_coefficients =
+        let column_projections =
             directions.iter().map(|direction| subtract_projection(direction, &mut rest)).collect();
-        shares.push(column_coefficients);
+        projections.push(column_projections);
         directions.push(rest);
     }
     let mut rest = values.to_vec();
     let mut coefficients: Vec<f64> =
         directions.iter().map(|direction| subtract_projection(direction, &mut rest)).collect();
     for column in (0..columns.len()).rev() {
-        let coefficient = coefficients[column];
-        for (earlier, share) in shares[column].iter().enumerate() {
-            coefficients[earlier] -= share * coefficient;
+        let column_coefficient = coefficients[column];
+        for (earlier, projection) in projections[column].iter().enumerate() {
+            coefficients[earlier] -= projection * column_coefficient;
         }
     }
     coefficients
@@ -27,11 +27,11 @@
 
 /// Subtracts the projection on `direction` from `rest` and returns its coefficient.
 fn subtract_projection(direction: &[f64], rest: &mut [f64]) -> f64 {
-    let share = dot(direction, rest) / dot(direction, direction);
+    let coefficient = dot(direction, rest) / dot(direction, direction);
     for (value, along) in rest.iter_mut().zip(direction) {
-        *value -= share * along;
+        *value -= coefficient * along;
     }
-    share
+    coefficient
 }
 
 fn dot(left: &[f64], right: &[f64]) -> f64 {
--- a/crates/fawnrouter-capacity/src/fit/power.rs
+++ b/crates/fawnrouter-capacity/src/fit/power.rs
@@ -32,7 +32,7 @@
     }
 
     /// The size at which `factor x size^power` equals `slope x size`, where `ratio` is `slope / factor`.
-    fn size_of_ratio(self, ratio: f64) -> f64 {
+    fn crossing_size(self, ratio: f64) -> f64 {
         match self {
             Self::One => f64::INFINITY,
             Self::OneAndAHalf => ratio * ratio,
@@ -69,9 +69,9 @@
 
 /// The curve with the smallest residual; of equal ones that with the smaller power.
 pub(super) fn best_curve(points: &[Point]) -> Curve {
-    let mut best = curve(points, Power::One);
+    let mut best = fit_curve(points, Power::One);
     for power in Power::ALL {
-        let candidate = curve(points, power);
+        let candidate = fit_curve(points, power);
         if candidate.residual.relative_rms < best.residual.relative_rms {
             best = candidate;
         }
@@ -80,7 +80,7 @@
     best
 }
 
-fn curve(points: &[Point], power: Power) -> Curve {
+fn fit_curve(points: &[Point], power: Power) -> Curve {
     let (base, factor) = base_and_factor(points, power);
     let residual = residual(points, |size| base + factor * power.apply(size));
     Curve { base, factor, power, residual, dominant_from: None }
@@ -91,13 +91,13 @@
     if power == Power::One {
         return None;
     }
-    let [_, linear, powered] =
+    let [_, linear_coefficient, power_coefficient] =
         coefficients(points, [Term::Constant, Term::Power(Power::One), Term::Power(power)]);
-    if powered <= 0.0 {
+    if power_coefficient <= 0.0 {
         return None;
     }
     let smallest = points.first()?.size;
-    let crossing = power.size_of_ratio(linear.max(0.0) / powered);
+    let crossing = power.crossing_size(linear_coefficient.max(0.0) / power_coefficient);
     // The fit scales sizes so that the greatest is 1.
     Some((crossing * greatest_size(points)).max(smallest))
 }
--- a/crates/fawnrouter-capacity/src/fit/terms.rs
+++ b/crates/fawnrouter-capacity/src/fit/terms.rs
@@ -5,7 +5,7 @@
 use crate::figures::Point;
 
 /// A coefficient whose contribution is below this share of the values is a rounding error and counts as 0.
-const ROUNDING: f64 = 1e-9;
+const ROUNDING_SHARE: f64 = 1e-9;
 
 /// Distance of a fit from its points.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -20,8 +20,9 @@
 pub(super) fn base_and_factor(points: &[Point], power: Power) -> (f64, f64) {
     let [base, factor] = coefficients(points, [Term::Constant, Term::Power(power)]);
     let greatest_value = points.iter().map(|point| point.value.abs()).fold(0.0, f64::max);
-    let without_rounding =
-        |coefficient: f64| if coefficient.abs() <= ROUNDING * greatest_value { 0.0 } else { coefficient };
+    let without_rounding = |coefficient: f64| {
+        if coefficient.abs() <= ROUNDING_SHARE * greatest_value { 0.0 } else { coefficient }
+    };
     (without_rounding(base), without_rounding(factor) / power.apply(greatest_size(points)))
 }
 
@@ -33,7 +34,7 @@
 }
 
 impl Term {
-    fn of(self, size: f64) -> f64 {
+    fn value_at(self, size: f64) -> f64 {
         match self {
             Self::Constant => 1.0,
             Self::Power(power) => power.apply(size),
@@ -44,8 +45,9 @@
 /// Least-squares coefficients of these terms, with sizes scaled so that the greatest is 1.
 pub(super) fn coefficients<const TERMS: usize>(points: &[Point], terms: [Term; TERMS]) -> [f64; TERMS] {
     let greatest = greatest_size(points);
-    let column =
-        |term: Term| -> Vec<f64> { points.iter().map(|point| term.of(point.size / greatest)).collect() };
+    let column = |term: Term| -> Vec<f64> {
+        points.iter().map(|point| term.value_at(point.size / greatest)).collect()
+    };
     let values: Vec<f64> = points.iter().map(|point| point.value).collect();
     let fitted = least_squares(&terms.map(column), &values);
     std::array::from_fn(|index| fitted[index])
@@ -59,10 +61,11 @@
     let count = points.len() as f64;
     let mean = points.iter().map(|point| point.value).sum::<f64>() / count;
     let mean_magnitude = points.iter().map(|point| point.value.abs()).sum::<f64>() / count;
-    let left: f64 = points.iter().map(|point| (point.value - fitted(point.size)).powi(2)).sum();
-    let all: f64 = points.iter().map(|point| (point.value - mean).powi(2)).sum();
-    let relative_rms = if mean_magnitude == 0.0 { 0.0 } else { (left / count).sqrt() / mean_magnitude };
-    let does_not_vary = (all / count).sqrt() <= ROUNDING * mean_magnitude;
-    let r_squared = if does_not_vary { 1.0 } else { 1.0 - left / all };
+    let squared_residuals: f64 = points.iter().map(|point| (point.value - fitted(point.size)).powi(2)).sum();
+    let squared_deviations: f64 = points.iter().map(|point| (point.value - mean).powi(2)).sum();
+    let relative_rms =
+        if mean_magnitude == 0.0 { 0.0 } else { (squared_residuals / count).sqrt() / mean_magnitude };
+    let does_not_vary = (squared_deviations / count).sqrt() <= ROUNDING_SHARE * mean_magnitude;
+    let r_squared = if does_not_vary { 1.0 } else { 1.0 - squared_residuals / squared_deviations };
     Residual { relative_rms, r_squared }
 }
--- a/crates/fawnrouter-capacity/src/hollow.rs
+++ b/crates/fawnrouter-capacity/src/hollow.rs
@@ -64,7 +64,7 @@
 #[non_exhaustive]
 pub enum HollowError {
     /// A field of the scenario is invalid.
-    #[error("scenario: {field}: it must be {wanted}")]
+    #[error("invalid scenario: {field} must be {wanted}")]
     Scenario {
         /// Name of the field.
         field: &'static str,
@@ -72,14 +72,14 @@
         wanted: &'static str,
     },
     /// A gateway rejects the generated configuration.
-    #[error("a hollow gateway's configuration is refused: {0}")]
+    #[error("the generated configuration of a gateway is rejected: {0}")]
     Boot(#[from] BootError),
     /// The decision module rejects the settings.
-    #[error("a hollow gateway's settings are refused: {0}")]
+    #[error("the generated settings of a gateway are rejected: {0}")]
     Settings(#[from] SettingsError),
     /// A replayed gateway wrote a different number of bytes than it did in the simulation.
     #[error(
-        "a gateway wrote {first} bytes, and {again} when it was given the same again: it is not deterministic"
+        "a gateway wrote {first} bytes, and {again} when its inputs were replayed: it is not deterministic"
     )]
     ReplayMismatch {
         /// Bytes written in the simulation.
@@ -88,7 +88,7 @@
         again: u64,
     },
     /// A gateway accepts a configuration that was damaged on purpose.
-    #[error("a damaged configuration was not refused: the rig damages it in the wrong place")]
+    #[error("a damaged configuration was accepted: the damage is in a place that is not checked")]
     DamagedConfigurationAccepted,
 }
 
--- a/crates/fawnrouter-capacity/src/hollow/runs/configuration.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/configuration.rs
@@ -46,7 +46,8 @@
     gateway_configuration(&parameters, 1, &rows)
 }
 
-/// Makes the address of the last core switch invalid, so that all before it is read before the damage is found.
+/// Makes the address of the last core switch invalid, so that all before it is read before the damage is
+/// found.
 fn damaged(mut configuration: Value) -> Value {
     let instances = configuration.pointer_mut("/known/results/0/fleet/instances");
     if let Some(last) = instances.and_then(Value::as_array_mut).and_then(|rows| rows.last_mut()) {
--- a/crates/fawnrouter-capacity/src/hollow/scenario.rs
+++ b/crates/fawnrouter-capacity/src/hollow/scenario.rs
@@ -201,22 +201,22 @@
             (self.caller_connections, "caller_connections"),
         ];
         if let Some((_, name)) = counts.iter().find(|(count, _)| *count == 0) {
-            return Err(HollowError::Scenario { field: name, wanted: "1 at least" });
+            return Err(HollowError::Scenario { field: name, wanted: "at least 1" });
         }
         if self.services > self.gateways.min(self.switches) {
             return Err(HollowError::Scenario {
                 field: "services",
-                wanted: "one gateway and switch for each",
+                wanted: "at most the number of gateways and of switches",
             });
         }
         if self.regions > self.zones {
-            return Err(HollowError::Scenario { field: "regions", wanted: "one zone for each at least" });
+            return Err(HollowError::Scenario { field: "regions", wanted: "at most the number of zones" });
         }
         if self.traffic.gateways != self.gateways {
-            return Err(HollowError::Scenario { field: "traffic.gateways", wanted: "as many as gateways" });
+            return Err(HollowError::Scenario { field: "traffic.gateways", wanted: "equal to gateways" });
         }
         if self.measured < Duration::from_secs(1) {
-            return Err(HollowError::Scenario { field: "measured", wanted: "a second at least" });
+            return Err(HollowError::Scenario { field: "measured", wanted: "at least one second" });
         }
         Ok(())
     }
