--- a/crates/fawnrouter-capacity/src/delay.rs
+++ b/crates/fawnrouter-capacity/src/delay.rs
@@ -8,7 +8,8 @@
 
 use crate::figures::DelayBucket;
 
-/// Number of bins of the grid. Delays beyond it have no bins: adding hops only makes them longer.
+/// Number of bins of the grid. Delays beyond it are counted without a bin, as adding hops only makes them
+/// longer.
 pub const GRID_BINS: usize = 4_096;
 /// Width of a bin in nanoseconds, unless the delays do not fit into the grid.
 pub const FINEST_BIN_NANOSECONDS: NonZeroU64 = NonZeroU64::new(1_000).unwrap();
--- a/crates/fawnrouter-capacity/src/hollow/outcome.rs
+++ b/crates/fawnrouter-capacity/src/hollow/outcome.rs
@@ -85,7 +85,7 @@
     pub unexpected_lines: u64,
     /// Set-ups of a call that its core switch already holds.
     pub set_up_twice: u64,
-    /// Lines written by gateways that could not be decoded.
+    /// Lines written by gateways that are no messages or have no tag.
     pub unreadable: u64,
 }
 
--- a/crates/fawnrouter-capacity/tests/hollow.rs
+++ b/crates/fawnrouter-capacity/tests/hollow.rs
@@ -1,4 +1,5 @@
-//! The hollow rig: counts against arithmetic, bytes against the codecs, the same under the same seed.
+//! Simulated gateways: counts against calculated values, bytes against the codecs, equal results for equal
+//! seeds.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -33,19 +34,19 @@
     }
 }
 
-fn question(id: u16) -> (Name, Vec<u8>) {
+fn list_query(id: u16) -> (Name, Vec<u8>) {
     let name: Name = LIST_DNS_NAME.parse().unwrap();
-    let question = query(id, &name, RecordType::Srv);
-    (name, question)
+    let query = query(id, &name, RecordType::Srv);
+    (name, query)
 }
 
-fn bytes_of(message: &Message) -> u64 {
+fn encoded_length(message: &Message) -> u64 {
     let mut line = Vec::new();
     message.encode(&mut line);
     line.len() as u64
 }
 
-/// All that a seed decides.
+/// All results that are exact for a given seed.
 fn counts(outcome: &Outcome) -> Vec<String> {
     let mut counts = vec![
         format!("{:?}", outcome.calls),
@@ -73,8 +74,8 @@
     counts
 }
 
-/// A fleet of two services, calls, and a zone that goes and comes back.
-fn eventful(seed: u64) -> Scenario {
+/// A fleet of two services with calls, in which a zone fails and recovers.
+fn scenario_with_zone_outage(seed: u64) -> Scenario {
     let zone = FaultPlan::outage(seconds(3), seconds(3), Fault::ZoneGone(1), Fault::ZoneBack(1));
     Scenario::fleet(seed, 30)
         .with_measurement_window(seconds(1), seconds(8))
@@ -83,19 +84,19 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_counts_and_another_gives_others() {
-    let first = counts(&simulate(&eventful(SEED)).unwrap());
-    assert_eq!(first, counts(&simulate(&eventful(SEED)).unwrap()));
-    assert_ne!(first, counts(&simulate(&eventful(SEED + 1)).unwrap()));
+fn equal_seeds_give_equal_counts_and_other_seeds_differ() {
+    let first = counts(&simulate(&scenario_with_zone_outage(SEED)).unwrap());
+    assert_eq!(first, counts(&simulate(&scenario_with_zone_outage(SEED)).unwrap()));
+    assert_ne!(first, counts(&simulate(&scenario_with_zone_outage(SEED + 1)).unwrap()));
 }
 
-// ---- The platform's bytes -------------------------------------------------------------------------------------
+// ---- Encoding of the platform
 #[test]
-fn a_list_of_any_length_reads_as_it_was_written() {
+fn list_of_any_length_decodes_to_what_was_encoded() {
     for count in [1, 25, 132, 660] {
         let rows: Vec<ListedSwitch> = (0..count).map(row).collect();
-        let (name, question) = question(0x1234);
-        let datagram = encode_list_answer(&question, 77, &rows);
+        let (name, query) = list_query(0x1234);
+        let datagram = encode_list_answer(&query, 77, &rows);
         let answer = read_response(&datagram, 0x1234, &name, RecordType::Srv).unwrap();
         let pool = Pool::from_response(&answer).unwrap();
         assert_eq!(pool.serial, 77);
@@ -112,32 +113,32 @@
 }
 
 #[test]
-fn names_of_a_list_are_written_once_as_far_as_pointers_reach() {
+fn list_names_are_compressed_as_far_as_pointers_reach() {
     let length = |count: u32| {
         let rows: Vec<ListedSwitch> =
             (0..count).map(row).map(|row| ListedSwitch { started_unix_ms: 0, ..row }).collect();
-        encode_list_answer(&question(1).1, 1, &rows).len()
+        encode_list_answer(&list_query(1).1, 1, &rows).len()
     };
-    // SRV: a pointer, 10 bytes, 6 bytes, the id and a pointer. A: a pointer, 10 bytes, 4 bytes. TXT: a pointer, 10
-    // bytes, "kind=std" "cell=N" "started=0". Each text and label has its length before it.
+    // SRV: a pointer, 10 bytes, 6 bytes, the id and a pointer. A: a pointer, 10 bytes, 4 bytes. TXT: a
+    // pointer, 10 bytes, "kind=std" "cell=N" "started=0". Each text and label has its length before it.
     let (pointer, fixed, id, texts) = (2, 10, 11, 9 + 7 + 10);
     let a_row = (pointer + fixed + 6 + id + pointer) + (pointer + fixed + 4) + (pointer + fixed + texts);
     assert_eq!(length(3) - length(2), a_row);
-    // A host's name beyond the 14 bits of a pointer is written out up to what lies below them.
+    // A pointer has 14 bits: names beyond that offset are written out up to a part at a lower offset.
     assert!(length(660) - length(659) > a_row);
 }
 
 #[test]
-fn what_is_no_question_gets_no_answer() {
+fn malformed_list_query_gets_no_answer() {
     assert!(encode_list_answer(&[], 1, &[row(0)]).is_empty());
     assert!(encode_list_answer(&[0; 12], 1, &[row(0)]).is_empty());
-    // A name that runs over the end, as only a stranger writes it.
+    // A name whose length exceeds the datagram, as no gateway sends it.
     let cut = [&[0; 12][..], &[60, b'a', b'b']].concat();
     assert!(!encode_list_answer(&cut, 1, &[row(0)]).is_empty());
 }
 
 #[test]
-fn a_configuration_is_taken_as_it_was_written() {
+fn configuration_is_read_as_it_was_written() {
     let rows: Vec<ListedSwitch> = (0..25).map(row).collect();
     let place = GatewayParameters {
         name: "g".to_owned(),
@@ -153,16 +154,16 @@
     assert_eq!((boot.name, boot.listen, boot.nameserver), (place.name, place.listen, place.nameserver));
     assert_eq!((boot.seed, boot.descriptors), (place.seed, 512));
     assert_eq!((boot.settings.gateways, boot.settings.own_id.0), (26, 25));
-    let (name, question) = question(1);
-    let answer = read_response(&encode_list_answer(&question, 9, &rows), 1, &name, RecordType::Srv).unwrap();
+    let (name, query) = list_query(1);
+    let answer = read_response(&encode_list_answer(&query, 9, &rows), 1, &name, RecordType::Srv).unwrap();
     assert_eq!(
         boot.known,
         Pool::from_response(&answer).unwrap(),
-        "the file and the name server tell the same"
+        "the configuration and the name server give the same list"
     );
 }
 
-// ---- The plan -------------------------------------------------------------------------------------------------
+// ---- Traffic and fault plans
 fn traffic(gateways: u32) -> TrafficPlan {
     TrafficPlan {
         seed: SEED,
@@ -175,7 +176,7 @@
 }
 
 #[test]
-fn calls_come_by_chance_at_their_rate_with_ids_of_their_own() {
+fn calls_arrive_randomly_at_their_rate_with_unique_tags() {
     let calls = traffic(3).calls();
     assert!(calls.is_sorted_by_key(|call| call.at));
     let tags: BTreeSet<u64> = calls.iter().map(|call| call.tag).collect();
@@ -184,9 +185,9 @@
     for gateway in 0..3 {
         let times: Vec<Duration> =
             calls.iter().filter(|call| call.gateway == gateway).map(|call| call.at).collect();
-        // 5,000 calls by chance: four standard deviations are 283.
+        // A Poisson count with mean 5,000: four standard deviations are 283.
         assert!((4717..=5283).contains(&times.len()), "{}", times.len());
-        // Of exponential gaps the share e^-1 is longer than the mean one.
+        // A share of e^-1 of exponential gaps is longer than their mean.
         let longer = times.windows(2).filter(|pair| pair[1] - pair[0] > Duration::from_millis(20)).count();
         let share = longer as f64 / times.len() as f64;
         assert!((share - (-1.0f64).exp()).abs() < 0.03, "{share}");
@@ -194,7 +195,7 @@
 }
 
 #[test]
-fn a_gateways_calls_come_when_they_do_however_many_others_there_are() {
+fn call_times_of_a_gateway_do_not_depend_on_other_gateways() {
     let times = |gateways| -> Vec<Duration> {
         let calls = traffic(gateways).calls();
         calls.iter().filter(|call| call.gateway == 1).map(|call| call.at).collect()
@@ -203,7 +204,7 @@
 }
 
 #[test]
-fn restarts_are_drawn_within_their_span() {
+fn random_restarts_lie_within_their_span() {
     let plan = FaultPlan::gateway_restarts(SEED, 10, 64, seconds(100));
     assert_eq!(plan, FaultPlan::gateway_restarts(SEED, 10, 64, seconds(100)));
     assert_eq!(plan.faults.len(), 64);
@@ -212,18 +213,18 @@
     assert!(plan.faults.iter().all(|planned| matches!(planned.fault, Fault::GatewayRestart(0..10))));
 }
 
-// ---- Counts against arithmetic --------------------------------------------------------------------------------
+// ---- Counts against calculated values
 #[test]
-fn each_gateway_asks_four_times_a_second_and_reads_the_codecs_bytes() {
+fn each_gateway_queries_the_list_four_times_a_second_and_counts_encoded_bytes() {
     let outcome =
         simulate(&Scenario::one_service(SEED, 3, 5).with_measurement_window(seconds(1), seconds(4))).unwrap();
     let rows: Vec<ListedSwitch> =
         (0..5).map(|number| ListedSwitch { draining: false, started_unix_ms: 0, ..row(number) }).collect();
-    let (_, question) = question(1);
-    let answer = encode_list_answer(&question, 1, &rows).len() as u64;
+    let (_, query) = list_query(1);
+    let answer = encode_list_answer(&query, 1, &rows).len() as u64;
     assert_eq!(outcome.list.queries, 4 * 4 * 3);
     assert_eq!(outcome.list.responses, 4 * 4 * 3);
-    assert_eq!(outcome.list.query_bytes, 4 * 4 * 3 * question.len() as u64);
+    assert_eq!(outcome.list.query_bytes, 4 * 4 * 3 * query.len() as u64);
     assert_eq!(outcome.list.response_bytes, 4 * 4 * 3 * answer);
     assert_eq!((outcome.list.lost, outcome.list.unreadable, outcome.list.changed), (0, 0, 0));
     let bytes_in = outcome.mean_per_second(Role::GatewayControl, Cause::List, Quantity::BytesIn);
@@ -235,7 +236,7 @@
 }
 
 #[test]
-fn each_call_is_set_up_once_answered_once_and_released_once() {
+fn each_call_is_set_up_answered_and_released_once() {
     let mut scenario = Scenario::one_service(SEED, 3, 4)
         .with_measurement_window(Duration::ZERO, seconds(8))
         .with_call_rate(20.0);
@@ -255,17 +256,17 @@
     assert_eq!(outcome.to_callers.messages(Verb::Finish), planned);
     assert_eq!(outcome.to_switches.messages(Verb::Finished), planned);
 
-    let set_ups: u64 = calls.iter().map(|call| bytes_of(&call.set_up_message(4))).sum();
+    let set_ups: u64 = calls.iter().map(|call| encoded_length(&call.set_up_message(4))).sum();
     assert_eq!(outcome.from_callers.total_volume().bytes, set_ups);
-    let answers = planned * bytes_of(&switch_answer(1));
-    let releases = planned * bytes_of(&switch_release(1));
-    let confirmed = planned * bytes_of(&Message::new(Verb::Finished, Tag(1)));
+    let answers = planned * encoded_length(&switch_answer(1));
+    let releases = planned * encoded_length(&switch_release(1));
+    let confirmed = planned * encoded_length(&Message::new(Verb::Finished, Tag(1)));
     assert_eq!(outcome.to_callers.total_volume().bytes, answers + releases);
     let calls = |role| outcome.role(role).total.for_cause(Cause::Calls);
     let switches = calls(Role::CoreSwitch);
     assert_eq!(switches.bytes_out, answers + releases);
     assert_eq!(switches.messages_in, 2 * planned);
-    assert_eq!(switches.bytes_in, outcome.to_switches.total_volume().bytes - tests(&outcome));
+    assert_eq!(switches.bytes_in, outcome.to_switches.total_volume().bytes - test_bytes(&outcome));
     assert!(switches.bytes_in > confirmed);
     let gateways = calls(Role::GatewayCalls);
     assert_eq!((gateways.messages_in, gateways.messages_out), (3 * planned, 4 * planned));
@@ -273,14 +274,14 @@
     assert_eq!(gateways.bytes_out, answers + releases + switches.bytes_in);
 }
 
-/// Bytes of tests that gateways sent.
-fn tests(outcome: &Outcome) -> u64 {
+/// Bytes of the tests (ECHO) that gateways sent to core switches.
+fn test_bytes(outcome: &Outcome) -> u64 {
     let test = Message::new(Verb::Echo, Tag(1)).with_cause(0);
-    outcome.to_switches.messages(Verb::Echo) * bytes_of(&test)
+    outcome.to_switches.messages(Verb::Echo) * encoded_length(&test)
 }
 
 #[test]
-fn a_core_switch_holds_a_connection_of_each_gateway_that_may_call_it() {
+fn core_switch_holds_one_connection_from_each_gateway_that_may_call_it() {
     for gateways in [1, 4, 16] {
         let outcome = simulate(&Scenario::one_service(SEED, gateways, 3)).unwrap();
         let held = outcome.role(Role::CoreSwitch).held(Quantity::Connections);
@@ -291,7 +292,7 @@
 }
 
 #[test]
-fn gateways_see_the_core_switches_of_their_service_and_no_others() {
+fn gateways_see_only_the_core_switches_of_their_service() {
     let scenario = Scenario::fleet(SEED, 660);
     assert_eq!((scenario.services, scenario.zones, scenario.regions), (26, 6, 3));
     for service in 0..26 {
@@ -308,20 +309,20 @@
 }
 
 #[test]
-fn core_switches_with_calls_that_say_nothing_are_tested() {
+fn silent_core_switches_with_calls_are_tested() {
     let scenario = Scenario::one_service(SEED, 2, 3).with_hold_time(seconds(30));
     let mut scenario = scenario.with_measurement_window(seconds(1), seconds(20)).with_call_rate(1.0);
     scenario.traffic.seconds = 2;
     let outcome = simulate(&scenario).unwrap();
     let tests = outcome.to_switches.messages(Verb::Echo);
-    assert!(tests > 0, "calls stand for long and nothing comes");
+    assert!(tests > 0, "long calls without messages must be tested");
     assert_eq!(outcome.from_switches.messages(Verb::Echoed), tests);
     let probes = outcome.role(Role::CoreSwitch).total.for_cause(Cause::Probes);
     assert_eq!((probes.messages_in, probes.messages_out), (tests, tests));
 }
 
 #[test]
-fn a_list_that_changes_is_taken_once_by_each_gateway() {
+fn each_gateway_takes_a_changed_list_once() {
     let scenario = Scenario::one_service(SEED, 3, 4)
         .with_measurement_window(seconds(2), seconds(6))
         .with_list_change_interval(seconds(1));
@@ -331,11 +332,11 @@
 }
 
 #[test]
-fn links_carry_what_crosses_their_zones_and_regions_borders() {
+fn links_count_traffic_that_crosses_zones_and_regions() {
     let scenario = Scenario::fleet(SEED, 12).with_measurement_window(seconds(1), seconds(5));
     let outcome = simulate(&scenario).unwrap();
     let answer = outcome.list.response_bytes / outcome.list.responses;
-    // The name server is in zone 0 of 6, in region 0 of 3, with two gateways in each zone; each asks 20 times.
+    // The name server is in zone 0 of 6 and region 0 of 3; each zone has two gateways; each sends 20 queries.
     let zone = outcome.role(Role::ZoneLink);
     let region = outcome.role(Role::RegionLink);
     assert_eq!((zone.members, region.members), (6, 3));
@@ -347,8 +348,8 @@
     assert_eq!(outcome.gateway_memory_bytes(), None, "no counting allocator is installed");
 }
 
-// ---- Faults ---------------------------------------------------------------------------------------------------
-fn all_accounted(outcome: &Outcome) {
+// ---- Faults
+fn assert_all_calls_accounted_for(outcome: &Outcome) {
     let calls = outcome.calls;
     assert!(calls.established > 0);
     assert_eq!((calls.unanswered, calls.answered_twice, calls.unreadable), (0, 0, 0), "{calls:?}");
@@ -356,9 +357,9 @@
     assert_eq!(calls.attempted, ended, "{calls:?}");
 }
 
-/// In one service of so many gateways and core switches: what gateways hold is what their core switches and callers hold,
-/// and each gateway is connected to each core switch.
-fn connections_agree(outcome: &Outcome, members: u32) {
+/// Checks the connections in one service of `members` gateways and core switches: gateways hold as many as
+/// core switches and callers together, and each gateway is connected to each core switch.
+fn assert_connections_agree(outcome: &Outcome, members: u32) {
     const CALLER_CONNECTIONS: f64 = 8.0;
     let held = |role| outcome.role(role).held(Quantity::Connections).unwrap();
     assert_eq!(held(Role::GatewayCalls), held(Role::CoreSwitch) + CALLER_CONNECTIONS);
@@ -366,57 +367,57 @@
 }
 
 #[test]
-fn a_zone_that_goes_and_comes_back_leaves_no_call_without_an_answer_or_a_release() {
-    let outcome = simulate(&eventful(SEED).with_settle_time(seconds(15))).unwrap();
-    all_accounted(&outcome);
-    assert_eq!(outcome.calls.no_gateway, 0, "the other zones' gateways take the calls");
+fn all_calls_are_answered_and_released_when_a_zone_fails_and_recovers() {
+    let outcome = simulate(&scenario_with_zone_outage(SEED).with_settle_time(seconds(15))).unwrap();
+    assert_all_calls_accounted_for(&outcome);
+    assert_eq!(outcome.calls.no_gateway, 0, "gateways of other zones take the calls");
     assert_eq!(outcome.calls.released, outcome.calls.established, "{:?}", outcome.calls);
-    assert_eq!(outcome.configurations.read, 5, "a sixth of 30 gateways starts again");
+    assert_eq!(outcome.configurations.read, 5, "a sixth of 30 gateways restarts");
 }
 
 #[test]
-fn a_rack_is_a_fifth_of_a_zone_and_comes_back() {
+fn rack_of_a_fifth_of_a_zone_fails_and_recovers() {
     let rack = FaultPlan::outage(seconds(2), seconds(5), Fault::RackGone(1), Fault::RackBack(1));
     let scenario =
         Scenario::fleet(SEED, 30).with_measurement_window(seconds(1), seconds(8)).with_call_rate(2.0);
     let outcome = simulate(&scenario.with_faults(rack).with_settle_time(seconds(15))).unwrap();
-    all_accounted(&outcome);
+    assert_all_calls_accounted_for(&outcome);
     assert_eq!(outcome.configurations.read, 1, "a zone has five of 30 gateways");
     assert_eq!(outcome.calls.released, outcome.calls.established, "{:?}", outcome.calls);
 }
 
 #[test]
-fn a_core_switch_that_vanishes_is_found_out_and_its_calls_are_cut() {
+fn calls_of_a_failed_core_switch_are_released() {
     let gone = FaultPlan::none().with_fault(seconds(4), Fault::SwitchGone(0));
     let scenario = Scenario::one_service(SEED, 4, 4)
         .with_hold_time(seconds(20))
         .with_measurement_window(seconds(1), seconds(8));
     let outcome =
         simulate(&scenario.with_call_rate(5.0).with_faults(gone).with_settle_time(seconds(30))).unwrap();
-    all_accounted(&outcome);
+    assert_all_calls_accounted_for(&outcome);
     assert_eq!(outcome.calls.released, outcome.calls.established);
     let seen = outcome.role(Role::GatewayControl).held(Quantity::StateEntries);
     assert_eq!(seen, Some(3.0));
 }
 
 #[test]
-fn calls_of_a_core_switch_that_is_listed_again_soon_after_it_vanished_are_cut() {
+fn calls_of_a_core_switch_listed_again_soon_after_its_failure_are_released() {
     let faults = FaultPlan::outage(seconds(4), seconds(2), Fault::SwitchGone(0), Fault::SwitchBack(0));
     let scenario = Scenario::one_service(SEED, 2, 3)
         .with_hold_time(seconds(20))
         .with_measurement_window(seconds(1), seconds(8));
     let outcome =
         simulate(&scenario.with_call_rate(5.0).with_faults(faults).with_settle_time(seconds(30))).unwrap();
-    all_accounted(&outcome);
+    assert_all_calls_accounted_for(&outcome);
     assert_eq!(
         outcome.calls.released, outcome.calls.established,
-        "some callers are never told: {:?}",
+        "some callers never receive the release: {:?}",
         outcome.calls
     );
 }
 
 #[test]
-fn a_core_switch_that_drains_stops_and_returns_costs_no_call() {
+fn no_call_is_lost_when_a_core_switch_drains_stops_and_returns() {
     let faults = FaultPlan::outage(seconds(5), seconds(2), Fault::SwitchStopped(1), Fault::SwitchBack(1))
         .with_fault(seconds(2), Fault::SwitchDraining(1));
     let scenario = Scenario::one_service(SEED, 3, 3)
@@ -424,41 +425,41 @@
         .with_measurement_window(seconds(1), seconds(12));
     let outcome =
         simulate(&scenario.with_call_rate(10.0).with_faults(faults).with_settle_time(seconds(5))).unwrap();
-    all_accounted(&outcome);
+    assert_all_calls_accounted_for(&outcome);
     assert_eq!(
         (outcome.calls.established, outcome.calls.released),
         (outcome.calls.attempted, outcome.calls.attempted)
     );
     assert_eq!(outcome.list.changed, 3 * 3, "three changes at three gateways");
-    connections_agree(&outcome, 3);
+    assert_connections_agree(&outcome, 3);
 }
 
 #[test]
-fn a_service_whose_gateways_all_restart_at_once_is_back_and_keeps_its_standing_calls() {
+fn established_calls_survive_the_restart_of_all_gateways_of_a_service() {
     let faults = FaultPlan::none().with_fault(seconds(3), Fault::ServiceRestart(0));
     let scenario = Scenario::one_service(SEED, 4, 4)
         .with_hold_time(seconds(6))
         .with_measurement_window(seconds(1), seconds(10));
     let outcome =
         simulate(&scenario.with_call_rate(5.0).with_faults(faults).with_settle_time(seconds(12))).unwrap();
-    all_accounted(&outcome);
+    assert_all_calls_accounted_for(&outcome);
     assert_eq!(outcome.configurations.read, 4);
     assert_eq!(outcome.calls.released, outcome.calls.established);
-    let told_again = outcome.from_callers.messages(Verb::Start) - outcome.measured_calls;
-    assert!(told_again > 0, "calls that stood are told to the gateways after their restart");
-    connections_agree(&outcome, 4);
+    let reported_again = outcome.from_callers.messages(Verb::Start) - outcome.measured_calls;
+    assert!(reported_again > 0, "established calls are reported to the gateways after their restart");
+    assert_connections_agree(&outcome, 4);
 }
 
 #[test]
-fn regions_that_lose_each_other_lose_the_list_of_the_far_ones() {
+fn partitioned_regions_get_no_list_from_the_name_server() {
     let faults = FaultPlan::outage(seconds(2), seconds(8), Fault::RegionsApart, Fault::RegionsJoined);
     let scenario =
         Scenario::fleet(SEED, 12).with_measurement_window(seconds(1), seconds(15)).with_call_rate(2.0);
     let outcome = simulate(&scenario.with_faults(faults).with_settle_time(seconds(20))).unwrap();
-    all_accounted(&outcome);
-    // Two of three regions ask in vain, 4 times a second for 8 s.
-    let in_vain = 8 * 4 * 8;
-    assert!((in_vain - 8..=in_vain + 8).contains(&outcome.list.lost), "{}", outcome.list.lost);
+    assert_all_calls_accounted_for(&outcome);
+    // The 8 gateways of two regions send 4 queries a second for 8 s without a response.
+    let lost_queries = 8 * 4 * 8;
+    assert!((lost_queries - 8..=lost_queries + 8).contains(&outcome.list.lost), "{}", outcome.list.lost);
     assert!(outcome.list.max_list_age >= Duration::from_millis(7000), "{:?}", outcome.list.max_list_age);
     assert!(outcome.list.max_list_age <= Duration::from_millis(8300), "{:?}", outcome.list.max_list_age);
     let region = outcome.role(Role::RegionLink);
@@ -468,20 +469,20 @@
 }
 
 #[test]
-fn scenarios_that_make_no_sense_are_refused() {
-    let good = Scenario::one_service(SEED, 2, 2);
-    let refused = |scenario: Scenario, name: &str| match simulate(&scenario) {
+fn invalid_scenarios_are_rejected() {
+    let valid = Scenario::one_service(SEED, 2, 2);
+    let assert_rejected = |scenario: Scenario, name: &str| match simulate(&scenario) {
         Err(HollowError::Scenario { field, .. }) => assert_eq!(field, name),
         other => panic!("{name}: {other:?}"),
     };
-    refused(Scenario { gateways: 0, ..good.clone() }, "gateways");
-    refused(Scenario { services: 3, ..good.clone() }, "services");
-    refused(Scenario { regions: 2, ..good.clone() }, "regions");
-    refused(Scenario { gateways: 3, ..good.clone() }, "traffic.gateways");
-    refused(Scenario { measured: Duration::from_millis(10), ..good }, "measured");
+    assert_rejected(Scenario { gateways: 0, ..valid.clone() }, "gateways");
+    assert_rejected(Scenario { services: 3, ..valid.clone() }, "services");
+    assert_rejected(Scenario { regions: 2, ..valid.clone() }, "regions");
+    assert_rejected(Scenario { gateways: 3, ..valid.clone() }, "traffic.gateways");
+    assert_rejected(Scenario { measured: Duration::from_millis(10), ..valid }, "measured");
 }
 
-// ---- The report -----------------------------------------------------------------------------------------------
+// ---- Report
 static QUICK: LazyLock<Vec<Run>> = LazyLock::new(|| quick(None));
 
 fn quick(only: Option<Role>) -> Vec<Run> {
@@ -497,7 +498,7 @@
 }
 
 #[test]
-fn every_series_of_a_quick_measurement_has_four_points_by_rising_size() {
+fn every_series_of_a_quick_measurement_has_four_points_sorted_by_size() {
     let ids: BTreeSet<&str> = QUICK.iter().map(|run| run.id.as_str()).collect();
     assert_eq!(ids.len(), QUICK.len());
     for run in QUICK.iter() {
@@ -513,7 +514,7 @@
 }
 
 #[test]
-fn every_role_that_is_played_has_figures_in_every_situation() {
+fn every_simulated_role_has_figures_in_every_situation() {
     let faults = [
         Situation::Quiet,
         Situation::OrdinaryDay,
@@ -542,7 +543,7 @@
 }
 
 #[test]
-fn a_measurement_of_one_role_tells_the_same_of_it_and_nothing_else() {
+fn measurement_of_one_role_equals_its_part_of_the_whole() {
     let only = quick(Some(Role::ListSource));
     assert!(!only.is_empty());
     for run in &only {
@@ -552,9 +553,10 @@
     }
 }
 
-/// Counts of the quick measurement under the tests' seed: run, role, situation, cause, quantity, per, then the value at
-/// each size. They change with what the gateway sends; then the lines that the test prints take their place.
-const COMMITTED: &str = "\
+/// Expected counts of the quick measurement for [`SEED`]: run, role, situation, cause, quantity, per, then
+/// the value at each size. They change when gateways send other messages; replace them then by the lines that
+/// the test prints.
+const COMMITTED_COUNTS: &str = "\
 hollow-switches GatewayCalls OrdinaryDay Calls MessagesIn Call: 2.938 2.938 2.938 2.938
 hollow-switches GatewayCalls OrdinaryDay Calls MessagesOut Call: 3.876 3.876 3.876 3.876
 hollow-switches GatewayCalls OrdinaryDay Calls BytesIn Call: 419.232 419.232 419.597 419.806
@@ -595,26 +597,26 @@
 hollow-situations RegionLink RegionsApart All BytesIn Situation: 42880.000 87516.000 143437.000 215952.000
 hollow-situations RegionLink ServiceRestart All BytesIn Situation: 54542.000 98845.000 157207.000 226955.000";
 
-fn line(run: &Run, series: &Series) -> String {
+fn count_line(run: &Run, series: &Series) -> String {
     let Series { role, situation, cause, quantity, per, .. } = series;
     let values: Vec<String> = series.points.iter().map(|point| format!("{:.3}", point.value)).collect();
     format!("{} {role:?} {situation:?} {cause:?} {quantity:?} {per:?}: {}", run.id, values.join(" "))
 }
 
 #[test]
-fn the_quick_measurement_counts_what_it_counted_when_it_was_committed() {
+fn quick_measurement_matches_the_committed_counts() {
     let all: Vec<String> =
-        QUICK.iter().flat_map(|run| run.series.iter().map(|series| line(run, series))).collect();
+        QUICK.iter().flat_map(|run| run.series.iter().map(|series| count_line(run, series))).collect();
     let name = |line: &str| line.split(':').next().unwrap_or_default().to_owned();
-    let wanted: BTreeSet<String> = COMMITTED.lines().map(name).collect();
+    let wanted: BTreeSet<String> = COMMITTED_COUNTS.lines().map(name).collect();
     let counted: Vec<&str> =
         all.iter().map(String::as_str).filter(|line| wanted.contains(&name(line))).collect();
-    assert!(wanted.len() > 20, "too few counts are held against the committed ones");
-    assert_eq!(counted, COMMITTED.lines().collect::<Vec<_>>(), "counted now:\n{}", counted.join("\n"));
+    assert!(wanted.len() > 20, "too few counts are compared with the committed ones");
+    assert_eq!(counted, COMMITTED_COUNTS.lines().collect::<Vec<_>>(), "counted now:\n{}", counted.join("\n"));
 }
 
 #[test]
-fn one_planned_call_reads_as_the_platforms_page_has_it() {
+fn set_up_message_has_the_fields_of_the_platform() {
     let call = PlannedCall { at: Duration::ZERO, gateway: 0, tag: 0x9b1f_03aa_5c7e_2d41 };
     let mut line = Vec::new();
     call.set_up_message(26).encode(&mut line);
