--- a/crates/fawnrouter-capacity/src/hollow.rs
+++ b/crates/fawnrouter-capacity/src/hollow.rs
@@ -79,13 +79,13 @@
     Settings(#[from] SettingsError),
     /// A replayed gateway wrote a different number of bytes than it did in the simulation.
     #[error(
-        "a gateway wrote {first} bytes, and {again} when its inputs were replayed: it is not deterministic"
+        "a gateway wrote {recorded} bytes, and {replayed} when its inputs were replayed: it is not deterministic"
     )]
     ReplayMismatch {
         /// Bytes written in the simulation.
-        first: u64,
+        recorded: u64,
         /// Bytes written in the replay.
-        again: u64,
+        replayed: u64,
     },
     /// A gateway accepts a configuration that was damaged on purpose.
     #[error("a damaged configuration was accepted: the damage is in a place that is not checked")]
--- a/crates/fawnrouter-capacity/src/hollow/members.rs
+++ b/crates/fawnrouter-capacity/src/hollow/members.rs
@@ -29,7 +29,7 @@
     pub clients: BTreeMap<ClientId, Decoder>,
     /// Connections to core switches.
     pub links: BTreeMap<LinkId, (ConnectionId, Decoder)>,
-    /// Whether it has been told to stop.
+    /// Whether it is stopping.
     pub stopping: bool,
 }
 
@@ -160,7 +160,7 @@
     pub gateway: GatewayIncarnation,
     pub link: LinkId,
     pub switch: usize,
-    /// Whether the gateway has been told that it is up.
+    /// Whether the gateway knows that it is up.
     pub up: bool,
     /// Whether it is open at the gateway: neither closed by it nor reported as ended to it.
     pub open_at_gateway: bool,
@@ -227,9 +227,9 @@
     }
 
     /// The encoded response to a query. All responses are equal except for their ids.
-    pub fn response(&mut self, question: &[u8]) -> Rc<[u8]> {
+    pub fn response(&mut self, query: &[u8]) -> Rc<[u8]> {
         let (serial, rows) = (self.serial, &self.rows);
-        self.encoded.get_or_insert_with(|| encode_list_answer(question, serial, rows).into()).clone()
+        self.encoded.get_or_insert_with(|| encode_list_answer(query, serial, rows).into()).clone()
     }
 }
 
--- a/crates/fawnrouter-capacity/src/hollow/recording.rs
+++ b/crates/fawnrouter-capacity/src/hollow/recording.rs
@@ -90,8 +90,8 @@
         }
         if replay.bytes_written != self.bytes_written {
             return Err(HollowError::ReplayMismatch {
-                first: self.bytes_written,
-                again: replay.bytes_written,
+                recorded: self.bytes_written,
+                replayed: replay.bytes_written,
             });
         }
         let outcome =
--- a/crates/fawnrouter-capacity/src/hollow/runs/situations.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs/situations.rs
@@ -56,11 +56,11 @@
 
 fn situation_plans(quick: bool) -> Vec<SituationPlan> {
     let rate = if quick { DESIGN_CALLS_PER_SECOND_QUICK } else { DESIGN_CALLS_PER_SECOND };
-    let apart = if quick { PARTITION_TIME_QUICK } else { PARTITION_TIME };
+    let partition_time = if quick { PARTITION_TIME_QUICK } else { PARTITION_TIME };
     let at = WARM_UP + FAULT_DELAY;
-    let gone = |fault| FaultPlan::none().with_fault(at, fault);
+    let single = |fault| FaultPlan::none().with_fault(at, fault);
     let zone = FaultPlan::outage(at, ZONE_OUTAGE, Fault::ZoneGone(FAILED_ZONE), Fault::ZoneBack(FAILED_ZONE));
-    let regions = FaultPlan::outage(at, apart, Fault::RegionsApart, Fault::RegionsJoined);
+    let regions = FaultPlan::outage(at, partition_time, Fault::RegionsApart, Fault::RegionsJoined);
     let plan = |situation, name, rate, seconds, faults| SituationPlan {
         situation,
         name,
@@ -76,21 +76,21 @@
             "a machine gone",
             FAULT_CALLS_PER_SECOND,
             6,
-            gone(Fault::SwitchGone(FAILED_SWITCH)),
+            single(Fault::SwitchGone(FAILED_SWITCH)),
         ),
         plan(
             Situation::RackGone,
             "a rack gone",
             FAULT_CALLS_PER_SECOND,
             6,
-            gone(Fault::RackGone(FAILED_ZONE)),
+            single(Fault::RackGone(FAILED_ZONE)),
         ),
         plan(Situation::ZoneGone, "a zone gone and back", FAULT_CALLS_PER_SECOND, 12, zone),
         plan(
             Situation::RegionsApart,
             "regions apart",
             PARTITION_CALLS_PER_SECOND,
-            apart.as_secs() + 7,
+            partition_time.as_secs() + 7,
             regions,
         ),
         plan(
@@ -98,7 +98,7 @@
             "a service restarted",
             FAULT_CALLS_PER_SECOND,
             7,
-            gone(Fault::ServiceRestart(RESTARTED_SERVICE)),
+            single(Fault::ServiceRestart(RESTARTED_SERVICE)),
         ),
     ]
 }
@@ -129,7 +129,7 @@
 }
 
 fn setting(session: &Session<'_>, oldest_list: Duration) -> String {
-    let (rate, apart) = if session.options.quick {
+    let (rate, partition_time) = if session.options.quick {
         (DESIGN_CALLS_PER_SECOND_QUICK, PARTITION_TIME_QUICK)
     } else {
         (DESIGN_CALLS_PER_SECOND, PARTITION_TIME)
@@ -145,7 +145,7 @@
          are played again alone",
         FAULT_DELAY.as_secs(),
         ZONE_OUTAGE.as_secs(),
-        apart.as_secs(),
+        partition_time.as_secs(),
         oldest_list.as_secs_f64()
     )
 }
--- a/crates/fawnrouter-capacity/src/hollow/simulation/list.rs
+++ b/crates/fawnrouter-capacity/src/hollow/simulation/list.rs
@@ -22,13 +22,13 @@
         let meter = self.meter;
         let Some(process) = self.process_of(incarnation) else { return };
         let id = process.query_ids.random();
-        let (asked, cost) = meter.measure(|| process.list_queries.next_query(time, id));
-        let bytes = asked.datagram.len();
+        let (query, cost) = meter.measure(|| process.list_queries.next_query(time, id));
+        let bytes = query.datagram.len();
         self.record_step(gateway, || Step::ListQuery(id));
         self.record_gateway_cost(gateway, Cause::List, cost);
         self.record_gateway_cost(gateway, Cause::List, Cost::message_sent(bytes));
         let (from, to) = (self.gateways[gateway].location, self.name_server.location);
-        let event = Event::ListQuery { from: incarnation, datagram: asked.datagram };
+        let event = Event::ListQuery { from: incarnation, datagram: query.datagram };
         let arrives = self.send_datagram(from, to, bytes, event);
         if self.measured_second().is_some() {
             let list = &mut self.outcome.list;
@@ -36,7 +36,7 @@
             list.query_bytes += bytes as u64;
             list.lost += u64::from(!arrives);
         }
-        let next = asked.next_at.since(time);
+        let next = query.next_at.since(time);
         self.queue.schedule(self.now + next, Event::SendListQuery(incarnation));
     }
 
--- a/crates/fawnrouter-capacity/tests/fit.rs
+++ b/crates/fawnrouter-capacity/tests/fit.rs
@@ -134,7 +134,7 @@
         })
         .collect();
     let fit = Fit::from_points(&noisy).expect("a fit");
-    assert_eq!(fit.growth, Growth::Linear, "bend {}", fit.curvature);
+    assert_eq!(fit.growth, Growth::Linear, "curvature {}", fit.curvature);
 }
 
 #[test]
--- a/crates/fawnrouter-capacity/tests/hollow.rs
+++ b/crates/fawnrouter-capacity/tests/hollow.rs
@@ -140,7 +140,7 @@
 #[test]
 fn configuration_is_read_as_it_was_written() {
     let rows: Vec<ListedSwitch> = (0..25).map(row).collect();
-    let place = GatewayParameters {
+    let parameters = GatewayParameters {
         name: "g".to_owned(),
         listen: "127.0.0.1:5060".parse().unwrap(),
         nameserver: "127.0.0.1:5300".parse().unwrap(),
@@ -149,10 +149,13 @@
         number: 25,
         descriptors: 512,
     };
-    let text = gateway_configuration(&place, 9, &rows).to_string();
+    let text = gateway_configuration(&parameters, 9, &rows).to_string();
     let boot = Boot::read(text.as_bytes()).unwrap();
-    assert_eq!((boot.name, boot.listen, boot.nameserver), (place.name, place.listen, place.nameserver));
-    assert_eq!((boot.seed, boot.descriptors), (place.seed, 512));
+    assert_eq!(
+        (boot.name, boot.listen, boot.nameserver),
+        (parameters.name, parameters.listen, parameters.nameserver)
+    );
+    assert_eq!((boot.seed, boot.descriptors), (parameters.seed, 512));
     assert_eq!((boot.settings.gateways, boot.settings.own_id.0), (26, 25));
     let (name, query) = list_query(1);
     let answer = read_response(&encode_list_answer(&query, 9, &rows), 1, &name, RecordType::Srv).unwrap();
@@ -388,12 +391,12 @@
 
 #[test]
 fn calls_of_a_failed_core_switch_are_released() {
-    let gone = FaultPlan::none().with_fault(seconds(4), Fault::SwitchGone(0));
+    let failure = FaultPlan::none().with_fault(seconds(4), Fault::SwitchGone(0));
     let scenario = Scenario::one_service(SEED, 4, 4)
         .with_hold_time(seconds(20))
         .with_measurement_window(seconds(1), seconds(8));
     let outcome =
-        simulate(&scenario.with_call_rate(5.0).with_faults(gone).with_settle_time(seconds(30))).unwrap();
+        simulate(&scenario.with_call_rate(5.0).with_faults(failure).with_settle_time(seconds(30))).unwrap();
     assert_all_calls_accounted_for(&outcome);
     assert_eq!(outcome.calls.released, outcome.calls.established);
     let seen = outcome.role(Role::GatewayControl).held(Quantity::StateEntries);
