--- a/crates/fawnrouter-capacity/src/fit.rs
+++ b/crates/fawnrouter-capacity/src/fit.rs
@@ -1,7 +1,6 @@
-//! Base, slope and residual of a series; the power by which it grows; its value at another size.
+//! Fits of a series: base, slope and residual of a line, growth by a power, and values at other sizes.
 //!
-//! Every fit is one by ordinary least squares. The rule by which a series counts as not linear is in [`Growth`] and the
-//! constants that it names.
+//! All fits are ordinary least squares. [`Growth`] and its constants define which series count as not linear.
 
 mod estimate;
 mod growth;
@@ -9,121 +8,121 @@
 mod power;
 mod terms;
 
-pub use self::estimate::{Estimate, Origin, SAME_SIZE_SHARE, estimate};
+pub use self::estimate::{Estimate, Origin, SAME_SIZE_TOLERANCE, estimate};
 pub use self::growth::{
-    FORM_EXPLAINS_R_SQUARED, FORM_LEAVES_OF_LINE, Growth, LINE_EXPLAINS_R_SQUARED, LINE_HOLDS_RELATIVE_RMS,
-    Level, NOT_LINEAR_BEND, NOT_LINEAR_EXPONENT,
+    Growth, LINEAR_MAX_RELATIVE_RMS, LINEAR_MIN_R_SQUARED, MeanFit, NONLINEAR_MAX_RESIDUAL_RATIO,
+    NONLINEAR_MIN_CURVATURE, NONLINEAR_MIN_R_SQUARED, SUPERLINEAR_MIN_EXPONENT,
 };
 pub use self::power::{Curve, Power};
 pub use self::terms::Residual;
 
-use self::growth::{growth, quadratic};
+use self::growth::{classify, fit_quadratic};
 use self::least_squares::least_squares;
 use self::terms::{base_and_factor, residual};
 use crate::figures::Point;
 
-/// Points that a fit needs.
+/// Least number of points for a fit.
 pub const MIN_POINTS: usize = 4;
 
 /// Why a series has no fit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum FitError {
-    /// There are too few points.
+    /// There are fewer than [`MIN_POINTS`] points.
     #[error("too few points ({found} of {MIN_POINTS})")]
     TooFewPoints {
-        /// How many there are.
+        /// Number of points.
         found: usize,
     },
     /// A size is not greater than the one before it.
     #[error("the sizes do not rise at point {position}")]
-    SizesDoNotRise {
-        /// The place of the point, from 1.
+    SizesNotIncreasing {
+        /// Position of the point, from 1.
         position: usize,
     },
-    /// A size is negative, or a figure is no finite number.
+    /// A size is negative, or a size or value is not finite.
     #[error("point {position} has a negative size or is no finite number")]
     BadPoint {
-        /// The place of the point, from 1.
+        /// Position of the point, from 1.
         position: usize,
     },
 }
 
-/// `base + slope x size`.
+/// The line `base + slope x size`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Line {
-    /// The value at size 0.
+    /// Value at size 0.
     pub base: f64,
-    /// The growth with each unit of size.
+    /// Increase per unit of size.
     pub slope: f64,
-    /// How far the line lies from the points.
+    /// Distance of the line from the points.
     pub residual: Residual,
 }
 
 impl Line {
-    /// The value on the line.
+    /// Value of the line at this size.
     #[must_use]
-    pub fn at(&self, size: f64) -> f64 {
+    pub fn value_at(&self, size: f64) -> f64 {
         self.base + self.slope * size
     }
 }
 
-/// What is known of a series.
+/// Line, exponent, curvature and kind of growth of a series.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fit {
     /// The line through the points.
     pub line: Line,
-    /// Slope of the line through the logarithms, over points above 0; none where there are fewer than two.
+    /// Slope of the line through the logarithms of the points above 0; `None` with fewer than two of them.
     pub exponent: Option<f64>,
-    /// How far the quadratic fit leaves its chord in the middle, as a share of the spread of the values; above 0 if it
-    /// bends upwards.
-    pub bend: f64,
-    /// How it grows.
+    /// Distance of the quadratic fit from its chord in the middle, as a share of the spread of the values.
+    /// Positive if it bends upwards.
+    pub curvature: f64,
+    /// Kind of growth.
     pub growth: Growth,
 }
 
 impl Fit {
-    /// The fit of a series whose points stand by rising size.
+    /// Fits a series whose points are sorted by size.
     ///
     /// # Errors
-    /// Where points are too few, do not rise, or are no numbers.
-    pub fn of(points: &[Point]) -> Result<Self, FitError> {
-        check(points)?;
-        let line = line(points);
+    /// Returns an error if there are too few points, if sizes do not increase, or if a number is invalid.
+    pub fn from_points(points: &[Point]) -> Result<Self, FitError> {
+        check_points(points)?;
+        let line = fit_line(points);
         let exponent = exponent(points);
-        let quadratic = quadratic(points);
-        let growth = growth(points, &line, exponent, quadratic);
-        Ok(Self { line, exponent, bend: quadratic.bend, growth })
+        let quadratic = fit_quadratic(points);
+        let growth = classify(points, &line, exponent, quadratic);
+        Ok(Self { line, exponent, curvature: quadratic.curvature, growth })
     }
 
-    /// The residual of what describes the series: of the mean, the line or the curve.
+    /// Residual of the mean, line or curve that describes the series.
     #[must_use]
     pub fn residual(&self) -> Residual {
         match self.growth {
-            Growth::NoneSeen(level) => level.residual,
-            Growth::Linear | Growth::Slower => self.line.residual,
-            Growth::Faster(curve) => curve.residual,
+            Growth::Undetected(level) => level.residual,
+            Growth::Linear | Growth::Sublinear => self.line.residual,
+            Growth::Superlinear(curve) => curve.residual,
         }
     }
 
-    /// The fitted value at a size.
+    /// Fitted value at this size.
     #[must_use]
-    pub fn at(&self, size: f64) -> f64 {
+    pub fn value_at(&self, size: f64) -> f64 {
         match self.growth {
-            Growth::NoneSeen(level) => level.mean,
-            Growth::Linear | Growth::Slower => self.line.at(size),
-            Growth::Faster(curve) => curve.at(size),
+            Growth::Undetected(level) => level.mean,
+            Growth::Linear | Growth::Sublinear => self.line.value_at(size),
+            Growth::Superlinear(curve) => curve.value_at(size),
         }
     }
 }
 
-fn check(points: &[Point]) -> Result<(), FitError> {
+fn check_points(points: &[Point]) -> Result<(), FitError> {
     let is_bad = |point: &Point| !point.size.is_finite() || point.size < 0.0 || !point.value.is_finite();
     if let Some(index) = points.iter().position(is_bad) {
         return Err(FitError::BadPoint { position: index + 1 });
     }
     if let Some(index) = points.windows(2).position(|pair| pair[0].size >= pair[1].size) {
-        return Err(FitError::SizesDoNotRise { position: index + 2 });
+        return Err(FitError::SizesNotIncreasing { position: index + 2 });
     }
     if points.len() < MIN_POINTS {
         return Err(FitError::TooFewPoints { found: points.len() });
@@ -131,7 +130,7 @@
     Ok(())
 }
 
-fn line(points: &[Point]) -> Line {
+fn fit_line(points: &[Point]) -> Line {
     let (base, slope) = base_and_factor(points, Power::One);
     let residual = residual(points, |size| base + slope * size);
     Line { base, slope, residual }
--- a/crates/fawnrouter-capacity/src/hollow/meter.rs
+++ b/crates/fawnrouter-capacity/src/hollow/meter.rs
@@ -1,37 +1,37 @@
-//! What a piece of work costs this process: time on the clock, allocations, memory.
+//! Measures what a function call costs this process: elapsed time, allocations and memory.
 
 use std::alloc::System;
 use std::time::Instant;
 
 use stats_alloc::{Region, StatsAlloc};
 
-use super::ledger::Flow;
+use super::cost::Cost;
 
-/// The counting allocator, which only a program can install.
-pub type Allocator = &'static StatsAlloc<System>;
+/// The counting allocator. Only a program can install it, as the global allocator.
+pub type CountingAllocator = &'static StatsAlloc<System>;
 
-/// Measures work. What is measured runs in one thread and waits for nothing, so that time on the clock is processor time
-/// as far as the machine has a core free for it.
+/// Measures function calls. They run in one thread and never wait, so elapsed time equals processor time as
+/// long as the machine has a core free for the thread.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Meter {
-    is_on: bool,
-    allocator: Option<Allocator>,
+    is_enabled: bool,
+    allocator: Option<CountingAllocator>,
 }
 
 impl Meter {
-    pub fn new(allocator: Option<Allocator>) -> Self {
-        Self { is_on: true, allocator }
+    pub fn new(allocator: Option<CountingAllocator>) -> Self {
+        Self { is_enabled: true, allocator }
     }
 
-    /// One that measures nothing.
-    pub fn off() -> Self {
+    /// A meter that measures nothing.
+    pub fn disabled() -> Self {
         Self::default()
     }
 
-    /// Does the work; with it what it cost.
-    pub fn measure<T>(&self, work: impl FnOnce() -> T) -> (T, Flow) {
-        if !self.is_on {
-            return (work(), Flow::default());
+    /// Runs `work` and returns its result and its cost.
+    pub fn measure<T>(&self, work: impl FnOnce() -> T) -> (T, Cost) {
+        if !self.is_enabled {
+            return (work(), Cost::default());
         }
         let region = self.allocator.map(Region::new);
         let start = Instant::now();
@@ -42,11 +42,11 @@
             change.allocations + change.reallocations
         });
         let processor_nanos = u64::try_from(took.as_nanos()).unwrap_or(u64::MAX);
-        (result, Flow { processor_nanos, allocations: allocations as u64, ..Flow::default() })
+        (result, Cost { processor_nanos, allocations: allocations as u64, ..Cost::default() })
     }
 
-    /// Drops something; the bytes that this freed, if they are counted.
-    pub fn size_of<T>(&self, held: T) -> Option<u64> {
+    /// Drops a value and returns the number of bytes freed, if they are counted.
+    pub fn bytes_freed_by_drop<T>(&self, held: T) -> Option<u64> {
         let region = self.allocator.map(Region::new);
         drop(held);
         region.map(|region| {
--- a/crates/fawnrouter-capacity/src/hollow/runs.rs
+++ b/crates/fawnrouter-capacity/src/hollow/runs.rs
@@ -1,10 +1,10 @@
-//! The plays that make up the report, and how their outcomes become series.
+//! The simulations that make up the report, and how their outcomes become series.
 
 mod calls;
 mod configuration;
 mod gateways;
+mod parallel;
 mod restarts;
-mod side_by_side;
 mod situations;
 mod switches;
 
@@ -12,14 +12,14 @@
 
 use super::outcome::Outcome;
 use super::scenario::Scenario;
-use super::{HollowError, HollowOptions, play_counting};
+use super::{HollowError, HollowOptions, simulate_counting_allocations};
 use crate::figures::{Cause, Method, Per, Point, Quantity, Role, Run, Series, Situation, Size};
 
-/// The fewest points that a slope is taken over.
-const FEWEST_POINTS: usize = 4;
+/// Least number of points of a series.
+const MIN_SERIES_POINTS: usize = 4;
 
-/// What flows in a second, by call and by event.
-const FLOWING: [Quantity; 7] = [
+/// Quantities counted per second, per call and per event.
+const RATE_QUANTITIES: [Quantity; 7] = [
     Quantity::MessagesIn,
     Quantity::MessagesOut,
     Quantity::BytesIn,
@@ -29,8 +29,8 @@
     Quantity::Allocations,
 ];
 
-/// What is counted of it, which is exact.
-const COUNTED: [Quantity; 5] = [
+/// Those of [`RATE_QUANTITIES`] that are exact for a given seed.
+const EXACT_QUANTITIES: [Quantity; 5] = [
     Quantity::MessagesIn,
     Quantity::MessagesOut,
     Quantity::BytesIn,
@@ -38,13 +38,13 @@
     Quantity::Connections,
 ];
 
-/// What is held.
-const HELD: [Quantity; 3] = [Quantity::Connections, Quantity::StateEntries, Quantity::MemoryBytes];
+/// Quantities held at one time.
+const HELD_QUANTITIES: [Quantity; 3] = [Quantity::Connections, Quantity::StateEntries, Quantity::MemoryBytes];
 
-/// What costs the process that does it, and what goes over the network.
-const WORK: [Quantity; 2] = [Quantity::ProcessorMicroseconds, Quantity::Allocations];
+/// Costs of the work itself, without what goes over the network.
+const WORK_QUANTITIES: [Quantity; 2] = [Quantity::ProcessorMicroseconds, Quantity::Allocations];
 
-/// Runs with the roles that they tell of.
+/// Makes some runs. [`RUNS`] lists each with the roles whose costs it measures.
 type MakeRun = fn(&mut Session<'_>) -> Result<Vec<Run>, HollowError>;
 const RUNS: [(&[Role], MakeRun); 5] = [
     (&[Role::GatewayCalls, Role::GatewayControl, Role::ListSource], switches::runs),
@@ -64,44 +64,44 @@
     ),
 ];
 
-pub(crate) fn all(options: HollowOptions<'_>) -> Result<Vec<Run>, HollowError> {
-    let only = options.only;
+pub(crate) fn all_runs(options: HollowOptions<'_>) -> Result<Vec<Run>, HollowError> {
+    let only = options.only_role;
     let mut session = Session { options };
-    let mut made = Vec::new();
+    let mut runs = Vec::new();
     for (roles, make) in RUNS {
         if only.is_none_or(|role| roles.contains(&role)) {
-            made.extend(make(&mut session)?);
+            runs.extend(make(&mut session)?);
         }
     }
-    for run in &mut made {
+    for run in &mut runs {
         run.series.retain(|series| only.is_none_or(|role| series.role == role));
     }
-    made.retain(|run| !run.series.is_empty());
-    Ok(made)
+    runs.retain(|run| !run.series.is_empty());
+    Ok(runs)
 }
 
-/// What the runs share.
+/// What all runs share.
 struct Session<'a> {
     options: HollowOptions<'a>,
 }
 
 impl Session<'_> {
-    /// The sizes of a measurement, or those of a quick one.
-    fn choose<T: Clone>(&self, full: &[T], quick: &[T]) -> Vec<T> {
+    /// The sizes of a full measurement, or those of a quick one.
+    fn full_or_quick<T: Clone>(&self, full: &[T], quick: &[T]) -> Vec<T> {
         if self.options.quick { quick.to_vec() } else { full.to_vec() }
     }
 
-    fn play(
+    fn simulate(
         &mut self,
         name: &str,
         size: impl std::fmt::Display,
         scenario: &Scenario,
     ) -> Result<Outcome, HollowError> {
         (self.options.progress)(&format!("{name} at {size}"));
-        play_counting(scenario, self.options.allocator)
+        simulate_counting_allocations(scenario, self.options.allocator)
     }
 
-    fn run(&self, id: &str, setting: String, series: Collector) -> Run {
+    fn run(&self, id: &str, setting: String, series: SeriesCollector) -> Run {
         Run {
             id: id.to_owned(),
             method: Method::Hollow,
@@ -113,9 +113,9 @@
     }
 }
 
-/// What tells one series of a run from the others.
+/// Distinguishes the series of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Key {
+struct SeriesKey {
     role: Role,
     situation: Situation,
     cause: Cause,
@@ -123,69 +123,76 @@
     per: Per,
 }
 
-/// The series of a run under construction.
-struct Collector {
+/// Collects the points of a run's series.
+struct SeriesCollector {
     size: Size,
-    points: BTreeMap<Key, Vec<Point>>,
+    points: BTreeMap<SeriesKey, Vec<Point>>,
 }
 
-/// Where an outcome belongs.
+/// Role and situation of a series, and the size of its next point.
 #[derive(Clone, Copy)]
-struct Spot {
+struct SeriesPosition {
     role: Role,
     situation: Situation,
     size: f64,
 }
 
-impl Collector {
+impl SeriesCollector {
     fn new(size: Size) -> Self {
         Self { size, points: BTreeMap::new() }
     }
 
-    fn put(&mut self, spot: Spot, cause: Cause, quantity: Quantity, per: Per, value: Option<f64>) {
-        let Spot { role, situation, size } = spot;
-        let key = Key { role, situation, cause, quantity, per };
+    fn add(
+        &mut self,
+        position: SeriesPosition,
+        cause: Cause,
+        quantity: Quantity,
+        per: Per,
+        value: Option<f64>,
+    ) {
+        let SeriesPosition { role, situation, size } = position;
+        let key = SeriesKey { role, situation, cause, quantity, per };
         if let Some(value) = value {
             self.points.entry(key).or_default().push(Point { size, value });
         }
     }
 
-    /// What a member bears in a second.
-    fn seconds(&mut self, spot: Spot, outcome: &Outcome, causes: &[Cause]) {
+    /// Adds the cost of a member per second.
+    fn add_per_second(&mut self, position: SeriesPosition, outcome: &Outcome, causes: &[Cause]) {
         for cause in causes {
-            for quantity in FLOWING {
-                let value = outcome.a_second(spot.role, *cause, quantity);
-                self.put(spot, *cause, quantity, Per::Second, value);
+            for quantity in RATE_QUANTITIES {
+                let value = outcome.mean_per_second(position.role, *cause, quantity);
+                self.add(position, *cause, quantity, Per::Second, value);
             }
         }
     }
 
-    /// What a call brings to all members together.
-    fn calls(&mut self, spot: Spot, outcome: &Outcome, causes: &[Cause]) {
+    /// Adds the cost of a call to all members together.
+    fn add_per_call(&mut self, position: SeriesPosition, outcome: &Outcome, causes: &[Cause]) {
         for cause in causes {
-            for quantity in FLOWING {
-                let value = outcome.a_call(spot.role, *cause, quantity);
-                self.put(spot, *cause, quantity, Per::Call, value);
+            for quantity in RATE_QUANTITIES {
+                let value = outcome.mean_per_call(position.role, *cause, quantity);
+                self.add(position, *cause, quantity, Per::Call, value);
             }
         }
     }
 
-    /// What a member holds.
-    fn held(&mut self, spot: Spot, outcome: &Outcome) {
-        let role = outcome.role(spot.role);
-        for quantity in HELD {
-            self.put(spot, Cause::All, quantity, Per::Held, role.held(quantity));
+    /// Adds what a member holds.
+    fn add_held(&mut self, position: SeriesPosition, outcome: &Outcome) {
+        let role = outcome.role(position.role);
+        for quantity in HELD_QUANTITIES {
+            self.add(position, Cause::All, quantity, Per::Held, role.held(quantity));
         }
     }
 
-    /// The series that say something: with enough points, not all of them 0.
+    /// The series with enough points and at least one value other than 0.
     fn into_series(self) -> Vec<Series> {
         let size = self.size;
-        let says_something =
-            |points: &Vec<Point>| points.len() >= FEWEST_POINTS && points.iter().any(|p| p.value != 0.0);
-        let series = self.points.into_iter().filter(|(_, points)| says_something(points));
+        let is_meaningful =
+            |points: &Vec<Point>| points.len() >= MIN_SERIES_POINTS && points.iter().any(|p| p.value != 0.0);
+        let series = self.points.into_iter().filter(|(_, points)| is_meaningful(points));
         let series = series.map(|(key, points)| {
-            let Key { role, situation, cause, quantity, per } = key;
+            let SeriesKey { role, situation, cause, quantity, per } = key;
             Series { role, situation, cause, quantity, per, size, points }
         });
         series.collect()
--- a/crates/fawnrouter-capacity/src/page/budgets.rs
+++ b/crates/fawnrouter-capacity/src/page/budgets.rs
@@ -12,9 +12,9 @@
 /// The platform's limit on a gateway's memory, in bytes (the same page).
 const GATEWAY_MEMORY_BYTES: f64 = 32.0 * 1024.0 * 1024.0;
 /// Processor time for a call at each of 28 gateways, if the whole call may take 1.6 ms.
-const HOP_MICROSECONDS: f64 = design::ADDED_DELAY_MS * 1e3 / design::DEPTH as f64;
+const HOP_MICROSECONDS: f64 = design::ADDED_DELAY_P99_MS * 1e3 / design::DEPTH as f64;
 /// Longest processing of one event, which delays the calls that wait for it on the same thread.
-const EVENT_MICROSECONDS: f64 = design::ADDED_DELAY_MS * 1e3;
+const EVENT_MICROSECONDS: f64 = design::ADDED_DELAY_P99_MS * 1e3;
 
 /// The budget of a figure, in the figure's unit; none if neither the requirements nor the platform set one.
 pub(super) fn budget(role: Role, measure: Measure, cause: Cause, per: Per) -> Option<f64> {
--- a/crates/fawnrouter-capacity/src/page/depth.rs
+++ b/crates/fawnrouter-capacity/src/page/depth.rs
@@ -4,17 +4,17 @@
 use super::formatting::{nanoseconds, significant};
 use super::labels;
 use super::table::Table;
-use crate::delay::{DelayError, Depths, HopsDelay, deepest_within, depths};
+use crate::delay::{DelayError, DelayPercentiles, DelaysByDepth, delays_by_depth, max_hops_within};
 use crate::design;
 use crate::figures::{Report, Run};
 
-/// Depths in the table, in hops.
+/// DelaysByDepth in the table, in hops.
 const DEPTHS: [u32; 4] = [1, 4, 12, design::DEPTH];
 /// Prefix of the ids of runs without a gateway, whose delay is that of the stand-ins and loopback alone.
 const BASELINE_PREFIX: &str = "processes-hop-baseline";
 const NANOSECONDS_PER_MILLISECOND: f64 = 1e6;
 /// Limit of the 99th percentile of the delay that is added to a call.
-const LIMIT_NANOSECONDS: f64 = design::ADDED_DELAY_MS * NANOSECONDS_PER_MILLISECOND;
+const LIMIT_NANOSECONDS: f64 = design::ADDED_DELAY_P99_MS * NANOSECONDS_PER_MILLISECOND;
 
 /// The delays over several hops, from the hop delays of one run.
 pub(super) struct RunDepths<'a> {
@@ -23,7 +23,7 @@
 }
 
 struct RunDelays {
-    depths: Depths,
+    depths: DelaysByDepth,
     /// Largest number of hops whose 99th percentile is within the limit.
     deepest_within: u32,
 }
@@ -44,7 +44,7 @@
         self.delay_at_design_depth().and_then(per_hop_ratio)
     }
 
-    fn delay_at_design_depth(&self) -> Option<&HopsDelay> {
+    fn delay_at_design_depth(&self) -> Option<&DelayPercentiles> {
         let delays = &self.depths.as_ref().ok()?.depths.delays;
         delays.iter().find(|delay| delay.hops == design::DEPTH)
     }
@@ -57,8 +57,8 @@
 }
 
 fn run_delays(run: &Run) -> Result<RunDelays, DelayError> {
-    let depths = depths(&run.hop_delays, &DEPTHS)?;
-    let deepest_within = deepest_within(&run.hop_delays, LIMIT_NANOSECONDS as u64, design::DEPTH)?;
+    let depths = delays_by_depth(&run.hop_delays, &DEPTHS)?;
+    let deepest_within = max_hops_within(&run.hop_delays, LIMIT_NANOSECONDS as u64, design::DEPTH)?;
     Ok(RunDelays { depths, deepest_within })
 }
 
@@ -77,7 +77,7 @@
     format!("## Depth\n\n{table}\n{remarks}")
 }
 
-fn cells(run: &Run, delay: &HopsDelay) -> [String; 7] {
+fn cells(run: &Run, delay: &DelayPercentiles) -> [String; 7] {
     [
         labels::cited(&run.id),
         delay.hops.to_string(),
@@ -107,11 +107,11 @@
     }
 }
 
-fn whole_call_ratio(delay: &HopsDelay) -> Option<f64> {
+fn whole_call_ratio(delay: &DelayPercentiles) -> Option<f64> {
     Some(delay.p99_nanoseconds? as f64 / LIMIT_NANOSECONDS)
 }
 
-fn per_hop_ratio(delay: &HopsDelay) -> Option<f64> {
+fn per_hop_ratio(delay: &DelayPercentiles) -> Option<f64> {
     Some(whole_call_ratio(delay)? / f64::from(delay.hops))
 }
 
--- a/crates/fawnrouter-capacity/src/page/frequency.rs
+++ b/crates/fawnrouter-capacity/src/page/frequency.rs
@@ -13,7 +13,7 @@
 /// assumed.
 const REGION_PARTITIONS_PER_DAY: f64 = 5.0 / DAYS_PER_YEAR;
 /// Restarts of all gateways of a service, if the gateway restarts of a day happen service by service.
-const SERVICE_RESTARTS_PER_DAY: f64 = design::RESTARTS_PER_DAY / design::SWITCHES_OF_A_SERVICE;
+const SERVICE_RESTARTS_PER_DAY: f64 = design::RESTARTS_PER_DAY / design::SWITCHES_PER_SERVICE;
 /// Bad configurations sent to all gateways. The requirements give no number; one a day, of 1,600 changes, is
 /// assumed.
 const BAD_CONFIGURATIONS_PER_DAY: f64 = 1.0;
--- a/crates/fawnrouter-capacity/src/page/rows.rs
+++ b/crates/fawnrouter-capacity/src/page/rows.rs
@@ -101,7 +101,7 @@
     points: &[Point],
     context: &Context,
 ) -> Row<'a> {
-    let fit = Fit::of(points);
+    let fit = Fit::from_points(points);
     let estimate_at = |size| estimate(points, fit.as_ref().map_err(|error| *error), size);
     let design_sizes = context.sizes.design_sizes(series.size);
     Row {
--- a/crates/fawnrouter-capacity/src/process.rs
+++ b/crates/fawnrouter-capacity/src/process.rs
@@ -44,7 +44,7 @@
 pub use self::hop::{HopMeasurement, hop_plan, measure_baseline, measure_hop};
 use self::series::{FigureKind, Figures, figures_of_hollow, figures_of_processes, series_by_size};
 use crate::figures::{Method, Role, Run, Situation, Size};
-use crate::hollow::{Allocator, Scenario, play_counting};
+use crate::hollow::{CountingAllocator, Scenario, simulate_counting_allocations};
 use crate::plan::TrafficPlan;
 
 /// Core switches on the list of every gateway.
@@ -89,7 +89,7 @@
     pub only: Option<Role>,
     /// The counting allocator, if the program has installed it; without it there are no memory figures of
     /// hollow gateways.
-    pub allocator: Option<Allocator>,
+    pub allocator: Option<CountingAllocator>,
     /// Set by another thread or a signal handler to abort the measurement.
     pub stop: &'a AtomicBool,
     /// Called with the name of each part before it begins.
@@ -164,9 +164,9 @@
         (self.options.progress)(&format!("processes, {gateways} at {rate} calls/s"));
         let measurement = run_scenario(&scenario, self.quiet_time(), self.testbed())?;
         (self.options.progress)(&format!("hollow-beside-processes, {gateways} at {rate} calls/s"));
-        let with_calls = play_counting(&scenario, self.options.allocator)?;
+        let with_calls = simulate_counting_allocations(&scenario, self.options.allocator)?;
         let quiet_scenario = without_calls(&scenario, self.quiet_time());
-        let quiet = play_counting(&quiet_scenario, self.options.allocator)?;
+        let quiet = simulate_counting_allocations(&quiet_scenario, self.options.allocator)?;
         let processes = figures_of_processes(&scenario, &measurement);
         let hollow = figures_of_hollow(&quiet, &with_calls);
         Ok(FleetComparison { gateways, rate, seconds, measurement, processes, hollow })
--- a/crates/fawnrouter-capacity/src/process/callers.rs
+++ b/crates/fawnrouter-capacity/src/process/callers.rs
@@ -10,7 +10,7 @@
 
 use fawnrouter_jsonl::{Message, Tag, Verb};
 
-use crate::hollow::ByVerb;
+use crate::hollow::VolumeByVerb;
 use crate::plan::{CAUSE_TEST_PASSED, PlannedCall};
 use crate::process::error::{ProcessError, system_error};
 use crate::process::event_loop::{ConnectionHandler, EventLoop, Reply};
@@ -41,9 +41,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct CallerTraffic {
     /// Messages that callers sent.
-    pub sent: ByVerb,
+    pub sent: VolumeByVerb,
     /// Messages that callers received.
-    pub received: ByVerb,
+    pub received: VolumeByVerb,
     /// Tests that gateways passed.
     pub tests_passed: u64,
     /// How calls ended.
--- a/crates/fawnrouter-capacity/src/process/fleet.rs
+++ b/crates/fawnrouter-capacity/src/process/fleet.rs
@@ -10,7 +10,7 @@
 use rustix::process::{Resource, getrlimit};
 use tempfile::TempDir;
 
-use crate::hollow::{ByVerb, Scenario, Volume};
+use crate::hollow::{Scenario, Volume, VolumeByVerb};
 use crate::plan::PlannedCall;
 use crate::platform::GatewayParameters;
 use crate::process::callers::{CallOutcomes, CallerTraffic, Callers, connect, sleep_until};
@@ -58,13 +58,13 @@
     /// Length of the window.
     pub duration: Duration,
     /// Messages from callers to gateways.
-    pub from_callers: ByVerb,
+    pub from_callers: VolumeByVerb,
     /// Messages from gateways to callers.
-    pub to_callers: ByVerb,
+    pub to_callers: VolumeByVerb,
     /// Messages from core switches to gateways.
-    pub from_switches: ByVerb,
+    pub from_switches: VolumeByVerb,
     /// Messages from gateways to core switches.
-    pub to_switches: ByVerb,
+    pub to_switches: VolumeByVerb,
     /// Queries for the list.
     pub list_queries: Volume,
     /// Answers with the list.
--- a/crates/fawnrouter-capacity/src/process/line_counts.rs
+++ b/crates/fawnrouter-capacity/src/process/line_counts.rs
@@ -2,7 +2,7 @@
 
 use fawnrouter_jsonl::{DecodeError, Decoder, Message};
 
-use crate::hollow::{ByVerb, Volume};
+use crate::hollow::{Volume, VolumeByVerb};
 
 /// Verbs of tests, their answers and load reports; all other messages concern calls.
 const TEST_VERBS: [&str; 3] = ["ECHO", "ECHOED", "LOAD"];
@@ -35,12 +35,12 @@
 
 /// The increase of counts by verb since an earlier reading of the same counters.
 #[must_use]
-pub fn counts_since(earlier: &ByVerb, now: &ByVerb) -> ByVerb {
+pub fn counts_since(earlier: &VolumeByVerb, now: &VolumeByVerb) -> VolumeByVerb {
     let since = |(verb, volume): (&&'static str, &Volume)| {
         let before = earlier.0.get(verb).copied().unwrap_or_default();
         (*verb, volume_since(before, *volume))
     };
-    ByVerb(now.0.iter().map(since).collect())
+    VolumeByVerb(now.0.iter().map(since).collect())
 }
 
 /// The increase of a volume since an earlier reading of the same counter.
@@ -54,13 +54,13 @@
 
 /// The total of set-ups, answers and releases.
 #[must_use]
-pub fn call_volume(lines: &ByVerb) -> Volume {
-    volume_since(test_volume(lines), lines.all())
+pub fn call_volume(lines: &VolumeByVerb) -> Volume {
+    volume_since(test_volume(lines), lines.total_volume())
 }
 
 /// The total of tests, their answers and load reports.
 #[must_use]
-pub fn test_volume(lines: &ByVerb) -> Volume {
+pub fn test_volume(lines: &VolumeByVerb) -> Volume {
     let tests = lines.0.iter().filter(|(verb, _)| TEST_VERBS.contains(verb));
-    ByVerb(tests.map(|(verb, volume)| (*verb, *volume)).collect()).all()
+    VolumeByVerb(tests.map(|(verb, volume)| (*verb, *volume)).collect()).total_volume()
 }
--- a/crates/fawnrouter-capacity/src/process/series.rs
+++ b/crates/fawnrouter-capacity/src/process/series.rs
@@ -2,7 +2,7 @@
 //! both.
 
 use crate::figures::{Cause, Per, Point, Quantity, Role, Series, Situation, Size};
-use crate::hollow::{ByVerb, Outcome, Scenario, Volume};
+use crate::hollow::{Outcome, Scenario, Volume, VolumeByVerb};
 use crate::process::fleet::{FleetMeasurement, Observation};
 use crate::process::line_counts::{call_volume, test_volume};
 
@@ -143,25 +143,29 @@
     let [quiet_seconds, busy_seconds] = [quiet, busy].map(|window| window.duration.as_secs_f64());
     let calls = gateway_volumes(busy, call_volume);
     figures.add_flow(GATEWAY_CALL_FLOW, calls, measurement.planned_calls as f64);
-    figures.add_flow(GATEWAY_TOTAL_FLOW, gateway_volumes(busy, |lines| lines.all()), gateways * busy_seconds);
+    figures.add_flow(
+        GATEWAY_TOTAL_FLOW,
+        gateway_volumes(busy, |lines| lines.total_volume()),
+        gateways * busy_seconds,
+    );
     let switch_seconds = switches * busy_seconds;
     figures.add_flow(SWITCH_CALL_FLOW, switch_volumes(busy, call_volume), switch_seconds);
     figures.add_flow(SWITCH_TEST_FLOW, switch_volumes(busy, test_volume), switch_seconds);
-    figures.add_flow(SWITCH_TOTAL_FLOW, switch_volumes(busy, |lines| lines.all()), switch_seconds);
+    figures.add_flow(SWITCH_TOTAL_FLOW, switch_volumes(busy, |lines| lines.total_volume()), switch_seconds);
     let of_gateway = TrafficVolumes { received: quiet.list_answers, sent: quiet.list_queries };
     figures.add_flow(GATEWAY_LIST_FLOW, of_gateway, gateways * quiet_seconds);
     let of_source = TrafficVolumes { received: quiet.list_queries, sent: quiet.list_answers };
     figures.add_flow(SOURCE_LIST_FLOW, of_source, quiet_seconds);
 }
 
-fn gateway_volumes(window: &Observation, volume: impl Fn(&ByVerb) -> Volume) -> TrafficVolumes {
+fn gateway_volumes(window: &Observation, volume: impl Fn(&VolumeByVerb) -> Volume) -> TrafficVolumes {
     TrafficVolumes {
         received: sum(volume(&window.from_callers), volume(&window.from_switches)),
         sent: sum(volume(&window.to_callers), volume(&window.to_switches)),
     }
 }
 
-fn switch_volumes(window: &Observation, volume: impl Fn(&ByVerb) -> Volume) -> TrafficVolumes {
+fn switch_volumes(window: &Observation, volume: impl Fn(&VolumeByVerb) -> Volume) -> TrafficVolumes {
     TrafficVolumes { received: volume(&window.to_switches), sent: volume(&window.from_switches) }
 }
 
@@ -193,15 +197,15 @@
 
 fn hollow_figure(outcome: &Outcome, kind: FigureKind) -> Option<f64> {
     match kind.per {
-        Per::Call => outcome.a_call(kind.role, kind.cause, kind.quantity),
-        _ => outcome.a_second(kind.role, kind.cause, kind.quantity),
+        Per::Call => outcome.mean_per_call(kind.role, kind.cause, kind.quantity),
+        _ => outcome.mean_per_second(kind.role, kind.cause, kind.quantity),
     }
 }
 
 /// The sum over call path and control: a process runs both, and its processor time cannot be told apart by
 /// role.
 fn processor_per_second(outcome: &Outcome) -> Option<f64> {
-    let per_second = |role| outcome.a_second(role, Cause::All, Quantity::ProcessorMicroseconds);
+    let per_second = |role| outcome.mean_per_second(role, Cause::All, Quantity::ProcessorMicroseconds);
     Some(per_second(Role::GatewayCalls)? + per_second(Role::GatewayControl)?)
 }
 
--- a/crates/fawnrouter-capacity/src/process/switches.rs
+++ b/crates/fawnrouter-capacity/src/process/switches.rs
@@ -9,7 +9,7 @@
 
 use fawnrouter_jsonl::{Message, Verb};
 
-use crate::hollow::ByVerb;
+use crate::hollow::VolumeByVerb;
 use crate::plan::{passed_test_answer, switch_answer, switch_release};
 use crate::platform::ListedSwitch;
 use crate::process::event_loop::{ConnectionHandler, EventLoop, Reply};
@@ -23,9 +23,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct SwitchTraffic {
     /// Messages that core switches received.
-    pub received: ByVerb,
+    pub received: VolumeByVerb,
     /// Messages that core switches sent.
-    pub sent: ByVerb,
+    pub sent: VolumeByVerb,
     /// Open connections from gateways.
     pub connections: u64,
 }
--- a/crates/fawnrouter-capacity/tests/process.rs
+++ b/crates/fawnrouter-capacity/tests/process.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use fawnrouter_capacity::figures::Role;
-use fawnrouter_capacity::hollow::{ByVerb, Scenario, Volume};
+use fawnrouter_capacity::hollow::{Scenario, Volume, VolumeByVerb};
 use fawnrouter_capacity::process::line_counts::{LineReader, call_volume, counts_since, test_volume};
 use fawnrouter_capacity::process::usage::{
     ProcessUsage, parse_machine_memory_mib, parse_resident_bytes, parse_schedstat_time, parse_stat_time,
@@ -89,8 +89,8 @@
 }
 
 /// Messages and bytes by verb.
-fn counts_by_verb(counts: &[(&'static str, u64, u64)]) -> ByVerb {
-    ByVerb(counts.iter().map(|(verb, messages, bytes)| (*verb, volume(*messages, *bytes))).collect())
+fn counts_by_verb(counts: &[(&'static str, u64, u64)]) -> VolumeByVerb {
+    VolumeByVerb(counts.iter().map(|(verb, messages, bytes)| (*verb, volume(*messages, *bytes))).collect())
 }
 
 const fn volume(messages: u64, bytes: u64) -> Volume {
--- a/crates/fawnrouterd/tests/capacity.rs
+++ b/crates/fawnrouterd/tests/capacity.rs
@@ -6,7 +6,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use fawnrouter_capacity::hollow::{self, ByVerb, Scenario, Volume};
+use fawnrouter_capacity::hollow::{self, Scenario, Volume, VolumeByVerb};
 use fawnrouter_capacity::plan::TrafficPlan;
 use fawnrouter_capacity::process::line_counts::call_volume;
 use fawnrouter_capacity::process::{self, CallOutcomes, ProcessError, Testbed, hop_plan};
@@ -69,12 +69,12 @@
     // second.
     let measured = process::run_scenario(&scenario, Duration::from_millis(500), rig(&stop)).unwrap();
     assert_no_child_left();
-    let hollow = hollow::play(&scenario).unwrap();
+    let hollow = hollow::simulate(&scenario).unwrap();
     let planned = scenario.traffic.calls().len() as u64;
-    assert_eq!((hollow.calls.planned, hollow.calls.released), (planned, planned));
+    assert_eq!((hollow.calls.attempted, hollow.calls.released), (planned, planned));
     assert_eq!((measured.planned_calls, measured.call_outcomes.total()), (planned, planned));
     assert_agree("calls that stood", measured.call_outcomes.released as f64, planned as f64);
-    let directions: [(&str, &ByVerb, &ByVerb); 4] = [
+    let directions: [(&str, &VolumeByVerb, &VolumeByVerb); 4] = [
         ("from callers", &measured.during_calls.from_callers, &hollow.from_callers),
         ("to callers", &measured.during_calls.to_callers, &hollow.to_callers),
         ("from core switches", &measured.during_calls.from_switches, &hollow.from_switches),
@@ -84,8 +84,8 @@
         assert_volumes_agree(direction, call_volume(processes), call_volume(hollow));
     }
     let list = hollow.list;
-    let questions = Volume { messages: list.questions, bytes: list.question_bytes };
-    let answers = Volume { messages: list.answers, bytes: list.answer_bytes };
+    let questions = Volume { messages: list.queries, bytes: list.query_bytes };
+    let answers = Volume { messages: list.responses, bytes: list.response_bytes };
     assert_agree(
         "bytes of a question for the list",
         bytes_per_datagram(measured.during_calls.list_queries),
