--- a/crates/fawnrouter-lab/src/callers.rs
+++ b/crates/fawnrouter-lab/src/callers.rs
@@ -18,71 +18,71 @@
 use rand::rngs::StdRng;
 use rand::{Rng, RngCore, SeedableRng};
 
-use crate::fleet::{REALM, client};
-use crate::report::{End, Report};
-use crate::script::Habits;
+use crate::fleet::{REALM, client_credentials};
+use crate::report::{CallOutcome, Report};
+use crate::script::CallerBehaviour;
 use crate::tap::Tap;
 
-const BACKLOG: usize = 16 * 1024 * 1024;
+const MAX_BACKLOG_BYTES: usize = 16 * 1024 * 1024;
 /// A caller waits this much longer than its try lasts before it says that nobody answered.
-const PATIENCE: Duration = Duration::from_millis(500);
+const RESPONSE_GRACE: Duration = Duration::from_millis(500);
 
 /// A class as callers see it.
 #[derive(Clone, Debug)]
-pub struct Kind {
+pub struct CallerClass {
     pub name: String,
     pub share: f64,
     pub hold: Duration,
     pub deadline: Duration,
 }
 
-struct Line {
+struct Connection {
     gateway: SocketAddr,
     number: u32,
     outbox: Option<(u64, Rc<Outbox>)>,
 }
 
-enum State {
-    Waiting,
-    Trying { line: usize, invite: Box<Message>, sent: Duration },
-    Standing { line: usize, dialog: Box<Dialog>, after: Duration },
+enum CallState {
+    Idle,
+    InSetUp { connection: usize, invite: Box<Message>, sent: Duration },
+    Established { connection: usize, dialog: Box<Dialog>, after: Duration },
 }
 
-struct Person {
+struct Caller {
     class: usize,
     number: String,
     first: Duration,
     tries: u32,
-    state: State,
+    state: CallState,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    Try(u64),
-    Leave(u64, u32),
-    Overdue(u64, u32),
+enum PendingEvent {
+    Dial(u64),
+    Cancel(u64, u32),
+    TimeOut(u64, u32),
     HangUp(u64),
 }
 
-struct Crowd {
-    lines: Vec<Line>,
-    people: BTreeMap<u64, Person>,
+struct CallerPool {
+    connections: Vec<Connection>,
+    active: BTreeMap<u64, Caller>,
     by_call_id: BTreeMap<String, u64>,
-    due: BTreeSet<(Duration, Due)>,
-    next: u64,
+    timers: BTreeSet<(Duration, PendingEvent)>,
+    last_id: u64,
     rng: StdRng,
     report: Report,
     /// The day is over: nobody dials again.
-    closing: bool,
+    stopped: bool,
 }
 
 /// All callers of a run.
 pub struct Callers {
     tap: Rc<Tap>,
-    kinds: Vec<Kind>,
-    habits: Habits,
+    classes: Vec<CallerClass>,
+    behaviour: CallerBehaviour,
     clients: u32,
-    crowd: RefCell<Crowd>,
+    pool: RefCell<CallerPool>,
     executor: Rc<LocalExecutor<'static>>,
 }
 
@@ -90,55 +90,55 @@
     pub fn new(
         tap: &Rc<Tap>,
         executor: &Rc<LocalExecutor<'static>>,
-        kinds: Vec<Kind>,
-        (habits, clients): (Habits, u32),
+        classes: Vec<CallerClass>,
+        (behaviour, clients): (CallerBehaviour, u32),
         report: Report,
         seed: u64,
     ) -> Rc<Self> {
-        let crowd = Crowd {
-            lines: Vec::new(),
-            people: BTreeMap::new(),
+        let pool = CallerPool {
+            connections: Vec::new(),
+            active: BTreeMap::new(),
             by_call_id: BTreeMap::new(),
-            due: BTreeSet::new(),
-            next: 0,
+            timers: BTreeSet::new(),
+            last_id: 0,
             rng: StdRng::seed_from_u64(seed),
             report,
-            closing: false,
+            stopped: false,
         };
-        let crowd = RefCell::new(crowd);
-        Rc::new(Self { tap: tap.clone(), kinds, habits, clients, crowd, executor: executor.clone() })
+        let pool = RefCell::new(pool);
+        Rc::new(Self { tap: tap.clone(), classes, behaviour, clients, pool, executor: executor.clone() })
     }
 
     /// The known client that a line belongs to, if callers are known.
-    fn client_of(&self, line: usize) -> Option<(String, String)> {
-        (self.clients > 0).then(|| client(line as u32 % self.clients))
+    fn credentials_of(&self, connection: usize) -> Option<(String, String)> {
+        (self.clients > 0).then(|| client_credentials(connection as u32 % self.clients))
     }
 
     /// Opens connections to a gateway and waits until they stand.
     pub async fn connect(self: &Rc<Self>, gateway: SocketAddr, number: u32, count: u32) -> io::Result<()> {
         for _ in 0..count {
-            let line = {
-                let mut crowd = self.crowd.borrow_mut();
-                crowd.lines.push(Line { gateway, number, outbox: None });
-                crowd.lines.len() - 1
+            let connection = {
+                let mut pool = self.pool.borrow_mut();
+                pool.connections.push(Connection { gateway, number, outbox: None });
+                pool.connections.len() - 1
             };
-            self.open(line).await?;
+            self.open(connection).await?;
         }
         Ok(())
     }
 
-    async fn open(self: &Rc<Self>, line: usize) -> io::Result<()> {
+    async fn open(self: &Rc<Self>, connection: usize) -> io::Result<()> {
         let (address, number, nonce) = {
-            let mut crowd = self.crowd.borrow_mut();
-            let nonce: [u8; 16] = crowd.rng.random();
-            (crowd.lines[line].gateway, crowd.lines[line].number, nonce)
+            let mut pool = self.pool.borrow_mut();
+            let nonce: [u8; 16] = pool.rng.random();
+            (pool.connections[connection].gateway, pool.connections[connection].number, nonce)
         };
         let stream = Async::<TcpStream>::connect(address).await?;
         stream.get_ref().set_nodelay(true)?;
-        let conn = self.tap.opened(Side::Caller { gateway: number });
+        let conn = self.tap.connection_opened(Side::Caller { gateway: number });
         let shake = ClientHandshake::new(nonce, "sip");
         let request = shake.request(&address.to_string(), "/", None);
-        self.tap.bytes(conn, Way::In, &request);
+        self.tap.record_bytes(conn, Way::In, &request);
         (&stream).write_all(&request).await?;
         let mut bytes = Vec::new();
         let consumed = loop {
@@ -147,31 +147,31 @@
             if n == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
-            self.tap.bytes(conn, Way::Out, &buffer[..n]);
+            self.tap.record_bytes(conn, Way::Out, &buffer[..n]);
             bytes.extend_from_slice(&buffer[..n]);
             match shake.check(&bytes, &HttpLimits::default()) {
                 Ok(Some(n)) => break n,
                 Ok(None) => {}
                 Err(error) => {
-                    self.crowd.borrow_mut().report.connects.1 += 1;
-                    self.tap.closed(conn);
+                    self.pool.borrow_mut().report.connections.1 += 1;
+                    self.tap.connection_closed(conn);
                     return Err(io::Error::other(error));
                 }
             }
         };
-        if let Some((name, password)) = self.client_of(line) {
-            self.show_who(conn, &stream, &name, &password).await?;
+        if let Some((name, password)) = self.credentials_of(connection) {
+            self.authenticate(conn, &stream, &name, &password).await?;
         }
-        self.crowd.borrow_mut().report.connects.0 += 1;
-        let outbox = Rc::new(Outbox::new(BACKLOG));
-        self.crowd.borrow_mut().lines[line].outbox = Some((conn, outbox.clone()));
+        self.pool.borrow_mut().report.connections.0 += 1;
+        let outbox = Rc::new(Outbox::new(MAX_BACKLOG_BYTES));
+        self.pool.borrow_mut().connections[connection].outbox = Some((conn, outbox.clone()));
         let rest = bytes.split_off(consumed);
-        self.executor.spawn(self.clone().serve(line, conn, stream, outbox, rest)).detach();
+        self.executor.spawn(self.clone().serve(connection, conn, stream, outbox, rest)).detach();
         Ok(())
     }
 
     /// Shows who the connection belongs to: asks for a nonce, and answers the challenge.
-    async fn show_who(
+    async fn authenticate(
         &self,
         conn: u64,
         stream: &Async<TcpStream>,
@@ -209,12 +209,12 @@
                 .field(Name::Authorization, &credentials.write());
             let mut bytes = Vec::new();
             encode(Opcode::Text, &draft.finish(b""), Some([5; 4]), &mut bytes);
-            self.tap.bytes(conn, Way::In, &bytes);
+            self.tap.record_bytes(conn, Way::In, &bytes);
             (&*stream).write_all(&bytes).await?;
-            let told = loop {
+            let response = loop {
                 let mut buffer = [0; 4096];
                 let n = stream.read_with(|mut s| s.read(&mut buffer)).await?;
-                self.tap.bytes(conn, Way::Out, &buffer[..n]);
+                self.tap.record_bytes(conn, Way::Out, &buffer[..n]);
                 let mut input = &buffer[..n];
                 match frames.feed(&mut input).map_err(io::Error::other)? {
                     Some(Event::Text(text)) => {
@@ -226,18 +226,19 @@
                     _ => {}
                 }
             };
-            if told.status() == Some(200) {
+            if response.status() == Some(200) {
                 return Ok(());
             }
-            let asked = told.get(Name::WwwAuthenticate).unwrap_or("");
-            nonce = asked.split("nonce=\"").nth(1).and_then(|r| r.split('"').next()).unwrap_or("").to_owned();
+            let challenge = response.get(Name::WwwAuthenticate).unwrap_or("");
+            nonce =
+                challenge.split("nonce=\"").nth(1).and_then(|r| r.split('"').next()).unwrap_or("").to_owned();
         }
         Err(io::Error::other(format!("{name} is not known to the gateway")))
     }
 
     async fn serve(
         self: Rc<Self>,
-        line: usize,
+        connection: usize,
         conn: u64,
         stream: Async<TcpStream>,
         outbox: Rc<Outbox>,
@@ -254,7 +255,7 @@
                     match decoder.feed(&mut input) {
                         Ok(Some(Event::Text(text))) => {
                             if let Ok(message) = Message::parse(text.as_bytes(), &Limits::default()) {
-                                self.take(line, message);
+                                self.receive(connection, message);
                             }
                         }
                         Ok(Some(Event::Ping(payload))) => {
@@ -269,7 +270,7 @@
                 }
                 match stream.read_with(|mut s| s.read(&mut buffer)).await {
                     Ok(n @ 1..) => {
-                        self.tap.bytes(conn, Way::Out, &buffer[..n]);
+                        self.tap.record_bytes(conn, Way::Out, &buffer[..n]);
                         got = n;
                     }
                     _ => return,
@@ -280,18 +281,18 @@
             let _ = outbox.write_to(&stream).await;
         };
         future::or(future::or(reading, writing), outbox.aborted()).await;
-        self.tap.closed(conn);
-        self.line_lost(line, conn);
+        self.tap.connection_closed(conn);
+        self.connection_lost(connection, conn);
     }
 
     fn send_raw(&self, conn: u64, outbox: &Outbox, bytes: &[u8]) {
-        self.tap.bytes(conn, Way::In, bytes);
+        self.tap.record_bytes(conn, Way::In, bytes);
         outbox.push(|out| out.extend_from_slice(bytes));
     }
 
-    fn send(&self, crowd: &mut Crowd, line: usize, message: &[u8]) {
-        let mask = crowd.rng.next_u32().to_be_bytes();
-        if let Some((conn, outbox)) = &crowd.lines[line].outbox {
+    fn send(&self, pool: &mut CallerPool, connection: usize, message: &[u8]) {
+        let mask = pool.rng.next_u32().to_be_bytes();
+        if let Some((conn, outbox)) = &pool.connections[connection].outbox {
             let mut bytes = Vec::new();
             encode(Opcode::Text, message, Some(mask), &mut bytes);
             self.send_raw(*conn, outbox, &bytes);
@@ -299,108 +300,120 @@
     }
 
     /// One more caller, of a class by the shares.
-    pub fn arrive(&self) {
+    pub fn add_caller(&self) {
         let now = self.tap.now();
-        let crowd = &mut *self.crowd.borrow_mut();
-        let total: f64 = self.kinds.iter().map(|k| k.share).sum();
-        let mut point = crowd.rng.random::<f64>() * total;
-        let hit = self.kinds.iter().position(|k| {
+        let pool = &mut *self.pool.borrow_mut();
+        let total: f64 = self.classes.iter().map(|k| k.share).sum();
+        let mut point = pool.rng.random::<f64>() * total;
+        let chosen = self.classes.iter().position(|k| {
             point -= k.share;
             point < 0.0
         });
-        crowd.next += 1;
-        let id = crowd.next;
-        let number = format!("+9148{:07}", crowd.rng.random_range(0..10_000_000));
-        let class = hit.unwrap_or(0);
-        crowd.people.insert(id, Person { class, number, first: now, tries: 0, state: State::Waiting });
-        self.try_once(crowd, now, id);
+        pool.last_id += 1;
+        let id = pool.last_id;
+        let number = format!("+9148{:07}", pool.rng.random_range(0..10_000_000));
+        let class = chosen.unwrap_or(0);
+        pool.active.insert(id, Caller { class, number, first: now, tries: 0, state: CallState::Idle });
+        self.start_attempt(pool, now, id);
     }
 
-    fn try_once(&self, crowd: &mut Crowd, now: Duration, id: u64) {
-        let open: Vec<usize> = (0..crowd.lines.len()).filter(|l| crowd.lines[*l].outbox.is_some()).collect();
+    fn start_attempt(&self, pool: &mut CallerPool, now: Duration, id: u64) {
+        let open: Vec<usize> =
+            (0..pool.connections.len()).filter(|l| pool.connections[*l].outbox.is_some()).collect();
         if open.is_empty() {
-            crowd.due.insert((now + Duration::from_millis(100), Due::Try(id)));
+            pool.timers.insert((now + Duration::from_millis(100), PendingEvent::Dial(id)));
             return;
         }
-        let line = open[crowd.rng.random_range(0..open.len())];
-        let session: u128 = crowd.rng.random();
-        let random = crowd.rng.next_u32();
-        let left = crowd.rng.random::<f64>() < self.habits.leavers;
-        let leave = self.habits.try_s as f64 * crowd.rng.random::<f64>();
-        let Some(person) = crowd.people.get_mut(&id) else { return };
-        person.tries += 1;
-        let tries = person.tries;
-        let kind = &self.kinds[person.class];
+        let connection = open[pool.rng.random_range(0..open.len())];
+        let session: u128 = pool.rng.random();
+        let random = pool.rng.next_u32();
+        let abandons = pool.rng.random::<f64>() < self.behaviour.leavers;
+        let abandon_after_s = self.behaviour.try_s as f64 * pool.rng.random::<f64>();
+        let Some(caller) = pool.active.get_mut(&id) else { return };
+        caller.tries += 1;
+        let tries = caller.tries;
+        let class = &self.classes[caller.class];
         let call_id = format!("{id}.{tries}.{random:08x}@caller.invalid");
-        let mut draft = Draft::request(Method::Invite, &format!("sip:{}@gateway.invalid", person.number));
+        let mut draft = Draft::request(Method::Invite, &format!("sip:{}@gateway.invalid", caller.number));
         draft
             .field(
                 Name::Via,
-                &format!("SIP/2.0/WS caller{line}.invalid;branch=z9hG4bK{id}.{tries}.{random:08x};rport"),
+                &format!(
+                    "SIP/2.0/WS caller{connection}.invalid;branch=z9hG4bK{id}.{tries}.{random:08x};rport"
+                ),
             )
             .field(Name::MaxForwards, "70")
             .field(Name::From, &format!("<sip:desk{id}@caller.invalid>;tag={random:08x}"))
-            .field(Name::To, &format!("<sip:{}@gateway.invalid>", person.number))
+            .field(Name::To, &format!("<sip:{}@gateway.invalid>", caller.number))
             .field(Name::CallId, &call_id)
             .field(Name::CSeq, "1 INVITE")
-            .field(Name::Contact, &format!("<sip:desk{id}@caller{line}.invalid;transport=ws>"))
-            .field(Name::Expires, &self.habits.try_s.to_string())
+            .field(Name::Contact, &format!("<sip:desk{id}@caller{connection}.invalid;transport=ws>"))
+            .field(Name::Expires, &self.behaviour.try_s.to_string())
             .field(Name::SessionId, &format!("{:032x};remote={:032}", session | 1, 0))
-            .named("X-Class", &kind.name)
+            .named("X-Class", &class.name)
             .field(Name::ContentType, "application/sdp");
         let bytes = draft.finish(b"v=0\r\no=- 1 1 IN IP4 127.0.0.1\r\ns=-\r\n");
         let Ok(invite) = Message::parse(&bytes, &Limits::default()) else { return };
-        person.state = State::Trying { line, invite: Box::new(invite), sent: now };
-        crowd.by_call_id.insert(call_id, id);
-        crowd.report.tries += 1;
-        let overdue = now + Duration::from_secs(self.habits.try_s) + PATIENCE;
-        crowd.due.insert((overdue, Due::Overdue(id, tries)));
-        if left {
-            crowd.due.insert((now + Duration::from_secs_f64(leave), Due::Leave(id, tries)));
+        caller.state = CallState::InSetUp { connection, invite: Box::new(invite), sent: now };
+        pool.by_call_id.insert(call_id, id);
+        pool.report.tries += 1;
+        let overdue = now + Duration::from_secs(self.behaviour.try_s) + RESPONSE_GRACE;
+        pool.timers.insert((overdue, PendingEvent::TimeOut(id, tries)));
+        if abandons {
+            pool.timers
+                .insert((now + Duration::from_secs_f64(abandon_after_s), PendingEvent::Cancel(id, tries)));
         }
-        self.send(crowd, line, &bytes);
+        self.send(pool, connection, &bytes);
     }
 
     /// A try came to nothing: once more, or that was it.
-    fn failed(&self, crowd: &mut Crowd, now: Duration, id: u64, wait: Option<Duration>, end: End) {
-        let pause = Duration::from_millis(self.habits.redial_ms).mul_f64(0.5 + crowd.rng.random::<f64>());
-        let Some(person) = crowd.people.get_mut(&id) else { return };
+    fn attempt_failed(
+        &self,
+        pool: &mut CallerPool,
+        now: Duration,
+        id: u64,
+        wait: Option<Duration>,
+        outcome: CallOutcome,
+    ) {
+        let pause = Duration::from_millis(self.behaviour.redial_ms).mul_f64(0.5 + pool.rng.random::<f64>());
+        let Some(caller) = pool.active.get_mut(&id) else { return };
         let at = now + wait.unwrap_or_default().max(pause);
-        let too_late = at.saturating_sub(person.first) >= self.kinds[person.class].deadline;
-        person.state = State::Waiting;
-        if person.tries > self.habits.redials || too_late || crowd.closing {
-            self.over(crowd, id, end);
+        let too_late = at.saturating_sub(caller.first) >= self.classes[caller.class].deadline;
+        caller.state = CallState::Idle;
+        if caller.tries > self.behaviour.redials || too_late || pool.stopped {
+            self.finish(pool, id, outcome);
         } else {
-            crowd.due.insert((at, Due::Try(id)));
+            pool.timers.insert((at, PendingEvent::Dial(id)));
         }
     }
 
-    fn over(&self, crowd: &mut Crowd, id: u64, end: End) {
-        if let Some(person) = crowd.people.remove(&id) {
-            crowd.report.count(person.class, person.first, end);
+    fn finish(&self, pool: &mut CallerPool, id: u64, outcome: CallOutcome) {
+        if let Some(caller) = pool.active.remove(&id) {
+            pool.report.record(caller.class, caller.first, outcome);
         }
     }
 
-    fn take(&self, line: usize, message: Message) {
+    fn receive(&self, connection: usize, message: Message) {
         let now = self.tap.now();
-        let crowd = &mut *self.crowd.borrow_mut();
+        let pool = &mut *self.pool.borrow_mut();
         let call_id = message.get(Name::CallId).unwrap_or("");
-        let id = crowd.by_call_id.get(call_id).copied();
+        let id = pool.by_call_id.get(call_id).copied();
         if message.method() == Some(Method::Bye) {
-            let known = id
-                .filter(|id| crowd.people.get(id).is_some_and(|p| matches!(p.state, State::Standing { .. })));
+            let known = id.filter(|id| {
+                pool.active.get(id).is_some_and(|p| matches!(p.state, CallState::Established { .. }))
+            });
             let status = if known.is_some() { 200 } else { 481 };
             let bytes = Draft::answer(&message, status, None, "caller", None).finish(b"");
-            self.send(crowd, line, &bytes);
+            self.send(pool, connection, &bytes);
             if let Some(id) = known {
-                self.over(crowd, id, End::Cut);
+                self.finish(pool, id, CallOutcome::Cut);
             }
             return;
         }
         let (Some(status), Some(id)) = (message.status(), id) else { return };
         let is_invite = message.cseq().is_ok_and(|c| c.method == "INVITE");
-        let Some(person) = crowd.people.get_mut(&id).filter(|_| is_invite && status >= 200) else { return };
-        let State::Trying { invite, sent, .. } = &person.state else { return };
+        let Some(caller) = pool.active.get_mut(&id).filter(|_| is_invite && status >= 200) else { return };
+        let CallState::InSetUp { invite, sent, .. } = &caller.state else { return };
         if invite.get(Name::CallId) != Some(call_id) {
             return;
         }
@@ -410,52 +423,55 @@
             ack.copy(&message, Name::To).copy(invite, Name::CallId).field(Name::CSeq, "1 ACK");
             let bytes = ack.finish(b"");
             let wait = message.get(Name::RetryAfter).and_then(|s| s.parse().ok()).map(Duration::from_secs);
-            crowd.by_call_id.remove(call_id);
-            self.send(crowd, line, &bytes);
-            let end = match status {
-                487 => return self.over(crowd, id, End::Left),
-                486 | 503 => End::Refused,
-                _ => End::Failed,
+            pool.by_call_id.remove(call_id);
+            self.send(pool, connection, &bytes);
+            let outcome = match status {
+                487 => return self.finish(pool, id, CallOutcome::Abandoned),
+                486 | 503 => CallOutcome::Refused,
+                _ => CallOutcome::Failed,
             };
-            return self.failed(crowd, now, id, wait, end);
+            return self.attempt_failed(pool, now, id, wait, outcome);
         }
         let Ok(dialog) = Dialog::caller(&message, "sip:gateway.invalid", 1) else { return };
-        let (after, delay) = (now.saturating_sub(person.first), now.saturating_sub(*sent));
+        let (after, delay) = (now.saturating_sub(caller.first), now.saturating_sub(*sent));
         let mut dialog = Box::new(dialog);
-        let via = format!("SIP/2.0/WS caller{line}.invalid;branch=z9hG4bKa{id}.{}", person.tries);
+        let via = format!("SIP/2.0/WS caller{connection}.invalid;branch=z9hG4bKa{id}.{}", caller.tries);
         let ack = dialog.request(Method::Ack, &via).finish(b"");
-        let hold = self.kinds[person.class].hold.mul_f64(-(1.0 - crowd.rng.random::<f64>()).ln());
-        person.state = State::Standing { line, dialog, after };
-        let _ = crowd.report.set_up.record(u64::try_from(delay.as_micros()).unwrap_or(u64::MAX).max(1));
-        crowd.due.insert((now + hold, Due::HangUp(id)));
-        self.send(crowd, line, &ack);
+        let hold = self.classes[caller.class].hold.mul_f64(-(1.0 - pool.rng.random::<f64>()).ln());
+        caller.state = CallState::Established { connection, dialog, after };
+        let _ = pool.report.set_up.record(u64::try_from(delay.as_micros()).unwrap_or(u64::MAX).max(1));
+        pool.timers.insert((now + hold, PendingEvent::HangUp(id)));
+        self.send(pool, connection, &ack);
     }
 
-    fn line_lost(&self, line: usize, conn: u64) {
-        let crowd = &mut *self.crowd.borrow_mut();
-        if crowd.lines[line].outbox.as_ref().is_some_and(|(c, _)| *c == conn) {
-            crowd.lines[line].outbox = None;
+    fn connection_lost(&self, connection: usize, conn: u64) {
+        let pool = &mut *self.pool.borrow_mut();
+        if pool.connections[connection].outbox.as_ref().is_some_and(|(c, _)| *c == conn) {
+            pool.connections[connection].outbox = None;
         }
-        let on_it = |p: &Person| match &p.state {
-            State::Trying { line: l, .. } | State::Standing { line: l, .. } => *l == line,
-            State::Waiting => false,
+        let uses_connection = |p: &Caller| match &p.state {
+            CallState::InSetUp { connection: l, .. } | CallState::Established { connection: l, .. } => {
+                *l == connection
+            }
+            CallState::Idle => false,
         };
-        let gone: Vec<u64> = crowd.people.iter().filter(|(_, p)| on_it(p)).map(|(id, _)| *id).collect();
+        let gone: Vec<u64> =
+            pool.active.iter().filter(|(_, p)| uses_connection(p)).map(|(id, _)| *id).collect();
         for id in gone {
-            self.over(crowd, id, End::Left);
+            self.finish(pool, id, CallOutcome::Abandoned);
         }
     }
 
     /// Does what is due.
-    fn pass(&self, now: Duration) {
-        let crowd = &mut *self.crowd.borrow_mut();
-        while let Some((_, due)) = crowd.due.first().copied().filter(|(at, _)| *at <= now) {
-            crowd.due.pop_first();
-            match due {
-                Due::Try(id) => self.try_once(crowd, now, id),
-                Due::Leave(id, tries) => {
-                    let Some(person) = crowd.people.get(&id).filter(|p| p.tries == tries) else { continue };
-                    if let State::Trying { line, invite, .. } = &person.state {
+    fn run_due(&self, now: Duration) {
+        let pool = &mut *self.pool.borrow_mut();
+        while let Some((_, event)) = pool.timers.first().copied().filter(|(at, _)| *at <= now) {
+            pool.timers.pop_first();
+            match event {
+                PendingEvent::Dial(id) => self.start_attempt(pool, now, id),
+                PendingEvent::Cancel(id, tries) => {
+                    let Some(caller) = pool.active.get(&id).filter(|p| p.tries == tries) else { continue };
+                    if let CallState::InSetUp { connection, invite, .. } = &caller.state {
                         let mut cancel = Draft::request(Method::Cancel, "sip:gateway.invalid");
                         cancel
                             .copy(invite, Name::Via)
@@ -465,29 +481,31 @@
                             .copy(invite, Name::To)
                             .copy(invite, Name::CallId)
                             .field(Name::CSeq, "1 CANCEL");
-                        let (line, bytes) = (*line, cancel.finish(b""));
-                        self.send(crowd, line, &bytes);
+                        let (connection, bytes) = (*connection, cancel.finish(b""));
+                        self.send(pool, connection, &bytes);
                     }
                 }
-                Due::Overdue(id, tries) => {
+                PendingEvent::TimeOut(id, tries) => {
                     let trying =
-                        |p: &&mut Person| p.tries == tries && matches!(p.state, State::Trying { .. });
-                    if crowd.people.get_mut(&id).filter(trying).is_some() {
-                        crowd.report.unanswered += 1;
-                        self.failed(crowd, now, id, None, End::Failed);
+                        |p: &&mut Caller| p.tries == tries && matches!(p.state, CallState::InSetUp { .. });
+                    if pool.active.get_mut(&id).filter(trying).is_some() {
+                        pool.report.unanswered += 1;
+                        self.attempt_failed(pool, now, id, None, CallOutcome::Failed);
                     }
                 }
-                Due::HangUp(id) => {
-                    let Some(person) = crowd.people.get_mut(&id) else { continue };
-                    if let State::Standing { line, dialog, after } = &mut person.state {
-                        let via =
-                            format!("SIP/2.0/WS caller{line}.invalid;branch=z9hG4bKh{id}.{}", person.tries);
+                PendingEvent::HangUp(id) => {
+                    let Some(caller) = pool.active.get_mut(&id) else { continue };
+                    if let CallState::Established { connection, dialog, after } = &mut caller.state {
+                        let via = format!(
+                            "SIP/2.0/WS caller{connection}.invalid;branch=z9hG4bKh{id}.{}",
+                            caller.tries
+                        );
                         let bytes = dialog.request(Method::Bye, &via).finish(b"");
-                        let (line, after) = (*line, *after);
+                        let (connection, after) = (*connection, *after);
                         let call_id = dialog.call_id.clone();
-                        self.send(crowd, line, &bytes);
-                        crowd.by_call_id.remove(&call_id);
-                        self.over(crowd, id, End::Stood(after));
+                        self.send(pool, connection, &bytes);
+                        pool.by_call_id.remove(&call_id);
+                        self.finish(pool, id, CallOutcome::Established(after));
                     }
                 }
             }
@@ -498,25 +516,27 @@
     pub async fn run(self: Rc<Self>) {
         loop {
             Timer::after(Duration::from_millis(2)).await;
-            self.pass(self.tap.now());
+            self.run_due(self.tap.now());
         }
     }
 
     /// Breaks a random connection off, and opens it again a little later.
-    pub fn break_one(self: &Rc<Self>) {
-        let line = {
-            let crowd = &mut *self.crowd.borrow_mut();
-            let line = crowd.rng.random_range(0..crowd.lines.len().max(1));
-            let Some((_, outbox)) = crowd.lines.get(line).and_then(|l| l.outbox.clone()) else { return };
+    pub fn break_random_connection(self: &Rc<Self>) {
+        let connection = {
+            let pool = &mut *self.pool.borrow_mut();
+            let connection = pool.rng.random_range(0..pool.connections.len().max(1));
+            let Some((_, outbox)) = pool.connections.get(connection).and_then(|l| l.outbox.clone()) else {
+                return;
+            };
             outbox.abort();
-            line
+            connection
         };
         let callers = self.clone();
         let again = async move {
             Timer::after(Duration::from_millis(200)).await;
             // As long as the gateway is there to be asked; a refusal tells to come later.
             for _ in 0..100 {
-                if callers.crowd.borrow().closing || callers.open(line).await.is_ok() {
+                if callers.pool.borrow().stopped || callers.open(connection).await.is_ok() {
                     return;
                 }
                 Timer::after(Duration::from_millis(100)).await;
@@ -526,51 +546,51 @@
     }
 
     /// A random number from 0 to 1, of the callers' stream.
-    pub fn unit(&self) -> f64 {
-        self.crowd.borrow_mut().rng.random()
+    pub fn random_unit(&self) -> f64 {
+        self.pool.borrow_mut().rng.random()
     }
 
     /// People whose try is out.
-    pub fn trying(&self) -> usize {
-        self.crowd.borrow().people.values().filter(|p| matches!(p.state, State::Trying { .. })).count()
+    pub fn calls_in_set_up(&self) -> usize {
+        self.pool.borrow().active.values().filter(|p| matches!(p.state, CallState::InSetUp { .. })).count()
     }
 
     /// The day is over: nobody dials again, and those who wait to do so have been refused.
-    pub fn close(&self) {
-        let crowd = &mut *self.crowd.borrow_mut();
-        crowd.closing = true;
-        let waiting = |p: &Person| matches!(p.state, State::Waiting);
-        let rest: Vec<u64> = crowd.people.iter().filter(|(_, p)| waiting(p)).map(|(id, _)| *id).collect();
+    pub fn stop_calling(&self) {
+        let pool = &mut *self.pool.borrow_mut();
+        pool.stopped = true;
+        let is_idle = |p: &Caller| matches!(p.state, CallState::Idle);
+        let rest: Vec<u64> = pool.active.iter().filter(|(_, p)| is_idle(p)).map(|(id, _)| *id).collect();
         for id in rest {
-            self.over(crowd, id, End::Refused);
+            self.finish(pool, id, CallOutcome::Refused);
         }
     }
 
     /// Standing calls hang up.
     pub fn hang_up_all(&self) {
         let now = self.tap.now();
-        let crowd = &mut *self.crowd.borrow_mut();
-        crowd.due.clear();
-        for (id, person) in &crowd.people {
-            if matches!(person.state, State::Standing { .. }) {
-                crowd.due.insert((now, Due::HangUp(*id)));
+        let pool = &mut *self.pool.borrow_mut();
+        pool.timers.clear();
+        for (id, caller) in &pool.active {
+            if matches!(caller.state, CallState::Established { .. }) {
+                pool.timers.insert((now, PendingEvent::HangUp(*id)));
             }
         }
     }
 
     /// People whose calls are not over.
-    pub fn busy(&self) -> usize {
-        self.crowd.borrow().people.len()
+    pub fn open_calls(&self) -> usize {
+        self.pool.borrow().active.len()
     }
 
     /// Tries so far, and calls that stood.
-    pub fn so_far(&self) -> (u64, u64) {
-        let crowd = self.crowd.borrow();
-        (crowd.report.tries, crowd.report.set_up.len())
+    pub fn progress(&self) -> (u64, u64) {
+        let pool = self.pool.borrow();
+        (pool.report.tries, pool.report.set_up.len())
     }
 
     /// Takes the report.
     pub fn take_report(&self) -> Report {
-        std::mem::replace(&mut self.crowd.borrow_mut().report, Report::new(Vec::new()))
+        std::mem::replace(&mut self.pool.borrow_mut().report, Report::new(Vec::new()))
     }
 }
--- a/crates/fawnrouter-lab/src/day.rs
+++ b/crates/fawnrouter-lab/src/day.rs
@@ -15,14 +15,16 @@
 use fawnrouter_config::{SwitchEntry, SwitchFile, SwitchState};
 use fawnrouterd::engine::zones::SpillCause;
 
-use crate::callers::{Callers, Kind};
-use crate::fleet::{GatewayProcess, LIST_REACHES, account_of, settings, write_clients, write_list};
+use crate::callers::{CallerClass, Callers};
+use crate::fleet::{
+    GatewayProcess, LIST_PROPAGATION_TIME, account_file, gateway_settings, write_clients, write_list,
+};
 use crate::flood;
-use crate::plan::{Act, timeline};
+use crate::plan::{FaultAction, timeline};
 use crate::report::{Report, Spill};
 use crate::script::{FIRST_SWITCH, Script, SwitchPlan};
-use crate::stand_in::{Distance, StandIn};
-use crate::switch::Make;
+use crate::stand_in::{StandIn, ZoneLatency};
+use crate::switch::SwitchModel;
 use crate::tap::Tap;
 
 /// How a day is run.
@@ -48,12 +50,12 @@
 }
 
 /// The registry's truth and what it has published of it.
-struct Registry {
+struct ListPublisher {
     folder: tempfile::TempDir,
-    truth: BTreeMap<u32, SwitchEntry>,
+    current: BTreeMap<u32, SwitchEntry>,
     published: BTreeMap<u32, SwitchEntry>,
     version: u64,
-    shown: u64,
+    last_version: u64,
     empty: bool,
     delay: Duration,
 }
@@ -65,11 +67,11 @@
     pub executor: Rc<LocalExecutor<'static>>,
     stand_ins: RefCell<BTreeMap<u32, Rc<StandIn>>>,
     /// The pool of each switch that there ever was.
-    pools: RefCell<BTreeMap<u32, u32>>,
-    registry: RefCell<Registry>,
+    pool_by_switch: RefCell<BTreeMap<u32, u32>>,
+    publisher: RefCell<ListPublisher>,
     /// Held while a list is written and told: one at a time, in the order of their versions.
-    writing: Mutex<()>,
-    load: Cell<f64>,
+    publish_lock: Mutex<()>,
+    load_multiple: Cell<f64>,
     /// Where the gateways listen, and the floods that were let loose on them.
     gateways: RefCell<Vec<SocketAddr>>,
     floods: RefCell<Vec<(&'static str, Child)>>,
@@ -77,7 +79,7 @@
 }
 
 /// The auditor's figures for a script.
-pub fn figures(script: &Script) -> Figures {
+pub fn audit_figures(script: &Script) -> Figures {
     let rules = &script.rules;
     Figures {
         // The list is told when the file is written; the gateway's look at it comes on top of the grace.
@@ -98,14 +100,14 @@
         seed: u64,
         executor: &Rc<LocalExecutor<'static>>,
     ) -> io::Result<Rc<Self>> {
-        let tap = Rc::new(Tap::new(figures(&script)));
+        let tap = Rc::new(Tap::new(audit_figures(&script)));
         let classes = script.classes.iter();
         let report = Report::new(
             classes
                 .map(|c| (c.class.name.clone(), c.class.points, c.class.late_share, ms(c.class.aim_ms)))
                 .collect(),
         );
-        let kinds = script.classes.iter().map(|c| Kind {
+        let classes_of_callers = script.classes.iter().map(|c| CallerClass {
             name: c.class.name.clone(),
             share: c.share,
             hold: ms(c.hold_ms),
@@ -114,17 +116,17 @@
         let callers = Callers::new(
             &tap,
             executor,
-            kinds.collect(),
+            classes_of_callers.collect(),
             (script.callers.clone(), script.clients),
             report,
             seed,
         );
-        let registry = Registry {
+        let publisher = ListPublisher {
             folder: tempfile::tempdir()?,
-            truth: BTreeMap::new(),
+            current: BTreeMap::new(),
             published: BTreeMap::new(),
             version: 0,
-            shown: 0,
+            last_version: 0,
             empty: false,
             delay: ms(script.list_delay_ms),
         };
@@ -132,10 +134,10 @@
             tap,
             executor: executor.clone(),
             stand_ins: RefCell::default(),
-            pools: RefCell::default(),
-            registry: RefCell::new(registry),
-            writing: Mutex::new(()),
-            load: Cell::new(1.0),
+            pool_by_switch: RefCell::default(),
+            publisher: RefCell::new(publisher),
+            publish_lock: Mutex::new(()),
+            load_multiple: Cell::new(1.0),
             gateways: RefCell::default(),
             floods: RefCell::default(),
             callers,
@@ -145,38 +147,38 @@
             let n = n as u32;
             lab.open_stand_in(FIRST_SWITCH + n, n, plan, false)?;
         }
-        let truth = lab.registry.borrow().truth.clone();
-        lab.publish_as(0, truth).await?;
+        let current = lab.publisher.borrow().current.clone();
+        lab.publish(0, current).await?;
         Ok(lab)
     }
 
     fn open_stand_in(&self, id: u32, pool: u32, plan: &SwitchPlan, cold: bool) -> io::Result<()> {
         let rules = &self.script.rules;
-        let make = Make {
+        let model = SwitchModel {
             capacity_per_s: plan.capacity_per_s,
-            full_after: ms(plan.full_after_ms),
-            tells_wait: plan.tells_wait,
-            cold_from: rules.cold_from,
-            ramp: ms(rules.cold_ms),
-            fall_multiple: rules.fall_multiple,
-            fall_time: ms(rules.fall_ms),
+            refuse_after: ms(plan.full_after_ms),
+            sends_retry_after: plan.tells_wait,
+            cold_start_share: rules.cold_from,
+            warm_up: ms(rules.cold_ms),
+            collapse_multiple: rules.fall_multiple,
+            collapse_window: ms(rules.fall_ms),
             contact: String::new(),
         };
         let zones = self.script.zones.as_ref();
-        let distance = Distance {
+        let latency = ZoneLatency {
             zone: plan.zone.clone(),
-            gateways: zones.map(|z| z.gateways.clone()).unwrap_or_default(),
-            cross: ms(zones.map_or(0, |z| z.cross_ms)),
+            gateway_zones: zones.map(|z| z.gateways.clone()).unwrap_or_default(),
+            one_way: ms(zones.map_or(0, |z| z.cross_ms)),
         };
-        let stand_in = StandIn::open(id, (make, distance), cold, &self.tap, &self.executor)?;
-        self.list_ready(&stand_in, pool, plan, cold);
+        let stand_in = StandIn::open(id, (model, latency), cold, &self.tap, &self.executor)?;
+        self.list_as_ready(&stand_in, pool, plan, cold);
         self.stand_ins.borrow_mut().insert(id, stand_in);
-        self.pools.borrow_mut().insert(id, pool);
+        self.pool_by_switch.borrow_mut().insert(id, pool);
         Ok(())
     }
 
     /// The truth names a switch that takes calls.
-    fn list_ready(&self, stand_in: &StandIn, pool: u32, plan: &SwitchPlan, cold: bool) {
+    fn list_as_ready(&self, stand_in: &StandIn, pool: u32, plan: &SwitchPlan, cold: bool) {
         let line = SwitchEntry {
             id: stand_in.id,
             address: stand_in.address,
@@ -185,43 +187,43 @@
             state: SwitchState::Ready,
             up_since_ms: cold.then(unix_ms),
         };
-        self.registry.borrow_mut().truth.insert(stand_in.id, line);
+        self.publisher.borrow_mut().current.insert(stand_in.id, line);
     }
 
     /// Starts all gateways and the callers' connections to them.
     pub async fn start_gateways(self: &Rc<Self>, options: DayOptions) -> io::Result<Vec<GatewayProcess>> {
-        let folder = self.registry.borrow().folder.path().to_owned();
+        let folder = self.publisher.borrow().folder.path().to_owned();
         let mut gateways = Vec::new();
         write_clients(&folder, self.script.clients)?;
         for number in 0..self.script.gateways {
-            let settings = settings(&self.script, number, options.seed);
+            let settings = gateway_settings(&self.script, number, options.seed);
             let folder = folder.clone();
             let start = move || GatewayProcess::start(&folder, &settings, options.baseline);
             let gateway = blocking::unblock(start).await?;
             if self.script.clients > 0 {
                 // The clients are read beside the first connections.
-                Timer::after(LIST_REACHES).await;
+                Timer::after(LIST_PROPAGATION_TIME).await;
             }
             self.callers.connect(gateway.address, number, self.script.connections).await?;
             self.gateways.borrow_mut().push(gateway.address);
             gateways.push(gateway);
         }
         // The gateways read the list and open their connections before the first call comes.
-        Timer::after(LIST_REACHES * 2).await;
+        Timer::after(LIST_PROPAGATION_TIME * 2).await;
         Ok(gateways)
     }
 
     /// The truth has changed: the list says so after its delay.
-    fn changed(self: &Rc<Self>) {
+    fn schedule_publication(self: &Rc<Self>) {
         let (version, delay) = {
-            let mut registry = self.registry.borrow_mut();
-            registry.version += 1;
-            (registry.version, registry.delay)
+            let mut publisher = self.publisher.borrow_mut();
+            publisher.version += 1;
+            (publisher.version, publisher.delay)
         };
-        let (lab, truth) = (self.clone(), self.registry.borrow().truth.clone());
+        let (lab, current) = (self.clone(), self.publisher.borrow().current.clone());
         let later = async move {
             Timer::after(delay).await;
-            if let Err(error) = lab.publish_as(version, truth).await {
+            if let Err(error) = lab.publish(version, current).await {
                 eprintln!("the list cannot be written: {error}");
             }
         };
@@ -229,109 +231,109 @@
     }
 
     /// Writes the list unless a newer one is out, and tells the auditor what it said once it is in place.
-    async fn publish_as(&self, version: u64, truth: BTreeMap<u32, SwitchEntry>) -> io::Result<()> {
+    async fn publish(&self, version: u64, current: BTreeMap<u32, SwitchEntry>) -> io::Result<()> {
         // Two lists of the same instant: what the older one lacks must be told neither after the newer one nor written
         // over it.
-        let _one = self.writing.lock().await;
-        let (folder, list, shown) = {
-            let mut registry = self.registry.borrow_mut();
-            if version < registry.shown {
+        let _guard = self.publish_lock.lock().await;
+        let (folder, list, listed) = {
+            let mut publisher = self.publisher.borrow_mut();
+            if version < publisher.last_version {
                 return Ok(());
             }
-            registry.shown = version;
-            let shown = if registry.empty { BTreeMap::new() } else { truth };
+            publisher.last_version = version;
+            let listed = if publisher.empty { BTreeMap::new() } else { current };
             (
-                registry.folder.path().to_owned(),
-                SwitchFile { switches: shown.values().cloned().collect() },
-                shown,
+                publisher.folder.path().to_owned(),
+                SwitchFile { switches: listed.values().cloned().collect() },
+                listed,
             )
         };
         // A gateway may read the file before this task goes on: what it permits counts from before the writing, what
         // it ends from after it.
-        let ready = |line: &SwitchEntry| line.state == SwitchState::Ready;
-        for (id, _) in shown.iter().filter(|(_, line)| ready(line)) {
-            self.tap.fact(Seen::Told { switch: *id, listed: Listed::Ready });
+        let is_ready = |line: &SwitchEntry| line.state == SwitchState::Ready;
+        for (id, _) in listed.iter().filter(|(_, line)| is_ready(line)) {
+            self.tap.record(Seen::Told { switch: *id, listed: Listed::Ready });
         }
         // A disk that is busy must not hold up the taps.
         blocking::unblock(move || write_list(&folder, version, &list)).await?;
-        let mut registry = self.registry.borrow_mut();
-        for id in registry.published.keys().filter(|id| !shown.contains_key(id)) {
-            self.tap.fact(Seen::Told { switch: *id, listed: Listed::Closed });
+        let mut publisher = self.publisher.borrow_mut();
+        for id in publisher.published.keys().filter(|id| !listed.contains_key(id)) {
+            self.tap.record(Seen::Told { switch: *id, listed: Listed::Closed });
         }
-        for (id, _) in shown.iter().filter(|(_, line)| !ready(line)) {
-            self.tap.fact(Seen::Told { switch: *id, listed: Listed::Closed });
+        for (id, _) in listed.iter().filter(|(_, line)| !is_ready(line)) {
+            self.tap.record(Seen::Told { switch: *id, listed: Listed::Closed });
         }
-        registry.published = shown;
+        publisher.published = listed;
         Ok(())
     }
 
-    async fn act(self: &Rc<Self>, act: Act) -> io::Result<()> {
+    async fn apply(self: &Rc<Self>, action: FaultAction) -> io::Result<()> {
         let stand_in = |id: u32| self.stand_ins.borrow().get(&id).cloned();
-        match act {
-            Act::Load(times) => self.load.set(times),
-            Act::Still(id, span) => {
+        match action {
+            FaultAction::SetLoad(times) => self.load_multiple.set(times),
+            FaultAction::Stall(id, span) => {
                 if let Some(stand_in) = stand_in(id) {
-                    stand_in.stand_still(ms(span));
+                    stand_in.stall(ms(span));
                 }
             }
-            Act::Slow(id, times) => {
+            FaultAction::SetSlowdown(id, times) => {
                 if let Some(stand_in) = stand_in(id) {
-                    stand_in.with(|p| p.slow = times);
+                    stand_in.with_processor(|p| p.slowdown = times);
                 }
             }
-            Act::Silent(id) => {
+            FaultAction::Silence(id) => {
                 if let Some(stand_in) = stand_in(id) {
-                    stand_in.with(|p| p.silent = true);
+                    stand_in.with_processor(|p| p.silent = true);
                 }
-                self.registry.borrow_mut().truth.remove(&id);
-                self.changed();
+                self.publisher.borrow_mut().current.remove(&id);
+                self.schedule_publication();
             }
-            Act::Stop(id) => {
+            FaultAction::Stop(id) => {
                 if let Some(stand_in) = stand_in(id) {
                     stand_in.stop();
                 }
-                self.registry.borrow_mut().truth.remove(&id);
-                self.changed();
+                self.publisher.borrow_mut().current.remove(&id);
+                self.schedule_publication();
             }
-            Act::Start(id) => {
+            FaultAction::StartCold(id) => {
                 let Some(stand_in) = stand_in(id) else { return Ok(()) };
                 stand_in.start_cold().await?;
                 let pool = id - FIRST_SWITCH;
-                self.list_ready(&stand_in, pool, &self.script.switches[pool as usize], true);
-                self.changed();
+                self.list_as_ready(&stand_in, pool, &self.script.switches[pool as usize], true);
+                self.schedule_publication();
             }
-            Act::Drain(id) => {
-                if let Some(line) = self.registry.borrow_mut().truth.get_mut(&id) {
+            FaultAction::Drain(id) => {
+                if let Some(line) = self.publisher.borrow_mut().current.get_mut(&id) {
                     line.state = SwitchState::Draining;
                 }
-                self.changed();
+                self.schedule_publication();
             }
-            Act::Replace(new, old) => {
+            FaultAction::Replace(new, old) => {
                 let pool = old - FIRST_SWITCH;
                 let plan = self.script.switches[pool as usize].clone();
                 self.open_stand_in(new, pool, &plan, true)?;
-                self.changed();
+                self.schedule_publication();
             }
-            Act::ListDelay(delay) => self.registry.borrow_mut().delay = ms(delay),
-            Act::EmptyList(empty) => {
-                self.registry.borrow_mut().empty = empty;
-                self.changed();
+            FaultAction::SetListDelay(delay) => self.publisher.borrow_mut().delay = ms(delay),
+            FaultAction::SetListEmpty(empty) => {
+                self.publisher.borrow_mut().empty = empty;
+                self.schedule_publication();
             }
-            Act::Flood(number) => {
+            FaultAction::StartFlood(number) => {
                 for gateway in self.gateways.borrow().iter() {
                     let trouble = &self.script.troubles[number];
-                    let child = flood::start(*gateway, trouble)?;
+                    let child = flood::start_flood(*gateway, trouble)?;
                     self.floods.borrow_mut().push((trouble.name(), child));
                 }
             }
-            Act::LateAnswers(id, late) => {
+            FaultAction::SetAnswerDelay(id, late) => {
                 if let Some(stand_in) = stand_in(id) {
-                    stand_in.with(|p| p.late = ms(late));
+                    stand_in.with_processor(|p| p.answer_delay = ms(late));
                 }
             }
-            Act::CrossCancel(id, on) => {
+            FaultAction::SetIgnoreCancel(id, on) => {
                 if let Some(stand_in) = stand_in(id) {
-                    stand_in.with(|p| p.cross_cancel = on);
+                    stand_in.with_processor(|p| p.ignores_cancel = on);
                 }
             }
         }
@@ -339,52 +341,53 @@
     }
 
     /// Callers call for the script's time.
-    async fn calls(self: Rc<Self>, until: Duration) {
+    async fn generate_calls(self: Rc<Self>, until: Duration) {
         let mut at = self.tap.now();
         let mut broken = at;
         loop {
-            let gap = -(1.0 - self.callers.unit()).ln() / (self.script.calls_per_s * self.load.get());
+            let gap = -(1.0 - self.callers.random_unit()).ln()
+                / (self.script.calls_per_s * self.load_multiple.get());
             at += Duration::from_secs_f64(gap);
             if at >= until {
                 return;
             }
-            Timer::at(self.tap.instant(at)).await;
-            self.callers.arrive();
+            Timer::at(self.tap.to_instant(at)).await;
+            self.callers.add_caller();
             let pause = ms(self.script.callers.disconnect_ms);
             if !pause.is_zero() && at.saturating_sub(broken) > pause {
                 broken = at;
-                self.callers.break_one();
+                self.callers.break_random_connection();
             }
         }
     }
 
-    async fn acts(self: Rc<Self>, start: Duration) {
-        for (at, act) in timeline(&self.script) {
-            Timer::at(self.tap.instant(start + ms(at))).await;
-            if let Err(error) = self.act(act).await {
+    async fn run_timeline(self: Rc<Self>, start: Duration) {
+        for (at, action) in timeline(&self.script) {
+            Timer::at(self.tap.to_instant(start + ms(at))).await;
+            if let Err(error) = self.apply(action).await {
                 eprintln!("an act of the script failed: {error}");
             }
         }
     }
 
-    async fn progress(self: Rc<Self>) {
+    async fn print_progress(self: Rc<Self>) {
         loop {
             Timer::after(ms(1000)).await;
-            let (tries, stood) = self.callers.so_far();
+            let (tries, stood) = self.callers.progress();
             eprintln!(
                 "{:>4} s  tries {tries}  stood {stood}  busy {}",
                 self.tap.now().as_secs(),
-                self.callers.busy()
+                self.callers.open_calls()
             );
         }
     }
 
     /// What crossed zones, by the auditor and by the gateways themselves.
-    fn spill(&self, audit: &Verdict) -> io::Result<Vec<Spill>> {
+    fn count_spill(&self, audit: &Verdict) -> io::Result<Vec<Spill>> {
         let Some(zones) = &self.script.zones else { return Ok(Vec::new()) };
-        let folder = self.registry.borrow().folder.path().to_owned();
+        let folder = self.publisher.borrow().folder.path().to_owned();
         let zone_of = |switch: u32| {
-            let pool = self.pools.borrow().get(&switch).copied().unwrap_or(0);
+            let pool = self.pool_by_switch.borrow().get(&switch).copied().unwrap_or(0);
             self.script.switches[pool as usize].zone.clone()
         };
         let mut all = Vec::new();
@@ -392,9 +395,9 @@
             let own = zones.gateways[number as usize % zones.gateways.len()].clone();
             let host = format!("gw{number}.invalid");
             let took = audit.took.iter().filter(|((h, switch, _), _)| *h == host && zone_of(*switch) != own);
-            let seen = took.map(|(_, n)| n).sum();
+            let observed = took.map(|(_, n)| n).sum();
             let ledger =
-                fawnrouterd::ledger::read(&folder.join(account_of(number))).map_err(io::Error::other)?;
+                fawnrouterd::ledger::read(&folder.join(account_file(number))).map_err(io::Error::other)?;
             let cells = || ledger.minutes.iter().flat_map(|m| &m.totals);
             let count = |out: bool| {
                 cells()
@@ -402,7 +405,12 @@
                     .map(|(_, c)| c.calls)
                     .sum()
             };
-            all.push(Spill { gateway: (number, own), seen, told: count(false), passed_over: count(true) });
+            all.push(Spill {
+                gateway: (number, own),
+                observed,
+                reported: count(false),
+                over_budget: count(true),
+            });
         }
         Ok(all)
     }
@@ -411,40 +419,40 @@
     pub async fn run(self: &Rc<Self>, options: DayOptions) -> io::Result<Report> {
         let mut gateways = self.start_gateways(options).await?;
         if options.announce {
-            gateways.iter().for_each(|g| println!("{}", g.ready));
+            gateways.iter().for_each(|g| println!("{}", g.ready_line));
         }
         let start = self.tap.now();
         let mut background = vec![
             self.executor.spawn(self.callers.clone().run()),
-            self.executor.spawn(self.clone().acts(start)),
+            self.executor.spawn(self.clone().run_timeline(start)),
         ];
         if options.progress {
-            background.push(self.executor.spawn(self.clone().progress()));
+            background.push(self.executor.spawn(self.clone().print_progress()));
         }
-        background.push(self.executor.spawn(self.tap.clone().beat()));
-        self.clone().calls(start + Duration::from_secs(self.script.seconds)).await;
-        self.callers.close();
+        background.push(self.executor.spawn(self.tap.clone().watch_delays()));
+        self.clone().generate_calls(start + Duration::from_secs(self.script.seconds)).await;
+        self.callers.stop_calling();
         // Tries that are out get their time; standing calls then hang up.
-        let patience = Duration::from_secs(self.script.callers.try_s) + ms(1000);
-        let last = self.tap.now() + patience;
-        while self.callers.trying() > 0 && self.tap.now() < last {
+        let wait_limit = Duration::from_secs(self.script.callers.try_s) + ms(1000);
+        let last = self.tap.now() + wait_limit;
+        while self.callers.calls_in_set_up() > 0 && self.tap.now() < last {
             Timer::after(ms(20)).await;
         }
         self.callers.hang_up_all();
         Timer::after(ms(300)).await;
         gateways.iter().for_each(GatewayProcess::terminate);
-        let give_up = self.tap.now() + ms(5000);
+        let deadline = self.tap.now() + ms(5000);
         for gateway in &mut gateways {
-            while gateway.ended().is_none() && self.tap.now() < give_up {
+            while gateway.exit_success().is_none() && self.tap.now() < deadline {
                 Timer::after(ms(10)).await;
             }
-            if gateway.ended() != Some(true) {
+            if gateway.exit_success() != Some(true) {
                 eprintln!("a gateway did not drain in time");
             }
         }
         let mut report = self.callers.take_report();
         for (way, child) in self.floods.take() {
-            let figures = blocking::unblock(move || flood::figures(child)).await?;
+            let figures = blocking::unblock(move || flood::wait_for_figures(child)).await?;
             report.floods.push((way, figures));
         }
         // Calls are told by the lab's clock; windows by the script's.
@@ -452,12 +460,12 @@
         for trouble in &self.script.troubles {
             let (from, to) = trouble.span_ms();
             let end = (self.script.seconds * 1000).min(to);
-            report.window(trouble.name(), (from + shift, end + shift));
+            report.add_window(trouble.name(), (from + shift, end + shift));
         }
         let stand_ins = self.stand_ins.borrow();
-        report.fallen = stand_ins.values().filter(|s| s.fallen()).map(|s| s.id).collect();
-        report.audit = self.tap.finish(figures(&self.script));
-        report.spill = self.spill(&report.audit)?;
+        report.collapsed = stand_ins.values().filter(|s| s.collapsed()).map(|s| s.id).collect();
+        report.audit = self.tap.finish(audit_figures(&self.script));
+        report.spill = self.count_spill(&report.audit)?;
         Ok(report)
     }
 }
--- a/crates/fawnrouter-lab/src/demo.rs
+++ b/crates/fawnrouter-lab/src/demo.rs
@@ -40,14 +40,14 @@
         }
         let mut gateways = lab.start_gateways(day).await?;
         for gateway in &gateways {
-            println!("{}", gateway.ready);
+            println!("{}", gateway.ready_line);
         }
         io::stdout().flush()?;
         eprintln!("held without calls; connect a client with sub-protocol `sip`, end with SIGINT");
         stop.await;
         gateways.iter().for_each(GatewayProcess::terminate);
         for gateway in &mut gateways {
-            while gateway.ended().is_none() {
+            while gateway.exit_success().is_none() {
                 Timer::after(std::time::Duration::from_millis(10)).await;
             }
         }
--- a/crates/fawnrouter-lab/src/fleet.rs
+++ b/crates/fawnrouter-lab/src/fleet.rs
@@ -24,7 +24,7 @@
     /// Where callers connect.
     pub address: SocketAddr,
     /// The line that it printed when it was ready.
-    pub ready: String,
+    pub ready_line: String,
 }
 
 impl GatewayProcess {
@@ -43,7 +43,7 @@
     }
 
     /// Starts the null relay in front of this far end.
-    pub fn relay(far: SocketAddr) -> io::Result<Self> {
+    pub fn start_relay(far: SocketAddr) -> io::Result<Self> {
         let mut command = Command::new(std::env::current_exe()?);
         command.arg("relay").arg("--far").arg(far.to_string());
         Self::spawn(command)
@@ -52,25 +52,27 @@
     /// Starts a process that prints a ready line, and waits for it.
     fn spawn(mut command: Command) -> io::Result<Self> {
         let mut child = command.stdin(Stdio::null()).stdout(Stdio::piped()).spawn()?;
-        let mut ready = String::new();
+        let mut ready_line = String::new();
         if let Some(out) = child.stdout.take() {
-            BufReader::new(out).read_line(&mut ready)?;
+            BufReader::new(out).read_line(&mut ready_line)?;
         }
-        let ready = ready.trim().to_owned();
-        let address =
-            ready.strip_prefix("ready ws://").and_then(|r| r.split('/').next()).and_then(|a| a.parse().ok());
+        let ready_line = ready_line.trim().to_owned();
+        let address = ready_line
+            .strip_prefix("ready ws://")
+            .and_then(|r| r.split('/').next())
+            .and_then(|a| a.parse().ok());
         match address {
-            Some(address) => Ok(Self { child, address, ready }),
+            Some(address) => Ok(Self { child, address, ready_line }),
             None => {
                 let _ = child.kill();
                 let _ = child.wait();
-                Err(io::Error::other(format!("the process did not start: {ready:?}")))
+                Err(io::Error::other(format!("the process did not start: {ready_line:?}")))
             }
         }
     }
 
     /// The id of the process.
-    pub fn id(&self) -> u32 {
+    pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
@@ -82,7 +84,7 @@
     }
 
     /// Whether it has ended, and how.
-    pub fn ended(&mut self) -> Option<bool> {
+    pub fn exit_success(&mut self) -> Option<bool> {
         self.child.try_wait().ok().flatten().map(|status| status.success())
     }
 }
@@ -125,7 +127,7 @@
 }
 
 /// The settings of one gateway of a script.
-pub fn settings(script: &Script, number: u32, seed: u64) -> Settings {
+pub fn gateway_settings(script: &Script, number: u32, seed: u64) -> Settings {
     let pools = 0..script.switches.len() as u32;
     let rule = |plan: &ClassPlan| {
         let name = plan.class.name.clone();
@@ -180,7 +182,7 @@
                 other_cost: zones.cost,
                 points_a_unit: 0.2,
                 budgets: zones.budgets.clone(),
-                account: account_of(number).into(),
+                account: account_file(number).into(),
             }
         }),
         trunk: Trunk::default(),
@@ -191,7 +193,7 @@
 
 /// The name of a gateway's account of zones.
 #[must_use]
-pub fn account_of(number: u32) -> String {
+pub fn account_file(number: u32) -> String {
     format!("account{number}")
 }
 
@@ -199,14 +201,14 @@
 pub const REALM: &str = "lab.invalid";
 
 /// A known client of the lab, with its password.
-pub fn client(number: u32) -> (String, String) {
+pub fn client_credentials(number: u32) -> (String, String) {
     (format!("branch{number}"), format!("secret of {number}"))
 }
 
 /// Writes the file of known clients.
 pub fn write_clients(folder: &Path, count: u32) -> io::Result<()> {
     let line = |n| {
-        let (name, password) = client(n);
+        let (name, password) = client_credentials(n);
         let sha256 = ha1(Algorithm::Sha256, &name, REALM, &password).as_hex().to_owned();
         serde_json::json!({ "name": name, "sha256": sha256 })
     };
@@ -216,10 +218,10 @@
 
 /// Replaces the list as a whole.
 pub fn write_list(folder: &Path, version: u64, list: &SwitchFile) -> io::Result<()> {
-    let fresh = folder.join(format!("switches.{version}"));
-    fs::write(&fresh, serde_json::to_string(list).map_err(io::Error::other)?)?;
-    fs::rename(fresh, folder.join("switches.yaml"))
+    let new_file = folder.join(format!("switches.{version}"));
+    fs::write(&new_file, serde_json::to_string(list).map_err(io::Error::other)?)?;
+    fs::rename(new_file, folder.join("switches.yaml"))
 }
 
 /// How long a list may take to reach a gateway: its look at the file, and the reading.
-pub const LIST_REACHES: Duration = Duration::from_millis(150);
+pub const LIST_PROPAGATION_TIME: Duration = Duration::from_millis(150);
--- a/crates/fawnrouter-lab/src/flood.rs
+++ b/crates/fawnrouter-lab/src/flood.rs
@@ -87,12 +87,12 @@
 }
 
 /// Connections that a flood has open at the most.
-const MOST_OPEN: usize = 8000;
+const MAX_OPEN_CONNECTIONS: usize = 8000;
 /// A connection that hears nothing for this long was dropped.
-const PATIENCE: Duration = Duration::from_secs(10);
+const OPEN_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Starts a flood on a gateway.
-pub fn start(gateway: SocketAddr, trouble: &Trouble) -> io::Result<Child> {
+pub fn start_flood(gateway: SocketAddr, trouble: &Trouble) -> io::Result<Child> {
     let Trouble::Flood { for_ms, way, addresses, per_s, hold_ms, calls_per_s, .. } = trouble else {
         return Err(ErrorKind::InvalidInput.into());
     };
@@ -105,7 +105,7 @@
 }
 
 /// Waits for a flood to end.
-pub fn figures(child: Child) -> io::Result<FloodFigures> {
+pub fn wait_for_figures(child: Child) -> io::Result<FloodFigures> {
     serde_json::from_slice(&child.wait_with_output()?.stdout).map_err(io::Error::other)
 }
 
@@ -141,14 +141,14 @@
         if n % 256 == 0 {
             tasks.retain(|task: &async_executor::Task<()>| !task.is_finished());
         }
-        if tasks.len() >= MOST_OPEN {
+        if tasks.len() >= MAX_OPEN_CONNECTIONS {
             figures.borrow_mut().skipped += 1;
             continue;
         }
         figures.borrow_mut().tried += 1;
         let figures = figures.clone();
         tasks.push(executor.spawn(async move {
-            let mut one = Stranger { options, n, figures, decoder: Decoder::new(Role::Client, 1 << 20) };
+            let mut one = FloodClient { options, n, figures, decoder: Decoder::new(Role::Client, 1 << 20) };
             one.run().await;
         }));
     }
@@ -158,32 +158,32 @@
 }
 
 /// What came of opening a connection.
-enum Opening {
-    In(Async<TcpStream>, Vec<u8>),
+enum UpgradeResult {
+    Accepted(Async<TcpStream>, Vec<u8>),
     Refused,
     Reset,
     Dropped,
 }
 
-struct Stranger {
+struct FloodClient {
     options: FloodOptions,
     n: u32,
     figures: Rc<RefCell<FloodFigures>>,
     decoder: Decoder,
 }
 
-impl Stranger {
+impl FloodClient {
     async fn run(&mut self) {
-        let patience = async {
-            Timer::after(PATIENCE).await;
-            Ok(Opening::Dropped)
+        let timeout = async {
+            Timer::after(OPEN_TIMEOUT).await;
+            Ok(UpgradeResult::Dropped)
         };
-        let opening = future::or(self.open(), patience).await;
+        let opening = future::or(self.connect(), timeout).await;
         let (stream, rest) = match opening {
-            Ok(Opening::In(stream, rest)) => (stream, rest),
-            Ok(Opening::Refused) => return self.count(|f| f.refused += 1),
-            Ok(Opening::Dropped) => return self.count(|f| f.dropped += 1),
-            Ok(Opening::Reset) | Err(_) => return self.count(|f| f.reset += 1),
+            Ok(UpgradeResult::Accepted(stream, rest)) => (stream, rest),
+            Ok(UpgradeResult::Refused) => return self.count(|f| f.refused += 1),
+            Ok(UpgradeResult::Dropped) => return self.count(|f| f.dropped += 1),
+            Ok(UpgradeResult::Reset) | Err(_) => return self.count(|f| f.reset += 1),
         };
         self.count(|f| f.inside += 1);
         let kept = Duration::from_millis(self.options.hold_ms);
@@ -192,7 +192,7 @@
             Ok(None)
         };
         let figures = self.figures.clone();
-        match future::or(self.stay(&stream, rest), held).await {
+        match future::or(self.hold_open(&stream, rest), held).await {
             Ok(None) => {}
             Ok(Some(())) => figures.borrow_mut().told_to_go += 1,
             Err(_) => figures.borrow_mut().cut += 1,
@@ -203,7 +203,7 @@
         change(&mut self.figures.borrow_mut());
     }
 
-    async fn open(&self) -> io::Result<Opening> {
+    async fn connect(&self) -> io::Result<UpgradeResult> {
         let n = self.n % self.options.addresses;
         let address = [127, 16 + (n / 62_500) as u8, (n / 250 % 250) as u8, (1 + n % 250) as u8];
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
@@ -235,20 +235,20 @@
                 let _ = to.write_all(&request).await;
             }
             // What comes of it is for the reader to say.
-            future::pending::<io::Result<Result<Vec<u8>, Opening>>>().await
+            future::pending::<io::Result<Result<Vec<u8>, UpgradeResult>>>().await
         };
-        let told = future::or(hear(&stream, &shake), writing).await?;
-        Ok(match told {
-            Ok(rest) => Opening::In(stream, rest),
+        let upgrade = future::or(read_upgrade_response(&stream, &shake), writing).await?;
+        Ok(match upgrade {
+            Ok(rest) => UpgradeResult::Accepted(stream, rest),
             Err(other) => other,
         })
     }
 
     /// Until the gateway ends it: `Some` if it said goodbye, an error if it did not.
-    async fn stay(&mut self, stream: &Async<TcpStream>, rest: Vec<u8>) -> io::Result<Option<()>> {
+    async fn hold_open(&mut self, stream: &Async<TcpStream>, rest: Vec<u8>) -> io::Result<Option<()>> {
         if self.options.way == FloodKind::Deaf {
             let mut one = Vec::new();
-            encode(Opcode::Text, &ask(self.n), Some([1, 2, 3, 4]), &mut one);
+            encode(Opcode::Text, &options_request(self.n), Some([1, 2, 3, 4]), &mut one);
             loop {
                 // It never reads, so that a goodbye is not seen: the end of the connection shows in the writing.
                 let mut to = stream;
@@ -269,7 +269,7 @@
                 Timer::after(Duration::from_secs_f64(1.0 / share)).await;
                 figures.borrow_mut().calls.0 += 1;
                 let mut bytes = Vec::new();
-                encode(Opcode::Text, &invite(n, call), Some([1, 2, 3, 4]), &mut bytes);
+                encode(Opcode::Text, &invite_request(n, call), Some([1, 2, 3, 4]), &mut bytes);
                 let mut to = stream;
                 to.write_all(&bytes).await?;
             }
@@ -290,7 +290,7 @@
                         }
                         Event::Text(text) => {
                             if let Ok(message) = Message::parse(text.as_bytes(), &Limits::default()) {
-                                follow(&message, &mut out.borrow_mut(), &mut figures.borrow_mut());
+                                handle_response(&message, &mut out.borrow_mut(), &mut figures.borrow_mut());
                             }
                         }
                         _ => {}
@@ -310,27 +310,30 @@
 }
 
 /// Reads the answer to a request for an upgrade: what came behind it, or what else became of it.
-async fn hear(stream: &Async<TcpStream>, shake: &ClientHandshake) -> io::Result<Result<Vec<u8>, Opening>> {
+async fn read_upgrade_response(
+    stream: &Async<TcpStream>,
+    shake: &ClientHandshake,
+) -> io::Result<Result<Vec<u8>, UpgradeResult>> {
     let (mut bytes, mut buffer) = (Vec::new(), [0; 2048]);
     loop {
         match stream.read_with(|mut s| s.read(&mut buffer)).await {
-            Ok(0) if bytes.is_empty() => return Ok(Err(Opening::Dropped)),
+            Ok(0) if bytes.is_empty() => return Ok(Err(UpgradeResult::Dropped)),
             // The answer may have come before the end.
-            Ok(0) => return Ok(Err(Opening::Refused)),
+            Ok(0) => return Ok(Err(UpgradeResult::Refused)),
             Ok(n) => bytes.extend_from_slice(&buffer[..n]),
-            Err(_) if bytes.is_empty() => return Ok(Err(Opening::Reset)),
-            Err(_) => return Ok(Err(Opening::Refused)),
+            Err(_) if bytes.is_empty() => return Ok(Err(UpgradeResult::Reset)),
+            Err(_) => return Ok(Err(UpgradeResult::Refused)),
         }
         match shake.check(&bytes, &HttpLimits::default()) {
             Ok(Some(len)) => return Ok(Ok(bytes.split_off(len))),
             Ok(None) => {}
-            Err(HandshakeError::Refused(_)) => return Ok(Err(Opening::Refused)),
+            Err(HandshakeError::Refused(_)) => return Ok(Err(UpgradeResult::Refused)),
             Err(error) => return Err(io::Error::other(error)),
         }
     }
 }
 
-fn request(method: Method, uri: &str, n: u32, call: u32) -> Draft {
+fn request_draft(method: Method, uri: &str, n: u32, call: u32) -> Draft {
     let mut draft = Draft::request(method, uri);
     draft
         .field(Name::Via, &format!("SIP/2.0/WS stranger{n}.invalid;branch=z9hG4bKf{n}.{call}"))
@@ -342,20 +345,20 @@
     draft
 }
 
-fn ask(n: u32) -> Vec<u8> {
-    request(Method::Options, "sip:gateway.invalid", n, 0).finish(b"")
+fn options_request(n: u32) -> Vec<u8> {
+    request_draft(Method::Options, "sip:gateway.invalid", n, 0).finish(b"")
 }
 
-fn invite(n: u32, call: u32) -> Vec<u8> {
+fn invite_request(n: u32, call: u32) -> Vec<u8> {
     let uri = format!("sip:+9147{:07}@gateway.invalid", (n * 31 + call) % 10_000_000);
-    request(Method::Invite, &uri, n, call)
+    request_draft(Method::Invite, &uri, n, call)
         .field(Name::Contact, "<sip:stranger@flood.invalid;transport=ws>")
         .field(Name::Expires, "3")
         .finish(b"")
 }
 
 /// A stranger acknowledges what it gets, and hangs up at once.
-fn follow(message: &Message, out: &mut Vec<u8>, figures: &mut FloodFigures) {
+fn handle_response(message: &Message, out: &mut Vec<u8>, figures: &mut FloodFigures) {
     let is_invite = message.cseq().is_ok_and(|c| c.method == "INVITE");
     let Some(status) = message.status().filter(|s| *s >= 200 && is_invite) else { return };
     let mut send = |bytes: Vec<u8>| encode(Opcode::Text, &bytes, Some([1, 2, 3, 4]), out);
--- a/crates/fawnrouter-lab/src/lib.rs
+++ b/crates/fawnrouter-lab/src/lib.rs
@@ -25,4 +25,4 @@
 pub use load::{LoadOptions, relay_main, run_load, run_memory};
 pub use report::{ClassReport, Report, WindowReport};
 pub use script::{FloodKind, Script, Trouble};
-pub use switch::{Make, Processor, Step};
+pub use switch::{Processor, SwitchEffect, SwitchModel};
--- a/crates/fawnrouter-lab/src/load.rs
+++ b/crates/fawnrouter-lab/src/load.rs
@@ -18,7 +18,7 @@
 use futures_lite::{AsyncWriteExt, future};
 use hdrhistogram::Histogram;
 
-use crate::fleet::{GatewayProcess, settings, write_list};
+use crate::fleet::{GatewayProcess, gateway_settings, write_list};
 use crate::script::Script;
 
 /// What is measured.
@@ -36,7 +36,7 @@
 
 /// What came of one target.
 #[derive(Debug)]
-struct Figures {
+struct LoadFigures {
     calls: u64,
     cpu_us_a_call: f64,
     p50_ms: f64,
@@ -44,7 +44,7 @@
     resident_kib: u64,
 }
 
-const BACKLOG: usize = 64 * 1024 * 1024;
+const MAX_BACKLOG_BYTES: usize = 64 * 1024 * 1024;
 /// Ticks a second of the processor times that the kernel tells (`USER_HZ`, the same on all Linux platforms).
 const USER_HZ: f64 = 100.0;
 
@@ -61,7 +61,7 @@
                 let far = Async::<TcpStream>::connect(far).await?;
                 near.get_ref().set_nodelay(true)?;
                 far.get_ref().set_nodelay(true)?;
-                future::or(copy(&near, &far), copy(&far, &near)).await
+                future::or(copy_bytes(&near, &far), copy_bytes(&far, &near)).await
             };
             executor
                 .spawn(async {
@@ -75,7 +75,7 @@
     ExitCode::FAILURE
 }
 
-async fn copy(from: &Async<TcpStream>, mut to: &Async<TcpStream>) -> io::Result<()> {
+async fn copy_bytes(from: &Async<TcpStream>, mut to: &Async<TcpStream>) -> io::Result<()> {
     let mut buffer = vec![0; 64 * 1024];
     loop {
         let n = from.read_with(|mut s| s.read(&mut buffer)).await?;
@@ -112,20 +112,20 @@
 
     async fn serve(self: Rc<Self>, stream: Async<TcpStream>) {
         let _ = stream.get_ref().set_nodelay(true);
-        let outbox = Rc::new(Outbox::new(BACKLOG));
+        let outbox = Rc::new(Outbox::new(MAX_BACKLOG_BYTES));
         let reading = async {
             let mut buffer = vec![0; 64 * 1024];
             let mut head = Vec::new();
             let terms = Terms { protocols: vec!["sip".into()], ..Terms::default() };
-            let mut shaken = !self.web_socket;
+            let mut upgraded = !self.web_socket;
             let mut frames = Decoder::new(Role::Server, 1 << 20);
             let mut chunks = StreamDecoder::new(Limits::default());
             while let Ok(n @ 1..) = stream.read_with(|mut s| s.read(&mut buffer)).await {
-                if !shaken {
+                if !upgraded {
                     head.extend_from_slice(&buffer[..n]);
                     if let Ok(Some(accepted)) = accept(&head, &terms) {
                         outbox.push(|out| out.extend_from_slice(&accepted.response));
-                        shaken = true;
+                        upgraded = true;
                     }
                     continue;
                 }
@@ -179,20 +179,25 @@
     }
 }
 
-struct Load {
-    lines: Vec<Rc<Outbox>>,
+struct LoadGenerator {
+    connections: Vec<Rc<Outbox>>,
     sent: RefCell<BTreeMap<String, (Instant, Message, usize)>>,
     delays: RefCell<Histogram<u64>>,
     released: Cell<u64>,
 }
 
-impl Load {
-    fn send(&self, line: usize, bytes: &[u8]) {
-        self.lines[line].push(|out| encode(Opcode::Text, bytes, Some([3, 1, 4, 1]), out));
+impl LoadGenerator {
+    fn send(&self, connection: usize, bytes: &[u8]) {
+        self.connections[connection].push(|out| encode(Opcode::Text, bytes, Some([3, 1, 4, 1]), out));
     }
 
     /// Serves a connection to its end; `take` gets each message.
-    async fn serve(self: Rc<Self>, line: usize, stream: &Async<TcpStream>, take: impl Fn(&Message)) {
+    async fn serve(
+        self: Rc<Self>,
+        connection: usize,
+        stream: &Async<TcpStream>,
+        on_message: impl Fn(&Message),
+    ) {
         let reading = async {
             let mut frames = Decoder::new(Role::Client, 1 << 20);
             let mut buffer = vec![0; 64 * 1024];
@@ -202,19 +207,19 @@
                     if let Event::Text(text) = event
                         && let Ok(message) = Message::parse(text.as_bytes(), &Limits::default())
                     {
-                        take(&message);
+                        on_message(&message);
                     }
                 }
             }
         };
         future::or(reading, async {
-            let _ = self.lines[line].write_to(stream).await;
+            let _ = self.connections[connection].write_to(stream).await;
         })
         .await;
     }
 
-    fn call(&self, n: u64) {
-        let line = n as usize % self.lines.len();
+    fn start_call(&self, n: u64) {
+        let line = n as usize % self.connections.len();
         let mut draft = Draft::request(Method::Invite, &format!("sip:+9148{n:08}@gateway.invalid"));
         draft
             .field(Name::Via, &format!("SIP/2.0/WS c{line}.invalid;branch=z9hG4bKload{n};rport"))
@@ -234,7 +239,7 @@
         self.send(line, &bytes);
     }
 
-    fn take(&self, message: &Message) {
+    fn receive(&self, message: &Message) {
         if message.status().is_none_or(|s| s < 200) {
             return;
         }
@@ -277,7 +282,7 @@
 }
 
 /// Processor time of a process so far, seconds (proc(5): fields 14 and 15 of `stat`).
-fn cpu_s(pid: u32) -> io::Result<f64> {
+fn cpu_seconds(pid: u32) -> io::Result<f64> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
     let after = stat.rsplit_once(')').map_or("", |(_, rest)| rest);
     let ticks = after.split_whitespace().skip(11).take(2).filter_map(|t| t.parse::<f64>().ok());
@@ -291,24 +296,25 @@
     Ok(line.split_whitespace().next().and_then(|n| n.parse().ok()).unwrap_or(0))
 }
 
-async fn drive(
+async fn measure(
     executor: &Rc<LocalExecutor<'static>>,
     address: SocketAddr,
     pid: u32,
     options: LoadOptions,
-) -> io::Result<Figures> {
+) -> io::Result<LoadFigures> {
     let mut streams = Vec::new();
     for n in 0..options.connections {
         streams.push(connect(address, n as u8).await?.0);
     }
-    let lines = (0..streams.len()).map(|_| Rc::new(Outbox::new(BACKLOG))).collect();
+    let connections = (0..streams.len()).map(|_| Rc::new(Outbox::new(MAX_BACKLOG_BYTES))).collect();
     let delays = RefCell::new(Histogram::new(3).map_err(io::Error::other)?);
-    let load = Rc::new(Load { lines, sent: RefCell::default(), delays, released: Cell::new(0) });
+    let load =
+        Rc::new(LoadGenerator { connections, sent: RefCell::default(), delays, released: Cell::new(0) });
     let mut tasks = Vec::new();
     for (n, stream) in streams.into_iter().enumerate() {
         let load = load.clone();
         tasks.push(executor.spawn(async move {
-            load.clone().serve(n, &stream, |message| load.take(message)).await;
+            load.clone().serve(n, &stream, |message| load.receive(message)).await;
         }));
     }
     // A tenth of the time to warm up, which is not counted.
@@ -320,7 +326,7 @@
             while begin.elapsed() < span {
                 let due = first + (begin.elapsed().as_secs_f64() * f64::from(options.rate)) as u64;
                 while now_at < due {
-                    load.call(now_at);
+                    load.start_call(now_at);
                     now_at += 1;
                 }
                 Timer::after(Duration::from_micros(500)).await;
@@ -332,12 +338,12 @@
     calls = phase(&mut calls, Duration::from_secs(options.seconds) / 10).await;
     load.delays.borrow_mut().reset();
     load.released.set(0);
-    let before = cpu_s(pid)?;
+    let before = cpu_seconds(pid)?;
     phase(&mut calls, Duration::from_secs(options.seconds)).await;
-    let cpu = cpu_s(pid)? - before;
+    let cpu = cpu_seconds(pid)? - before;
     let delays = load.delays.borrow();
     let done = load.released.get();
-    Ok(Figures {
+    Ok(LoadFigures {
         calls: done,
         cpu_us_a_call: cpu * 1e6 / (done.max(1)) as f64,
         p50_ms: delays.value_at_quantile(0.5) as f64 / 1e3,
@@ -346,15 +352,15 @@
     })
 }
 
-fn bench_settings(connections: usize) -> io::Result<Settings> {
+fn load_settings(connections: usize) -> io::Result<Settings> {
     let script = Script::parse("demo-day.yaml", include_str!("../../../examples/demo-day.yaml"));
-    let mut settings = settings(&script.map_err(io::Error::other)?, 0, 1);
+    let mut settings = gateway_settings(&script.map_err(io::Error::other)?, 0, 1);
     settings.limits.connections = connections + 10;
     settings.calls.spread = vec![0, 1, 2];
     Ok(settings)
 }
 
-fn bench_list(far: &[SocketAddr]) -> SwitchFile {
+fn load_switch_list(far: &[SocketAddr]) -> SwitchFile {
     let line = |(n, address): (usize, &SocketAddr)| SwitchEntry {
         id: 70 + n as u32,
         address: *address,
@@ -378,16 +384,16 @@
     };
     let run = async {
         let behind = far(true)?;
-        let relay = GatewayProcess::relay(behind)?;
-        let plain = drive(&executor, relay.address, relay.id(), options).await?;
+        let relay = GatewayProcess::start_relay(behind)?;
+        let plain = measure(&executor, relay.address, relay.pid(), options).await?;
         drop(relay);
 
         let folder = tempfile::tempdir()?;
         let switches = [far(false)?, far(false)?, far(false)?];
-        write_list(folder.path(), 0, &bench_list(&switches))?;
-        let gateway = GatewayProcess::start(folder.path(), &bench_settings(options.connections)?, false)?;
+        write_list(folder.path(), 0, &load_switch_list(&switches))?;
+        let gateway = GatewayProcess::start(folder.path(), &load_settings(options.connections)?, false)?;
         Timer::after(Duration::from_millis(300)).await;
-        let routed = drive(&executor, gateway.address, gateway.id(), options).await?;
+        let routed = measure(&executor, gateway.address, gateway.pid(), options).await?;
         drop(gateway);
         println!("{} calls/s for {} s, {} connections", options.rate, options.seconds, options.connections);
         for (name, f) in [("null relay", &plain), ("gateway", &routed)] {
@@ -416,7 +422,7 @@
 ///
 /// # Errors
 /// Where a process or a socket cannot be opened.
-pub fn run_memory(connections: usize, calls: u64) -> io::Result<()> {
+pub fn run_memory(idle_connections: usize, calls: u64) -> io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
     let run = async {
         let folder = tempfile::tempdir()?;
@@ -425,20 +431,21 @@
                 .listen()
         };
         let switches = [listen()?, listen()?, listen()?];
-        write_list(folder.path(), 0, &bench_list(&switches))?;
-        let gateway = GatewayProcess::start(folder.path(), &bench_settings(connections + 1)?, false)?;
+        write_list(folder.path(), 0, &load_switch_list(&switches))?;
+        let gateway = GatewayProcess::start(folder.path(), &load_settings(idle_connections + 1)?, false)?;
         Timer::after(Duration::from_millis(300)).await;
-        let base = resident_kib(gateway.id())?;
+        let base = resident_kib(gateway.pid())?;
         let mut idle = Vec::new();
-        for n in 0..connections {
+        for n in 0..idle_connections {
             idle.push(connect(gateway.address, n as u8).await?);
         }
         Timer::after(Duration::from_millis(300)).await;
-        let with_idle = resident_kib(gateway.id())?;
+        let with_idle = resident_kib(gateway.pid())?;
         let (stream, _) = connect(gateway.address, 1).await?;
         let delays = RefCell::new(Histogram::new(3).map_err(io::Error::other)?);
-        let lines = vec![Rc::new(Outbox::new(BACKLOG))];
-        let load = Rc::new(Load { lines, sent: RefCell::default(), delays, released: Cell::new(0) });
+        let connections = vec![Rc::new(Outbox::new(MAX_BACKLOG_BYTES))];
+        let load =
+            Rc::new(LoadGenerator { connections, sent: RefCell::default(), delays, released: Cell::new(0) });
         let writer = load.clone();
         let stood = Rc::new(Cell::new(0u64));
         let counted = stood.clone();
@@ -457,19 +464,19 @@
             writer.clone().serve(0, &stream, stands).await;
         });
         for n in 0..calls {
-            load.call(n);
+            load.start_call(n);
             if n % 5 == 0 {
                 Timer::after(Duration::from_millis(5)).await;
             }
         }
         Timer::after(Duration::from_secs(2)).await;
-        let with_calls = resident_kib(gateway.id())?;
+        let with_calls = resident_kib(gateway.pid())?;
         let standing = stood.get();
         println!("gateway alone {base} KiB");
         let each = |kib: u64, n: u64| kib as f64 / n.max(1) as f64;
         println!(
-            "{connections} idle connections: {with_idle} KiB, {:.2} KiB each",
-            each(with_idle.saturating_sub(base), connections as u64)
+            "{idle_connections} idle connections: {with_idle} KiB, {:.2} KiB each",
+            each(with_idle.saturating_sub(base), idle_connections as u64)
         );
         println!(
             "{standing} standing calls: {with_calls} KiB, {:.2} KiB each",
--- a/crates/fawnrouter-lab/src/main.rs
+++ b/crates/fawnrouter-lab/src/main.rs
@@ -141,7 +141,7 @@
                 Ok(None) => ExitCode::SUCCESS,
                 Ok(Some(report)) => {
                     print!("{report}");
-                    if report.clean() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+                    if report.is_clean() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
                 }
                 Err(error) => failed(&error),
             }
@@ -168,7 +168,7 @@
             match run_day(script, DayOptions { seed, baseline, progress: !quiet, announce: false }) {
                 Ok(report) => {
                     print!("{report}");
-                    if report.clean() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+                    if report.is_clean() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
                 }
                 Err(error) => failed(&error),
             }
--- a/crates/fawnrouter-lab/src/report.rs
+++ b/crates/fawnrouter-lab/src/report.rs
@@ -11,9 +11,9 @@
 
 /// How a caller's call ended, its further tries included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum CallOutcome {
     /// It stood to its end; the time from the first try on.
-    Stood(Duration),
+    Established(Duration),
     /// It stood and was cut.
     Cut,
     /// The last try was refused (503, 486).
@@ -21,7 +21,7 @@
     /// The last try failed otherwise.
     Failed,
     /// The caller left.
-    Left,
+    Abandoned,
 }
 
 /// Figures of a class.
@@ -70,11 +70,11 @@
     /// The gateway's number and zone.
     pub gateway: (u32, String),
     /// As the auditor saw it on the sockets of the switches.
-    pub seen: u64,
+    pub observed: u64,
     /// As the gateway's own account has it.
-    pub told: u64,
+    pub reported: u64,
     /// Calls that its budget had nothing left for.
-    pub passed_over: u64,
+    pub over_budget: u64,
 }
 
 /// All figures of a run.
@@ -83,7 +83,7 @@
     /// By class.
     pub classes: Vec<ClassReport>,
     /// Callers that left, by CANCEL or with their connection.
-    pub left: u64,
+    pub abandoned: u64,
     /// Tries, redials included.
     pub tries: u64,
     /// Tries that stood: time from the INVITE to the 200, microseconds.
@@ -93,89 +93,92 @@
     /// By trouble.
     pub windows: Vec<WindowReport>,
     /// Connections that callers opened, and how often one was refused.
-    pub connects: (u64, u64),
+    pub connections: (u64, u64),
     /// What came of each flood of strangers.
     pub floods: Vec<(&'static str, FloodFigures)>,
     /// Calls that went across zones, with those that the gateways' own accounts have.
     pub spill: Vec<Spill>,
     /// Stand-ins that were pushed over while cold.
-    pub fallen: Vec<u32>,
+    pub collapsed: Vec<u32>,
     /// The auditor's verdict.
     pub audit: Verdict,
-    seconds: BTreeMap<u64, (f64, f64)>,
-    points: Vec<(f64, f64, Duration)>,
+    worth_by_second: BTreeMap<u64, (f64, f64)>,
+    class_values: Vec<(f64, f64, Duration)>,
 }
 
 impl Report {
     /// An empty report of classes by name, points, late share and aim.
     #[must_use]
     pub fn new(classes: Vec<(String, f64, f64, Duration)>) -> Self {
-        let points = classes.iter().map(|c| (c.1, c.2, c.3)).collect();
+        let class_values = classes.iter().map(|c| (c.1, c.2, c.3)).collect();
         let set_up = Histogram::new(3).expect("three digits are within the library's bounds");
         let classes = classes.into_iter().map(|c| ClassReport { name: c.0, ..ClassReport::default() });
         Self {
             classes: classes.collect(),
-            left: 0,
+            abandoned: 0,
             tries: 0,
             // From a microsecond to ten minutes, to three digits.
             set_up,
             unanswered: 0,
             windows: Vec::new(),
-            connects: (0, 0),
+            connections: (0, 0),
             floods: Vec::new(),
             spill: Vec::new(),
-            fallen: Vec::new(),
+            collapsed: Vec::new(),
             audit: Verdict::default(),
-            seconds: BTreeMap::new(),
-            points,
+            worth_by_second: BTreeMap::new(),
+            class_values,
         }
     }
 
     /// Counts a call, with when it was first tried.
-    pub fn count(&mut self, class: usize, first: Duration, end: End) {
-        if end == End::Left {
-            self.left += 1;
+    pub fn record(&mut self, class: usize, first: Duration, outcome: CallOutcome) {
+        if outcome == CallOutcome::Abandoned {
+            self.abandoned += 1;
             return;
         }
         let (Some(report), Some((points, late_share, aim))) =
-            (self.classes.get_mut(class), self.points.get(class))
+            (self.classes.get_mut(class), self.class_values.get(class))
         else {
             return;
         };
         report.offered += 1;
-        let got = match end {
-            End::Stood(after) if after <= *aim => {
+        let got = match outcome {
+            CallOutcome::Established(after) if after <= *aim => {
                 report.in_aim += 1;
                 *points
             }
-            End::Stood(_) => {
+            CallOutcome::Established(_) => {
                 report.late += 1;
                 points * late_share
             }
-            End::Cut => {
+            CallOutcome::Cut => {
                 report.cut += 1;
                 0.0
             }
-            End::Refused => {
+            CallOutcome::Refused => {
                 report.refused += 1;
                 0.0
             }
-            End::Failed | End::Left => {
+            CallOutcome::Failed | CallOutcome::Abandoned => {
                 report.failed += 1;
                 0.0
             }
         };
         report.worth.0 += points;
         report.worth.1 += got;
-        let second = self.seconds.entry(first.as_secs()).or_default();
+        let second = self.worth_by_second.entry(first.as_secs()).or_default();
         second.0 += points;
         second.1 += got;
     }
 
     /// Adds the service in a span.
-    pub fn window(&mut self, name: &'static str, (from_ms, to_ms): (u64, u64)) {
+    pub fn add_window(&mut self, name: &'static str, (from_ms, to_ms): (u64, u64)) {
         let span_s = (from_ms / 1000, to_ms.div_ceil(1000));
-        let sum = self.seconds.range(span_s.0..span_s.1).fold((0.0, 0.0), |a, (_, w)| (a.0 + w.0, a.1 + w.1));
+        let sum = self
+            .worth_by_second
+            .range(span_s.0..span_s.1)
+            .fold((0.0, 0.0), |a, (_, w)| (a.0 + w.0, a.1 + w.1));
         let service = if sum.0 > 0.0 { sum.1 / sum.0 } else { 1.0 };
         self.windows.push(WindowReport { name, span_s, service });
     }
@@ -195,19 +198,19 @@
 
     /// No rule broke and every try was answered.
     #[must_use]
-    pub fn clean(&self) -> bool {
-        self.audit.clean() && self.fallen.is_empty()
+    pub fn is_clean(&self) -> bool {
+        self.audit.clean() && self.collapsed.is_empty()
     }
 }
 
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let sum = |get: fn(&ClassReport) -> u64| self.classes.iter().map(get).sum::<u64>();
-        writeln!(f, "calls offered      {}", sum(|c| c.offered) + self.left)?;
+        writeln!(f, "calls offered      {}", sum(|c| c.offered) + self.abandoned)?;
         writeln!(f, "calls stood        {}", sum(|c| c.in_aim + c.late))?;
         writeln!(f, "calls refused      {}", sum(|c| c.refused))?;
         writeln!(f, "calls failed       {} (of these cut {})", sum(|c| c.failed + c.cut), sum(|c| c.cut))?;
-        writeln!(f, "callers that left  {}", self.left)?;
+        writeln!(f, "callers that left  {}", self.abandoned)?;
         writeln!(f, "tries              {} ({} without an answer)", self.tries, self.unanswered)?;
         writeln!(
             f,
@@ -237,7 +240,7 @@
                 w.name, w.service, w.span_s.0, w.span_s.1
             )?;
         }
-        let (opened, refused) = self.connects;
+        let (opened, refused) = self.connections;
         writeln!(f, "connections        {opened} opened by callers, {refused} times refused")?;
         for (way, figures) in &self.floods {
             writeln!(f, "flood by {way:<9} {figures}")?;
@@ -248,22 +251,22 @@
                 f,
                 "spill of gateway {number} in {zone}: {} seen on the sockets, {} in its account, {} passed over for \
                  want of budget",
-                s.seen, s.told, s.passed_over
+                s.observed, s.reported, s.over_budget
             )?;
         }
-        for id in &self.fallen {
+        for id in &self.collapsed {
             writeln!(f, "stand-in {id} was pushed over while cold")?;
         }
         for breach in self.audit.breaches.iter().take(20) {
             writeln!(f, "BROKEN {breach}")?;
         }
-        let word = if self.audit.clean() { "clean" } else { "BROKEN" };
+        let verdict = if self.audit.clean() { "clean" } else { "BROKEN" };
         let broken: Vec<String> =
             self.audit.counts.iter().map(|(r, n)| format!("rule {}: {n}", *r as u8)).collect();
         let open = self.audit.open;
         write!(
             f,
-            "audit              {word}: {} calls, {} set-ups seen",
+            "audit              {verdict}: {} calls, {} set-ups seen",
             self.audit.calls, self.audit.attempts
         )?;
         if open > 0 {
--- a/crates/fawnrouter-lab/src/script.rs
+++ b/crates/fawnrouter-lab/src/script.rs
@@ -33,7 +33,7 @@
     pub classes: Vec<ClassPlan>,
     /// Callers' habits.
     #[serde(default)]
-    pub callers: Habits,
+    pub callers: CallerBehaviour,
     /// The list tells what happened this much later.
     #[serde(default = "list_delay_ms")]
     #[schemars(range(max = 60_000))]
@@ -117,7 +117,8 @@
 /// Callers' habits.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
-pub struct Habits {
+#[schemars(rename = "Habits")]
+pub struct CallerBehaviour {
     /// They dial again this often at the most.
     #[schemars(range(max = 20))]
     pub redials: u32,
@@ -135,7 +136,7 @@
     pub disconnect_ms: u64,
 }
 
-impl Default for Habits {
+impl Default for CallerBehaviour {
     fn default() -> Self {
         Self { redials: 2, redial_ms: 500, try_s: 3, leavers: 0.01, disconnect_ms: 0 }
     }
--- a/crates/fawnrouter-lab/src/stand_in.rs
+++ b/crates/fawnrouter-lab/src/stand_in.rs
@@ -14,32 +14,33 @@
 use fawnrouterd::Outbox;
 use futures_lite::future;
 
-use crate::switch::{Make, Processor, Step};
+use crate::switch::{Processor, SwitchEffect, SwitchModel};
 use crate::tap::Tap;
 
 /// Bytes that wait for one gateway; more means a gateway that does not read.
-const BACKLOG: usize = 16 * 1024 * 1024;
+const MAX_BACKLOG_BYTES: usize = 16 * 1024 * 1024;
 
 /// How far a stand-in is from gateways of other zones.
 #[derive(Clone, Debug, Default)]
-pub struct Distance {
+pub struct ZoneLatency {
     /// Its zone.
     pub zone: String,
     /// The gateways' zones, in turn.
-    pub gateways: Vec<String>,
+    pub gateway_zones: Vec<String>,
     /// One way to another zone.
-    pub cross: Duration,
+    pub one_way: Duration,
 }
 
-impl Distance {
+impl ZoneLatency {
     /// Whether a request comes from another zone, by the gateway's host in its Via.
-    fn is_far(&self, message: &Message) -> bool {
+    fn is_from_other_zone(&self, message: &Message) -> bool {
         let host = message.via().ok().map(|via| via.sent_by.to_owned()).unwrap_or_default();
         let number =
             host.strip_prefix("gw").and_then(|r| r.split('.').next()).and_then(|n| n.parse::<usize>().ok());
-        let zone =
-            number.filter(|_| !self.gateways.is_empty()).map(|n| &self.gateways[n % self.gateways.len()]);
-        !self.cross.is_zero() && zone.is_some_and(|zone| *zone != self.zone)
+        let zone = number
+            .filter(|_| !self.gateway_zones.is_empty())
+            .map(|n| &self.gateway_zones[n % self.gateway_zones.len()]);
+        !self.one_way.is_zero() && zone.is_some_and(|zone| *zone != self.zone)
     }
 }
 
@@ -47,105 +48,105 @@
 pub struct StandIn {
     pub id: u32,
     pub address: SocketAddr,
-    make: Make,
+    model: SwitchModel,
     tap: Rc<Tap>,
     executor: Rc<LocalExecutor<'static>>,
     processor: RefCell<Processor>,
-    conns: RefCell<BTreeMap<u64, Rc<Outbox>>>,
-    distance: Distance,
+    connections: RefCell<BTreeMap<u64, Rc<Outbox>>>,
+    latency: ZoneLatency,
     /// Connections from other zones, and what is on its way from them and to them, in order of time.
-    far: RefCell<BTreeSet<u64>>,
-    coming: RefCell<VecDeque<(Duration, u64, Box<Message>)>>,
-    going: RefCell<VecDeque<(Duration, u64, Vec<u8>)>>,
-    accepting: RefCell<Option<Task<()>>>,
-    fallen: Cell<bool>,
+    remote_connections: RefCell<BTreeSet<u64>>,
+    inbound: RefCell<VecDeque<(Duration, u64, Box<Message>)>>,
+    outbound: RefCell<VecDeque<(Duration, u64, Vec<u8>)>>,
+    accept_task: RefCell<Option<Task<()>>>,
+    collapsed: Cell<bool>,
 }
 
 impl StandIn {
     /// Opens one on a free port. A cold one tells the auditor so.
     pub fn open(
         id: u32,
-        (mut make, distance): (Make, Distance),
+        (mut model, latency): (SwitchModel, ZoneLatency),
         cold: bool,
         tap: &Rc<Tap>,
         executor: &Rc<LocalExecutor<'static>>,
     ) -> io::Result<Rc<Self>> {
         let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0))?;
         let address = listener.get_ref().local_addr()?;
-        make.contact = format!("<sip:switch{id}@{address};transport=tcp>");
-        let processor = RefCell::new(Processor::new(make.clone(), cold.then(|| tap.now())));
+        model.contact = format!("<sip:switch{id}@{address};transport=tcp>");
+        let processor = RefCell::new(Processor::new(model.clone(), cold.then(|| tap.now())));
         let stand_in = Rc::new(Self {
             id,
             address,
-            make,
+            model,
             tap: tap.clone(),
             executor: executor.clone(),
             processor,
-            conns: RefCell::default(),
-            distance,
-            far: RefCell::default(),
-            coming: RefCell::default(),
-            going: RefCell::default(),
-            accepting: RefCell::new(None),
-            fallen: Cell::new(false),
+            connections: RefCell::default(),
+            latency,
+            remote_connections: RefCell::default(),
+            inbound: RefCell::default(),
+            outbound: RefCell::default(),
+            accept_task: RefCell::new(None),
+            collapsed: Cell::new(false),
         });
         if cold {
-            stand_in.tell_start();
+            stand_in.record_start();
         }
         stand_in.accept(listener);
-        executor.spawn(tick(stand_in.clone())).detach();
+        executor.spawn(run_processor(stand_in.clone())).detach();
         Ok(stand_in)
     }
 
     /// Whether it was pushed over.
-    pub fn fallen(&self) -> bool {
-        self.fallen.get()
+    pub fn collapsed(&self) -> bool {
+        self.collapsed.get()
     }
 
-    pub fn with(&self, change: impl FnOnce(&mut Processor)) {
+    pub fn with_processor(&self, change: impl FnOnce(&mut Processor)) {
         change(&mut self.processor.borrow_mut());
     }
 
     /// Stands still for a while.
-    pub fn stand_still(&self, span: Duration) {
+    pub fn stall(&self, span: Duration) {
         let now = self.tap.now();
-        self.processor.borrow_mut().stand_still(now, span);
+        self.processor.borrow_mut().stall(now, span);
     }
 
     /// Stops: connections close and new ones are refused.
     pub fn stop(&self) {
-        self.accepting.borrow_mut().take();
-        for (conn, outbox) in std::mem::take(&mut *self.conns.borrow_mut()) {
-            self.tap.closed(conn);
+        self.accept_task.borrow_mut().take();
+        for (conn, outbox) in std::mem::take(&mut *self.connections.borrow_mut()) {
+            self.tap.connection_closed(conn);
             outbox.abort();
         }
-        self.coming.borrow_mut().clear();
-        self.going.borrow_mut().clear();
-        self.far.borrow_mut().clear();
+        self.inbound.borrow_mut().clear();
+        self.outbound.borrow_mut().clear();
+        self.remote_connections.borrow_mut().clear();
         self.processor.borrow_mut().silent = true;
     }
 
     /// Starts again, cold, on the same port.
     pub async fn start_cold(self: &Rc<Self>) -> io::Result<()> {
-        let accepting = self.accepting.borrow_mut().take();
-        if let Some(task) = accepting {
+        let accept_task = self.accept_task.borrow_mut().take();
+        if let Some(task) = accept_task {
             // The old listener must be closed before the port is free.
             task.cancel().await;
         }
         self.stop();
         let listener = Async::<TcpListener>::bind(self.address)?;
-        *self.processor.borrow_mut() = Processor::new(self.make.clone(), Some(self.tap.now()));
-        self.tell_start();
+        *self.processor.borrow_mut() = Processor::new(self.model.clone(), Some(self.tap.now()));
+        self.record_start();
         self.accept(listener);
         Ok(())
     }
 
-    fn tell_start(&self) {
-        self.tap.fact(Seen::Started {
+    fn record_start(&self) {
+        self.tap.record(Seen::Started {
             switch: self.id,
-            capacity_per_s: self.make.capacity_per_s,
-            from: self.make.cold_from,
-            ramp: self.make.ramp,
+            capacity_per_s: self.model.capacity_per_s,
+            from: self.model.cold_start_share,
+            ramp: self.model.warm_up,
         });
     }
 
@@ -153,46 +154,46 @@
         let stand_in = self.clone();
         let task = self.executor.spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let conn = stand_in.tap.opened(Side::Trunk { switch: stand_in.id });
-                let outbox = Rc::new(Outbox::new(BACKLOG));
-                stand_in.conns.borrow_mut().insert(conn, outbox.clone());
+                let conn = stand_in.tap.connection_opened(Side::Trunk { switch: stand_in.id });
+                let outbox = Rc::new(Outbox::new(MAX_BACKLOG_BYTES));
+                stand_in.connections.borrow_mut().insert(conn, outbox.clone());
                 stand_in.executor.spawn(serve(stand_in.clone(), conn, stream, outbox)).detach();
             }
         });
-        *self.accepting.borrow_mut() = Some(task);
+        *self.accept_task.borrow_mut() = Some(task);
     }
 
     fn send(&self, conn: u64, bytes: &[u8]) {
-        let outbox = self.conns.borrow().get(&conn).cloned();
+        let outbox = self.connections.borrow().get(&conn).cloned();
         if let Some(outbox) = outbox {
-            self.tap.bytes(conn, Way::In, bytes);
+            self.tap.record_bytes(conn, Way::In, bytes);
             outbox.push(|out| out.extend_from_slice(bytes));
         }
     }
 
     /// What was on its way between zones and has arrived.
-    fn arrive(&self, now: Duration, steps: &mut Vec<Step>) {
+    fn deliver_delayed(&self, now: Duration, effects: &mut Vec<SwitchEffect>) {
         let first = |at: Option<Duration>| at.is_some_and(|at| at <= now);
-        while first(self.going.borrow().front().map(|g| g.0)) {
-            let Some((_, conn, bytes)) = self.going.borrow_mut().pop_front() else { break };
+        while first(self.outbound.borrow().front().map(|g| g.0)) {
+            let Some((_, conn, bytes)) = self.outbound.borrow_mut().pop_front() else { break };
             self.send(conn, &bytes);
         }
-        while first(self.coming.borrow().front().map(|c| c.0)) {
-            let Some((_, conn, message)) = self.coming.borrow_mut().pop_front() else { break };
-            self.processor.borrow_mut().take(now, conn, message, steps);
+        while first(self.inbound.borrow().front().map(|c| c.0)) {
+            let Some((_, conn, message)) = self.inbound.borrow_mut().pop_front() else { break };
+            self.processor.borrow_mut().receive(now, conn, message, effects);
         }
     }
 
-    fn carry_out(self: &Rc<Self>, steps: Vec<Step>) {
-        for step in steps {
-            match step {
-                Step::Send(conn, bytes) if self.far.borrow().contains(&conn) => {
-                    let due = self.tap.now() + self.distance.cross;
-                    self.going.borrow_mut().push_back((due, conn, bytes));
+    fn apply(self: &Rc<Self>, effects: Vec<SwitchEffect>) {
+        for effect in effects {
+            match effect {
+                SwitchEffect::Send(conn, bytes) if self.remote_connections.borrow().contains(&conn) => {
+                    let due = self.tap.now() + self.latency.one_way;
+                    self.outbound.borrow_mut().push_back((due, conn, bytes));
                 }
-                Step::Send(conn, bytes) => self.send(conn, &bytes),
-                Step::Fallen => {
-                    self.fallen.set(true);
+                SwitchEffect::Send(conn, bytes) => self.send(conn, &bytes),
+                SwitchEffect::Collapsed => {
+                    self.collapsed.set(true);
                     self.stop();
                 }
             }
@@ -207,49 +208,49 @@
         let mut buffer = vec![0; 64 * 1024];
         while let Ok(n @ 1..) = stream.read_with(|mut s| s.read(&mut buffer)).await {
             // After a stop, bytes that were on the way have reached nobody.
-            if !stand_in.conns.borrow().contains_key(&conn) {
+            if !stand_in.connections.borrow().contains_key(&conn) {
                 return;
             }
-            stand_in.tap.bytes(conn, Way::Out, &buffer[..n]);
+            stand_in.tap.record_bytes(conn, Way::Out, &buffer[..n]);
             decoder.push(&buffer[..n]);
-            let mut steps = Vec::new();
+            let mut effects = Vec::new();
             while let Ok(Some(chunk)) = decoder.next_chunk() {
                 if let Chunk::Message(message) = chunk {
                     let now = stand_in.tap.now();
-                    if stand_in.distance.is_far(&message) {
-                        stand_in.far.borrow_mut().insert(conn);
+                    if stand_in.latency.is_from_other_zone(&message) {
+                        stand_in.remote_connections.borrow_mut().insert(conn);
                     }
-                    if stand_in.far.borrow().contains(&conn) {
-                        let due = now + stand_in.distance.cross;
-                        stand_in.coming.borrow_mut().push_back((due, conn, message));
+                    if stand_in.remote_connections.borrow().contains(&conn) {
+                        let due = now + stand_in.latency.one_way;
+                        stand_in.inbound.borrow_mut().push_back((due, conn, message));
                     } else {
-                        stand_in.processor.borrow_mut().take(now, conn, message, &mut steps);
+                        stand_in.processor.borrow_mut().receive(now, conn, message, &mut effects);
                     }
                 }
             }
-            stand_in.carry_out(steps);
+            stand_in.apply(effects);
         }
     };
     let writing = async {
         let _ = outbox.write_to(&stream).await;
     };
     future::or(future::or(reading, writing), outbox.aborted()).await;
-    if stand_in.conns.borrow_mut().remove(&conn).is_some() {
-        stand_in.tap.closed(conn);
+    if stand_in.connections.borrow_mut().remove(&conn).is_some() {
+        stand_in.tap.connection_closed(conn);
     }
     stand_in.processor.borrow_mut().disconnected(conn);
 }
 
 /// Lets the processor do what is due. A millisecond's step is far below the times that matter.
-async fn tick(stand_in: Rc<StandIn>) {
+async fn run_processor(stand_in: Rc<StandIn>) {
     loop {
         let now = stand_in.tap.now();
         let due = stand_in.processor.borrow().next_due();
         let wait = due.map_or(Duration::from_millis(2), |d| d.saturating_sub(now));
         Timer::after(wait.min(Duration::from_millis(2))).await;
-        let mut steps = Vec::new();
-        stand_in.arrive(stand_in.tap.now(), &mut steps);
-        stand_in.processor.borrow_mut().pass(stand_in.tap.now(), &mut steps);
-        stand_in.carry_out(steps);
+        let mut effects = Vec::new();
+        stand_in.deliver_delayed(stand_in.tap.now(), &mut effects);
+        stand_in.processor.borrow_mut().run_due(stand_in.tap.now(), &mut effects);
+        stand_in.apply(effects);
     }
 }
--- a/crates/fawnrouter-lab/src/tap.rs
+++ b/crates/fawnrouter-lab/src/tap.rs
@@ -13,17 +13,21 @@
     start: Instant,
     state: RefCell<(Auditor, u64)>,
     /// The last beat, and how late it was.
-    beat: Cell<(Duration, Duration)>,
+    last_heartbeat: Cell<(Duration, Duration)>,
 }
 
 /// Pause between two beats of the lab.
-const BEAT: Duration = Duration::from_millis(2);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(2);
 /// What is read this soon after a late beat may have waited for as long as the beat was late.
-const AFTER: Duration = Duration::from_millis(20);
+const DELAY_MEMORY: Duration = Duration::from_millis(20);
 
 impl Tap {
     pub fn new(figures: Figures) -> Self {
-        Self { start: Instant::now(), state: RefCell::new((Auditor::new(figures), 0)), beat: Cell::default() }
+        Self {
+            start: Instant::now(),
+            state: RefCell::new((Auditor::new(figures), 0)),
+            last_heartbeat: Cell::default(),
+        }
     }
 
     /// Time since the start.
@@ -31,49 +35,49 @@
         self.start.elapsed()
     }
 
-    pub fn instant(&self, at: Duration) -> Instant {
+    pub fn to_instant(&self, at: Duration) -> Instant {
         self.start + at
     }
 
-    pub fn fact(&self, seen: Seen) {
+    pub fn record(&self, seen: Seen) {
         self.state.borrow_mut().0.take(self.now(), seen);
     }
 
     /// Numbers a fresh connection.
-    pub fn opened(&self, side: Side) -> u64 {
+    pub fn connection_opened(&self, side: Side) -> u64 {
         let conn = {
             let mut state = self.state.borrow_mut();
             state.1 += 1;
             state.1
         };
-        self.fact(Seen::Opened { conn, side });
+        self.record(Seen::Opened { conn, side });
         conn
     }
 
-    pub fn bytes(&self, conn: u64, way: Way, bytes: &[u8]) {
-        let late = self.late();
-        self.fact(Seen::Bytes { conn, way, bytes: bytes.to_vec(), late });
+    pub fn record_bytes(&self, conn: u64, way: Way, bytes: &[u8]) {
+        let late = self.possible_delay();
+        self.record(Seen::Bytes { conn, way, bytes: bytes.to_vec(), late });
     }
 
     /// Beats for ever, which shows when the lab itself is held up by the machine.
-    pub async fn beat(self: Rc<Self>) {
+    pub async fn watch_delays(self: Rc<Self>) {
         loop {
-            let late = self.now().saturating_sub(self.beat.get().0 + BEAT * 2);
-            self.beat.set((self.now(), late));
-            Timer::after(BEAT).await;
+            let late = self.now().saturating_sub(self.last_heartbeat.get().0 + HEARTBEAT_INTERVAL * 2);
+            self.last_heartbeat.set((self.now(), late));
+            Timer::after(HEARTBEAT_INTERVAL).await;
         }
     }
 
     /// How much earlier what is read now may have arrived.
-    fn late(&self) -> Duration {
-        let (last, late) = self.beat.get();
+    fn possible_delay(&self) -> Duration {
+        let (last, late) = self.last_heartbeat.get();
         let since = self.now().saturating_sub(last);
-        let now = since.saturating_sub(BEAT * 2);
-        if since < AFTER { now.max(late) } else { now }
+        let now = since.saturating_sub(HEARTBEAT_INTERVAL * 2);
+        if since < DELAY_MEMORY { now.max(late) } else { now }
     }
 
-    pub fn closed(&self, conn: u64) {
-        self.fact(Seen::Closed { conn });
+    pub fn connection_closed(&self, conn: u64) {
+        self.record(Seen::Closed { conn });
     }
 
     /// Ends the record.
