--- a/crates/fawnrouter-lab/src/baseline.rs
+++ b/crates/fawnrouter-lab/src/baseline.rs
@@ -1,5 +1,6 @@
-//! A baseline for comparison: plain round robin over the switches that the list calls ready, the next one at once
-//! after a failure, and nothing else. It knows no overload, no cold start and no guard.
+//! A baseline for comparison: plain round robin over the switches that the list shows as ready, with an
+//! immediate retry at the next one after a failure. It has no overload control, no cold-start limit and no
+//! release guard.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,7 +16,7 @@
     attempts: u32,
 }
 
-/// Round robin.
+/// Round robin over the ready switches.
 #[derive(Debug)]
 pub struct RoundRobin {
     ready: Vec<ServerId>,
@@ -24,11 +25,11 @@
     max_attempts: u32,
 }
 
-/// Answers are given this long before the caller's time is up.
+/// A call is answered this long before its caller's time runs out.
 const MARGIN: Duration = Duration::from_millis(300);
 
 impl RoundRobin {
-    /// One that tries a call this often.
+    /// Creates a router that makes up to this many attempts per call.
     #[must_use]
     pub fn new(max_attempts: u32) -> Self {
         Self { ready: Vec::new(), next: 0, calls: BTreeMap::new(), max_attempts }
--- a/crates/fawnrouter-lab/src/callers.rs
+++ b/crates/fawnrouter-lab/src/callers.rs
@@ -1,4 +1,5 @@
-//! Stand-in callers: first tries at random times, further tries, some who leave early, over real WebSockets.
+//! Stand-in callers over real WebSockets: first attempts at random times, redials, and callers that cancel
+//! early.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -24,10 +25,10 @@
 use crate::tap::Tap;
 
 const MAX_BACKLOG_BYTES: usize = 16 * 1024 * 1024;
-/// A caller waits this much longer than its try lasts before it says that nobody answered.
+/// An attempt counts as unanswered when no final response has arrived this long after its Expires time.
 const RESPONSE_GRACE: Duration = Duration::from_millis(500);
 
-/// A class as callers see it.
+/// A class of calls as callers generate it.
 #[derive(Clone, Debug)]
 pub struct CallerClass {
     pub name: String,
@@ -72,11 +73,11 @@
     last_id: u64,
     rng: StdRng,
     report: Report,
-    /// The day is over: nobody dials again.
+    /// The script's time is over: nobody dials again.
     stopped: bool,
 }
 
-/// All callers of a run.
+/// All callers of a run and their connections.
 pub struct Callers {
     tap: Rc<Tap>,
     classes: Vec<CallerClass>,
@@ -109,12 +110,12 @@
         Rc::new(Self { tap: tap.clone(), classes, behaviour, clients, pool, executor: executor.clone() })
     }
 
-    /// The known client that a line belongs to, if callers are known.
+    /// Name and password of the known client that a connection belongs to; `None` if callers are unknown.
     fn credentials_of(&self, connection: usize) -> Option<(String, String)> {
         (self.clients > 0).then(|| client_credentials(connection as u32 % self.clients))
     }
 
-    /// Opens connections to a gateway and waits until they stand.
+    /// Opens connections to a gateway and waits until all are established.
     pub async fn connect(self: &Rc<Self>, gateway: SocketAddr, number: u32, count: u32) -> io::Result<()> {
         for _ in 0..count {
             let connection = {
@@ -170,7 +171,7 @@
         Ok(())
     }
 
-    /// Shows who the connection belongs to: asks for a nonce, and answers the challenge.
+    /// Authenticates the connection: requests a nonce and answers the challenge (Digest).
     async fn authenticate(
         &self,
         conn: u64,
@@ -299,7 +300,7 @@
         }
     }
 
-    /// One more caller, of a class by the shares.
+    /// Adds a caller and starts its first attempt. Its class is drawn by the shares.
     pub fn add_caller(&self) {
         let now = self.tap.now();
         let pool = &mut *self.pool.borrow_mut();
@@ -366,7 +367,7 @@
         self.send(pool, connection, &bytes);
     }
 
-    /// A try came to nothing: once more, or that was it.
+    /// Schedules a redial after a failed attempt, or ends the call when redials or time are used up.
     fn attempt_failed(
         &self,
         pool: &mut CallerPool,
@@ -462,7 +463,7 @@
         }
     }
 
-    /// Does what is due.
+    /// Handles all events that are due.
     fn run_due(&self, now: Duration) {
         let pool = &mut *self.pool.borrow_mut();
         while let Some((_, event)) = pool.timers.first().copied().filter(|(at, _)| *at <= now) {
@@ -512,7 +513,7 @@
         }
     }
 
-    /// Does what is due, for ever.
+    /// Handles due events in an endless loop.
     pub async fn run(self: Rc<Self>) {
         loop {
             Timer::after(Duration::from_millis(2)).await;
@@ -520,7 +521,7 @@
         }
     }
 
-    /// Breaks a random connection off, and opens it again a little later.
+    /// Drops a random connection and opens it again after 200 ms.
     pub fn break_random_connection(self: &Rc<Self>) {
         let connection = {
             let pool = &mut *self.pool.borrow_mut();
@@ -534,7 +535,7 @@
         let callers = self.clone();
         let again = async move {
             Timer::after(Duration::from_millis(200)).await;
-            // As long as the gateway is there to be asked; a refusal tells to come later.
+            // Retries while the gateway is running: it may refuse connections for a while.
             for _ in 0..100 {
                 if callers.pool.borrow().stopped || callers.open(connection).await.is_ok() {
                     return;
@@ -545,17 +546,17 @@
         self.executor.spawn(again).detach();
     }
 
-    /// A random number from 0 to 1, of the callers' stream.
+    /// A random number from 0 to 1 from the callers' generator.
     pub fn random_unit(&self) -> f64 {
         self.pool.borrow_mut().rng.random()
     }
 
-    /// People whose try is out.
+    /// Number of callers with an attempt in set-up.
     pub fn calls_in_set_up(&self) -> usize {
         self.pool.borrow().active.values().filter(|p| matches!(p.state, CallState::InSetUp { .. })).count()
     }
 
-    /// The day is over: nobody dials again, and those who wait to do so have been refused.
+    /// Ends the arrival of calls: nobody dials again, and callers that wait for a redial count as refused.
     pub fn stop_calling(&self) {
         let pool = &mut *self.pool.borrow_mut();
         pool.stopped = true;
@@ -566,7 +567,7 @@
         }
     }
 
-    /// Standing calls hang up.
+    /// Hangs up all established calls.
     pub fn hang_up_all(&self) {
         let now = self.tap.now();
         let pool = &mut *self.pool.borrow_mut();
@@ -578,18 +579,18 @@
         }
     }
 
-    /// People whose calls are not over.
+    /// Number of callers whose calls are not over.
     pub fn open_calls(&self) -> usize {
         self.pool.borrow().active.len()
     }
 
-    /// Tries so far, and calls that stood.
+    /// Attempts so far, and how many of them were established.
     pub fn progress(&self) -> (u64, u64) {
         let pool = self.pool.borrow();
         (pool.report.tries, pool.report.set_up.len())
     }
 
-    /// Takes the report.
+    /// Takes the report and leaves an empty one.
     pub fn take_report(&self) -> Report {
         std::mem::replace(&mut self.pool.borrow_mut().report, Report::new(Vec::new()))
     }
--- a/crates/fawnrouter-lab/src/capacity.rs
+++ b/crates/fawnrouter-lab/src/capacity.rs
@@ -1,4 +1,5 @@
-//! Measures what a fleet costs, prints the tables, and writes the report with the page that is computed from it.
+//! Measures the resources that a fleet needs, prints the tables, and writes the report and the page computed
+//! from it.
 
 use std::fs;
 use std::io;
@@ -14,89 +15,90 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use signal_hook::consts::{SIGINT, SIGTERM};
 
-/// Where report and page are kept, from the root of the repository.
+/// Paths of the report and the page, relative to the root of the repository.
 const REPORT_FILE: &str = "docs/capacity.json";
 const PAGE_FILE: &str = "docs/CAPACITY.md";
-/// Beside the page: all of its rows.
+/// File in the folder of the page that holds all rows of its tables.
 const ROWS_FILE: &str = "capacity-rows.md";
-/// The gateway's program, beside this one.
+/// Name of the gateway's program, in the folder of this one.
 const PROGRAM_NAME: &str = "fawnrouter";
 const PROGRESS_TEMPLATE: &str = "[{elapsed_precise}] {spinner} {msg}";
 
-/// What is measured, and where it goes.
+/// Options: what is measured, and where the results are written.
 #[derive(Clone, Debug, clap::Args)]
 pub struct CapacityOptions {
-    /// Smaller sizes and shorter plays: under a minute.
+    /// Use smaller sizes and shorter runs; takes less than a minute.
     #[arg(long)]
     quick: bool,
-    /// Only what this role bears, as gateway_calls.
+    /// Measure only the load of this role, for example gateway_calls.
     #[arg(long, value_parser = role)]
     only: Option<Role>,
-    /// Where the report is written. A whole measurement goes to docs/capacity.json if nothing is given, one that is quick
-    /// or leaves something out goes nowhere.
+    /// File for the report. By default a whole measurement is written to docs/capacity.json, and one that is
+    /// quick or leaves something out is not written.
     #[arg(long)]
     json: Option<PathBuf>,
-    /// The page whose tables are replaced, and those of capacity-rows.md beside it; likewise docs/CAPACITY.md.
+    /// Page whose tables are replaced, together with those of capacity-rows.md in the same folder. By default
+    /// a whole measurement replaces those of docs/CAPACITY.md.
     #[arg(long)]
     page: Option<PathBuf>,
-    /// Measure nothing: compute the tables from this report.
+    /// Measure nothing and compute the tables from this report.
     #[arg(long, conflicts_with_all = ["quick", "only", "no_processes", "json"])]
     from: Option<PathBuf>,
-    /// Hollow gateways only.
+    /// Measure hollow gateways only, and no gateway processes.
     #[arg(long)]
     no_processes: bool,
-    /// The gateway's program; if nothing is given, `fawnrouter` beside this one.
+    /// The gateway's program; by default `fawnrouter` in the folder of this one.
     #[arg(long)]
     program: Option<PathBuf>,
-    /// Seed of everything that is drawn.
+    /// Seed of all random numbers.
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
 
-/// Why there is no report. Each text says what to do.
+/// Why no report could be made. Messages about files say what to do.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum CapacityError {
     /// A file cannot be read.
     #[error("{}: cannot be read: {source}; start this from the root of the repository, or name the file", file.display())]
     Unread {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// Why.
+        /// Cause.
         source: io::Error,
     },
     /// A file cannot be written.
     #[error("{}: cannot be written: {source}; start this from the root of the repository, or name the file", file.display())]
     Unwritten {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// Why.
+        /// Cause.
         source: io::Error,
     },
-    /// The machine cannot be asked.
-    #[error("this machine cannot be asked: {0}")]
+    /// Information about this machine cannot be read.
+    #[error("information about this machine cannot be read: {0}")]
     Machine(io::Error),
-    /// The hollow rig.
+    /// The measurement of hollow gateways failed.
     #[error(transparent)]
     Hollow(#[from] HollowError),
-    /// The process rig.
+    /// The measurement of gateway processes failed.
     #[error(transparent)]
     Process(#[from] ProcessError),
-    /// The report.
+    /// Processing the report failed.
     #[error(transparent)]
     Report(#[from] ReportError),
-    /// The page.
+    /// Processing the page failed.
     #[error(transparent)]
     Page(#[from] PageError),
 }
 
-/// Reads a role as the report has it.
+/// Parses a role as it is written in the report.
 fn role(text: &str) -> Result<Role, String> {
     serde_json::from_value(text.into()).map_err(|error| error.to_string())
 }
 
 impl CapacityOptions {
-    /// Whether all of the report is measured, at all sizes.
+    /// Whether the whole report is measured, at all sizes.
     fn is_whole(&self) -> bool {
         !self.quick && !self.no_processes && self.only.is_none()
     }
@@ -113,10 +115,10 @@
     }
 }
 
-/// Measures, prints all tables, and writes what was asked for.
+/// Measures, prints all tables, and writes the requested files.
 ///
 /// # Errors
-/// Where a file or program is missing (before anything is measured), or a measurement fails.
+/// If a file or program is missing (checked before anything is measured), or a measurement fails.
 pub fn run_capacity(options: &CapacityOptions, allocator: Option<Allocator>) -> Result<(), CapacityError> {
     let program = options.program()?;
     if options.from.is_none() && !options.no_processes {
@@ -125,7 +127,7 @@
     let report_file = options.file(options.json.as_ref(), REPORT_FILE).filter(|_| options.from.is_none());
     let page_file = options.file(options.page.as_ref(), PAGE_FILE);
     if let Some(file) = &page_file {
-        // One that cannot take the tables is told now and not at the end.
+        // Reports a page that cannot take the tables before the measurement and not after it.
         write_tables(file, &Report::default(), |_, _| Ok(()))?;
     }
     let report = match &options.from {
@@ -142,7 +144,7 @@
     Ok(())
 }
 
-/// Computes the page and the one with all rows beside it, and has both written.
+/// Computes the page and the file with all rows, and writes both.
 fn write_tables(
     page_file: &Path,
     report: &Report,
@@ -186,7 +188,8 @@
     Ok(report)
 }
 
-/// Gateway processes are running from now on: a signal no longer ends this process at once, but them first.
+/// While gateway processes are running, a signal must not end this process at once: the gateway processes are
+/// ended first.
 fn stop_at_signals() -> Result<Arc<AtomicBool>, CapacityError> {
     let stop = Arc::new(AtomicBool::new(false));
     for signal in [SIGINT, SIGTERM] {
@@ -204,10 +207,10 @@
     })
 }
 
-/// It moves with the parts that are measured and not by itself: a thread that draws would be measured with them.
+/// The bar advances with the measured parts and has no thread of its own, which would be measured with them.
 fn progress_bar() -> ProgressBar {
     let bar = ProgressBar::new_spinner();
-    // A template that does not read leaves the usual one.
+    // Falls back to the default style if the template is invalid.
     match ProgressStyle::with_template(PROGRESS_TEMPLATE) {
         Ok(style) => bar.with_style(style),
         Err(_) => bar,
--- a/crates/fawnrouter-lab/src/day.rs
+++ b/crates/fawnrouter-lab/src/day.rs
@@ -1,4 +1,5 @@
-//! Runs a script: gateways as processes, stand-ins in this one, the list, the troubles, the audit.
+//! Runs a script: starts the gateway processes, runs stand-in switches and callers in this process, publishes
+//! the list of switches, injects the faults and audits the traffic.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -27,16 +28,16 @@
 use crate::switch::SwitchModel;
 use crate::tap::Tap;
 
-/// How a day is run.
+/// Options of a scripted run.
 #[derive(Clone, Copy, Debug)]
 pub struct DayOptions {
     /// Seed of the callers and the gateways.
     pub seed: u64,
-    /// Round robin in place of the decisions.
+    /// Use plain round robin in place of the router's decisions.
     pub baseline: bool,
-    /// A line on standard error each second.
+    /// Print a progress line on standard error each second.
     pub progress: bool,
-    /// The gateways' ready lines on standard output.
+    /// Print the gateways' ready lines on standard output.
     pub announce: bool,
 }
 
@@ -49,7 +50,7 @@
     u64::try_from(now.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// The registry's truth and what it has published of it.
+/// The actual state of the switches and what has been published of it, with a delay, in the list file.
 struct ListPublisher {
     folder: tempfile::TempDir,
     current: BTreeMap<u32, SwitchEntry>,
@@ -60,29 +61,31 @@
     delay: Duration,
 }
 
-/// Everything of a run that the acts change.
+/// State of a run, changed by the scripted faults.
 pub struct Lab {
     script: Script,
     pub tap: Rc<Tap>,
     pub executor: Rc<LocalExecutor<'static>>,
     stand_ins: RefCell<BTreeMap<u32, Rc<StandIn>>>,
-    /// The pool of each switch that there ever was.
+    /// Pool of each switch, including those that have stopped.
     pool_by_switch: RefCell<BTreeMap<u32, u32>>,
     publisher: RefCell<ListPublisher>,
-    /// Held while a list is written and told: one at a time, in the order of their versions.
+    /// Held while a list is written and recorded, so that lists appear one at a time and in the order of
+    /// their versions.
     publish_lock: Mutex<()>,
     load_multiple: Cell<f64>,
-    /// Where the gateways listen, and the floods that were let loose on them.
+    /// Addresses of the gateways, and the flood processes started against them.
     gateways: RefCell<Vec<SocketAddr>>,
     floods: RefCell<Vec<(&'static str, Child)>>,
     pub callers: Rc<Callers>,
 }
 
-/// The auditor's figures for a script.
+/// The auditor's limits and tolerances for a script.
 pub fn audit_figures(script: &Script) -> Figures {
     let rules = &script.rules;
     Figures {
-        // The list is told when the file is written; the gateway's look at it comes on top of the grace.
+        // The list is recorded when the file is written. The gateway's polling delay is allowed on top of the
+        // grace by `slack`.
         drain_grace: ms(rules.drain_grace_ms),
         guard: ms(rules.release_guard_ms),
         fall_multiple: rules.fall_multiple,
@@ -94,7 +97,7 @@
 }
 
 impl Lab {
-    /// Opens the switches and writes the first list.
+    /// Starts the stand-in switches and writes the first list.
     pub async fn open(
         script: Script,
         seed: u64,
@@ -177,7 +180,7 @@
         Ok(())
     }
 
-    /// The truth names a switch that takes calls.
+    /// Adds a switch to the current list as ready.
     fn list_as_ready(&self, stand_in: &StandIn, pool: u32, plan: &SwitchPlan, cold: bool) {
         let line = SwitchEntry {
             id: stand_in.id,
@@ -190,7 +193,7 @@
         self.publisher.borrow_mut().current.insert(stand_in.id, line);
     }
 
-    /// Starts all gateways and the callers' connections to them.
+    /// Starts all gateways and opens the callers' connections to them.
     pub async fn start_gateways(self: &Rc<Self>, options: DayOptions) -> io::Result<Vec<GatewayProcess>> {
         let folder = self.publisher.borrow().folder.path().to_owned();
         let mut gateways = Vec::new();
@@ -201,19 +204,19 @@
             let start = move || GatewayProcess::start(&folder, &settings, options.baseline);
             let gateway = blocking::unblock(start).await?;
             if self.script.clients > 0 {
-                // The clients are read beside the first connections.
+                // The gateway reads the file of clients while it already accepts connections.
                 Timer::after(LIST_PROPAGATION_TIME).await;
             }
             self.callers.connect(gateway.address, number, self.script.connections).await?;
             self.gateways.borrow_mut().push(gateway.address);
             gateways.push(gateway);
         }
-        // The gateways read the list and open their connections before the first call comes.
+        // Gives the gateways time to read the list and to connect to the switches before the first call.
         Timer::after(LIST_PROPAGATION_TIME * 2).await;
         Ok(gateways)
     }
 
-    /// The truth has changed: the list says so after its delay.
+    /// Publishes the current state after the list's delay.
     fn schedule_publication(self: &Rc<Self>) {
         let (version, delay) = {
             let mut publisher = self.publisher.borrow_mut();
@@ -230,10 +233,10 @@
         self.executor.spawn(later).detach();
     }
 
-    /// Writes the list unless a newer one is out, and tells the auditor what it said once it is in place.
+    /// Writes the list unless a newer one has been published, and records its content for the auditor.
     async fn publish(&self, version: u64, current: BTreeMap<u32, SwitchEntry>) -> io::Result<()> {
-        // Two lists of the same instant: what the older one lacks must be told neither after the newer one nor written
-        // over it.
+        // Two lists may become due in the same instant. The older one must neither be recorded after the
+        // newer one nor overwrite it.
         let _guard = self.publish_lock.lock().await;
         let (folder, list, listed) = {
             let mut publisher = self.publisher.borrow_mut();
@@ -248,13 +251,13 @@
                 listed,
             )
         };
-        // A gateway may read the file before this task goes on: what it permits counts from before the writing, what
-        // it ends from after it.
+        // A gateway may read the file before this task resumes. Switches that the list allows therefore count
+        // from before the write, those that it closes from after it.
         let is_ready = |line: &SwitchEntry| line.state == SwitchState::Ready;
         for (id, _) in listed.iter().filter(|(_, line)| is_ready(line)) {
             self.tap.record(Seen::Told { switch: *id, listed: Listed::Ready });
         }
-        // A disk that is busy must not hold up the taps.
+        // A slow disk must not delay the recording of traffic on this thread.
         blocking::unblock(move || write_list(&folder, version, &list)).await?;
         let mut publisher = self.publisher.borrow_mut();
         for id in publisher.published.keys().filter(|id| !listed.contains_key(id)) {
@@ -340,7 +343,7 @@
         Ok(())
     }
 
-    /// Callers call for the script's time.
+    /// Generates calls with exponential gaps until the given time.
     async fn generate_calls(self: Rc<Self>, until: Duration) {
         let mut at = self.tap.now();
         let mut broken = at;
@@ -365,7 +368,7 @@
         for (at, action) in timeline(&self.script) {
             Timer::at(self.tap.to_instant(start + ms(at))).await;
             if let Err(error) = self.apply(action).await {
-                eprintln!("an act of the script failed: {error}");
+                eprintln!("a scripted fault cannot be applied: {error}");
             }
         }
     }
@@ -382,7 +385,7 @@
         }
     }
 
-    /// What crossed zones, by the auditor and by the gateways themselves.
+    /// Calls that crossed zones, as counted by the auditor and by the gateways' own accounts.
     fn count_spill(&self, audit: &Verdict) -> io::Result<Vec<Spill>> {
         let Some(zones) = &self.script.zones else { return Ok(Vec::new()) };
         let folder = self.publisher.borrow().folder.path().to_owned();
@@ -415,7 +418,7 @@
         Ok(all)
     }
 
-    /// Runs the day to its end.
+    /// Runs the script to its end.
     pub async fn run(self: &Rc<Self>, options: DayOptions) -> io::Result<Report> {
         let mut gateways = self.start_gateways(options).await?;
         if options.announce {
@@ -432,7 +435,7 @@
         background.push(self.executor.spawn(self.tap.clone().watch_delays()));
         self.clone().generate_calls(start + Duration::from_secs(self.script.seconds)).await;
         self.callers.stop_calling();
-        // Tries that are out get their time; standing calls then hang up.
+        // Attempts in set-up may finish; established calls are then hung up.
         let wait_limit = Duration::from_secs(self.script.callers.try_s) + ms(1000);
         let last = self.tap.now() + wait_limit;
         while self.callers.calls_in_set_up() > 0 && self.tap.now() < last {
@@ -455,7 +458,7 @@
             let figures = blocking::unblock(move || flood::wait_for_figures(child)).await?;
             report.floods.push((way, figures));
         }
-        // Calls are told by the lab's clock; windows by the script's.
+        // Calls are recorded with the lab's clock, fault windows are given in the script's.
         let shift = u64::try_from(start.as_millis()).unwrap_or(0);
         for trouble in &self.script.troubles {
             let (from, to) = trouble.span_ms();
--- a/crates/fawnrouter-lab/src/demo.rs
+++ b/crates/fawnrouter-lab/src/demo.rs
@@ -1,4 +1,5 @@
-//! The demonstration: a gateway process and three stand-in switches on loopback, with calls or held for a client.
+//! The demonstration: a gateway process and three stand-in switches on loopback, with generated calls or
+//! waiting for a client.
 
 use std::io::{self, Write};
 use std::rc::Rc;
@@ -11,12 +12,12 @@
 use crate::report::Report;
 use crate::script::Script;
 
-/// How the demonstration is run.
+/// Options of the demonstration.
 #[derive(Clone, Copy, Debug)]
 pub struct DemoOptions {
-    /// Makes no calls and stays until SIGINT.
+    /// Make no calls and run until SIGINT.
     pub hold: bool,
-    /// How long calls are made.
+    /// Time during which calls are made, in seconds.
     pub seconds: u64,
     /// Seed of the callers and the gateway.
     pub seed: u64,
@@ -24,10 +25,10 @@
 
 const SCRIPT: &str = include_str!("../../../examples/demo-day.yaml");
 
-/// Runs it; `None` after `--hold`.
+/// Runs the demonstration. Returns `None` after `--hold`.
 ///
 /// # Errors
-/// Where a process or a socket cannot be opened.
+/// If a process cannot be started or a socket cannot be opened.
 pub fn run_demo(options: DemoOptions, stop: impl Future<Output = ()>) -> io::Result<Option<Report>> {
     let mut script = Script::parse("demo-day.yaml", SCRIPT).map_err(io::Error::other)?;
     script.seconds = options.seconds.max(1);
@@ -43,7 +44,7 @@
             println!("{}", gateway.ready_line);
         }
         io::stdout().flush()?;
-        eprintln!("held without calls; connect a client with sub-protocol `sip`, end with SIGINT");
+        eprintln!("waiting without calls; connect a client with sub-protocol `sip`, end with SIGINT");
         stop.await;
         gateways.iter().for_each(GatewayProcess::terminate);
         for gateway in &mut gateways {
--- a/crates/fawnrouter-lab/src/fleet.rs
+++ b/crates/fawnrouter-lab/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Gateways as processes of their own, and the file that lists their switches.
+//! Gateway processes, their settings, and the files that they read.
 
 use std::fs;
 use std::io::{self, BufRead, BufReader};
@@ -18,21 +18,21 @@
 use crate::baseline::RoundRobin;
 use crate::script::{ClassPlan, Script};
 
-/// A gateway process, or the relay that is measured beside it.
+/// A gateway process, or the relay that it is compared with.
 pub struct GatewayProcess {
     child: Child,
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub address: SocketAddr,
-    /// The line that it printed when it was ready.
+    /// Line printed when the process was ready.
     pub ready_line: String,
 }
 
 impl GatewayProcess {
-    /// Starts one with these settings and waits until it is ready. `baseline` puts round robin in place of the
-    /// decisions.
+    /// Starts a gateway with these settings and waits until it is ready. `baseline` uses round robin in place
+    /// of the router's decisions.
     pub fn start(folder: &Path, settings: &Settings, baseline: bool) -> io::Result<Self> {
         let file = folder.join(format!("gateway{}.yaml", settings.gateway.number));
-        // JSON is YAML.
+        // JSON is valid YAML.
         fs::write(&file, serde_json::to_string_pretty(settings).map_err(io::Error::other)?)?;
         let mut command = Command::new(std::env::current_exe()?);
         command.arg("gateway").arg("--config").arg(&file);
@@ -42,14 +42,14 @@
         Self::spawn(command)
     }
 
-    /// Starts the null relay in front of this far end.
+    /// Starts the null relay in front of the given far end.
     pub fn start_relay(far: SocketAddr) -> io::Result<Self> {
         let mut command = Command::new(std::env::current_exe()?);
         command.arg("relay").arg("--far").arg(far.to_string());
         Self::spawn(command)
     }
 
-    /// Starts a process that prints a ready line, and waits for it.
+    /// Starts a process and waits for its ready line.
     fn spawn(mut command: Command) -> io::Result<Self> {
         let mut child = command.stdin(Stdio::null()).stdout(Stdio::piped()).spawn()?;
         let mut ready_line = String::new();
@@ -71,19 +71,19 @@
         }
     }
 
-    /// The id of the process.
+    /// The process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Asks it to drain.
+    /// Sends SIGTERM, which makes the gateway drain.
     pub fn terminate(&self) {
         if let Some(pid) = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw) {
             let _ = kill_process(pid, Signal::TERM);
         }
     }
 
-    /// Whether it has ended, and how.
+    /// `None` while the process runs, then whether it exited successfully.
     pub fn exit_success(&mut self) -> Option<bool> {
         self.child.try_wait().ok().flatten().map(|status| status.success())
     }
@@ -96,7 +96,7 @@
     }
 }
 
-/// The gateway process that days and the demonstration start.
+/// Entry point of the gateway process that scripted runs and the demonstration start.
 #[must_use]
 pub fn gateway_main(config: &Path, baseline: bool) -> ExitCode {
     let settings = match load(config) {
@@ -126,7 +126,7 @@
     }
 }
 
-/// The settings of one gateway of a script.
+/// Settings of one gateway of a script.
 pub fn gateway_settings(script: &Script, number: u32, seed: u64) -> Settings {
     let pools = 0..script.switches.len() as u32;
     let rule = |plan: &ClassPlan| {
@@ -191,16 +191,16 @@
     }
 }
 
-/// The name of a gateway's account of zones.
+/// File name of a gateway's account of calls across zones.
 #[must_use]
 pub fn account_file(number: u32) -> String {
     format!("account{number}")
 }
 
-/// The realm of the lab's known clients.
+/// Digest realm of the lab's known clients.
 pub const REALM: &str = "lab.invalid";
 
-/// A known client of the lab, with its password.
+/// Name and password of a known client.
 pub fn client_credentials(number: u32) -> (String, String) {
     (format!("branch{number}"), format!("secret of {number}"))
 }
@@ -216,12 +216,12 @@
     fs::write(folder.join("clients.yaml"), serde_json::json!({ "clients": lines }).to_string())
 }
 
-/// Replaces the list as a whole.
+/// Replaces the list of switches atomically.
 pub fn write_list(folder: &Path, version: u64, list: &SwitchFile) -> io::Result<()> {
     let new_file = folder.join(format!("switches.{version}"));
     fs::write(&new_file, serde_json::to_string(list).map_err(io::Error::other)?)?;
     fs::rename(new_file, folder.join("switches.yaml"))
 }
 
-/// How long a list may take to reach a gateway: its look at the file, and the reading.
+/// Time that a list may take to reach a gateway: the polling interval and the reading.
 pub const LIST_PROPAGATION_TIME: Duration = Duration::from_millis(150);
--- a/crates/fawnrouter-lab/src/flood.rs
+++ b/crates/fawnrouter-lab/src/flood.rs
@@ -1,5 +1,6 @@
-//! Floods of strangers, from a process of their own: connections from many loopback addresses that sit idle, draw
-//! their handshake out, do not read, or call. Bounded in count and time, and only ever towards a loopback address.
+//! Connection floods by unknown clients, from a separate process: connections from many loopback addresses
+//! that stay idle, send their handshake slowly, do not read, or call. Bounded in count and time, and only
+//! towards loopback addresses.
 
 use std::cell::RefCell;
 use std::fmt;
@@ -19,52 +20,52 @@
 
 use crate::script::{FloodKind, Trouble};
 
-/// A flood.
+/// Options of a flood.
 #[derive(Clone, Copy, Debug, clap::Args)]
 pub struct FloodOptions {
-    /// The gateway.
+    /// Address of the gateway.
     #[arg(long)]
     to: SocketAddr,
-    /// What strangers do.
+    /// What the clients of the flood do.
     #[arg(long)]
     way: FloodKind,
-    /// From how many addresses.
+    /// Number of loopback addresses that connections come from.
     #[arg(long, value_parser = clap::value_parser!(u32).range(1..=60_000))]
     addresses: u32,
-    /// Connections a second.
+    /// Connections per second.
     #[arg(long)]
     per_s: f64,
-    /// Set-ups a second over all connections.
+    /// Set-ups per second over all connections.
     #[arg(long, default_value_t = 0.0)]
     calls_per_s: f64,
-    /// For how long connections are opened, milliseconds.
+    /// Time during which connections are opened, in milliseconds.
     #[arg(long, value_parser = clap::value_parser!(u64).range(1..=600_000))]
     for_ms: u64,
-    /// How long each is kept, milliseconds.
+    /// Time that each connection is kept open, in milliseconds.
     #[arg(long, value_parser = clap::value_parser!(u64).range(0..=60_000))]
     hold_ms: u64,
 }
 
-/// What came of a flood, as the strangers saw it.
+/// Results of a flood, as its clients saw it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FloodFigures {
-    /// Connections tried.
+    /// Connections attempted.
     pub tried: u64,
-    /// That got in.
+    /// Connections that completed the WebSocket upgrade.
     pub inside: u64,
-    /// That were refused with an answer.
+    /// Connections refused with an HTTP response.
     pub refused: u64,
-    /// That were reset without one.
+    /// Connections reset without a response.
     pub reset: u64,
-    /// That ended, or were left waiting, without a word.
+    /// Connections that ended or timed out without a response.
     pub dropped: u64,
-    /// That were not tried as the flood itself had too many open.
+    /// Connections not attempted because the flood had reached its own limit of open connections.
     pub skipped: u64,
-    /// That were in and were told to go.
+    /// Upgraded connections that the gateway ended with a close frame.
     pub told_to_go: u64,
-    /// That were in and ended without a word.
+    /// Upgraded connections that ended without a close frame.
     pub cut: u64,
-    /// Set-ups sent, those that stood, and those refused.
+    /// Set-ups sent, established and refused.
     pub calls: (u64, u64, u64),
 }
 
@@ -86,12 +87,12 @@
     }
 }
 
-/// Connections that a flood has open at the most.
+/// Limit of connections that a flood has open at once.
 const MAX_OPEN_CONNECTIONS: usize = 8000;
-/// A connection that hears nothing for this long was dropped.
+/// A connection attempt without a response for this long counts as dropped.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Starts a flood on a gateway.
+/// Starts the process of a flood against a gateway.
 pub fn start_flood(gateway: SocketAddr, trouble: &Trouble) -> io::Result<Child> {
     let Trouble::Flood { for_ms, way, addresses, per_s, hold_ms, calls_per_s, .. } = trouble else {
         return Err(ErrorKind::InvalidInput.into());
@@ -104,12 +105,12 @@
     command.stdin(Stdio::null()).stdout(Stdio::piped()).spawn()
 }
 
-/// Waits for a flood to end.
+/// Waits for a flood to end and reads its results.
 pub fn wait_for_figures(child: Child) -> io::Result<FloodFigures> {
     serde_json::from_slice(&child.wait_with_output()?.stdout).map_err(io::Error::other)
 }
 
-/// The flood's process.
+/// Entry point of the flood process. Prints the results as JSON.
 #[must_use]
 pub fn flood_main(options: FloodOptions) -> ExitCode {
     if !options.to.ip().is_loopback() {
@@ -157,7 +158,7 @@
     }
 }
 
-/// What came of opening a connection.
+/// Result of connecting and requesting an upgrade.
 enum UpgradeResult {
     Accepted(Async<TcpStream>, Vec<u8>),
     Refused,
@@ -234,7 +235,7 @@
             } else {
                 let _ = to.write_all(&request).await;
             }
-            // What comes of it is for the reader to say.
+            // The result comes from the reader.
             future::pending::<io::Result<Result<Vec<u8>, UpgradeResult>>>().await
         };
         let upgrade = future::or(read_upgrade_response(&stream, &shake), writing).await?;
@@ -244,20 +245,21 @@
         })
     }
 
-    /// Until the gateway ends it: `Some` if it said goodbye, an error if it did not.
+    /// Keeps the connection until the gateway ends it: `Some` after a close frame, an error without one.
     async fn hold_open(&mut self, stream: &Async<TcpStream>, rest: Vec<u8>) -> io::Result<Option<()>> {
         if self.options.way == FloodKind::Deaf {
             let mut one = Vec::new();
             encode(Opcode::Text, &options_request(self.n), Some([1, 2, 3, 4]), &mut one);
             loop {
-                // It never reads, so that a goodbye is not seen: the end of the connection shows in the writing.
+                // This client never reads and so cannot see a close frame: a failed write shows the end of
+                // the connection.
                 let mut to = stream;
                 if to.write_all(&one).await.is_err() {
                     return Ok(Some(()));
                 }
             }
         }
-        // Each connection makes its part of the calls while it is kept.
+        // Each connection makes its share of the calls while it is open.
         let kept_s = self.options.hold_ms as f64 / 1e3;
         let share = self.options.calls_per_s / (self.options.per_s * kept_s).max(1.0);
         let (out, n, figures) = (RefCell::new(Vec::new()), self.n, self.figures.clone());
@@ -309,7 +311,7 @@
     }
 }
 
-/// Reads the answer to a request for an upgrade: what came behind it, or what else became of it.
+/// Reads the response to an upgrade request. Returns the bytes after it, or how the upgrade failed.
 async fn read_upgrade_response(
     stream: &Async<TcpStream>,
     shake: &ClientHandshake,
@@ -318,7 +320,7 @@
     loop {
         match stream.read_with(|mut s| s.read(&mut buffer)).await {
             Ok(0) if bytes.is_empty() => return Ok(Err(UpgradeResult::Dropped)),
-            // The answer may have come before the end.
+            // A response may have arrived before the end of the connection.
             Ok(0) => return Ok(Err(UpgradeResult::Refused)),
             Ok(n) => bytes.extend_from_slice(&buffer[..n]),
             Err(_) if bytes.is_empty() => return Ok(Err(UpgradeResult::Reset)),
@@ -357,7 +359,7 @@
         .finish(b"")
 }
 
-/// A stranger acknowledges what it gets, and hangs up at once.
+/// Acknowledges final responses to INVITE and hangs up established calls at once.
 fn handle_response(message: &Message, out: &mut Vec<u8>, figures: &mut FloodFigures) {
     let is_invite = message.cseq().is_ok_and(|c| c.method == "INVITE");
     let Some(status) = message.status().filter(|s| *s >= 200 && is_invite) else { return };
--- a/crates/fawnrouter-lab/src/lib.rs
+++ b/crates/fawnrouter-lab/src/lib.rs
@@ -1,7 +1,7 @@
 #![forbid(unsafe_code)]
-//! The lab: real gateway processes on loopback sockets between stand-in callers and stand-in core switches, a fault
-//! script on a time line, and taps that feed the auditor. Stand-ins only: figures from here are not those of real
-//! switches.
+//! The lab: runs real gateway processes on loopback sockets between stand-in callers and stand-in core
+//! switches, injects faults from a script, and records the traffic for the auditor. Results are those of
+//! stand-ins and not of real switches.
 
 mod baseline;
 mod callers;
@@ -23,6 +23,6 @@
 pub use fleet::gateway_main;
 pub use flood::{FloodFigures, FloodOptions, flood_main};
 pub use load::{LoadOptions, relay_main, run_load, run_memory};
-pub use report::{ClassReport, Report, WindowReport};
+pub use report::{ClassReport, Report, WindowReport, Worth};
 pub use script::{FloodKind, Script, Trouble};
 pub use switch::{Processor, SwitchEffect, SwitchModel};
--- a/crates/fawnrouter-lab/src/load.rs
+++ b/crates/fawnrouter-lab/src/load.rs
@@ -1,5 +1,6 @@
-//! Measures what a gateway costs beside a null relay: the same callers and the same far end, first through the relay,
-//! which copies bytes without looking at them, then through the gateway. Open loop at a fixed rate.
+//! Compares the cost of a gateway with that of a null relay: the same callers and the same far end, first
+//! through the relay, which copies bytes without parsing them, then through the gateway. Calls are generated
+//! in an open loop at a fixed rate.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -21,20 +22,20 @@
 use crate::fleet::{GatewayProcess, gateway_settings, write_list};
 use crate::script::Script;
 
-/// What is measured.
+/// Options of a load measurement.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadOptions {
-    /// Calls a second.
+    /// Calls per second.
     pub rate: u32,
-    /// For how long.
+    /// Duration in seconds.
     pub seconds: u64,
-    /// Connections of callers.
+    /// Number of callers' connections.
     pub connections: usize,
-    /// The far end answers after this time.
+    /// Time until the far end answers, in milliseconds.
     pub answer_ms: u64,
 }
 
-/// What came of one target.
+/// Results for the relay or the gateway.
 #[derive(Debug)]
 struct LoadFigures {
     calls: u64,
@@ -45,10 +46,10 @@
 }
 
 const MAX_BACKLOG_BYTES: usize = 64 * 1024 * 1024;
-/// Ticks a second of the processor times that the kernel tells (`USER_HZ`, the same on all Linux platforms).
+/// Ticks per second of the processor times in /proc (`USER_HZ`, the same on all Linux platforms).
 const USER_HZ: f64 = 100.0;
 
-/// The relay's process: accepts callers and copies bytes to the far end and back.
+/// Entry point of the relay process: accepts callers and copies bytes to the far end and back.
 #[must_use]
 pub fn relay_main(far: SocketAddr) -> ExitCode {
     let executor = Rc::new(LocalExecutor::new());
@@ -191,7 +192,7 @@
         self.connections[connection].push(|out| encode(Opcode::Text, bytes, Some([3, 1, 4, 1]), out));
     }
 
-    /// Serves a connection to its end; `take` gets each message.
+    /// Serves a connection to its end and passes each message to `on_message`.
     async fn serve(
         self: Rc<Self>,
         connection: usize,
@@ -281,7 +282,7 @@
     }
 }
 
-/// Processor time of a process so far, seconds (proc(5): fields 14 and 15 of `stat`).
+/// Processor time of a process so far in seconds (proc(5): fields 14 and 15 of `stat`).
 fn cpu_seconds(pid: u32) -> io::Result<f64> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
     let after = stat.rsplit_once(')').map_or("", |(_, rest)| rest);
@@ -289,7 +290,7 @@
     Ok(ticks.sum::<f64>() / USER_HZ)
 }
 
-/// Resident memory of a process, KiB.
+/// Resident memory of a process in KiB.
 fn resident_kib(pid: u32) -> io::Result<u64> {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status"))?;
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).unwrap_or("0");
@@ -317,7 +318,7 @@
             load.clone().serve(n, &stream, |message| load.receive(message)).await;
         }));
     }
-    // A tenth of the time to warm up, which is not counted.
+    // Warms up for a tenth of the time; this is not counted.
     let mut calls = 0u64;
     let phase = |calls: &mut u64, span: Duration| {
         let (begin, first, load) = (Instant::now(), *calls, load.clone());
@@ -372,10 +373,10 @@
     SwitchFile { switches: far.iter().enumerate().map(line).collect() }
 }
 
-/// Measures both in one run and prints a table.
+/// Measures the relay and the gateway in one run and prints a table.
 ///
 /// # Errors
-/// Where a process or a socket cannot be opened.
+/// If a process cannot be started or a socket cannot be opened.
 pub fn run_load(options: LoadOptions) -> io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
     let far = |web_socket| {
@@ -418,10 +419,10 @@
     async_io::block_on(executor.run(run))
 }
 
-/// Resident memory of a gateway with idle connections and with standing calls.
+/// Measures the resident memory of a gateway with idle connections and with established calls.
 ///
 /// # Errors
-/// Where a process or a socket cannot be opened.
+/// If a process cannot be started or a socket cannot be opened.
 pub fn run_memory(idle_connections: usize, calls: u64) -> io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
     let run = async {
@@ -451,7 +452,7 @@
         let counted = stood.clone();
         let task = executor.spawn(async move {
             let stands = |message: &Message| {
-                // Acknowledged and left standing.
+                // Acknowledged and not released.
                 if message.status() == Some(200)
                     && let Ok(mut dialog) = Dialog::caller(message, "sip:gateway.invalid", 1)
                 {
--- a/crates/fawnrouter-lab/src/main.rs
+++ b/crates/fawnrouter-lab/src/main.rs
@@ -1,5 +1,6 @@
 #![forbid(unsafe_code)]
-//! `fawnrouter-lab`: the demonstration, scripted days, the gateway process that both start, and what a fleet costs.
+//! `fawnrouter-lab`: the demonstration, scripted runs with faults, load and memory measurements, the capacity
+//! of a fleet, and the processes that these commands start.
 
 mod capacity;
 
@@ -16,12 +17,12 @@
 use futures_lite::StreamExt;
 use stats_alloc::{INSTRUMENTED_SYSTEM, StatsAlloc};
 
-/// Counts allocations and bytes for `capacity`. All commands of this program carry it: what `load` and `memory` measure
-/// includes a few nanoseconds an allocation, on both sides of each comparison.
+/// Counts allocations and bytes for `capacity`. All commands of this program use it: what `load` and `memory`
+/// measure includes a few nanoseconds per allocation, on both sides of each comparison.
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// Tries the gateway on loopback sockets between stand-ins, with the five rules audited from the traffic.
+/// Runs the gateway on loopback sockets between stand-ins and audits the five rules from the traffic.
 #[derive(Debug, Parser)]
 #[command(name = "fawnrouter-lab", version)]
 struct Cli {
@@ -31,70 +32,71 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// One gateway, three stand-in switches, real calls, a summary. Exits 0 if the audit is clean.
+    /// One gateway, three stand-in switches, calls over sockets, and a summary. Exits 0 if the audit is
+    /// clean.
     Demo {
-        /// Start without calls and stay until SIGINT, for a client of your own.
+        /// Make no calls and run until SIGINT, for a client of your own.
         #[arg(long)]
         hold: bool,
-        /// How long calls are made.
+        /// Time during which calls are made, in seconds.
         #[arg(long, default_value_t = 8)]
         seconds: u64,
         /// Seed of callers and gateway.
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// A scripted day. Exits 1 if a rule broke.
+    /// A scripted run with faults. Exits 1 if a rule was broken.
     Day {
-        /// The script, YAML.
+        /// The script (YAML).
         script: PathBuf,
         /// Seed of callers and gateways.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Plain round robin in place of the decisions.
+        /// Use plain round robin in place of the router's decisions.
         #[arg(long)]
         baseline: bool,
-        /// No line each second.
+        /// Print no progress line each second.
         #[arg(long)]
         quiet: bool,
-        /// The same day without the floods of strangers, to compare with.
+        /// Run the script without its floods, for comparison.
         #[arg(long)]
         no_floods: bool,
-        /// The same day without admission, to compare with.
+        /// Run the script without admission control, for comparison.
         #[arg(long)]
         no_admission: bool,
     },
-    /// Processor time a call and added delay of one gateway beside a null relay, in one run.
+    /// Processor time per call and added delay of one gateway compared with a null relay, in one run.
     Load {
-        /// Calls a second.
+        /// Calls per second.
         #[arg(long, default_value_t = 1000)]
         rate: u32,
-        /// For how long.
+        /// Duration in seconds.
         #[arg(long, default_value_t = 10)]
         seconds: u64,
-        /// Connections of callers.
+        /// Number of callers' connections.
         #[arg(long, default_value_t = 16)]
         connections: usize,
-        /// The far end answers after this time.
+        /// Time until the far end answers, in milliseconds.
         #[arg(long, default_value_t = 20)]
         answer_ms: u64,
     },
-    /// Resident memory of a gateway with idle connections and standing calls.
+    /// Resident memory of a gateway with idle connections and established calls.
     Memory {
-        /// Idle connections.
+        /// Number of idle connections.
         #[arg(long, default_value_t = 1000)]
         connections: usize,
-        /// Standing calls.
+        /// Number of established calls.
         #[arg(long, default_value_t = 10_000)]
         calls: u64,
     },
-    /// What a fleet of gateways costs, by role and situation: hollow gateways, gateway processes on loopback, the slopes
-    /// of both and the values at the design size. Prints all tables; a whole measurement also writes docs/capacity.json
-    /// and the tables of docs/CAPACITY.md.
+    /// Resources that a fleet of gateways needs, by role and situation: measured with hollow gateways and
+    /// with gateway processes on loopback, with the slopes of both and the values at the design size. Prints
+    /// all tables; a whole measurement also writes docs/capacity.json and the tables of docs/CAPACITY.md.
     Capacity(capacity::CapacityOptions),
-    /// The process of a flood of strangers.
+    /// The process of a connection flood.
     #[command(hide = true)]
     Flood(FloodOptions),
-    /// The null relay's process.
+    /// The process of the null relay.
     #[command(hide = true)]
     Relay {
         #[arg(long)]
--- a/crates/fawnrouter-lab/src/plan.rs
+++ b/crates/fawnrouter-lab/src/plan.rs
@@ -1,39 +1,39 @@
-//! A script as a list of acts in order of time, without I/O.
+//! Turns the faults of a script into a time line of actions, without I/O.
 
 use crate::script::{FIRST_SWITCH, Script, Trouble};
 
-/// One thing that the lab does.
+/// One change that the lab makes during a run. Switches are given by number.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultAction {
-    /// Callers call this many times as often as planned.
+    /// Multiplies the script's rate of calls.
     SetLoad(f64),
-    /// A processor stands still for so many milliseconds.
+    /// Stops a switch's processing for this time in milliseconds.
     Stall(u32, u64),
-    /// A processor is this many times slower.
+    /// Makes a switch's work take this many times as long.
     SetSlowdown(u32, f64),
-    /// A switch takes everything and says nothing; its line leaves the list.
+    /// Makes a switch accept everything and answer nothing, and removes it from the list.
     Silence(u32),
-    /// A switch stops; its line leaves the list.
+    /// Stops a switch and removes it from the list.
     Stop(u32),
-    /// A switch starts again, cold.
+    /// Restarts a switch cold.
     StartCold(u32),
-    /// A switch is listed as draining.
+    /// Lists a switch as draining.
     Drain(u32),
-    /// A cold machine starts with the first number in the place of the second.
+    /// Starts a cold switch with the first number in the pool of the second.
     Replace(u32, u32),
-    /// The list is this late from now on.
+    /// Sets the delay of the list in milliseconds.
     SetListDelay(u64),
-    /// The list names nobody, or all again.
+    /// Makes the list empty, or complete again.
     SetListEmpty(bool),
-    /// A switch's final answers are this many milliseconds late.
+    /// Delays a switch's final responses by this time in milliseconds.
     SetAnswerDelay(u32, u64),
-    /// A switch answers 200 in spite of CANCEL, or no longer.
+    /// Makes a switch ignore CANCEL, or obey it again.
     SetIgnoreCancel(u32, bool),
-    /// Strangers come: the trouble of this number.
+    /// Starts the flood with this index in the script's `troubles`.
     StartFlood(usize),
 }
 
-/// All acts with their times in milliseconds. Acts of one time keep the script's order.
+/// All actions with their times in milliseconds. Actions of the same time keep the script's order.
 #[must_use]
 pub fn timeline(script: &Script) -> Vec<(u64, FaultAction)> {
     let mut actions = Vec::new();
--- a/crates/fawnrouter-lab/src/report.rs
+++ b/crates/fawnrouter-lab/src/report.rs
@@ -1,4 +1,4 @@
-//! What came of a day, by class and by trouble.
+//! Results of a run, by class of calls and by fault.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,115 +9,142 @@
 
 use crate::flood::FloodFigures;
 
-/// How a caller's call ended, its further tries included.
+/// How a caller's call ended, after all redials.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// It stood to its end; the time from the first try on.
+    /// It was established and hung up by the caller. Holds the time from the first attempt to the answer.
     Established(Duration),
-    /// It stood and was cut.
+    /// It was established and released from the other side.
     Cut,
-    /// The last try was refused (503, 486).
+    /// The last attempt was refused (503, 486).
     Refused,
-    /// The last try failed otherwise.
+    /// The last attempt failed otherwise.
     Failed,
-    /// The caller left.
+    /// The caller gave up, or its connection was lost.
     Abandoned,
 }
 
-/// Figures of a class.
+/// Worth of calls in points.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct Worth {
+    /// Of all calls offered.
+    pub offered: f64,
+    /// Of the calls established, less for late ones.
+    pub earned: f64,
+}
+
+impl Worth {
+    fn add(&mut self, other: Self) {
+        self.offered += other.offered;
+        self.earned += other.earned;
+    }
+
+    fn sum<'a>(parts: impl Iterator<Item = &'a Self>) -> Self {
+        let mut sum = Self::default();
+        parts.for_each(|part| sum.add(*part));
+        sum
+    }
+
+    /// Worth earned divided by worth offered.
+    fn service(self) -> f64 {
+        if self.offered > 0.0 { self.earned / self.offered } else { 1.0 }
+    }
+}
+
+/// Results of a class of calls.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClassReport {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// First tries, but for callers that left.
+    /// Calls, without those abandoned by their caller.
     pub offered: u64,
-    /// Calls that stood within the aim.
+    /// Calls established within the aim.
     pub in_aim: u64,
-    /// Calls that stood later.
+    /// Calls established later.
     pub late: u64,
-    /// Cut calls.
+    /// Established calls that were released from the other side.
     pub cut: u64,
-    /// Refused ones.
+    /// Calls refused on the last attempt.
     pub refused: u64,
-    /// Failed ones.
+    /// Calls that failed otherwise.
     pub failed: u64,
-    /// Worth offered and got.
-    pub worth: (f64, f64),
+    /// Worth offered and earned.
+    pub worth: Worth,
 }
 
 impl ClassReport {
-    /// Worth got over worth offered.
+    /// Worth earned divided by worth offered.
     #[must_use]
     pub fn service(&self) -> f64 {
-        if self.worth.0 > 0.0 { self.worth.1 / self.worth.0 } else { 1.0 }
+        self.worth.service()
     }
 }
 
-/// Service while something went wrong.
+/// Service during a fault.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WindowReport {
-    /// The trouble's name.
+    /// Name of the fault.
     pub name: &'static str,
-    /// From and to, seconds.
+    /// Start and end in seconds.
     pub span_s: (u64, u64),
-    /// Worth got over worth offered, of calls first tried then.
+    /// Worth earned divided by worth offered, of calls first attempted in this time.
     pub service: f64,
 }
 
-/// Calls of one gateway that other zones' switches took.
+/// Calls of one gateway that were taken by switches of other zones.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Spill {
-    /// The gateway's number and zone.
+    /// Number and zone of the gateway.
     pub gateway: (u32, String),
-    /// As the auditor saw it on the sockets of the switches.
+    /// Calls counted by the auditor on the sockets of the switches.
     pub observed: u64,
-    /// As the gateway's own account has it.
+    /// Calls in the gateway's own account.
     pub reported: u64,
-    /// Calls that its budget had nothing left for.
+    /// Calls not sent across zones because the budget was used up.
     pub over_budget: u64,
 }
 
-/// All figures of a run.
+/// All results of a run.
 #[derive(Debug)]
 pub struct Report {
-    /// By class.
+    /// Results by class.
     pub classes: Vec<ClassReport>,
-    /// Callers that left, by CANCEL or with their connection.
+    /// Calls abandoned by CANCEL or by a lost connection.
     pub abandoned: u64,
-    /// Tries, redials included.
+    /// Attempts, including redials.
     pub tries: u64,
-    /// Tries that stood: time from the INVITE to the 200, microseconds.
+    /// Time from INVITE to 200 of established attempts, in microseconds.
     pub set_up: Histogram<u64>,
-    /// Tries that got no final answer in time, as callers saw it.
+    /// Attempts without a final response in time, as seen by callers.
     pub unanswered: u64,
-    /// By trouble.
+    /// Service during each fault.
     pub windows: Vec<WindowReport>,
-    /// Connections that callers opened, and how often one was refused.
+    /// Connections that callers opened, and connections refused to them.
     pub connections: (u64, u64),
-    /// What came of each flood of strangers.
+    /// Results of each flood, with the name of its kind.
     pub floods: Vec<(&'static str, FloodFigures)>,
-    /// Calls that went across zones, with those that the gateways' own accounts have.
+    /// Calls that crossed zones, by gateway.
     pub spill: Vec<Spill>,
-    /// Stand-ins that were pushed over while cold.
+    /// Stand-ins that collapsed while cold.
     pub collapsed: Vec<u32>,
     /// The auditor's verdict.
     pub audit: Verdict,
-    worth_by_second: BTreeMap<u64, (f64, f64)>,
+    worth_by_second: BTreeMap<u64, Worth>,
     class_values: Vec<(f64, f64, Duration)>,
 }
 
 impl Report {
-    /// An empty report of classes by name, points, late share and aim.
+    /// An empty report for classes given as (name, points, late share, aim).
     #[must_use]
     pub fn new(classes: Vec<(String, f64, f64, Duration)>) -> Self {
         let class_values = classes.iter().map(|c| (c.1, c.2, c.3)).collect();
+        // In microseconds, to three significant digits.
         let set_up = Histogram::new(3).expect("three digits are within the library's bounds");
         let classes = classes.into_iter().map(|c| ClassReport { name: c.0, ..ClassReport::default() });
         Self {
             classes: classes.collect(),
             abandoned: 0,
             tries: 0,
-            // From a microsecond to ten minutes, to three digits.
             set_up,
             unanswered: 0,
             windows: Vec::new(),
@@ -131,7 +158,7 @@
         }
     }
 
-    /// Counts a call, with when it was first tried.
+    /// Records the outcome of a call that was first attempted at `first`.
     pub fn record(&mut self, class: usize, first: Duration, outcome: CallOutcome) {
         if outcome == CallOutcome::Abandoned {
             self.abandoned += 1;
@@ -143,7 +170,7 @@
             return;
         };
         report.offered += 1;
-        let got = match outcome {
+        let earned = match outcome {
             CallOutcome::Established(after) if after <= *aim => {
                 report.in_aim += 1;
                 *points
@@ -165,38 +192,32 @@
                 0.0
             }
         };
-        report.worth.0 += points;
-        report.worth.1 += got;
-        let second = self.worth_by_second.entry(first.as_secs()).or_default();
-        second.0 += points;
-        second.1 += got;
+        let worth = Worth { offered: *points, earned };
+        report.worth.add(worth);
+        self.worth_by_second.entry(first.as_secs()).or_default().add(worth);
     }
 
-    /// Adds the service in a span.
+    /// Adds the service in a time span.
     pub fn add_window(&mut self, name: &'static str, (from_ms, to_ms): (u64, u64)) {
         let span_s = (from_ms / 1000, to_ms.div_ceil(1000));
-        let sum = self
-            .worth_by_second
-            .range(span_s.0..span_s.1)
-            .fold((0.0, 0.0), |a, (_, w)| (a.0 + w.0, a.1 + w.1));
-        let service = if sum.0 > 0.0 { sum.1 / sum.0 } else { 1.0 };
+        let worth = Worth::sum(self.worth_by_second.range(span_s.0..span_s.1).map(|(_, worth)| worth));
+        let service = worth.service();
         self.windows.push(WindowReport { name, span_s, service });
     }
 
-    /// Worth got over worth offered, of all classes.
+    /// Worth earned divided by worth offered, over all classes.
     #[must_use]
     pub fn service(&self) -> f64 {
-        let sum = self.classes.iter().fold((0.0, 0.0), |a, c| (a.0 + c.worth.0, a.1 + c.worth.1));
-        if sum.0 > 0.0 { sum.1 / sum.0 } else { 1.0 }
+        Worth::sum(self.classes.iter().map(|class| &class.worth)).service()
     }
 
-    /// Set-up delay at a quantile, milliseconds.
+    /// Set-up delay at a quantile in milliseconds.
     #[must_use]
     pub fn set_up_ms(&self, quantile: f64) -> f64 {
         self.set_up.value_at_quantile(quantile) as f64 / 1e3
     }
 
-    /// No rule broke and every try was answered.
+    /// Whether no rule was broken and no stand-in collapsed.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         self.audit.clean() && self.collapsed.is_empty()
--- a/crates/fawnrouter-lab/src/script.rs
+++ b/crates/fawnrouter-lab/src/script.rs
@@ -1,4 +1,4 @@
-//! The script of a day: who calls what, which switches there are, and what goes wrong when.
+//! The script of a run: its gateways and switches, the calls, and the faults on a time line.
 
 use fawnrouter_config::{
     Admission, Class, ConfigError, CrossZoneBudget, Document, FieldError, Limits, RoutingRules,
@@ -6,45 +6,45 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// A day.
+/// The script of a run.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Script {
-    /// Its name.
+    /// Name of the script.
     pub name: String,
-    /// How long callers begin calls.
+    /// Time during which callers start calls, in seconds.
     #[schemars(range(min = 1, max = 3600))]
     pub seconds: u64,
-    /// Gateway processes.
+    /// Number of gateway processes.
     #[schemars(range(min = 1, max = 64))]
     pub gateways: u32,
-    /// Connections of callers to each gateway.
-    #[serde(default = "connections")]
+    /// Number of callers' connections to each gateway.
+    #[serde(default = "default_connections")]
     #[schemars(range(min = 1, max = 1000))]
     pub connections: u32,
-    /// Switches at the start; they are numbered from 70 and are the pools 0, 1, ...
+    /// Switches at the start. They are numbered from 70, and each is a pool of its own, from 0.
     #[schemars(length(min = 1, max = 64))]
     pub switches: Vec<SwitchPlan>,
-    /// First tries a second, over all gateways.
+    /// First attempts per second, over all gateways.
     #[schemars(range(min = 0.1, max = 5000.0))]
     pub calls_per_s: f64,
-    /// What is called, with its share.
+    /// Classes of calls, with their shares.
     #[schemars(length(min = 1, max = 16))]
     pub classes: Vec<ClassPlan>,
-    /// Callers' habits.
+    /// How callers behave.
     #[serde(default)]
     pub callers: CallerBehaviour,
-    /// The list tells what happened this much later.
-    #[serde(default = "list_delay_ms")]
+    /// Delay until a change of a switch appears in the list, in milliseconds.
+    #[serde(default = "default_list_delay_ms")]
     #[schemars(range(max = 60_000))]
     pub list_delay_ms: u64,
-    /// The figures of the rules.
+    /// The gateways' section `rules`.
     #[serde(default)]
     pub rules: RoutingRules,
-    /// Zones of gateways, and what may go across; left out, gateways know no zones.
+    /// Zones of the gateways and budgets between zones. If left out, gateways route without zones.
     #[serde(default)]
     pub zones: Option<ZoneScript>,
-    /// Known clients that the callers' connections belong to in turn; none if 0.
+    /// Number of known clients. The callers' connections belong to them in turn; 0 means no known clients.
     #[serde(default)]
     #[schemars(range(max = 1000))]
     pub clients: u32,
@@ -54,28 +54,28 @@
     /// The gateways' section `limits`.
     #[serde(default)]
     pub limits: Limits,
-    /// What goes wrong.
+    /// The faults, each at its time.
     #[serde(default)]
     #[schemars(length(max = 1000))]
     pub troubles: Vec<Trouble>,
 }
 
-/// Zones of a script.
+/// Zones of the gateways, and calls between zones.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ZoneScript {
-    /// Zones of the gateways, in turn.
+    /// Zones of the gateways: gateway `n` is in zone `n` modulo the length.
     #[schemars(length(min = 1, max = 64))]
     pub gateways: Vec<String>,
-    /// What a call to another zone costs.
-    #[serde(default = "cost")]
+    /// Cost of a call to another zone.
+    #[serde(default = "default_cost")]
     #[schemars(range(min = 0.0, max = 1e9))]
     pub cost: f64,
-    /// One way between two zones, milliseconds.
+    /// One-way delay between two zones, in milliseconds.
     #[serde(default)]
     #[schemars(range(max = 1000))]
     pub cross_ms: u64,
-    /// Budgets.
+    /// Budgets of calls and cost to other zones.
     #[serde(default)]
     #[schemars(length(max = 100))]
     pub budgets: Vec<CrossZoneBudget>,
@@ -85,53 +85,54 @@
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct SwitchPlan {
-    /// Calls a second that its processor can set up, answer and release when warm.
+    /// Calls per second that its processor can set up, answer and release when warm.
     #[schemars(range(min = 0.1, max = 100_000.0))]
     pub capacity_per_s: f64,
-    /// Its zone.
+    /// Zone of the switch.
     #[serde(default)]
     pub zone: String,
-    /// It refuses set-ups once its line is this long.
-    #[serde(default = "full_after_ms")]
+    /// Set-ups are refused while the queued work takes longer than this, in milliseconds.
+    #[serde(default = "default_full_after_ms")]
     #[schemars(range(min = 1, max = 600_000))]
     pub full_after_ms: u64,
-    /// It tells its wait with a refusal (Retry-After).
+    /// Whether refusals carry the expected wait (Retry-After).
     #[serde(default)]
     pub tells_wait: bool,
 }
 
-/// A class, its share of first tries, and how long its calls stand on average.
+/// A class of calls, its share of first attempts, and its mean holding time.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ClassPlan {
-    /// As in a gateway's settings.
+    /// The class, as in a gateway's settings.
     pub class: Class,
-    /// Its share of first tries, against the other classes'.
+    /// Share of first attempts, relative to the other classes.
     #[schemars(range(min = 0.0, max = 1e6))]
     pub share: f64,
-    /// Mean time that its calls stand.
+    /// Mean holding time of its calls, in milliseconds.
     #[schemars(range(min = 1, max = 600_000))]
     pub hold_ms: u64,
 }
 
-/// Callers' habits.
+/// How callers behave.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 #[schemars(rename = "Habits")]
 pub struct CallerBehaviour {
-    /// They dial again this often at the most.
+    /// Maximum number of redials of a call.
     #[schemars(range(max = 20))]
     pub redials: u32,
-    /// After about this time.
+    /// Mean time until a redial, in milliseconds.
     #[schemars(range(min = 1, max = 60_000))]
     pub redial_ms: u64,
-    /// A try's time in whole seconds (Expires).
+    /// Time that an attempt may take, in whole seconds (Expires).
     #[schemars(range(min = 1, max = 60))]
     pub try_s: u64,
-    /// Share of tries that are taken back (CANCEL) after a random part of their time.
+    /// Share of attempts that the caller cancels (CANCEL) after a random part of their time.
     #[schemars(range(min = 0.0, max = 1.0))]
     pub leavers: f64,
-    /// Mean pause between two connections that break off with their calls; none if 0.
+    /// Time between two dropped connections, in milliseconds; 0 drops none. Calls on a dropped connection are
+    /// lost.
     #[schemars(range(max = 3_600_000))]
     pub disconnect_ms: u64,
 }
@@ -142,22 +143,22 @@
     }
 }
 
-/// The kind of a flood: what its strangers do.
+/// What the clients of a flood do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema, clap::ValueEnum)]
 #[serde(rename_all = "lowercase")]
 pub enum FloodKind {
-    /// They connect, upgrade and do nothing.
+    /// Connect, upgrade and stay idle.
     Idle,
-    /// They send their request one byte a second.
+    /// Send the upgrade request at one byte per second.
     Slow,
-    /// They upgrade, ask and never read.
+    /// Upgrade, send requests and never read.
     Deaf,
-    /// They call.
+    /// Set up calls.
     Calls,
 }
 
 impl FloodKind {
-    /// Its name in reports.
+    /// Name in reports.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -169,35 +170,36 @@
     }
 }
 
-/// What goes wrong, and when: `at_ms` from the first call on, for `for_ms`, at the `switches` with these numbers.
+/// A fault. It starts `at_ms` after the start of the calls, lasts `for_ms`, and affects the `switches` with
+/// these numbers.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[allow(missing_docs)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Trouble {
-    /// Callers call this many times as often.
+    /// Callers call `times` as often.
     Jump { at_ms: u64, for_ms: u64, times: f64 },
-    /// Processors stand still for a while, again and again.
+    /// Switches stop processing for `still_ms`, every `every_ms`.
     Stall { at_ms: u64, for_ms: u64, switches: Vec<u32>, still_ms: u64, every_ms: u64 },
-    /// Processors are this many times slower.
+    /// The work of switches takes `times` as long.
     Slow { at_ms: u64, for_ms: u64, switches: Vec<u32>, times: f64 },
-    /// Nothing comes back on open connections; then the switches restart cold.
+    /// Switches answer nothing on open connections; then they restart cold.
     Silent { at_ms: u64, for_ms: u64, switches: Vec<u32> },
-    /// Connections are refused and those that stand are closed; then the switches restart cold.
+    /// Switches close their connections and refuse new ones; then they restart cold.
     Restart { at_ms: u64, for_ms: u64, switches: Vec<u32> },
     /// All switches of a zone restart at once.
     RestartZone { at_ms: u64, for_ms: u64, zone: String },
-    /// Switches are drained, and cold machines with new numbers take their place; after `for_ms` the old ones stop.
+    /// Switches are drained, and cold ones with new numbers replace them; after `for_ms` the old ones stop.
     Replace { at_ms: u64, for_ms: u64, switches: Vec<u32> },
-    /// The list is this much later than usual.
+    /// The list appears with a delay of `delay_ms`.
     LateList { at_ms: u64, for_ms: u64, delay_ms: u64 },
-    /// The list names nobody.
+    /// The list is empty.
     EmptyList { at_ms: u64, for_ms: u64 },
-    /// Final answers leave this much later than they are done.
+    /// Final responses are sent `late_ms` after their work is done.
     LateAnswers { at_ms: u64, for_ms: u64, switches: Vec<u32>, late_ms: u64 },
-    /// Switches take no notice of CANCEL and answer 200 all the same.
+    /// Switches ignore CANCEL and answer the INVITE with 200.
     CrossCancel { at_ms: u64, for_ms: u64, switches: Vec<u32> },
-    /// Strangers open so many connections a second to each gateway, from so many addresses, and keep each for a
-    /// time; with `calls_per_s`, they call over them.
+    /// Unknown clients open `per_s` connections per second to each gateway, from `addresses` loopback
+    /// addresses, and keep each for `hold_ms`. With `calls_per_s` they also make calls over them.
     Flood {
         at_ms: u64,
         for_ms: u64,
@@ -215,7 +217,7 @@
 }
 
 impl Trouble {
-    /// From when to when, milliseconds.
+    /// Start and end in milliseconds.
     #[must_use]
     pub fn span_ms(&self) -> (u64, u64) {
         match self {
@@ -234,7 +236,7 @@
         }
     }
 
-    /// Its name in reports.
+    /// Name in reports.
     #[must_use]
     pub fn name(&self) -> &'static str {
         match self {
@@ -253,7 +255,7 @@
         }
     }
 
-    /// The switches that it names, from 70.
+    /// Numbers of the switches that the fault names.
     #[must_use]
     pub fn switches(&self) -> &[u32] {
         match self {
@@ -269,14 +271,14 @@
     }
 }
 
-/// The number of the first switch.
+/// Number of the first switch of a script.
 pub const FIRST_SWITCH: u32 = 70;
 
 impl Script {
-    /// Reads a script.
+    /// Parses and checks a script.
     ///
     /// # Errors
-    /// All faults found, each with its line, field and remedy.
+    /// All errors found, each with its line, its field and what to change.
     pub fn parse(name: &str, text: &str) -> Result<Self, ConfigError> {
         let document = Document::parse(name, text)?;
         let script: Self = document.deserialize()?;
@@ -298,18 +300,18 @@
     }
 }
 
-fn cost() -> f64 {
+fn default_cost() -> f64 {
     1.0
 }
 
-fn connections() -> u32 {
+fn default_connections() -> u32 {
     4
 }
 
-fn list_delay_ms() -> u64 {
+fn default_list_delay_ms() -> u64 {
     1000
 }
 
-fn full_after_ms() -> u64 {
+fn default_full_after_ms() -> u64 {
     2500
 }
--- a/crates/fawnrouter-lab/src/stand_in.rs
+++ b/crates/fawnrouter-lab/src/stand_in.rs
@@ -1,4 +1,4 @@
-//! A stand-in switch on a loopback socket: the processor with its connections.
+//! A stand-in core switch on a loopback socket: connections in front of a simulated [`Processor`].
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -17,22 +17,22 @@
 use crate::switch::{Processor, SwitchEffect, SwitchModel};
 use crate::tap::Tap;
 
-/// Bytes that wait for one gateway; more means a gateway that does not read.
+/// Limit of unsent bytes for one gateway. Beyond it the gateway counts as not reading.
 const MAX_BACKLOG_BYTES: usize = 16 * 1024 * 1024;
 
-/// How far a stand-in is from gateways of other zones.
+/// Transmission delay between a stand-in and gateways of other zones.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneLatency {
-    /// Its zone.
+    /// Zone of the stand-in.
     pub zone: String,
-    /// The gateways' zones, in turn.
+    /// Zones of the gateways: gateway `n` is in zone `n` modulo the length.
     pub gateway_zones: Vec<String>,
-    /// One way to another zone.
+    /// One-way delay to another zone.
     pub one_way: Duration,
 }
 
 impl ZoneLatency {
-    /// Whether a request comes from another zone, by the gateway's host in its Via.
+    /// Whether a request comes from another zone, judged by the gateway's host in its Via.
     fn is_from_other_zone(&self, message: &Message) -> bool {
         let host = message.via().ok().map(|via| via.sent_by.to_owned()).unwrap_or_default();
         let number =
@@ -44,7 +44,7 @@
     }
 }
 
-/// A switch in the lab.
+/// A stand-in switch that gateways connect to over TCP.
 pub struct StandIn {
     pub id: u32,
     pub address: SocketAddr,
@@ -54,7 +54,8 @@
     processor: RefCell<Processor>,
     connections: RefCell<BTreeMap<u64, Rc<Outbox>>>,
     latency: ZoneLatency,
-    /// Connections from other zones, and what is on its way from them and to them, in order of time.
+    /// Connections from other zones. Messages from and to them are delayed in `inbound` and `outbound`,
+    /// ordered by delivery time.
     remote_connections: RefCell<BTreeSet<u64>>,
     inbound: RefCell<VecDeque<(Duration, u64, Box<Message>)>>,
     outbound: RefCell<VecDeque<(Duration, u64, Vec<u8>)>>,
@@ -63,7 +64,7 @@
 }
 
 impl StandIn {
-    /// Opens one on a free port. A cold one tells the auditor so.
+    /// Listens on a free port. A cold start is recorded for the auditor.
     pub fn open(
         id: u32,
         (mut model, latency): (SwitchModel, ZoneLatency),
@@ -98,7 +99,7 @@
         Ok(stand_in)
     }
 
-    /// Whether it was pushed over.
+    /// Whether it collapsed under too many set-ups while cold.
     pub fn collapsed(&self) -> bool {
         self.collapsed.get()
     }
@@ -107,13 +108,13 @@
         change(&mut self.processor.borrow_mut());
     }
 
-    /// Stands still for a while.
+    /// Stops all processing for a time.
     pub fn stall(&self, span: Duration) {
         let now = self.tap.now();
         self.processor.borrow_mut().stall(now, span);
     }
 
-    /// Stops: connections close and new ones are refused.
+    /// Closes all connections and refuses new ones.
     pub fn stop(&self) {
         self.accept_task.borrow_mut().take();
         for (conn, outbox) in std::mem::take(&mut *self.connections.borrow_mut()) {
@@ -126,11 +127,11 @@
         self.processor.borrow_mut().silent = true;
     }
 
-    /// Starts again, cold, on the same port.
+    /// Restarts cold on the same port.
     pub async fn start_cold(self: &Rc<Self>) -> io::Result<()> {
         let accept_task = self.accept_task.borrow_mut().take();
         if let Some(task) = accept_task {
-            // The old listener must be closed before the port is free.
+            // The port is free only after the old listener has been closed.
             task.cancel().await;
         }
         self.stop();
@@ -171,7 +172,7 @@
         }
     }
 
-    /// What was on its way between zones and has arrived.
+    /// Delivers the delayed messages between zones that are due.
     fn deliver_delayed(&self, now: Duration, effects: &mut Vec<SwitchEffect>) {
         let first = |at: Option<Duration>| at.is_some_and(|at| at <= now);
         while first(self.outbound.borrow().front().map(|g| g.0)) {
@@ -207,7 +208,7 @@
         let mut decoder = StreamDecoder::new(Limits::default());
         let mut buffer = vec![0; 64 * 1024];
         while let Ok(n @ 1..) = stream.read_with(|mut s| s.read(&mut buffer)).await {
-            // After a stop, bytes that were on the way have reached nobody.
+            // Bytes that arrive after a stop are dropped.
             if !stand_in.connections.borrow().contains_key(&conn) {
                 return;
             }
@@ -241,7 +242,7 @@
     stand_in.processor.borrow_mut().disconnected(conn);
 }
 
-/// Lets the processor do what is due. A millisecond's step is far below the times that matter.
+/// Runs due work of the processor, at least every 2 ms; the times that the lab measures are far longer.
 async fn run_processor(stand_in: Rc<StandIn>) {
     loop {
         let now = stand_in.tap.now();
--- a/crates/fawnrouter-lab/src/switch.rs
+++ b/crates/fawnrouter-lab/src/switch.rs
@@ -1,5 +1,5 @@
-//! A stand-in core switch without I/O: one processor with one line, in which answers and releases wait behind new
-//! set-ups, and the troubles that it can have.
+//! A stand-in core switch without I/O: one processor with one queue, in which answers and releases wait
+//! behind new set-ups, and the faults that can be injected into it.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -17,33 +17,33 @@
 /// Set-up, answer and release make up one call; a refusal comes on top.
 const WORK_SHARES: WorkShares = WorkShares { set_up: 0.6, answer: 0.2, release: 0.2, refusal: 0.1 };
 
-/// What a stand-in is.
+/// Capacity and overload behaviour of a stand-in.
 #[derive(Clone, Debug)]
 pub struct SwitchModel {
-    /// Calls a second when warm.
+    /// Calls per second when warm.
     pub capacity_per_s: f64,
-    /// Set-ups are refused while the line is longer.
+    /// Set-ups are refused while the queue holds more work than this.
     pub refuse_after: Duration,
-    /// Refusals tell the wait.
+    /// Refusals carry the expected wait as Retry-After.
     pub sends_retry_after: bool,
-    /// It starts with this share of its capacity ...
+    /// Share of its capacity right after a cold start.
     pub cold_start_share: f64,
-    /// ... and is warm after this time.
+    /// Time from a cold start until the full capacity is reached.
     pub warm_up: Duration,
-    /// A cold one sent this many times its present capacity ...
+    /// While cold, it collapses when it receives this many times its present capacity ...
     pub collapse_multiple: f64,
-    /// ... for this long falls over.
+    /// ... over this time.
     pub collapse_window: Duration,
-    /// Where it listens, for its Contact.
+    /// Its Contact, with the address where it listens.
     pub contact: String,
 }
 
-/// What a message or the passing of time leads to.
+/// Result of a message or of work that became due.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SwitchEffect {
     /// Send these bytes on this connection.
     Send(u64, Vec<u8>),
-    /// It has been pushed over while cold, and stays down.
+    /// It has collapsed while cold, and stays down.
     Collapsed,
 }
 
@@ -51,7 +51,7 @@
 enum Job {
     SetUp(u64, String),
     Answer(u64, String),
-    /// An answer that is done and comes late.
+    /// An answer whose work is done and whose sending is delayed.
     DelayedAnswer(u64, String),
     Release(u64, Box<Message>),
 }
@@ -62,7 +62,7 @@
     cancelled: bool,
 }
 
-/// The processor and the calls in it.
+/// A single-server queue and the calls in it.
 #[derive(Debug)]
 pub struct Processor {
     model: SwitchModel,
@@ -75,18 +75,18 @@
     cold_since: Option<Duration>,
     arrivals: VecDeque<Duration>,
     collapsed: bool,
-    /// Times slower than usual.
+    /// Factor by which all work takes longer than usual.
     pub slowdown: f64,
-    /// Takes everything and says nothing.
+    /// Accepts all messages and answers none.
     pub silent: bool,
-    /// Answers 200 in spite of a CANCEL.
+    /// Ignores CANCEL for a call in set-up and answers its INVITE with 200.
     pub ignores_cancel: bool,
-    /// Final answers leave this much after they are done.
+    /// Delay between the end of the work for a final answer and its sending.
     pub answer_delay: Duration,
 }
 
 impl Processor {
-    /// One that has run for long, or that starts cold at this time.
+    /// A warm processor, or one that starts cold at this time.
     #[must_use]
     pub fn new(model: SwitchModel, cold_since: Option<Duration>) -> Self {
         Self {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Its capacity now, as a share of the warm one.
+    /// Present capacity as a share of the warm capacity.
     fn capacity_share(&self, now: Duration) -> f64 {
         let Some(since) = self.cold_since else { return 1.0 };
         let part = now.saturating_sub(since).as_secs_f64() / self.model.warm_up.as_secs_f64().max(1e-9);
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Stands still for a while: all that is in the line waits longer, and what comes is not looked at.
+    /// Stops all processing for a time: queued work is delayed, and messages that arrive wait unread.
     pub fn stall(&mut self, now: Duration, span: Duration) {
         self.stalled_until = now + span;
         self.busy_until = self.busy_until.max(now) + span;
@@ -131,12 +131,12 @@
         self.jobs = jobs.into_iter().map(|((at, n), job)| ((at + span, n), job)).collect();
     }
 
-    /// A connection is gone, with its calls.
+    /// Removes the calls of a closed connection.
     pub fn disconnected(&mut self, conn: u64) {
         self.calls.retain(|(c, _), _| *c != conn);
     }
 
-    /// When [`Self::pass`] is wanted.
+    /// Time at which [`Self::run_due`] must be called next.
     #[must_use]
     pub fn next_due(&self) -> Option<Duration> {
         let inbox = (!self.inbox.is_empty()).then_some(self.stalled_until);
@@ -144,7 +144,7 @@
         [inbox, job].into_iter().flatten().min()
     }
 
-    /// Takes a message.
+    /// Handles a message, or holds it back during a stall.
     pub fn receive(
         &mut self,
         now: Duration,
@@ -161,7 +161,7 @@
         self.process(now, conn, message, effects);
     }
 
-    /// Does what is due.
+    /// Completes the work that is due.
     pub fn run_due(&mut self, now: Duration, effects: &mut Vec<SwitchEffect>) {
         if self.collapsed || self.silent {
             self.jobs.clear();
@@ -203,7 +203,7 @@
             }
             Some(Method::Cancel) => {
                 reply(200, &[]);
-                // The set-up may be worked on all the same: its job stays in the line.
+                // The set-up still takes its processing time: its job stays in the queue.
                 if let Some(call) = self.calls.get_mut(&key).filter(|c| !c.cancelled && !self.ignores_cancel)
                 {
                     call.cancelled = true;
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Counts set-ups while cold; too many at once push it over.
+    /// Counts set-ups while cold; too many within the window make the switch collapse.
     fn count_cold_set_up(&mut self, now: Duration, effects: &mut Vec<SwitchEffect>) {
         let Some(since) = self.cold_since else { return };
         if now > since + self.model.warm_up {
@@ -304,7 +304,7 @@
         Box::new(Message::parse(&bytes, &Limits::default()).expect("sound SIP"))
     }
 
-    /// Statuses sent, with when, as calls come in at these times.
+    /// Times and statuses of all responses (999 for a collapse) to calls that arrive at the given times.
     fn play(
         mut p: Processor,
         calls: &[u64],
@@ -369,7 +369,7 @@
         assert!(out[1].0 >= 118, "half the capacity: {out:?}");
         let times: Vec<u64> = (0..14).map(|n| n * 2).collect();
         let out = play(Processor::new(model(), Some(ms(0))), &times, 100, |_, _| ());
-        // Its budget in a second is 2 * 5 and a little for chance.
+        // The limit in the 1 s window is 2 * 5 set-ups plus a tolerance of 3.
         assert_eq!(out.iter().filter(|(_, s)| *s == 999).count(), 1, "{out:?}");
     }
 }
--- a/crates/fawnrouter-lab/src/tap.rs
+++ b/crates/fawnrouter-lab/src/tap.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins saw on their sockets, for the auditor.
+//! Records what the stand-ins and callers see on their sockets and passes it to the auditor.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -8,29 +8,35 @@
 
 use fawnrouter_audit::{Auditor, Figures, Seen, Side, Verdict, Way};
 
-/// The tap of all connections of a run.
+/// The auditor, and the number of the last connection that it was told of.
+struct Recording {
+    auditor: Auditor,
+    last_connection: u64,
+}
+
+/// Recorder of all connections of a run.
 pub struct Tap {
     start: Instant,
-    state: RefCell<(Auditor, u64)>,
-    /// The last beat, and how late it was.
+    state: RefCell<Recording>,
+    /// Time of the last heartbeat, and how late it was.
     last_heartbeat: Cell<(Duration, Duration)>,
 }
 
-/// Pause between two beats of the lab.
+/// Time between two heartbeats of the lab's executor.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(2);
-/// What is read this soon after a late beat may have waited for as long as the beat was late.
+/// Bytes read within this time after a late heartbeat may have waited as long as the heartbeat was late.
 const DELAY_MEMORY: Duration = Duration::from_millis(20);
 
 impl Tap {
     pub fn new(figures: Figures) -> Self {
         Self {
             start: Instant::now(),
-            state: RefCell::new((Auditor::new(figures), 0)),
+            state: RefCell::new(Recording { auditor: Auditor::new(figures), last_connection: 0 }),
             last_heartbeat: Cell::default(),
         }
     }
 
-    /// Time since the start.
+    /// Time since the start of the run.
     pub fn now(&self) -> Duration {
         self.start.elapsed()
     }
@@ -40,15 +46,15 @@
     }
 
     pub fn record(&self, seen: Seen) {
-        self.state.borrow_mut().0.take(self.now(), seen);
+        self.state.borrow_mut().auditor.take(self.now(), seen);
     }
 
-    /// Numbers a fresh connection.
+    /// Records a new connection and returns its number.
     pub fn connection_opened(&self, side: Side) -> u64 {
         let conn = {
             let mut state = self.state.borrow_mut();
-            state.1 += 1;
-            state.1
+            state.last_connection += 1;
+            state.last_connection
         };
         self.record(Seen::Opened { conn, side });
         conn
@@ -59,7 +65,7 @@
         self.record(Seen::Bytes { conn, way, bytes: bytes.to_vec(), late });
     }
 
-    /// Beats for ever, which shows when the lab itself is held up by the machine.
+    /// Runs the heartbeat in an endless loop. Late heartbeats show that the machine delays the lab itself.
     pub async fn watch_delays(self: Rc<Self>) {
         loop {
             let late = self.now().saturating_sub(self.last_heartbeat.get().0 + HEARTBEAT_INTERVAL * 2);
@@ -68,7 +74,7 @@
         }
     }
 
-    /// How much earlier what is read now may have arrived.
+    /// How long bytes read now may have waited before they were read.
     fn possible_delay(&self) -> Duration {
         let (last, late) = self.last_heartbeat.get();
         let since = self.now().saturating_sub(last);
@@ -80,9 +86,9 @@
         self.record(Seen::Closed { conn });
     }
 
-    /// Ends the record.
+    /// Ends the recording and returns the auditor's verdict.
     pub fn finish(&self, figures: Figures) -> Verdict {
-        let auditor = std::mem::replace(&mut self.state.borrow_mut().0, Auditor::new(figures));
+        let auditor = std::mem::replace(&mut self.state.borrow_mut().auditor, Auditor::new(figures));
         auditor.finish()
     }
 }
