--- a/crates/fawnrouter-lab/src/plan.rs
+++ b/crates/fawnrouter-lab/src/plan.rs
@@ -113,7 +113,7 @@
     use super::*;
 
     #[test]
-    fn every_kind_of_trouble_has_its_acts_in_order() {
+    fn every_kind_of_fault_has_its_actions_in_order_of_time() {
         let text = include_str!("../../../examples/bad-day.yaml");
         let script = Script::parse("bad-day.yaml", text).expect("the example is sound");
         let actions = timeline(&script);
@@ -127,7 +127,7 @@
     }
 
     #[test]
-    fn a_script_that_names_what_is_not_there_is_told_with_its_line() {
+    fn script_with_unknown_switch_is_rejected() {
         let text =
             include_str!("../../../examples/bad-day.yaml").replacen("switches: [70]", "switches: [99]", 1);
         let error = Script::parse("d.yaml", &text).expect_err("no switch 99");
--- a/crates/fawnrouter-lab/src/switch.rs
+++ b/crates/fawnrouter-lab/src/switch.rs
@@ -336,13 +336,13 @@
     }
 
     #[test]
-    fn a_call_takes_its_set_up_and_answer_work_in_line() {
+    fn call_is_answered_after_its_set_up_and_answer_work() {
         let out = play(Processor::new(model(), None), &[0], 200, |_, _| ());
         assert_eq!(out, [(0, 100), (60, 180), (80, 200)]);
     }
 
     #[test]
-    fn answers_wait_behind_new_set_ups_and_a_long_line_is_full() {
+    fn answers_wait_behind_new_set_ups_and_a_full_queue_refuses() {
         let times: Vec<u64> = (0..9).collect();
         let out = play(Processor::new(model(), None), &times, 2000, |_, _| ());
         let first_answer = out.iter().find(|(_, s)| *s == 200).expect("an answer").0;
@@ -351,7 +351,7 @@
     }
 
     #[test]
-    fn a_stall_holds_everything_up_and_a_late_answer_holds_up_nobody() {
+    fn stall_delays_all_work_and_late_answer_delays_no_other_call() {
         let still = |p: &mut Processor, now| {
             if now == 30 {
                 p.stall(ms(30), ms(500));
@@ -364,7 +364,7 @@
     }
 
     #[test]
-    fn a_cold_one_is_slower_and_falls_over_when_pushed() {
+    fn cold_switch_is_slower_and_collapses_under_too_many_set_ups() {
         let out = play(Processor::new(model(), Some(ms(0))), &[0], 400, |_, _| ());
         assert!(out[1].0 >= 118, "half the capacity: {out:?}");
         let times: Vec<u64> = (0..14).map(|n| n * 2).collect();
--- a/crates/fawnrouter-lab/tests/common/mod.rs
+++ b/crates/fawnrouter-lab/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway process, clients and switches for the tests over sockets.
+//! A gateway process, clients and switches for the socket tests.
 #![allow(dead_code)]
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -16,8 +16,8 @@
 use socket2::{Domain, Socket, Type};
 
 pub const LAB: &str = env!("CARGO_BIN_EXE_fawnrouter-lab");
-/// Nothing here waits this long but what has failed.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Time-out of all reads; reached only when a test fails.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 pub const MASK: Option<[u8; 4]> = Some([1, 2, 3, 4]);
 
 pub struct Gateway {
@@ -27,24 +27,24 @@
 }
 
 impl Gateway {
-    /// Starts one with these switches; `more` is added to its settings.
+    /// Starts a gateway with these switches. `more` is appended to its settings.
     pub fn start(switches: &[SocketAddr], more: &str) -> Self {
-        Self::start_within(None, switches, more)
+        Self::start_with_descriptors(None, switches, more)
     }
 
-    /// As [`Gateway::start`], with so many descriptors.
-    pub fn start_within(descriptors: Option<u32>, switches: &[SocketAddr], more: &str) -> Self {
+    /// Like [`Gateway::start`], with a limit of open file descriptors.
+    pub fn start_with_descriptors(descriptors: Option<u32>, switches: &[SocketAddr], more: &str) -> Self {
         Self::start_in(tempfile::tempdir().expect("a folder"), descriptors, switches, more)
     }
 
-    /// As [`Gateway::start_within`], in the folder of an earlier one.
+    /// Like [`Gateway::start_with_descriptors`], in the folder of an earlier gateway.
     pub fn start_in(
         folder: tempfile::TempDir,
         descriptors: Option<u32>,
         switches: &[SocketAddr],
         more: &str,
     ) -> Self {
-        list(folder.path(), switches);
+        write_list(folder.path(), switches);
         let settings = format!(
             "gateway: {{ number: 0, count: 1, seed: 3 }}\nlisten: {{ address: '127.0.0.1:0', handshake_ms: 700 }}\n\
              switches: {{ file: switches.yaml, poll_ms: 20 }}\n\
@@ -55,7 +55,7 @@
         let file = folder.path().join("g.yaml");
         std::fs::write(&file, settings).expect("settings are written");
         let mut command = match descriptors {
-            // The shell's own limit passes to what it becomes.
+            // The limit set in the shell is inherited by the program that it executes.
             Some(limit) => {
                 let mut command = Command::new("sh");
                 command.args(["-c", &format!("ulimit -n {limit} && exec \"$0\" \"$@\""), LAB]);
@@ -76,12 +76,12 @@
         Self { child, address: address.expect("ready").parse().expect("an address"), folder: Some(folder) }
     }
 
-    /// Where its files are.
+    /// The folder with its files.
     pub fn folder(&self) -> &Path {
         self.folder.as_ref().expect("not taken").path()
     }
 
-    /// Kills it outright and leaves its files.
+    /// Kills the process with SIGKILL and returns its folder.
     pub fn kill(mut self) -> tempfile::TempDir {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -101,7 +101,7 @@
     }
 }
 
-pub fn list(folder: &Path, switches: &[SocketAddr]) {
+pub fn write_list(folder: &Path, switches: &[SocketAddr]) {
     let lines = switches.iter().enumerate();
     let lines: String =
         lines.map(|(n, a)| format!("  - {{ id: {}, address: '{a}', pool: {n} }}\n", 70 + n)).collect();
@@ -113,12 +113,12 @@
 pub struct Client {
     pub stream: TcpStream,
     decoder: Decoder,
-    /// Bytes that were read and not looked at yet.
-    held: Vec<u8>,
+    /// Bytes that were read and not decoded yet.
+    unread: Vec<u8>,
 }
 
 #[derive(Debug, PartialEq)]
-pub enum Got {
+pub enum Received {
     Sip(Message),
     Pong(Vec<u8>),
     Close(Option<CloseCode>),
@@ -127,12 +127,12 @@
 
 impl Client {
     pub fn connect(gateway: &Gateway) -> Self {
-        Self::from(gateway, [127, 0, 0, 1]).expect("an upgrade")
+        Self::connect_from(gateway, [127, 0, 0, 1]).expect("an upgrade")
     }
 
-    /// From a loopback address of its own choice; the status if it is refused.
-    pub fn from(gateway: &Gateway, address: [u8; 4]) -> Result<Self, u16> {
-        let mut stream = connect_from(gateway, address);
+    /// Connects from the given loopback address. Returns the HTTP status if the upgrade is refused.
+    pub fn connect_from(gateway: &Gateway, address: [u8; 4]) -> Result<Self, u16> {
+        let mut stream = open_socket(gateway, address);
         let shake = ClientHandshake::new([9; 16], "sip");
         stream.write_all(&shake.request("gw", "/", None)).expect("the request is sent");
         let mut bytes = Vec::new();
@@ -145,7 +145,7 @@
                 other => other.expect("an upgrade"),
             };
             if checked.is_some() {
-                return Ok(Self { stream, decoder: Decoder::new(Role::Client, 1 << 20), held: Vec::new() });
+                return Ok(Self { stream, decoder: Decoder::new(Role::Client, 1 << 20), unread: Vec::new() });
             }
         }
     }
@@ -156,43 +156,43 @@
         self.stream.write_all(&out).expect("the gateway reads");
     }
 
-    pub fn next(&mut self) -> Got {
+    pub fn next_event(&mut self) -> Received {
         loop {
-            let mut input = &self.held[..];
+            let mut input = &self.unread[..];
             let got = match self.decoder.feed(&mut input).expect("sound frames") {
-                Some(Event::Text(text)) => Some(Got::Sip(parse(text.as_bytes()))),
-                Some(Event::Pong(p)) => Some(Got::Pong(p.to_vec())),
-                Some(Event::Close(code)) => Some(Got::Close(code)),
+                Some(Event::Text(text)) => Some(Received::Sip(parse(text.as_bytes()))),
+                Some(Event::Pong(p)) => Some(Received::Pong(p.to_vec())),
+                Some(Event::Close(code)) => Some(Received::Close(code)),
                 _ => None,
             };
-            self.held = input.to_vec();
+            self.unread = input.to_vec();
             if let Some(got) = got {
                 return got;
             }
-            if !self.held.is_empty() {
+            if !self.unread.is_empty() {
                 continue;
             }
             let mut buffer = [0; 65536];
             match self.stream.read(&mut buffer) {
-                Ok(0) => return Got::End,
-                Ok(n) => self.held.extend_from_slice(&buffer[..n]),
-                Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => return Got::End,
-                Err(e) => panic!("nothing came in time: {e}"),
+                Ok(0) => return Received::End,
+                Ok(n) => self.unread.extend_from_slice(&buffer[..n]),
+                Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => return Received::End,
+                Err(e) => panic!("no data in time: {e}"),
             }
         }
     }
 
-    pub fn status(&mut self) -> u16 {
-        match self.next() {
-            Got::Sip(m) => m.status().expect("a response"),
+    pub fn next_status(&mut self) -> u16 {
+        match self.next_event() {
+            Received::Sip(m) => m.status().expect("a response"),
             other => panic!("{other:?} instead of a response"),
         }
     }
 
     /// The next final response.
-    pub fn last_status(&mut self) -> u16 {
+    pub fn final_status(&mut self) -> u16 {
         loop {
-            match self.status() {
+            match self.next_status() {
                 100..200 => {}
                 status => return status,
             }
@@ -218,14 +218,14 @@
     draft.finish(b"")
 }
 
-/// A switch on a thread of its own: `answer` gets each request and gives the statuses to answer it with, 0 to close
-/// the connection. Requests are also passed on to the test.
-pub fn switch(
+/// Starts a switch on its own thread. `answer` maps each request to the statuses of its responses; 0 closes
+/// the connection. Requests are also sent to the returned channel.
+pub fn start_switch(
     answer: impl Fn(&Message) -> Vec<u16> + Send + 'static,
 ) -> (SocketAddr, mpsc::Receiver<Message>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
-    let (tell, told) = mpsc::channel();
+    let (sender, requests) = mpsc::channel();
     std::thread::spawn(move || {
         for stream in listener.incoming() {
             let Ok(mut stream) = stream else { return };
@@ -243,15 +243,15 @@
                         draft.field(Name::Contact, "<sip:sw@127.0.0.1>");
                         let _ = stream.write_all(&draft.finish(b""));
                     }
-                    let _ = tell.send(*message);
+                    let _ = sender.send(*message);
                 }
             }
         }
     });
-    (address, told)
+    (address, requests)
 }
 
-pub fn ok_for_all(request: &Message) -> Vec<u16> {
+pub fn accept_all(request: &Message) -> Vec<u16> {
     match request.method() {
         Some(Method::Ack) => vec![],
         Some(Method::Invite) => vec![100, 180, 200],
@@ -259,21 +259,21 @@
     }
 }
 
-pub fn wait_for(told: &mpsc::Receiver<Message>, method: Method) -> Message {
+pub fn wait_for(requests: &mpsc::Receiver<Message>, method: Method) -> Message {
     loop {
-        let message = told.recv_timeout(PATIENCE).expect("the switch is told");
+        let message = requests.recv_timeout(TIMEOUT).expect("the switch receives a request");
         if message.method() == Some(method) {
             return message;
         }
     }
 }
 
-/// A connection from a loopback address, without a handshake.
-pub fn connect_from(gateway: &Gateway, address: [u8; 4]) -> TcpStream {
+/// Opens a TCP connection from a loopback address, without a handshake.
+pub fn open_socket(gateway: &Gateway, address: [u8; 4]) -> TcpStream {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket.bind(&SocketAddr::from((address, 0)).into()).expect("a loopback address");
     socket.connect(&gateway.address.into()).expect("the gateway listens");
     let stream = TcpStream::from(socket);
-    stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
     stream
 }
