--- a/crates/fawnrouter-lab/src/baseline.rs
+++ b/crates/fawnrouter-lab/src/baseline.rs
@@ -11,7 +11,7 @@
 };
 
 #[derive(Debug)]
-struct Held {
+struct PendingCall {
     until: Time,
     attempts: u32,
 }
@@ -20,31 +20,31 @@
 #[derive(Debug)]
 pub struct RoundRobin {
     ready: Vec<ServerId>,
-    next: usize,
-    calls: BTreeMap<CallId, Held>,
+    last_index: usize,
+    calls: BTreeMap<CallId, PendingCall>,
     max_attempts: u32,
 }
 
 /// A call is answered this long before its caller's time runs out.
-const MARGIN: Duration = Duration::from_millis(300);
+const ANSWER_MARGIN: Duration = Duration::from_millis(300);
 
 impl RoundRobin {
     /// Creates a router that makes up to this many attempts per call.
     #[must_use]
     pub fn new(max_attempts: u32) -> Self {
-        Self { ready: Vec::new(), next: 0, calls: BTreeMap::new(), max_attempts }
+        Self { ready: Vec::new(), last_index: 0, calls: BTreeMap::new(), max_attempts }
     }
 
     fn send(&mut self, now: Time, call: CallId, actions: &mut Vec<Action>) {
-        let Some(held) = self.calls.get_mut(&call) else { return };
-        let within = held.until.since(now);
-        if self.ready.is_empty() || held.attempts >= self.max_attempts || within.is_zero() {
+        let Some(pending) = self.calls.get_mut(&call) else { return };
+        let time_left = pending.until.since(now);
+        if self.ready.is_empty() || pending.attempts >= self.max_attempts || time_left.is_zero() {
             self.calls.remove(&call);
             return actions.push(Action::Refuse { call, retry_after: Duration::from_secs(1) });
         }
-        held.attempts += 1;
-        self.next = (self.next + 1) % self.ready.len();
-        actions.push(Action::Issue { call, server: self.ready[self.next], within });
+        pending.attempts += 1;
+        self.last_index = (self.last_index + 1) % self.ready.len();
+        actions.push(Action::Issue { call, server: self.ready[self.last_index], within: time_left });
     }
 }
 
@@ -56,8 +56,8 @@
                 actions.push(Action::SetTimer { after: Duration::from_secs(3600), timer: TimerId(0) });
             }
             Event::Call(NewCall { id, time_left: left, .. }) => {
-                let until = now.plus(left.saturating_sub(MARGIN));
-                self.calls.insert(id, Held { until, attempts: 0 });
+                let until = now.plus(left.saturating_sub(ANSWER_MARGIN));
+                self.calls.insert(id, PendingCall { until, attempts: 0 });
                 self.send(now, id, actions);
             }
             Event::Established { call, .. }
--- a/crates/fawnrouter-lab/src/callers.rs
+++ b/crates/fawnrouter-lab/src/callers.rs
@@ -24,6 +24,7 @@
 use crate::script::CallerBehaviour;
 use crate::tap::Tap;
 
+/// Limit of unsent bytes on one connection.
 const MAX_BACKLOG_BYTES: usize = 16 * 1024 * 1024;
 /// An attempt counts as unanswered when no final response has arrived this long after its Expires time.
 const RESPONSE_GRACE: Duration = Duration::from_millis(500);
@@ -57,6 +58,7 @@
     state: CallState,
 }
 
+/// A timed event of a caller, given by its number and, where it concerns one attempt, that attempt's number.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum PendingEvent {
     Dial(u64),
@@ -65,6 +67,7 @@
     HangUp(u64),
 }
 
+/// Mutable state of all callers.
 struct CallerPool {
     connections: Vec<Connection>,
     active: BTreeMap<u64, Caller>,
@@ -137,8 +140,8 @@
         let stream = Async::<TcpStream>::connect(address).await?;
         stream.get_ref().set_nodelay(true)?;
         let conn = self.tap.connection_opened(Side::Caller { gateway: number });
-        let shake = ClientHandshake::new(nonce, "sip");
-        let request = shake.request(&address.to_string(), "/", None);
+        let handshake = ClientHandshake::new(nonce, "sip");
+        let request = handshake.request(&address.to_string(), "/", None);
         self.tap.record_bytes(conn, Way::In, &request);
         (&stream).write_all(&request).await?;
         let mut bytes = Vec::new();
@@ -150,7 +153,7 @@
             }
             self.tap.record_bytes(conn, Way::Out, &buffer[..n]);
             bytes.extend_from_slice(&buffer[..n]);
-            match shake.check(&bytes, &HttpLimits::default()) {
+            match handshake.check(&bytes, &HttpLimits::default()) {
                 Ok(Some(n)) => break n,
                 Ok(None) => {}
                 Err(error) => {
@@ -248,10 +251,10 @@
         let reading = async {
             let mut decoder = Decoder::new(Role::Client, 256 * 1024);
             let mut buffer = vec![0; 64 * 1024];
-            let mut got = rest.len();
-            buffer[..got].copy_from_slice(&rest);
+            let mut length = rest.len();
+            buffer[..length].copy_from_slice(&rest);
             loop {
-                let mut input = &buffer[..got];
+                let mut input = &buffer[..length];
                 loop {
                     match decoder.feed(&mut input) {
                         Ok(Some(Event::Text(text))) => {
@@ -272,7 +275,7 @@
                 match stream.read_with(|mut s| s.read(&mut buffer)).await {
                     Ok(n @ 1..) => {
                         self.tap.record_bytes(conn, Way::Out, &buffer[..n]);
-                        got = n;
+                        length = n;
                     }
                     _ => return,
                 }
--- a/crates/fawnrouter-lab/src/flood.rs
+++ b/crates/fawnrouter-lab/src/flood.rs
@@ -149,8 +149,9 @@
         figures.borrow_mut().tried += 1;
         let figures = figures.clone();
         tasks.push(executor.spawn(async move {
-            let mut one = FloodClient { options, n, figures, decoder: Decoder::new(Role::Client, 1 << 20) };
-            one.run().await;
+            let mut client =
+                FloodClient { options, n, figures, decoder: Decoder::new(Role::Client, 1 << 20) };
+            client.run().await;
         }));
     }
     for task in tasks {
@@ -187,13 +188,13 @@
             Ok(UpgradeResult::Reset) | Err(_) => return self.count(|f| f.reset += 1),
         };
         self.count(|f| f.inside += 1);
-        let kept = Duration::from_millis(self.options.hold_ms);
-        let held = async move {
-            Timer::after(kept).await;
+        let hold_time = Duration::from_millis(self.options.hold_ms);
+        let timer = async move {
+            Timer::after(hold_time).await;
             Ok(None)
         };
         let figures = self.figures.clone();
-        match future::or(self.hold_open(&stream, rest), held).await {
+        match future::or(self.hold_open(&stream, rest), timer).await {
             Ok(None) => {}
             Ok(Some(())) => figures.borrow_mut().told_to_go += 1,
             Err(_) => figures.borrow_mut().cut += 1,
@@ -221,8 +222,8 @@
         if let Some(error) = stream.get_ref().take_error()? {
             return Err(error);
         }
-        let shake = ClientHandshake::new([9; 16], "sip");
-        let request = shake.request("gateway.invalid", "/", None);
+        let handshake = ClientHandshake::new([9; 16], "sip");
+        let request = handshake.request("gateway.invalid", "/", None);
         let writing = async {
             let mut to = &stream;
             if self.options.way == FloodKind::Slow {
@@ -238,7 +239,7 @@
             // The result comes from the reader.
             future::pending::<io::Result<Result<Vec<u8>, UpgradeResult>>>().await
         };
-        let upgrade = future::or(read_upgrade_response(&stream, &shake), writing).await?;
+        let upgrade = future::or(read_upgrade_response(&stream, &handshake), writing).await?;
         Ok(match upgrade {
             Ok(rest) => UpgradeResult::Accepted(stream, rest),
             Err(other) => other,
@@ -248,27 +249,27 @@
     /// Keeps the connection until the gateway ends it: `Some` after a close frame, an error without one.
     async fn hold_open(&mut self, stream: &Async<TcpStream>, rest: Vec<u8>) -> io::Result<Option<()>> {
         if self.options.way == FloodKind::Deaf {
-            let mut one = Vec::new();
-            encode(Opcode::Text, &options_request(self.n), Some([1, 2, 3, 4]), &mut one);
+            let mut message = Vec::new();
+            encode(Opcode::Text, &options_request(self.n), Some([1, 2, 3, 4]), &mut message);
             loop {
                 // This client never reads and so cannot see a close frame: a failed write shows the end of
                 // the connection.
                 let mut to = stream;
-                if to.write_all(&one).await.is_err() {
+                if to.write_all(&message).await.is_err() {
                     return Ok(Some(()));
                 }
             }
         }
         // Each connection makes its share of the calls while it is open.
         let kept_s = self.options.hold_ms as f64 / 1e3;
-        let share = self.options.calls_per_s / (self.options.per_s * kept_s).max(1.0);
+        let calls_per_s = self.options.calls_per_s / (self.options.per_s * kept_s).max(1.0);
         let (out, n, figures) = (RefCell::new(Vec::new()), self.n, self.figures.clone());
         let calling = async {
-            if share <= 0.0 {
+            if calls_per_s <= 0.0 {
                 return future::pending::<io::Result<Option<()>>>().await;
             }
             for call in 0u32.. {
-                Timer::after(Duration::from_secs_f64(1.0 / share)).await;
+                Timer::after(Duration::from_secs_f64(1.0 / calls_per_s)).await;
                 figures.borrow_mut().calls.0 += 1;
                 let mut bytes = Vec::new();
                 encode(Opcode::Text, &invite_request(n, call), Some([1, 2, 3, 4]), &mut bytes);
@@ -280,10 +281,10 @@
         let decoder = &mut self.decoder;
         let reading = async {
             let mut buffer = vec![0; 16 * 1024];
-            let mut got = rest.len();
-            buffer[..got].copy_from_slice(&rest);
+            let mut length = rest.len();
+            buffer[..length].copy_from_slice(&rest);
             loop {
-                let mut input = &buffer[..got];
+                let mut input = &buffer[..length];
                 while let Some(event) = decoder.feed(&mut input).map_err(io::Error::other)? {
                     match event {
                         Event::Close(_) => return Ok(Some(())),
@@ -301,8 +302,8 @@
                 let waiting = std::mem::take(&mut *out.borrow_mut());
                 let mut to = stream;
                 to.write_all(&waiting).await?;
-                got = stream.read_with(|mut s| s.read(&mut buffer)).await?;
-                if got == 0 {
+                length = stream.read_with(|mut s| s.read(&mut buffer)).await?;
+                if length == 0 {
                     return Err(ErrorKind::UnexpectedEof.into());
                 }
             }
@@ -314,7 +315,7 @@
 /// Reads the response to an upgrade request. Returns the bytes after it, or how the upgrade failed.
 async fn read_upgrade_response(
     stream: &Async<TcpStream>,
-    shake: &ClientHandshake,
+    handshake: &ClientHandshake,
 ) -> io::Result<Result<Vec<u8>, UpgradeResult>> {
     let (mut bytes, mut buffer) = (Vec::new(), [0; 2048]);
     loop {
@@ -326,7 +327,7 @@
             Err(_) if bytes.is_empty() => return Ok(Err(UpgradeResult::Reset)),
             Err(_) => return Ok(Err(UpgradeResult::Refused)),
         }
-        match shake.check(&bytes, &HttpLimits::default()) {
+        match handshake.check(&bytes, &HttpLimits::default()) {
             Ok(Some(len)) => return Ok(Ok(bytes.split_off(len))),
             Ok(None) => {}
             Err(HandshakeError::Refused(_)) => return Ok(Err(UpgradeResult::Refused)),
--- a/crates/fawnrouter-lab/src/load.rs
+++ b/crates/fawnrouter-lab/src/load.rs
@@ -39,12 +39,13 @@
 #[derive(Debug)]
 struct LoadFigures {
     calls: u64,
-    cpu_us_a_call: f64,
+    cpu_us_per_call: f64,
     p50_ms: f64,
     p99_ms: f64,
     resident_kib: u64,
 }
 
+/// Limit of unsent bytes on one connection.
 const MAX_BACKLOG_BYTES: usize = 64 * 1024 * 1024;
 /// Ticks per second of the processor times in /proc (`USER_HZ`, the same on all Linux platforms).
 const USER_HZ: f64 = 100.0;
@@ -180,8 +181,10 @@
     }
 }
 
+/// Generates calls over WebSocket connections and measures their set-up delay.
 struct LoadGenerator {
     connections: Vec<Rc<Outbox>>,
+    /// Calls in set-up by Call-ID: when they were sent, the INVITE, and the connection.
     sent: RefCell<BTreeMap<String, (Instant, Message, usize)>>,
     delays: RefCell<Histogram<u64>>,
     released: Cell<u64>,
@@ -220,24 +223,26 @@
     }
 
     fn start_call(&self, n: u64) {
-        let line = n as usize % self.connections.len();
+        let connection = n as usize % self.connections.len();
         let mut draft = Draft::request(Method::Invite, &format!("sip:+9148{n:08}@gateway.invalid"));
         draft
-            .field(Name::Via, &format!("SIP/2.0/WS c{line}.invalid;branch=z9hG4bKload{n};rport"))
+            .field(Name::Via, &format!("SIP/2.0/WS c{connection}.invalid;branch=z9hG4bKload{n};rport"))
             .field(Name::MaxForwards, "70")
-            .field(Name::From, &format!("<sip:desk@c{line}.invalid>;tag=l{n}"))
+            .field(Name::From, &format!("<sip:desk@c{connection}.invalid>;tag=l{n}"))
             .field(Name::To, &format!("<sip:+9148{n:08}@gateway.invalid>"))
             .field(Name::CallId, &format!("load-{n}@c.invalid"))
             .field(Name::CSeq, "1 INVITE")
-            .field(Name::Contact, &format!("<sip:desk@c{line}.invalid;transport=ws>"))
+            .field(Name::Contact, &format!("<sip:desk@c{connection}.invalid;transport=ws>"))
             .field(Name::Expires, "9")
             .field(Name::SessionId, &format!("{:032x};remote={:032}", n + 1, 0))
             .field(Name::ContentType, "application/sdp");
         let bytes = draft.finish(b"v=0\r\no=- 1 1 IN IP4 127.0.0.1\r\ns=-\r\nc=IN IP4 127.0.0.1\r\nt=0 0\r\nm=audio 4000 RTP/AVP 0\r\n");
         if let Ok(invite) = Message::parse(&bytes, &Limits::default()) {
-            self.sent.borrow_mut().insert(format!("load-{n}@c.invalid"), (Instant::now(), invite, line));
+            self.sent
+                .borrow_mut()
+                .insert(format!("load-{n}@c.invalid"), (Instant::now(), invite, connection));
         }
-        self.send(line, &bytes);
+        self.send(connection, &bytes);
     }
 
     fn receive(&self, message: &Message) {
@@ -248,16 +253,19 @@
             self.released.set(self.released.get() + 1);
             return;
         }
-        let known = self.sent.borrow_mut().remove(message.get(Name::CallId).unwrap_or(""));
-        let Some((at, _, line)) = known.filter(|_| message.status() == Some(200)) else { return };
+        let sent = self.sent.borrow_mut().remove(message.get(Name::CallId).unwrap_or(""));
+        let Some((at, _, connection)) = sent.filter(|_| message.status() == Some(200)) else { return };
         let delay = u64::try_from(at.elapsed().as_micros()).unwrap_or(u64::MAX);
         let _ = self.delays.borrow_mut().record(delay.max(1));
         if let Ok(mut dialog) = Dialog::caller(message, "sip:gateway.invalid", 1) {
             for method in [Method::Ack, Method::Bye] {
-                let via =
-                    format!("SIP/2.0/WS c{line}.invalid;branch=z9hG4bK{}{}", method.name(), dialog.call_id);
+                let via = format!(
+                    "SIP/2.0/WS c{connection}.invalid;branch=z9hG4bK{}{}",
+                    method.name(),
+                    dialog.call_id
+                );
                 let bytes = dialog.request(method, &via).finish(b"");
-                self.send(line, &bytes);
+                self.send(connection, &bytes);
             }
         }
     }
@@ -266,14 +274,14 @@
 async fn connect(address: SocketAddr, nonce: u8) -> io::Result<(Async<TcpStream>, Vec<u8>)> {
     let stream = Async::<TcpStream>::connect(address).await?;
     stream.get_ref().set_nodelay(true)?;
-    let shake = ClientHandshake::new([nonce; 16], "sip");
-    (&stream).write_all(&shake.request("gateway.invalid", "/", None)).await?;
+    let handshake = ClientHandshake::new([nonce; 16], "sip");
+    (&stream).write_all(&handshake.request("gateway.invalid", "/", None)).await?;
     let mut bytes = Vec::new();
     loop {
         let mut buffer = [0; 4096];
         let n = stream.read_with(|mut s| s.read(&mut buffer)).await?;
         bytes.extend_from_slice(&buffer[..n]);
-        if let Some(used) = shake.check(&bytes, &HttpLimits::default()).map_err(io::Error::other)? {
+        if let Some(used) = handshake.check(&bytes, &HttpLimits::default()).map_err(io::Error::other)? {
             return Ok((stream, bytes.split_off(used)));
         }
         if n == 0 {
@@ -320,33 +328,33 @@
     }
     // Warms up for a tenth of the time; this is not counted.
     let mut calls = 0u64;
-    let phase = |calls: &mut u64, span: Duration| {
+    let run_phase = |calls: &mut u64, span: Duration| {
         let (begin, first, load) = (Instant::now(), *calls, load.clone());
-        let mut now_at = *calls;
+        let mut next_call = *calls;
         async move {
             while begin.elapsed() < span {
                 let due = first + (begin.elapsed().as_secs_f64() * f64::from(options.rate)) as u64;
-                while now_at < due {
-                    load.start_call(now_at);
-                    now_at += 1;
+                while next_call < due {
+                    load.start_call(next_call);
+                    next_call += 1;
                 }
                 Timer::after(Duration::from_micros(500)).await;
             }
             Timer::after(Duration::from_millis(options.answer_ms + 200)).await;
-            now_at
+            next_call
         }
     };
-    calls = phase(&mut calls, Duration::from_secs(options.seconds) / 10).await;
+    calls = run_phase(&mut calls, Duration::from_secs(options.seconds) / 10).await;
     load.delays.borrow_mut().reset();
     load.released.set(0);
     let before = cpu_seconds(pid)?;
-    phase(&mut calls, Duration::from_secs(options.seconds)).await;
+    run_phase(&mut calls, Duration::from_secs(options.seconds)).await;
     let cpu = cpu_seconds(pid)? - before;
     let delays = load.delays.borrow();
     let done = load.released.get();
     Ok(LoadFigures {
         calls: done,
-        cpu_us_a_call: cpu * 1e6 / (done.max(1)) as f64,
+        cpu_us_per_call: cpu * 1e6 / (done.max(1)) as f64,
         p50_ms: delays.value_at_quantile(0.5) as f64 / 1e3,
         p99_ms: delays.value_at_quantile(0.99) as f64 / 1e3,
         resident_kib: resident_kib(pid)?,
@@ -386,7 +394,7 @@
     let run = async {
         let behind = far(true)?;
         let relay = GatewayProcess::start_relay(behind)?;
-        let plain = measure(&executor, relay.address, relay.pid(), options).await?;
+        let relay_figures = measure(&executor, relay.address, relay.pid(), options).await?;
         drop(relay);
 
         let folder = tempfile::tempdir()?;
@@ -394,15 +402,15 @@
         write_list(folder.path(), 0, &load_switch_list(&switches))?;
         let gateway = GatewayProcess::start(folder.path(), &load_settings(options.connections)?, false)?;
         Timer::after(Duration::from_millis(300)).await;
-        let routed = measure(&executor, gateway.address, gateway.pid(), options).await?;
+        let gateway_figures = measure(&executor, gateway.address, gateway.pid(), options).await?;
         drop(gateway);
         println!("{} calls/s for {} s, {} connections", options.rate, options.seconds, options.connections);
-        for (name, f) in [("null relay", &plain), ("gateway", &routed)] {
+        for (name, f) in [("null relay", &relay_figures), ("gateway", &gateway_figures)] {
             println!(
                 "{name:<11} calls {:>7}  CPU {:>6.1} us a call ({:>6.0} calls/s a core)  set-up p50 {:>6.2} ms p99 {:>6.2} ms  resident {} KiB",
                 f.calls,
-                f.cpu_us_a_call,
-                1e6 / f.cpu_us_a_call.max(1e-9),
+                f.cpu_us_per_call,
+                1e6 / f.cpu_us_per_call.max(1e-9),
                 f.p50_ms,
                 f.p99_ms,
                 f.resident_kib
@@ -410,9 +418,9 @@
         }
         println!(
             "ratio       CPU {:.2}  added set-up delay p50 {:.2} ms p99 {:.2} ms",
-            routed.cpu_us_a_call / plain.cpu_us_a_call.max(1e-9),
-            routed.p50_ms - plain.p50_ms,
-            routed.p99_ms - plain.p99_ms
+            gateway_figures.cpu_us_per_call / relay_figures.cpu_us_per_call.max(1e-9),
+            gateway_figures.p50_ms - relay_figures.p50_ms,
+            gateway_figures.p99_ms - relay_figures.p99_ms
         );
         Ok(())
     };
@@ -451,7 +459,7 @@
         let stood = Rc::new(Cell::new(0u64));
         let counted = stood.clone();
         let task = executor.spawn(async move {
-            let stands = |message: &Message| {
+            let acknowledge = |message: &Message| {
                 // Acknowledged and not released.
                 if message.status() == Some(200)
                     && let Ok(mut dialog) = Dialog::caller(message, "sip:gateway.invalid", 1)
@@ -462,7 +470,7 @@
                     counted.set(counted.get() + 1);
                 }
             };
-            writer.clone().serve(0, &stream, stands).await;
+            writer.clone().serve(0, &stream, acknowledge).await;
         });
         for n in 0..calls {
             load.start_call(n);
