--- a/benches/agreement/src/main.rs
+++ b/benches/agreement/src/main.rs
@@ -1,7 +1,11 @@
-//! Five voters in steps of 10 ms, a message takes one step. From 10 s to 40 s some links are cut, each way by itself. A
-//! client offers one entry every 50 ms to those who say that they lead, in turn. Reported for each case: the longest time in
-//! the cut without a decided entry, how many entries were decided of those offered in it, how often those who say that they
-//! lead changed, the share of the time in which two say so, and how long after the links were mended an entry was decided.
+//! Compares omnipaxos and raft while links fail, in a simulation of five voters with steps of 10 ms.
+//!
+//! A message takes one step. From 10 s to 40 s some links are cut, each direction separately. A client proposes one entry
+//! every 50 ms to the voters that claim to lead, in turn. Reported for each case: the longest time in the cut without a
+//! decided entry, how many entries were decided during the cut (600 are proposed in it), how often the set of claimed
+//! leaders changed, the share of the time in which more than one voter claimed to lead, and how long after the links were
+//! restored an entry was decided.
+
 mod omni;
 mod raftd;
 
@@ -9,32 +13,34 @@
 
 const VOTERS: u64 = 5;
 const STEP_MS: u64 = 10;
-const CUT: std::ops::Range<u64> = 1_000..4_000;
-const END: u64 = 6_000;
+/// Steps during which links are cut: from 10 s to 40 s.
+const CUT_STEPS: std::ops::Range<u64> = 1_000..4_000;
+/// Number of steps of a run: 60 s.
+const END_STEP: u64 = 6_000;
 
-/// One voter of either library.
+/// A voter, implemented with either library.
 trait Voter {
     type Message;
     fn tick(&mut self);
     fn step(&mut self, message: Self::Message);
-    fn out(&mut self) -> Vec<(u64, Self::Message)>;
-    fn leads(&self) -> bool;
-    fn offer(&mut self, entry: u64);
+    fn take_messages(&mut self) -> Vec<(u64, Self::Message)>;
+    fn is_leader(&self) -> bool;
+    fn propose(&mut self, entry: u64);
     fn decided(&self) -> u64;
 }
 
-/// Directed links that are cut.
-type Cuts = BTreeSet<(u64, u64)>;
+/// Directed links (from, to) that are cut.
+type CutLinks = BTreeSet<(u64, u64)>;
 
-fn both(a: u64, b: u64) -> [(u64, u64); 2] {
+fn both_ways(a: u64, b: u64) -> [(u64, u64); 2] {
     [(a, b), (b, a)]
 }
 
-/// The cases, given who leads when the cut begins. Others follow it in a ring.
-fn cases(leader: u64) -> Vec<(&'static str, Cuts)> {
-    let other = |i: u64| (leader - 1 + i) % VOTERS + 1;
+/// The cases, given the leader at the start of the cut. The followers are numbered from it in a ring.
+fn cut_cases(leader: u64) -> Vec<(&'static str, CutLinks)> {
+    let follower = |i: u64| (leader - 1 + i) % VOTERS + 1;
     let all = || 1..=VOTERS;
-    let mut cases: Vec<(&'static str, Cuts)> = Vec::new();
+    let mut cases: Vec<(&'static str, CutLinks)> = Vec::new();
     cases.push((
         "leader is heard, hears nobody",
         all().filter(|v| *v != leader).map(|v| (v, leader)).collect(),
@@ -43,47 +49,49 @@
         "leader hears, is heard by nobody",
         all().filter(|v| *v != leader).map(|v| (leader, v)).collect(),
     ));
-    // All are linked to one of the followers alone, which keeps no majority for the leader.
-    let hub = other(1);
-    let spokes =
+    // All voters are linked only to one follower, so that the leader has no majority.
+    let hub = follower(1);
+    let links_without_hub =
         all().flat_map(|a| all().map(move |b| (a, b))).filter(|(a, b)| a != b && *a != hub && *b != hub);
-    cases.push(("one follower is the only link between all", spokes.collect()));
-    // The leader keeps one link, to a follower that is linked to all.
-    let cut: Cuts = all().filter(|v| *v != leader && *v != hub).flat_map(|v| both(leader, v)).collect();
+    cases.push(("one follower is the only link between all", links_without_hub.collect()));
+    // The leader keeps one link, to a follower that is linked to all others.
+    let cut: CutLinks = all().filter(|v| *v != leader && *v != hub).flat_map(|v| both_ways(leader, v)).collect();
     cases.push(("leader linked to one follower only", cut));
-    // Each hears its right neighbour but not its left one.
+    // Each voter receives messages from its right neighbour but not from its left one.
     cases.push(("one-way links in a ring", all().map(|v| (v, v % VOTERS + 1)).collect()));
-    // A chain: each is linked to its neighbours only.
+    // Each voter is linked to its neighbours in a chain only.
     let chain = all().flat_map(|a| all().map(move |b| (a, b))).filter(|(a, b)| a.abs_diff(*b) > 1);
     cases.push(("a chain of links", chain.collect()));
-    let half: Cuts = [(leader, other(1)), (other(2), leader), (other(3), leader), (leader, other(4))].into();
-    cases.push(("leader: two links each way cut", half));
+    let two_links_cut: CutLinks =
+        [(leader, follower(1)), (follower(2), leader), (follower(3), leader), (leader, follower(4))].into();
+    cases.push(("leader: two links each way cut", two_links_cut));
     cases
 }
 
 struct Outcome {
-    pause_ms: u64,
-    decided: u64,
-    changes: u64,
-    two: f64,
-    back_ms: Option<u64>,
+    longest_pause_ms: u64,
+    decided_in_cut: u64,
+    leader_changes: u64,
+    two_leaders_share: f64,
+    recovery_ms: Option<u64>,
 }
 
-fn play<V: Voter>(make: impl Fn(u64) -> V, case: usize, flap: bool) -> (&'static str, Outcome) {
+fn simulate<V: Voter>(make: impl Fn(u64) -> V, case: usize, flapping: bool) -> (&'static str, Outcome) {
     let mut voters: BTreeMap<u64, V> = (1..=VOTERS).map(|id| (id, make(id))).collect();
-    let mut wire: Vec<(u64, u64, V::Message)> = Vec::new();
-    let (mut cuts, mut name) = (Cuts::new(), "");
-    let (mut last, mut changes, mut best, mut last_progress) = (Vec::new(), 0, 0, 0);
-    let (mut pause, mut two, mut start, mut back) = (0, 0u64, 0, None);
-    for step in 0..END {
-        if step == CUT.start {
-            start = best;
-            let leader = voters.iter().filter(|(_, v)| v.leads()).map(|(id, _)| *id).max().unwrap_or(1);
-            let (n, c) = cases(leader).swap_remove(case);
+    let mut in_flight: Vec<(u64, u64, V::Message)> = Vec::new();
+    let (mut cuts, mut name) = (CutLinks::new(), "");
+    let (mut last, mut changes, mut most_decided, mut last_progress) = (Vec::new(), 0, 0, 0);
+    let (mut pause, mut two, mut recovery) = (0, 0u64, None);
+    let (mut decided_before_cut, mut decided_in_cut) = (0, 0);
+    for step in 0..END_STEP {
+        if step == CUT_STEPS.start {
+            decided_before_cut = most_decided;
+            let leader = voters.iter().filter(|(_, v)| v.is_leader()).map(|(id, _)| *id).max().unwrap_or(1);
+            let (n, c) = cut_cases(leader).swap_remove(case);
             (name, cuts) = (n, c);
         }
-        let is_cut = CUT.contains(&step) && (!flap || (step - CUT.start) / 20 % 2 == 0);
-        for (from, to, message) in std::mem::take(&mut wire) {
+        let is_cut = CUT_STEPS.contains(&step) && (!flapping || (step - CUT_STEPS.start) / 20 % 2 == 0);
+        for (from, to, message) in std::mem::take(&mut in_flight) {
             if !(is_cut && cuts.contains(&(from, to))) {
                 voters.get_mut(&to).unwrap().step(message);
             }
@@ -92,36 +100,43 @@
             v.tick();
         }
         if step % 5 == 0 {
-            // The client keeps to the one that says that it leads; where two say so it goes to each in turn.
-            let leads: Vec<u64> = voters.iter().filter(|(_, v)| v.leads()).map(|(id, _)| *id).collect();
-            if let Some(id) = leads.get((step / 5) as usize % leads.len().max(1)) {
-                voters.get_mut(id).unwrap().offer(step);
+            // The client proposes to the voter that claims to lead, or to each in turn if several do.
+            let leaders: Vec<u64> = voters.iter().filter(|(_, v)| v.is_leader()).map(|(id, _)| *id).collect();
+            if let Some(id) = leaders.get((step / 5) as usize % leaders.len().max(1)) {
+                voters.get_mut(id).unwrap().propose(step);
             }
-            if CUT.contains(&step) {
-                changes += u64::from(step > CUT.start && last != leads);
-                two += u64::from(leads.len() > 1);
+            if CUT_STEPS.contains(&step) {
+                changes += u64::from(step > CUT_STEPS.start && last != leaders);
+                two += u64::from(leaders.len() > 1);
             }
-            last = leads;
+            last = leaders;
         }
         for (id, v) in &mut voters {
-            wire.extend(v.out().into_iter().map(|(to, m)| (*id, to, m)));
+            in_flight.extend(v.take_messages().into_iter().map(|(to, m)| (*id, to, m)));
         }
         let decided = voters.values().map(V::decided).max().unwrap_or(0);
-        if decided > best {
-            (best, last_progress) = (decided, step);
-            if step >= CUT.end && back.is_none() {
-                back = Some((step - CUT.end) * STEP_MS);
+        if decided > most_decided {
+            (most_decided, last_progress) = (decided, step);
+            if step >= CUT_STEPS.end && recovery.is_none() {
+                recovery = Some((step - CUT_STEPS.end) * STEP_MS);
             }
         }
-        if CUT.contains(&step) {
+        if CUT_STEPS.contains(&step) {
             pause = pause.max(step - last_progress);
         }
-        if step == CUT.end {
-            start = best - start;
+        if step == CUT_STEPS.end {
+            decided_in_cut = most_decided - decided_before_cut;
         }
     }
-    let two = two as f64 / ((CUT.end - CUT.start) / 5) as f64;
-    (name, Outcome { pause_ms: pause * STEP_MS, decided: start, changes, two, back_ms: back })
+    let two = two as f64 / ((CUT_STEPS.end - CUT_STEPS.start) / 5) as f64;
+    let outcome = Outcome {
+        longest_pause_ms: pause * STEP_MS,
+        decided_in_cut,
+        leader_changes: changes,
+        two_leaders_share: two,
+        recovery_ms: recovery,
+    };
+    (name, outcome)
 }
 
 fn main() {
@@ -129,16 +144,18 @@
         "| links cut from 10 s to 40 s | library | longest pause | decided of 600 | changes | two lead | back after |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- |");
-    for flap in [false, true] {
+    for flapping in [false, true] {
         for case in 0..7 {
-            let rows =
-                [("omnipaxos", play(omni::voter, case, flap)), ("raft", play(raftd::voter, case, flap))];
+            let rows = [
+                ("omnipaxos", simulate(omni::voter, case, flapping)),
+                ("raft", simulate(raftd::voter, case, flapping)),
+            ];
             for (library, (name, o)) in rows {
-                let flaps = if flap { ", on and off every 200 ms" } else { "" };
-                let back = o.back_ms.map_or("never".into(), |ms| format!("{ms} ms"));
+                let flaps = if flapping { ", on and off every 200 ms" } else { "" };
+                let recovery = o.recovery_ms.map_or("never".into(), |ms| format!("{ms} ms"));
                 println!(
-                    "| {name}{flaps} | {library} | {} ms | {} | {} | {:.2} | {back} |",
-                    o.pause_ms, o.decided, o.changes, o.two
+                    "| {name}{flaps} | {library} | {} ms | {} | {} | {:.2} | {recovery} |",
+                    o.longest_pause_ms, o.decided_in_cut, o.leader_changes, o.two_leaders_share
                 );
             }
         }
--- a/benches/agreement/src/omni.rs
+++ b/benches/agreement/src/omni.rs
@@ -1,3 +1,5 @@
+//! A voter built with omnipaxos.
+
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::messages::Message;
 use omnipaxos::storage::{Entry, NoSnapshot, StopSign, Storage, StorageOp, StorageResult};
@@ -5,24 +7,24 @@
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Line(u64);
+pub struct LogEntry(u64);
 
-impl Entry for Line {
+impl Entry for LogEntry {
     type Snapshot = NoSnapshot;
 }
 
-/// Everything in memory.
+/// Storage in memory.
 #[derive(Default)]
-pub struct Memory {
-    log: Vec<Line>,
+pub struct MemoryStorage {
+    log: Vec<LogEntry>,
     promise: Option<Ballot>,
     accepted: Option<Ballot>,
     decided: usize,
     stop: Option<StopSign>,
 }
 
-impl Storage<Line> for Memory {
-    fn write_atomically(&mut self, ops: Vec<StorageOp<Line>>) -> StorageResult<()> {
+impl Storage<LogEntry> for MemoryStorage {
+    fn write_atomically(&mut self, ops: Vec<StorageOp<LogEntry>>) -> StorageResult<()> {
         for op in ops {
             match op {
                 StorageOp::AppendEntry(e) => self.append_entry(e)?,
@@ -37,15 +39,15 @@
         }
         Ok(())
     }
-    fn append_entry(&mut self, entry: Line) -> StorageResult<()> {
+    fn append_entry(&mut self, entry: LogEntry) -> StorageResult<()> {
         self.log.push(entry);
         Ok(())
     }
-    fn append_entries(&mut self, entries: Vec<Line>) -> StorageResult<()> {
+    fn append_entries(&mut self, entries: Vec<LogEntry>) -> StorageResult<()> {
         self.log.extend(entries);
         Ok(())
     }
-    fn append_on_prefix(&mut self, from: usize, entries: Vec<Line>) -> StorageResult<()> {
+    fn append_on_prefix(&mut self, from: usize, entries: Vec<LogEntry>) -> StorageResult<()> {
         self.log.truncate(from);
         self.log.extend(entries);
         Ok(())
@@ -68,13 +70,13 @@
     fn get_accepted_round(&self) -> StorageResult<Option<Ballot>> {
         Ok(self.accepted)
     }
-    fn get_entries(&self, from: usize, to: usize) -> StorageResult<Vec<Line>> {
+    fn get_entries(&self, from: usize, to: usize) -> StorageResult<Vec<LogEntry>> {
         Ok(self.log.get(from..to).unwrap_or(&[]).to_vec())
     }
     fn get_log_len(&self) -> StorageResult<usize> {
         Ok(self.log.len())
     }
-    fn get_suffix(&self, from: usize) -> StorageResult<Vec<Line>> {
+    fn get_suffix(&self, from: usize) -> StorageResult<Vec<LogEntry>> {
         Ok(self.log.get(from..).unwrap_or(&[]).to_vec())
     }
     fn get_promise(&self) -> StorageResult<Option<Ballot>> {
@@ -96,18 +98,18 @@
     fn get_compacted_idx(&self) -> StorageResult<usize> {
         Ok(0)
     }
-    fn set_snapshot(&mut self, _: Option<<Line as Entry>::Snapshot>) -> StorageResult<()> {
+    fn set_snapshot(&mut self, _: Option<<LogEntry as Entry>::Snapshot>) -> StorageResult<()> {
         Ok(())
     }
-    fn get_snapshot(&self) -> StorageResult<Option<<Line as Entry>::Snapshot>> {
+    fn get_snapshot(&self) -> StorageResult<Option<<LogEntry as Entry>::Snapshot>> {
         Ok(None)
     }
 }
 
-pub struct Omni(OmniPaxos<Line, Memory>);
+pub struct OmniPaxosVoter(OmniPaxos<LogEntry, MemoryStorage>);
 
-/// Time-outs as for raft: heartbeats every 50 ms, a round of the election in 250 ms.
-pub fn voter(id: u64) -> Omni {
+/// Creates a voter with the time-outs of the raft voter: heartbeats every 50 ms, an election round within 250 ms.
+pub fn voter(id: u64) -> OmniPaxosVoter {
     let nodes = (1..=super::VOTERS).collect();
     let server = ServerConfig {
         pid: id,
@@ -117,28 +119,28 @@
     };
     let cluster = ClusterConfig { configuration_id: 1, nodes, flexible_quorum: None };
     let config = OmniPaxosConfig { cluster_config: cluster, server_config: server };
-    Omni(config.build(Memory::default()).expect("a sound configuration"))
+    OmniPaxosVoter(config.build(MemoryStorage::default()).expect("a sound configuration"))
 }
 
-impl super::Voter for Omni {
-    type Message = Message<Line>;
+impl super::Voter for OmniPaxosVoter {
+    type Message = Message<LogEntry>;
 
     fn tick(&mut self) {
         self.0.tick();
     }
-    fn step(&mut self, message: Message<Line>) {
+    fn step(&mut self, message: Message<LogEntry>) {
         self.0.handle_incoming(message);
     }
-    fn out(&mut self) -> Vec<(u64, Message<Line>)> {
+    fn take_messages(&mut self) -> Vec<(u64, Message<LogEntry>)> {
         let mut out = Vec::new();
         self.0.take_outgoing_messages(&mut out);
         out.into_iter().map(|m| (m.get_receiver(), m)).collect()
     }
-    fn leads(&self) -> bool {
+    fn is_leader(&self) -> bool {
         self.0.get_current_leader().is_some_and(|(id, accepts)| id == self.0.get_pid() && accepts)
     }
-    fn offer(&mut self, entry: u64) {
-        let _ = self.0.append(Line(entry));
+    fn propose(&mut self, entry: u64) {
+        let _ = self.0.append(LogEntry(entry));
     }
     fn decided(&self) -> u64 {
         self.0.get_decided_idx() as u64
--- a/benches/agreement/src/raftd.rs
+++ b/benches/agreement/src/raftd.rs
@@ -1,15 +1,17 @@
+//! A voter built with raft.
+
 use raft::prelude::{Config, Entry, Message, RawNode};
 use raft::storage::MemStorage;
 
-pub struct Raft {
+pub struct RaftVoter {
     node: RawNode<MemStorage>,
-    out: Vec<Message>,
+    outgoing: Vec<Message>,
     decided: u64,
 }
 
-/// Heartbeats every 50 ms, elections after 250 to 500 ms; pre-vote and the check of the quorum are on, as its authors advise
-/// for links that fail.
-pub fn voter(id: u64) -> Raft {
+/// Creates a voter with heartbeats every 50 ms and elections after 250 to 500 ms. Pre-vote and the quorum check are on, as
+/// its authors advise for links that fail.
+pub fn voter(id: u64) -> RaftVoter {
     let storage = MemStorage::new_with_conf_state(((1..=super::VOTERS).collect::<Vec<_>>(), vec![]));
     let config = Config {
         id,
@@ -22,64 +24,64 @@
         ..Config::default()
     };
     let logger = slog::Logger::root(slog::Discard, slog::o!());
-    Raft {
+    RaftVoter {
         node: RawNode::new(&config, storage, &logger).expect("a sound configuration"),
-        out: Vec::new(),
+        outgoing: Vec::new(),
         decided: 0,
     }
 }
 
-impl Raft {
-    fn decide(&mut self, entries: &[Entry]) {
+impl RaftVoter {
+    fn count_decided(&mut self, entries: &[Entry]) {
         self.decided += entries.iter().filter(|e| !e.data.is_empty()).count() as u64;
     }
 
-    fn ready(&mut self) {
+    fn process_ready(&mut self) {
         while self.node.has_ready() {
             let store = self.node.raft.raft_log.store.clone();
             let mut ready = self.node.ready();
-            self.out.extend(ready.take_messages());
+            self.outgoing.extend(ready.take_messages());
             if !ready.snapshot().is_empty() {
                 store.wl().apply_snapshot(ready.snapshot().clone()).expect("a snapshot");
             }
-            self.decide(&ready.take_committed_entries());
+            self.count_decided(&ready.take_committed_entries());
             if !ready.entries().is_empty() {
                 store.wl().append(ready.entries()).expect("entries");
             }
             if let Some(state) = ready.hs() {
                 store.wl().set_hardstate(state.clone());
             }
-            self.out.extend(ready.take_persisted_messages());
+            self.outgoing.extend(ready.take_persisted_messages());
             let mut light = self.node.advance(ready);
             if let Some(commit) = light.commit_index() {
                 store.wl().mut_hard_state().set_commit(commit);
             }
-            self.out.extend(light.take_messages());
-            self.decide(&light.take_committed_entries());
+            self.outgoing.extend(light.take_messages());
+            self.count_decided(&light.take_committed_entries());
             self.node.advance_apply();
         }
     }
 }
 
-impl super::Voter for Raft {
+impl super::Voter for RaftVoter {
     type Message = Message;
 
     fn tick(&mut self) {
         self.node.tick();
-        self.ready();
+        self.process_ready();
     }
     fn step(&mut self, message: Message) {
         let _ = self.node.step(message);
-        self.ready();
+        self.process_ready();
     }
-    fn out(&mut self) -> Vec<(u64, Message)> {
-        self.ready();
-        self.out.drain(..).map(|m| (m.to, m)).collect()
+    fn take_messages(&mut self) -> Vec<(u64, Message)> {
+        self.process_ready();
+        self.outgoing.drain(..).map(|m| (m.to, m)).collect()
     }
-    fn leads(&self) -> bool {
+    fn is_leader(&self) -> bool {
         self.node.raft.state == raft::StateRole::Leader
     }
-    fn offer(&mut self, entry: u64) {
+    fn propose(&mut self, entry: u64) {
         let _ = self.node.propose(vec![], entry.to_le_bytes().to_vec());
     }
     fn decided(&self) -> u64 {
--- a/benches/codecs/src/main.rs
+++ b/benches/codecs/src/main.rs
@@ -1,5 +1,5 @@
-//! Codec throughput beside well-known crates: the same inputs, in turns, in one run. Each figure is the median of
-//! many rounds; the last column is the time of a peer over ours.
+//! Codec throughput compared with well-known crates: the same inputs, alternating, in one run. Each figure is the median
+//! of many rounds; the last column is the time of a crate relative to the first one.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -10,16 +10,17 @@
 
 const ROUNDS: usize = 61;
 
-/// Median nanoseconds a call of each, measured in turns so that all see the same machine.
-fn race(n: usize, entries: &mut [(&str, Box<dyn FnMut() + '_>)]) {
+/// Prints the median nanoseconds per call of each entry. Entries alternate, so that changes of the machine's speed affect
+/// all of them alike.
+fn compare(calls_per_round: usize, entries: &mut [(&str, Box<dyn FnMut() + '_>)]) {
     let mut times = vec![Vec::new(); entries.len()];
     for _ in 0..ROUNDS {
-        for (place, (_, run)) in entries.iter_mut().enumerate() {
+        for (index, (_, run)) in entries.iter_mut().enumerate() {
             let begin = Instant::now();
-            for _ in 0..n {
+            for _ in 0..calls_per_round {
                 run();
             }
-            times[place].push(begin.elapsed().as_nanos() as f64 / n as f64);
+            times[index].push(begin.elapsed().as_nanos() as f64 / calls_per_round as f64);
         }
     }
     let medians: Vec<f64> = times
@@ -41,7 +42,7 @@
     let bytes = Bytes::from(text.clone());
     let limits = Limits::default();
     println!("SIP: an INVITE of {} bytes, 16 fields; top Via, From tag, Call-ID, CSeq read", bytes.len());
-    race(
+    compare(
         2000,
         &mut [
             (
@@ -103,35 +104,35 @@
         }
         println!("WebSocket: {count} masked text frames of {size} bytes, read and checked for UTF-8");
         let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
-        race(
+        compare(
             40,
             &mut [
                 (
                     "fawnrouter-ws",
                     Box::new(|| {
                         let mut decoder = Decoder::new(Role::Server, 1 << 20);
-                        let mut seen = 0;
-                        // As a socket gives them: 16 KiB at a time.
-                        for part in black_box(&masked).chunks(16 * 1024) {
-                            let mut part = part;
-                            while let Ok(Some(Event::Text(text))) = decoder.feed(&mut part) {
-                                seen += usize::from(text.len() == size);
+                        let mut received = 0;
+                        // In pieces of 16 KiB, as read from a socket.
+                        for chunk in black_box(&masked).chunks(16 * 1024) {
+                            let mut chunk = chunk;
+                            while let Ok(Some(Event::Text(text))) = decoder.feed(&mut chunk) {
+                                received += usize::from(text.len() == size);
                             }
                         }
-                        assert_eq!(seen, count);
+                        assert_eq!(received, count);
                     }),
                 ),
                 (
                     "tungstenite",
                     Box::new(|| {
                         use tungstenite::protocol::{Role, WebSocket};
-                        let stream = Parts(black_box(&masked));
+                        let stream = ChunkedReader(black_box(&masked));
                         let mut socket = WebSocket::from_raw_socket(stream, Role::Server, None);
-                        let mut seen = 0;
+                        let mut received = 0;
                         while let Ok(tungstenite::Message::Text(text)) = socket.read() {
-                            seen += usize::from(text.len() == size);
+                            received += usize::from(text.len() == size);
                         }
-                        assert_eq!(seen, count);
+                        assert_eq!(received, count);
                     }),
                 ),
                 (
@@ -139,17 +140,17 @@
                     Box::new(|| {
                         use fastwebsockets::{OpCode, Role, WebSocket};
                         let stream = tokio::io::join(black_box(&masked[..]), tokio::io::sink());
-                        let seen = runtime.block_on(async {
+                        let received = runtime.block_on(async {
                             let mut socket = WebSocket::after_handshake(stream, Role::Server);
                             socket.set_auto_close(false);
-                            let mut seen = 0;
+                            let mut received = 0;
                             while let Ok(frame) = socket.read_frame().await {
                                 let whole = frame.opcode == OpCode::Text && frame.payload.len() == size;
-                                seen += usize::from(whole && std::str::from_utf8(&frame.payload).is_ok());
+                                received += usize::from(whole && std::str::from_utf8(&frame.payload).is_ok());
                             }
-                            seen
+                            received
                         });
-                        assert_eq!(seen, count);
+                        assert_eq!(received, count);
                     }),
                 ),
             ],
@@ -157,7 +158,7 @@
         println!("WebSocket: {count} unmasked text frames of {size} bytes, written");
         let mut out = Vec::with_capacity(masked.len() + 1024);
         let mut buffer = Vec::with_capacity(masked.len() + 1024);
-        race(
+        compare(
             200,
             &mut [
                 (
@@ -188,10 +189,10 @@
     }
 }
 
-/// A stream that gives 16 KiB at a time and takes everything.
-struct Parts<'a>(&'a [u8]);
+/// A stream that returns at most 16 KiB per read and accepts all writes.
+struct ChunkedReader<'a>(&'a [u8]);
 
-impl std::io::Read for Parts<'_> {
+impl std::io::Read for ChunkedReader<'_> {
     fn read(&mut self, buffer: &mut [u8]) -> std::io::Result<usize> {
         let n = buffer.len().min(self.0.len()).min(16 * 1024);
         buffer[..n].copy_from_slice(&self.0[..n]);
@@ -200,7 +201,7 @@
     }
 }
 
-impl std::io::Write for Parts<'_> {
+impl std::io::Write for ChunkedReader<'_> {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         Ok(bytes.len())
     }
