--- a/benches/agreement/src/main.rs
+++ b/benches/agreement/src/main.rs
@@ -55,7 +55,8 @@
         all().flat_map(|a| all().map(move |b| (a, b))).filter(|(a, b)| a != b && *a != hub && *b != hub);
     cases.push(("one follower is the only link between all", links_without_hub.collect()));
     // The leader keeps one link, to a follower that is linked to all others.
-    let cut: CutLinks = all().filter(|v| *v != leader && *v != hub).flat_map(|v| both_ways(leader, v)).collect();
+    let cut: CutLinks =
+        all().filter(|v| *v != leader && *v != hub).flat_map(|v| both_ways(leader, v)).collect();
     cases.push(("leader linked to one follower only", cut));
     // Each voter receives messages from its right neighbour but not from its left one.
     cases.push(("one-way links in a ring", all().map(|v| (v, v % VOTERS + 1)).collect()));
--- a/crates/fawnrouter-lab/src/callers.rs
+++ b/crates/fawnrouter-lab/src/callers.rs
@@ -46,15 +46,15 @@
 
 enum CallState {
     Idle,
-    InSetUp { connection: usize, invite: Box<Message>, sent: Duration },
-    Established { connection: usize, dialog: Box<Dialog>, after: Duration },
+    InSetUp { connection: usize, invite: Box<Message>, sent_at: Duration },
+    Established { connection: usize, dialog: Box<Dialog>, set_up_time: Duration },
 }
 
 struct Caller {
     class: usize,
     number: String,
-    first: Duration,
-    tries: u32,
+    first_attempt: Duration,
+    attempts: u32,
     state: CallState,
 }
 
@@ -317,11 +317,12 @@
         let id = pool.last_id;
         let number = format!("+9148{:07}", pool.rng.random_range(0..10_000_000));
         let class = chosen.unwrap_or(0);
-        pool.active.insert(id, Caller { class, number, first: now, tries: 0, state: CallState::Idle });
-        self.start_attempt(pool, now, id);
+        pool.active
+            .insert(id, Caller { class, number, first_attempt: now, attempts: 0, state: CallState::Idle });
+        self.dial(pool, now, id);
     }
 
-    fn start_attempt(&self, pool: &mut CallerPool, now: Duration, id: u64) {
+    fn dial(&self, pool: &mut CallerPool, now: Duration, id: u64) {
         let open: Vec<usize> =
             (0..pool.connections.len()).filter(|l| pool.connections[*l].outbox.is_some()).collect();
         if open.is_empty() {
@@ -334,16 +335,16 @@
         let abandons = pool.rng.random::<f64>() < self.behaviour.leavers;
         let abandon_after_s = self.behaviour.try_s as f64 * pool.rng.random::<f64>();
         let Some(caller) = pool.active.get_mut(&id) else { return };
-        caller.tries += 1;
-        let tries = caller.tries;
+        caller.attempts += 1;
+        let attempts = caller.attempts;
         let class = &self.classes[caller.class];
-        let call_id = format!("{id}.{tries}.{random:08x}@caller.invalid");
+        let call_id = format!("{id}.{attempts}.{random:08x}@caller.invalid");
         let mut draft = Draft::request(Method::Invite, &format!("sip:{}@gateway.invalid", caller.number));
         draft
             .field(
                 Name::Via,
                 &format!(
-                    "SIP/2.0/WS caller{connection}.invalid;branch=z9hG4bK{id}.{tries}.{random:08x};rport"
+                    "SIP/2.0/WS caller{connection}.invalid;branch=z9hG4bK{id}.{attempts}.{random:08x};rport"
                 ),
             )
             .field(Name::MaxForwards, "70")
@@ -358,14 +359,14 @@
             .field(Name::ContentType, "application/sdp");
         let bytes = draft.finish(b"v=0\r\no=- 1 1 IN IP4 127.0.0.1\r\ns=-\r\n");
         let Ok(invite) = Message::parse(&bytes, &Limits::default()) else { return };
-        caller.state = CallState::InSetUp { connection, invite: Box::new(invite), sent: now };
+        caller.state = CallState::InSetUp { connection, invite: Box::new(invite), sent_at: now };
         pool.by_call_id.insert(call_id, id);
-        pool.report.tries += 1;
+        pool.report.attempts += 1;
         let overdue = now + Duration::from_secs(self.behaviour.try_s) + RESPONSE_GRACE;
-        pool.timers.insert((overdue, PendingEvent::TimeOut(id, tries)));
+        pool.timers.insert((overdue, PendingEvent::TimeOut(id, attempts)));
         if abandons {
             pool.timers
-                .insert((now + Duration::from_secs_f64(abandon_after_s), PendingEvent::Cancel(id, tries)));
+                .insert((now + Duration::from_secs_f64(abandon_after_s), PendingEvent::Cancel(id, attempts)));
         }
         self.send(pool, connection, &bytes);
     }
@@ -382,9 +383,9 @@
         let pause = Duration::from_millis(self.behaviour.redial_ms).mul_f64(0.5 + pool.rng.random::<f64>());
         let Some(caller) = pool.active.get_mut(&id) else { return };
         let at = now + wait.unwrap_or_default().max(pause);
-        let too_late = at.saturating_sub(caller.first) >= self.classes[caller.class].deadline;
+        let too_late = at.saturating_sub(caller.first_attempt) >= self.classes[caller.class].deadline;
         caller.state = CallState::Idle;
-        if caller.tries > self.behaviour.redials || too_late || pool.stopped {
+        if caller.attempts > self.behaviour.redials || too_late || pool.stopped {
             self.finish(pool, id, outcome);
         } else {
             pool.timers.insert((at, PendingEvent::Dial(id)));
@@ -393,7 +394,7 @@
 
     fn finish(&self, pool: &mut CallerPool, id: u64, outcome: CallOutcome) {
         if let Some(caller) = pool.active.remove(&id) {
-            pool.report.record(caller.class, caller.first, outcome);
+            pool.report.record(caller.class, caller.first_attempt, outcome);
         }
     }
 
@@ -417,7 +418,7 @@
         let (Some(status), Some(id)) = (message.status(), id) else { return };
         let is_invite = message.cseq().is_ok_and(|c| c.method == "INVITE");
         let Some(caller) = pool.active.get_mut(&id).filter(|_| is_invite && status >= 200) else { return };
-        let CallState::InSetUp { invite, sent, .. } = &caller.state else { return };
+        let CallState::InSetUp { invite, sent_at, .. } = &caller.state else { return };
         if invite.get(Name::CallId) != Some(call_id) {
             return;
         }
@@ -437,12 +438,12 @@
             return self.attempt_failed(pool, now, id, wait, outcome);
         }
         let Ok(dialog) = Dialog::caller(&message, "sip:gateway.invalid", 1) else { return };
-        let (after, delay) = (now.saturating_sub(caller.first), now.saturating_sub(*sent));
+        let (set_up_time, delay) = (now.saturating_sub(caller.first_attempt), now.saturating_sub(*sent_at));
         let mut dialog = Box::new(dialog);
-        let via = format!("SIP/2.0/WS caller{connection}.invalid;branch=z9hG4bKa{id}.{}", caller.tries);
+        let via = format!("SIP/2.0/WS caller{connection}.invalid;branch=z9hG4bKa{id}.{}", caller.attempts);
         let ack = dialog.request(Method::Ack, &via).finish(b"");
         let hold = self.classes[caller.class].hold.mul_f64(-(1.0 - pool.rng.random::<f64>()).ln());
-        caller.state = CallState::Established { connection, dialog, after };
+        caller.state = CallState::Established { connection, dialog, set_up_time };
         let _ = pool.report.set_up.record(u64::try_from(delay.as_micros()).unwrap_or(u64::MAX).max(1));
         pool.timers.insert((now + hold, PendingEvent::HangUp(id)));
         self.send(pool, connection, &ack);
@@ -472,9 +473,11 @@
         while let Some((_, event)) = pool.timers.first().copied().filter(|(at, _)| *at <= now) {
             pool.timers.pop_first();
             match event {
-                PendingEvent::Dial(id) => self.start_attempt(pool, now, id),
-                PendingEvent::Cancel(id, tries) => {
-                    let Some(caller) = pool.active.get(&id).filter(|p| p.tries == tries) else { continue };
+                PendingEvent::Dial(id) => self.dial(pool, now, id),
+                PendingEvent::Cancel(id, attempts) => {
+                    let Some(caller) = pool.active.get(&id).filter(|p| p.attempts == attempts) else {
+                        continue;
+                    };
                     if let CallState::InSetUp { connection, invite, .. } = &caller.state {
                         let mut cancel = Draft::request(Method::Cancel, "sip:gateway.invalid");
                         cancel
@@ -489,9 +492,10 @@
                         self.send(pool, connection, &bytes);
                     }
                 }
-                PendingEvent::TimeOut(id, tries) => {
-                    let trying =
-                        |p: &&mut Caller| p.tries == tries && matches!(p.state, CallState::InSetUp { .. });
+                PendingEvent::TimeOut(id, attempts) => {
+                    let trying = |p: &&mut Caller| {
+                        p.attempts == attempts && matches!(p.state, CallState::InSetUp { .. })
+                    };
                     if pool.active.get_mut(&id).filter(trying).is_some() {
                         pool.report.unanswered += 1;
                         self.attempt_failed(pool, now, id, None, CallOutcome::Failed);
@@ -499,17 +503,17 @@
                 }
                 PendingEvent::HangUp(id) => {
                     let Some(caller) = pool.active.get_mut(&id) else { continue };
-                    if let CallState::Established { connection, dialog, after } = &mut caller.state {
+                    if let CallState::Established { connection, dialog, set_up_time } = &mut caller.state {
                         let via = format!(
                             "SIP/2.0/WS caller{connection}.invalid;branch=z9hG4bKh{id}.{}",
-                            caller.tries
+                            caller.attempts
                         );
                         let bytes = dialog.request(Method::Bye, &via).finish(b"");
-                        let (connection, after) = (*connection, *after);
+                        let (connection, set_up_time) = (*connection, *set_up_time);
                         let call_id = dialog.call_id.clone();
                         self.send(pool, connection, &bytes);
                         pool.by_call_id.remove(&call_id);
-                        self.finish(pool, id, CallOutcome::Established(after));
+                        self.finish(pool, id, CallOutcome::Established(set_up_time));
                     }
                 }
             }
@@ -590,7 +594,7 @@
     /// Attempts so far, and how many of them were established.
     pub fn progress(&self) -> (u64, u64) {
         let pool = self.pool.borrow();
-        (pool.report.tries, pool.report.set_up.len())
+        (pool.report.attempts, pool.report.set_up.len())
     }
 
     /// Takes the report and leaves an empty one.
--- a/crates/fawnrouter-lab/src/capacity.rs
+++ b/crates/fawnrouter-lab/src/capacity.rs
@@ -31,7 +31,7 @@
     #[arg(long)]
     quick: bool,
     /// Measure only the load of this role, for example gateway_calls.
-    #[arg(long, value_parser = role)]
+    #[arg(long, value_parser = parse_role)]
     only: Option<Role>,
     /// File for the report. By default a whole measurement is written to docs/capacity.json, and one that is
     /// quick or leaves something out is not written.
@@ -61,7 +61,7 @@
 pub enum CapacityError {
     /// A file cannot be read.
     #[error("{}: cannot be read: {source}; start this from the root of the repository, or name the file", file.display())]
-    Unread {
+    ReadFile {
         /// Path of the file.
         file: PathBuf,
         /// Cause.
@@ -69,7 +69,7 @@
     },
     /// A file cannot be written.
     #[error("{}: cannot be written: {source}; start this from the root of the repository, or name the file", file.display())]
-    Unwritten {
+    WriteFile {
         /// Path of the file.
         file: PathBuf,
         /// Cause.
@@ -93,7 +93,7 @@
 }
 
 /// Parses a role as it is written in the report.
-fn role(text: &str) -> Result<Role, String> {
+fn parse_role(text: &str) -> Result<Role, String> {
     serde_json::from_value(text.into()).map_err(|error| error.to_string())
 }
 
@@ -103,11 +103,11 @@
         !self.quick && !self.no_processes && self.only.is_none()
     }
 
-    fn file(&self, named: Option<&PathBuf>, usual: &str) -> Option<PathBuf> {
-        named.cloned().or_else(|| self.is_whole().then(|| PathBuf::from(usual)))
+    fn output_file(&self, given: Option<&PathBuf>, default: &str) -> Option<PathBuf> {
+        given.cloned().or_else(|| self.is_whole().then(|| PathBuf::from(default)))
     }
 
-    fn program(&self) -> Result<PathBuf, CapacityError> {
+    fn program_path(&self) -> Result<PathBuf, CapacityError> {
         match &self.program {
             Some(program) => Ok(program.clone()),
             None => Ok(std::env::current_exe().map_err(CapacityError::Machine)?.with_file_name(PROGRAM_NAME)),
@@ -120,26 +120,27 @@
 /// # Errors
 /// If a file or program is missing (checked before anything is measured), or a measurement fails.
 pub fn run_capacity(options: &CapacityOptions, allocator: Option<Allocator>) -> Result<(), CapacityError> {
-    let program = options.program()?;
+    let program = options.program_path()?;
     if options.from.is_none() && !options.no_processes {
         check_program(&program)?;
     }
-    let report_file = options.file(options.json.as_ref(), REPORT_FILE).filter(|_| options.from.is_none());
-    let page_file = options.file(options.page.as_ref(), PAGE_FILE);
+    let report_file =
+        options.output_file(options.json.as_ref(), REPORT_FILE).filter(|_| options.from.is_none());
+    let page_file = options.output_file(options.page.as_ref(), PAGE_FILE);
     if let Some(file) = &page_file {
         // Reports a page that cannot take the tables before the measurement and not after it.
         write_tables(file, &Report::default(), |_, _| Ok(()))?;
     }
     let report = match &options.from {
-        Some(file) => Report::read(&read(file)?)?,
+        Some(file) => Report::read(&read_file(file)?)?,
         None => measure(options, &program, allocator)?,
     };
     print!("{}", page::render(&report)?);
     if let Some(file) = &report_file {
-        write(file, &report.write()?)?;
+        write_file(file, &report.write()?)?;
     }
     if let Some(file) = &page_file {
-        write_tables(file, &report, write)?;
+        write_tables(file, &report, write_file)?;
     }
     Ok(())
 }
@@ -151,8 +152,8 @@
     write: impl Fn(&Path, &str) -> Result<(), CapacityError>,
 ) -> Result<(), CapacityError> {
     let rows_file = page_file.with_file_name(ROWS_FILE);
-    let page = page::replace(&read(page_file)?, report)?;
-    let rows = page::replace_rows(&read(&rows_file)?, report)?;
+    let page = page::replace(&read_file(page_file)?, report)?;
+    let rows = page::replace_rows(&read_file(&rows_file)?, report)?;
     write(page_file, &page)?;
     write(&rows_file, &rows)
 }
@@ -163,8 +164,8 @@
     allocator: Option<Allocator>,
 ) -> Result<Report, CapacityError> {
     let bar = progress_bar();
-    let mut progress = |part: &str| show(&bar, part);
-    let mut report = Report { schema: SCHEMA, machine: machine()?, runs: Vec::new() };
+    let mut progress = |part: &str| show_progress(&bar, part);
+    let mut report = Report { schema: SCHEMA, machine: machine_info()?, runs: Vec::new() };
     report.runs = hollow::measure(HollowOptions {
         seed: options.seed,
         quick: options.quick,
@@ -198,9 +199,9 @@
     Ok(stop)
 }
 
-fn machine() -> Result<Machine, CapacityError> {
+fn machine_info() -> Result<Machine, CapacityError> {
     let cores = std::thread::available_parallelism().map_err(CapacityError::Machine)?;
-    let memory = read(Path::new("/proc/meminfo"))?;
+    let memory = read_file(Path::new("/proc/meminfo"))?;
     Ok(Machine {
         cores: u32::try_from(cores.get()).unwrap_or(u32::MAX),
         memory_mib: machine_memory_mib(&memory).unwrap_or(0),
@@ -217,7 +218,7 @@
     }
 }
 
-fn show(bar: &ProgressBar, part: &str) {
+fn show_progress(bar: &ProgressBar, part: &str) {
     if bar.is_hidden() {
         eprintln!("{part}");
         return;
@@ -226,10 +227,10 @@
     bar.tick();
 }
 
-fn read(file: &Path) -> Result<String, CapacityError> {
-    fs::read_to_string(file).map_err(|source| CapacityError::Unread { file: file.to_owned(), source })
+fn read_file(file: &Path) -> Result<String, CapacityError> {
+    fs::read_to_string(file).map_err(|source| CapacityError::ReadFile { file: file.to_owned(), source })
 }
 
-fn write(file: &Path, text: &str) -> Result<(), CapacityError> {
-    fs::write(file, text).map_err(|source| CapacityError::Unwritten { file: file.to_owned(), source })
+fn write_file(file: &Path, text: &str) -> Result<(), CapacityError> {
+    fs::write(file, text).map_err(|source| CapacityError::WriteFile { file: file.to_owned(), source })
 }
--- a/crates/fawnrouter-lab/src/day.rs
+++ b/crates/fawnrouter-lab/src/day.rs
@@ -182,7 +182,7 @@
 
     /// Adds a switch to the current list as ready.
     fn list_as_ready(&self, stand_in: &StandIn, pool: u32, plan: &SwitchPlan, cold: bool) {
-        let line = SwitchEntry {
+        let entry = SwitchEntry {
             id: stand_in.id,
             address: stand_in.address,
             zone: plan.zone.clone(),
@@ -190,7 +190,7 @@
             state: SwitchState::Ready,
             up_since_ms: cold.then(unix_ms),
         };
-        self.publisher.borrow_mut().current.insert(stand_in.id, line);
+        self.publisher.borrow_mut().current.insert(stand_in.id, entry);
     }
 
     /// Starts all gateways and opens the callers' connections to them.
@@ -253,8 +253,8 @@
         };
         // A gateway may read the file before this task resumes. Switches that the list allows therefore count
         // from before the write, those that it closes from after it.
-        let is_ready = |line: &SwitchEntry| line.state == SwitchState::Ready;
-        for (id, _) in listed.iter().filter(|(_, line)| is_ready(line)) {
+        let is_ready = |entry: &SwitchEntry| entry.state == SwitchState::Ready;
+        for (id, _) in listed.iter().filter(|(_, entry)| is_ready(entry)) {
             self.tap.record(Seen::Told { switch: *id, listed: Listed::Ready });
         }
         // A slow disk must not delay the recording of traffic on this thread.
@@ -263,7 +263,7 @@
         for id in publisher.published.keys().filter(|id| !listed.contains_key(id)) {
             self.tap.record(Seen::Told { switch: *id, listed: Listed::Closed });
         }
-        for (id, _) in listed.iter().filter(|(_, line)| !is_ready(line)) {
+        for (id, _) in listed.iter().filter(|(_, entry)| !is_ready(entry)) {
             self.tap.record(Seen::Told { switch: *id, listed: Listed::Closed });
         }
         publisher.published = listed;
@@ -306,8 +306,8 @@
                 self.schedule_publication();
             }
             FaultAction::Drain(id) => {
-                if let Some(line) = self.publisher.borrow_mut().current.get_mut(&id) {
-                    line.state = SwitchState::Draining;
+                if let Some(entry) = self.publisher.borrow_mut().current.get_mut(&id) {
+                    entry.state = SwitchState::Draining;
                 }
                 self.schedule_publication();
             }
@@ -324,9 +324,9 @@
             }
             FaultAction::StartFlood(number) => {
                 for gateway in self.gateways.borrow().iter() {
-                    let trouble = &self.script.troubles[number];
-                    let child = flood::start_flood(*gateway, trouble)?;
-                    self.floods.borrow_mut().push((trouble.name(), child));
+                    let fault = &self.script.troubles[number];
+                    let child = flood::start_flood(*gateway, fault)?;
+                    self.floods.borrow_mut().push((fault.name(), child));
                 }
             }
             FaultAction::SetAnswerDelay(id, late) => {
@@ -376,9 +376,9 @@
     async fn print_progress(self: Rc<Self>) {
         loop {
             Timer::after(ms(1000)).await;
-            let (tries, stood) = self.callers.progress();
+            let (attempts, established) = self.callers.progress();
             eprintln!(
-                "{:>4} s  tries {tries}  stood {stood}  busy {}",
+                "{:>4} s  tries {attempts}  stood {established}  busy {}",
                 self.tap.now().as_secs(),
                 self.callers.open_calls()
             );
@@ -460,10 +460,10 @@
         }
         // Calls are recorded with the lab's clock, fault windows are given in the script's.
         let shift = u64::try_from(start.as_millis()).unwrap_or(0);
-        for trouble in &self.script.troubles {
-            let (from, to) = trouble.span_ms();
+        for fault in &self.script.troubles {
+            let (from, to) = fault.span_ms();
             let end = (self.script.seconds * 1000).min(to);
-            report.add_window(trouble.name(), (from + shift, end + shift));
+            report.add_window(fault.name(), (from + shift, end + shift));
         }
         let stand_ins = self.stand_ins.borrow();
         report.collapsed = stand_ins.values().filter(|s| s.collapsed()).map(|s| s.id).collect();
--- a/crates/fawnrouter-lab/src/demo.rs
+++ b/crates/fawnrouter-lab/src/demo.rs
@@ -23,14 +23,14 @@
     pub seed: u64,
 }
 
-const SCRIPT: &str = include_str!("../../../examples/demo-day.yaml");
+const DEMO_SCRIPT: &str = include_str!("../../../examples/demo-day.yaml");
 
 /// Runs the demonstration. Returns `None` after `--hold`.
 ///
 /// # Errors
 /// If a process cannot be started or a socket cannot be opened.
 pub fn run_demo(options: DemoOptions, stop: impl Future<Output = ()>) -> io::Result<Option<Report>> {
-    let mut script = Script::parse("demo-day.yaml", SCRIPT).map_err(io::Error::other)?;
+    let mut script = Script::parse("demo-day.yaml", DEMO_SCRIPT).map_err(io::Error::other)?;
     script.seconds = options.seconds.max(1);
     let executor = Rc::new(LocalExecutor::new());
     let day = DayOptions { seed: options.seed, baseline: false, progress: true, announce: true };
--- a/crates/fawnrouter-lab/src/fleet.rs
+++ b/crates/fawnrouter-lab/src/fleet.rs
@@ -207,13 +207,13 @@
 
 /// Writes the file of known clients.
 pub fn write_clients(folder: &Path, count: u32) -> io::Result<()> {
-    let line = |n| {
+    let entry = |n| {
         let (name, password) = client_credentials(n);
         let sha256 = ha1(Algorithm::Sha256, &name, REALM, &password).as_hex().to_owned();
         serde_json::json!({ "name": name, "sha256": sha256 })
     };
-    let lines: Vec<_> = (0..count).map(line).collect();
-    fs::write(folder.join("clients.yaml"), serde_json::json!({ "clients": lines }).to_string())
+    let entries: Vec<_> = (0..count).map(entry).collect();
+    fs::write(folder.join("clients.yaml"), serde_json::json!({ "clients": entries }).to_string())
 }
 
 /// Replaces the list of switches atomically.
--- a/crates/fawnrouter-lab/src/flood.rs
+++ b/crates/fawnrouter-lab/src/flood.rs
@@ -18,7 +18,7 @@
 use serde::{Deserialize, Serialize};
 use socket2::{Domain, Socket, Type};
 
-use crate::script::{FloodKind, Trouble};
+use crate::script::{Fault, FloodKind};
 
 /// Options of a flood.
 #[derive(Clone, Copy, Debug, clap::Args)]
@@ -76,9 +76,9 @@
             "{} tried: {} in, {} refused, {} reset, {} dropped; of those in {} told to go, {} cut",
             self.tried, self.inside, self.refused, self.reset, self.dropped, self.told_to_go, self.cut
         )?;
-        let (sent, stood, refused) = self.calls;
+        let (sent, established, refused) = self.calls;
         if sent > 0 {
-            write!(f, "; {sent} set-ups, {stood} stood, {refused} refused")?;
+            write!(f, "; {sent} set-ups, {established} stood, {refused} refused")?;
         }
         if self.skipped > 0 {
             write!(f, "; {} not tried", self.skipped)?;
@@ -93,8 +93,8 @@
 const OPEN_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Starts the process of a flood against a gateway.
-pub fn start_flood(gateway: SocketAddr, trouble: &Trouble) -> io::Result<Child> {
-    let Trouble::Flood { for_ms, way, addresses, per_s, hold_ms, calls_per_s, .. } = trouble else {
+pub fn start_flood(gateway: SocketAddr, fault: &Fault) -> io::Result<Child> {
+    let Fault::Flood { for_ms, way, addresses, per_s, hold_ms, calls_per_s, .. } = fault else {
         return Err(ErrorKind::InvalidInput.into());
     };
     let mut command = Command::new(std::env::current_exe()?);
--- a/crates/fawnrouter-lab/src/lib.rs
+++ b/crates/fawnrouter-lab/src/lib.rs
@@ -24,5 +24,5 @@
 pub use flood::{FloodFigures, FloodOptions, flood_main};
 pub use load::{LoadOptions, relay_main, run_load, run_memory};
 pub use report::{ClassReport, Report, WindowReport, Worth};
-pub use script::{FloodKind, Script, Trouble};
+pub use script::{Fault, FloodKind, Script};
 pub use switch::{Processor, SwitchEffect, SwitchModel};
--- a/crates/fawnrouter-lab/src/load.rs
+++ b/crates/fawnrouter-lab/src/load.rs
@@ -370,7 +370,7 @@
 }
 
 fn load_switch_list(far: &[SocketAddr]) -> SwitchFile {
-    let line = |(n, address): (usize, &SocketAddr)| SwitchEntry {
+    let entry = |(n, address): (usize, &SocketAddr)| SwitchEntry {
         id: 70 + n as u32,
         address: *address,
         zone: String::new(),
@@ -378,7 +378,7 @@
         state: SwitchState::Ready,
         up_since_ms: None,
     };
-    SwitchFile { switches: far.iter().enumerate().map(line).collect() }
+    SwitchFile { switches: far.iter().enumerate().map(entry).collect() }
 }
 
 /// Measures the relay and the gateway in one run and prints a table.
@@ -456,8 +456,8 @@
         let load =
             Rc::new(LoadGenerator { connections, sent: RefCell::default(), delays, released: Cell::new(0) });
         let writer = load.clone();
-        let stood = Rc::new(Cell::new(0u64));
-        let counted = stood.clone();
+        let established = Rc::new(Cell::new(0u64));
+        let counted = established.clone();
         let task = executor.spawn(async move {
             let acknowledge = |message: &Message| {
                 // Acknowledged and not released.
@@ -480,7 +480,7 @@
         }
         Timer::after(Duration::from_secs(2)).await;
         let with_calls = resident_kib(gateway.pid())?;
-        let standing = stood.get();
+        let established_calls = established.get();
         println!("gateway alone {base} KiB");
         let each = |kib: u64, n: u64| kib as f64 / n.max(1) as f64;
         println!(
@@ -488,8 +488,8 @@
             each(with_idle.saturating_sub(base), idle_connections as u64)
         );
         println!(
-            "{standing} standing calls: {with_calls} KiB, {:.2} KiB each",
-            each(with_calls.saturating_sub(with_idle), standing)
+            "{established_calls} standing calls: {with_calls} KiB, {:.2} KiB each",
+            each(with_calls.saturating_sub(with_idle), established_calls)
         );
         drop((task, idle, gateway));
         Ok(())
--- a/crates/fawnrouter-lab/src/main.rs
+++ b/crates/fawnrouter-lab/src/main.rs
@@ -11,8 +11,8 @@
 use async_signal::{Signal, Signals};
 use clap::{Parser, Subcommand};
 use fawnrouter_lab::{
-    DayOptions, DemoOptions, FloodOptions, LoadOptions, Script, Trouble, flood_main, gateway_main,
-    relay_main, run_day, run_demo, run_load, run_memory,
+    DayOptions, DemoOptions, Fault, FloodOptions, LoadOptions, Script, flood_main, gateway_main, relay_main,
+    run_day, run_demo, run_load, run_memory,
 };
 use futures_lite::StreamExt;
 use stats_alloc::{INSTRUMENTED_SYSTEM, StatsAlloc};
@@ -162,7 +162,7 @@
                 }
             };
             if no_floods {
-                script.troubles.retain(|t| !matches!(t, Trouble::Flood { .. }));
+                script.troubles.retain(|t| !matches!(t, Fault::Flood { .. }));
             }
             if no_admission {
                 script.admission = None;
--- a/crates/fawnrouter-lab/src/plan.rs
+++ b/crates/fawnrouter-lab/src/plan.rs
@@ -1,6 +1,6 @@
 //! Turns the faults of a script into a time line of actions, without I/O.
 
-use crate::script::{FIRST_SWITCH, Script, Trouble};
+use crate::script::{FIRST_SWITCH, Fault, Script};
 
 /// One change that the lab makes during a run. Switches are given by number.
 #[derive(Clone, Debug, PartialEq)]
@@ -38,8 +38,8 @@
 pub fn timeline(script: &Script) -> Vec<(u64, FaultAction)> {
     let mut actions = Vec::new();
     let mut next_number = FIRST_SWITCH + script.switches.len() as u32;
-    for (number, trouble) in script.troubles.iter().enumerate() {
-        let (from, to) = trouble.span_ms();
+    for (number, fault) in script.troubles.iter().enumerate() {
+        let (from, to) = fault.span_ms();
         let mut each =
             |switches: &[u32], begin: &dyn Fn(u32) -> FaultAction, end: &dyn Fn(u32) -> FaultAction| {
                 for id in switches {
@@ -47,33 +47,31 @@
                     actions.push((to, end(*id)));
                 }
             };
-        match trouble {
-            Trouble::Jump { times, .. } => {
+        match fault {
+            Fault::Jump { times, .. } => {
                 actions.extend([(from, FaultAction::SetLoad(*times)), (to, FaultAction::SetLoad(1.0))])
             }
-            Trouble::Stall { switches, still_ms, every_ms, .. } => {
+            Fault::Stall { switches, still_ms, every_ms, .. } => {
                 let mut at = from;
                 while at < to {
                     actions.extend(switches.iter().map(|id| (at, FaultAction::Stall(*id, *still_ms))));
                     at += (*every_ms).max(1);
                 }
             }
-            Trouble::Slow { switches, times, .. } => {
+            Fault::Slow { switches, times, .. } => {
                 each(switches, &|id| FaultAction::SetSlowdown(id, *times), &|id| {
                     FaultAction::SetSlowdown(id, 1.0)
                 });
             }
-            Trouble::Silent { switches, .. } => {
-                each(switches, &FaultAction::Silence, &FaultAction::StartCold)
-            }
-            Trouble::Restart { switches, .. } => each(switches, &FaultAction::Stop, &FaultAction::StartCold),
-            Trouble::RestartZone { zone, .. } => {
+            Fault::Silent { switches, .. } => each(switches, &FaultAction::Silence, &FaultAction::StartCold),
+            Fault::Restart { switches, .. } => each(switches, &FaultAction::Stop, &FaultAction::StartCold),
+            Fault::RestartZone { zone, .. } => {
                 let in_zone = |id: &u32| script.switches[(*id - FIRST_SWITCH) as usize].zone == *zone;
                 let all = FIRST_SWITCH..FIRST_SWITCH + script.switches.len() as u32;
                 let switches: Vec<u32> = all.filter(in_zone).collect();
                 each(&switches, &FaultAction::Stop, &FaultAction::StartCold);
             }
-            Trouble::Replace { switches, .. } => {
+            Fault::Replace { switches, .. } => {
                 for id in switches {
                     actions.extend([
                         (from, FaultAction::Drain(*id)),
@@ -83,21 +81,21 @@
                     next_number += 1;
                 }
             }
-            Trouble::LateList { delay_ms, .. } => {
+            Fault::LateList { delay_ms, .. } => {
                 actions.extend([
                     (from, FaultAction::SetListDelay(*delay_ms)),
                     (to, FaultAction::SetListDelay(script.list_delay_ms)),
                 ]);
             }
-            Trouble::EmptyList { .. } => actions
+            Fault::EmptyList { .. } => actions
                 .extend([(from, FaultAction::SetListEmpty(true)), (to, FaultAction::SetListEmpty(false))]),
-            Trouble::LateAnswers { switches, late_ms, .. } => {
+            Fault::LateAnswers { switches, late_ms, .. } => {
                 each(switches, &|id| FaultAction::SetAnswerDelay(id, *late_ms), &|id| {
                     FaultAction::SetAnswerDelay(id, 0)
                 });
             }
-            Trouble::Flood { .. } => actions.push((from, FaultAction::StartFlood(number))),
-            Trouble::CrossCancel { switches, .. } => {
+            Fault::Flood { .. } => actions.push((from, FaultAction::StartFlood(number))),
+            Fault::CrossCancel { switches, .. } => {
                 each(switches, &|id| FaultAction::SetIgnoreCancel(id, true), &|id| {
                     FaultAction::SetIgnoreCancel(id, false)
                 });
@@ -118,7 +116,7 @@
         let script = Script::parse("bad-day.yaml", text).expect("the example is sound");
         let actions = timeline(&script);
         assert!(actions.windows(2).all(|w| w[0].0 <= w[1].0));
-        let mut kinds: Vec<&str> = script.troubles.iter().map(Trouble::name).collect();
+        let mut kinds: Vec<&str> = script.troubles.iter().map(Fault::name).collect();
         kinds.sort_unstable();
         kinds.dedup();
         assert_eq!(kinds.len(), 11, "the example shows every kind: {kinds:?}");
--- a/crates/fawnrouter-lab/src/report.rs
+++ b/crates/fawnrouter-lab/src/report.rs
@@ -112,7 +112,7 @@
     /// Calls abandoned by CANCEL or by a lost connection.
     pub abandoned: u64,
     /// Attempts, including redials.
-    pub tries: u64,
+    pub attempts: u64,
     /// Time from INVITE to 200 of established attempts, in microseconds.
     pub set_up: Histogram<u64>,
     /// Attempts without a final response in time, as seen by callers.
@@ -144,7 +144,7 @@
         Self {
             classes: classes.collect(),
             abandoned: 0,
-            tries: 0,
+            attempts: 0,
             set_up,
             unanswered: 0,
             windows: Vec::new(),
@@ -232,7 +232,7 @@
         writeln!(f, "calls refused      {}", sum(|c| c.refused))?;
         writeln!(f, "calls failed       {} (of these cut {})", sum(|c| c.failed + c.cut), sum(|c| c.cut))?;
         writeln!(f, "callers that left  {}", self.abandoned)?;
-        writeln!(f, "tries              {} ({} without an answer)", self.tries, self.unanswered)?;
+        writeln!(f, "tries              {} ({} without an answer)", self.attempts, self.unanswered)?;
         writeln!(
             f,
             "set-up delay       p50 {:.1} ms, p99 {:.1} ms",
--- a/crates/fawnrouter-lab/src/script.rs
+++ b/crates/fawnrouter-lab/src/script.rs
@@ -57,7 +57,7 @@
     /// The faults, each at its time.
     #[serde(default)]
     #[schemars(length(max = 1000))]
-    pub troubles: Vec<Trouble>,
+    pub troubles: Vec<Fault>,
 }
 
 /// Zones of the gateways, and calls between zones.
@@ -116,8 +116,7 @@
 
 /// How callers behave.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
-#[serde(default, deny_unknown_fields)]
-#[schemars(rename = "Habits")]
+#[serde(default, deny_unknown_fields, rename = "Habits")]
 pub struct CallerBehaviour {
     /// Maximum number of redials of a call.
     #[schemars(range(max = 20))]
@@ -174,8 +173,8 @@
 /// these numbers.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[allow(missing_docs)]
-#[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
-pub enum Trouble {
+#[serde(rename = "Trouble", tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
+pub enum Fault {
     /// Callers call `times` as often.
     Jump { at_ms: u64, for_ms: u64, times: f64 },
     /// Switches stop processing for `still_ms`, every `every_ms`.
@@ -216,7 +215,7 @@
     },
 }
 
-impl Trouble {
+impl Fault {
     /// Start and end in milliseconds.
     #[must_use]
     pub fn span_ms(&self) -> (u64, u64) {
@@ -283,20 +282,20 @@
         let document = Document::parse(name, text)?;
         let script: Self = document.deserialize()?;
         let known = FIRST_SWITCH..FIRST_SWITCH + script.switches.len() as u32;
-        let mut faults = Vec::new();
-        for (n, trouble) in script.troubles.iter().enumerate() {
-            for id in trouble.switches().iter().filter(|id| !known.contains(id)) {
+        let mut errors = Vec::new();
+        for (n, fault) in script.troubles.iter().enumerate() {
+            for id in fault.switches().iter().filter(|id| !known.contains(id)) {
                 let text = format!("there is no switch {id}; they are {} to {}", known.start, known.end - 1);
-                faults.push(FieldError::new(format!("/troubles/{n}/switches"), text));
+                errors.push(FieldError::new(format!("/troubles/{n}/switches"), text));
             }
-            if let Trouble::RestartZone { zone, .. } = trouble
+            if let Fault::RestartZone { zone, .. } = fault
                 && !script.switches.iter().any(|s| s.zone == *zone)
             {
                 let text = format!("no switch is in zone {zone}; name one that is");
-                faults.push(FieldError::new(format!("/troubles/{n}/zone"), text));
+                errors.push(FieldError::new(format!("/troubles/{n}/zone"), text));
             }
         }
-        if faults.is_empty() { Ok(script) } else { Err(document.locate_errors(faults)) }
+        if errors.is_empty() { Ok(script) } else { Err(document.locate_errors(errors)) }
     }
 }
 
