--- a/crates/fawnrouter-lab/src/callers.rs
+++ b/crates/fawnrouter-lab/src/callers.rs
@@ -33,23 +33,38 @@
 #[derive(Clone, Debug)]
 pub struct CallerClass {
     pub name: String,
+    /// Share of first attempts, relative to the other classes.
     pub share: f64,
+    /// Mean holding time.
     pub hold: Duration,
+    /// Time after the first attempt from which callers no longer redial.
     pub deadline: Duration,
 }
 
+/// A caller's connection to a gateway. `outbox` holds the connection's number in the record, and is `None`
+/// while the connection is closed.
 struct Connection {
     gateway: SocketAddr,
-    number: u32,
+    gateway_number: u32,
     outbox: Option<(u64, Rc<Outbox>)>,
 }
 
 enum CallState {
+    /// Between two attempts.
     Idle,
-    InSetUp { connection: usize, invite: Box<Message>, sent_at: Duration },
-    Established { connection: usize, dialog: Box<Dialog>, set_up_time: Duration },
+    InSetUp {
+        connection: usize,
+        invite: Box<Message>,
+        sent_at: Duration,
+    },
+    Established {
+        connection: usize,
+        dialog: Box<Dialog>,
+        set_up_time: Duration,
+    },
 }
 
+/// A caller with one call, from its first attempt to its end.
 struct Caller {
     class: usize,
     number: String,
@@ -123,7 +138,7 @@
         for _ in 0..count {
             let connection = {
                 let mut pool = self.pool.borrow_mut();
-                pool.connections.push(Connection { gateway, number, outbox: None });
+                pool.connections.push(Connection { gateway, gateway_number: number, outbox: None });
                 pool.connections.len() - 1
             };
             self.open(connection).await?;
@@ -135,7 +150,7 @@
         let (address, number, nonce) = {
             let mut pool = self.pool.borrow_mut();
             let nonce: [u8; 16] = pool.rng.random();
-            (pool.connections[connection].gateway, pool.connections[connection].number, nonce)
+            (pool.connections[connection].gateway, pool.connections[connection].gateway_number, nonce)
         };
         let stream = Async::<TcpStream>::connect(address).await?;
         stream.get_ref().set_nodelay(true)?;
@@ -322,6 +337,7 @@
         self.dial(pool, now, id);
     }
 
+    /// Starts an attempt on a random open connection, or tries again in 100 ms if none is open.
     fn dial(&self, pool: &mut CallerPool, now: Duration, id: u64) {
         let open: Vec<usize> =
             (0..pool.connections.len()).filter(|l| pool.connections[*l].outbox.is_some()).collect();
@@ -392,12 +408,14 @@
         }
     }
 
+    /// Ends a call and records its outcome.
     fn finish(&self, pool: &mut CallerPool, id: u64, outcome: CallOutcome) {
         if let Some(caller) = pool.active.remove(&id) {
             pool.report.record(caller.class, caller.first_attempt, outcome);
         }
     }
 
+    /// Handles a message from a gateway.
     fn receive(&self, connection: usize, message: Message) {
         let now = self.tap.now();
         let pool = &mut *self.pool.borrow_mut();
@@ -449,6 +467,7 @@
         self.send(pool, connection, &ack);
     }
 
+    /// Ends the calls of a lost connection as abandoned.
     fn connection_lost(&self, connection: usize, conn: u64) {
         let pool = &mut *self.pool.borrow_mut();
         if pool.connections[connection].outbox.as_ref().is_some_and(|(c, _)| *c == conn) {
--- a/crates/fawnrouter-lab/src/day.rs
+++ b/crates/fawnrouter-lab/src/day.rs
@@ -53,11 +53,15 @@
 /// The actual state of the switches and what has been published of it, with a delay, in the list file.
 struct ListPublisher {
     folder: tempfile::TempDir,
+    /// Entries as they are now.
     current: BTreeMap<u32, SwitchEntry>,
+    /// Entries of the list that was written last.
     published: BTreeMap<u32, SwitchEntry>,
-    version: u64,
-    last_version: u64,
+    latest_version: u64,
+    published_version: u64,
+    /// Publish an empty list in place of the entries.
     empty: bool,
+    /// Time from a change to its publication.
     delay: Duration,
 }
 
@@ -73,7 +77,8 @@
     /// Held while a list is written and recorded, so that lists appear one at a time and in the order of
     /// their versions.
     publish_lock: Mutex<()>,
-    load_multiple: Cell<f64>,
+    /// Factor on the script's rate of calls.
+    call_rate_multiple: Cell<f64>,
     /// Addresses of the gateways, and the flood processes started against them.
     gateways: RefCell<Vec<SocketAddr>>,
     floods: RefCell<Vec<(&'static str, Child)>>,
@@ -84,8 +89,8 @@
 pub fn audit_figures(script: &Script) -> Figures {
     let rules = &script.rules;
     Figures {
-        // The list is recorded when the file is written. The gateway's polling delay is allowed on top of the
-        // grace by `slack`.
+        // The list is recorded when the file is written; the gateway's polling delay comes on top of the
+        // grace.
         drain_grace: ms(rules.drain_grace_ms),
         guard: ms(rules.release_guard_ms),
         fall_multiple: rules.fall_multiple,
@@ -128,8 +133,8 @@
             folder: tempfile::tempdir()?,
             current: BTreeMap::new(),
             published: BTreeMap::new(),
-            version: 0,
-            last_version: 0,
+            latest_version: 0,
+            published_version: 0,
             empty: false,
             delay: ms(script.list_delay_ms),
         };
@@ -140,7 +145,7 @@
             pool_by_switch: RefCell::default(),
             publisher: RefCell::new(publisher),
             publish_lock: Mutex::new(()),
-            load_multiple: Cell::new(1.0),
+            call_rate_multiple: Cell::new(1.0),
             gateways: RefCell::default(),
             floods: RefCell::default(),
             callers,
@@ -220,8 +225,8 @@
     fn schedule_publication(self: &Rc<Self>) {
         let (version, delay) = {
             let mut publisher = self.publisher.borrow_mut();
-            publisher.version += 1;
-            (publisher.version, publisher.delay)
+            publisher.latest_version += 1;
+            (publisher.latest_version, publisher.delay)
         };
         let (lab, current) = (self.clone(), self.publisher.borrow().current.clone());
         let later = async move {
@@ -240,10 +245,10 @@
         let _guard = self.publish_lock.lock().await;
         let (folder, list, listed) = {
             let mut publisher = self.publisher.borrow_mut();
-            if version < publisher.last_version {
+            if version < publisher.published_version {
                 return Ok(());
             }
-            publisher.last_version = version;
+            publisher.published_version = version;
             let listed = if publisher.empty { BTreeMap::new() } else { current };
             (
                 publisher.folder.path().to_owned(),
@@ -270,10 +275,11 @@
         Ok(())
     }
 
+    /// Carries out an action of the time line.
     async fn apply(self: &Rc<Self>, action: FaultAction) -> io::Result<()> {
         let stand_in = |id: u32| self.stand_ins.borrow().get(&id).cloned();
         match action {
-            FaultAction::SetLoad(times) => self.load_multiple.set(times),
+            FaultAction::SetLoad(times) => self.call_rate_multiple.set(times),
             FaultAction::Stall(id, span) => {
                 if let Some(stand_in) = stand_in(id) {
                     stand_in.stall(ms(span));
@@ -349,7 +355,7 @@
         let mut broken = at;
         loop {
             let gap = -(1.0 - self.callers.random_unit()).ln()
-                / (self.script.calls_per_s * self.load_multiple.get());
+                / (self.script.calls_per_s * self.call_rate_multiple.get());
             at += Duration::from_secs_f64(gap);
             if at >= until {
                 return;
@@ -364,6 +370,7 @@
         }
     }
 
+    /// Carries out all actions of the time line at their times.
     async fn run_timeline(self: Rc<Self>, start: Duration) {
         for (at, action) in timeline(&self.script) {
             Timer::at(self.tap.to_instant(start + ms(at))).await;
--- a/crates/fawnrouter-lab/src/switch.rs
+++ b/crates/fawnrouter-lab/src/switch.rs
@@ -17,6 +17,9 @@
 /// Set-up, answer and release make up one call; a refusal comes on top.
 const WORK_SHARES: WorkShares = WorkShares { set_up: 0.6, answer: 0.2, release: 0.2, refusal: 0.1 };
 
+/// Set-ups that a cold switch takes above its limit before it collapses: arrivals are random.
+const COLD_SET_UP_TOLERANCE: f64 = 3.0;
+
 /// Capacity and overload behaviour of a stand-in.
 #[derive(Clone, Debug)]
 pub struct SwitchModel {
@@ -66,13 +69,18 @@
 #[derive(Debug)]
 pub struct Processor {
     model: SwitchModel,
+    /// When all queued work is done.
     busy_until: Duration,
+    /// Queued work by its end and a running number.
     jobs: BTreeMap<(Duration, u64), Job>,
     last_job: u64,
+    /// Calls in set-up by connection and Call-ID.
     calls: BTreeMap<(u64, String), Call>,
+    /// Messages that arrived during a stall, with their connections.
     inbox: VecDeque<(u64, Box<Message>)>,
     stalled_until: Duration,
     cold_since: Option<Duration>,
+    /// Times of the set-ups within the collapse window, while cold.
     arrivals: VecDeque<Duration>,
     collapsed: bool,
     /// Factor by which all work takes longer than usual.
@@ -229,7 +237,8 @@
         }
         let capacity =
             self.model.capacity_per_s * self.capacity_share(now) * self.model.collapse_window.as_secs_f64();
-        if self.arrivals.len() as f64 > capacity * self.model.collapse_multiple + 3.0 && !self.collapsed {
+        let limit = capacity * self.model.collapse_multiple + COLD_SET_UP_TOLERANCE;
+        if self.arrivals.len() as f64 > limit && !self.collapsed {
             self.collapsed = true;
             effects.push(SwitchEffect::Collapsed);
         }
--- a/crates/fawnrouter-lab/src/tap.rs
+++ b/crates/fawnrouter-lab/src/tap.rs
@@ -8,7 +8,7 @@
 
 use fawnrouter_audit::{Auditor, Figures, Seen, Side, Verdict, Way};
 
-/// The auditor, and the number of the last connection that it was told of.
+/// The auditor, and the number of the last recorded connection.
 struct Recording {
     auditor: Auditor,
     last_connection: u64,
@@ -41,10 +41,12 @@
         self.start.elapsed()
     }
 
+    /// The instant of a time since the start.
     pub fn to_instant(&self, at: Duration) -> Instant {
         self.start + at
     }
 
+    /// Passes an event to the auditor.
     pub fn record(&self, seen: Seen) {
         self.state.borrow_mut().auditor.take(self.now(), seen);
     }
@@ -60,6 +62,7 @@
         conn
     }
 
+    /// Records bytes that were read or written on a connection.
     pub fn record_bytes(&self, conn: u64, way: Way, bytes: &[u8]) {
         let late = self.possible_delay();
         self.record(Seen::Bytes { conn, way, bytes: bytes.to_vec(), late });
@@ -82,6 +85,7 @@
         if since < DELAY_MEMORY { now.max(late) } else { now }
     }
 
+    /// Records the end of a connection.
     pub fn connection_closed(&self, conn: u64) {
         self.record(Seen::Closed { conn });
     }
