--- a/crates/fawnrouter-lab/src/fleet.rs
+++ b/crates/fawnrouter-lab/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Gateways as processes of their own, and the file that lists their switches.
+//! Gateway processes, their settings, and the files that they read.
 
 use std::fs;
 use std::io::{self, BufRead, BufReader};
@@ -18,21 +18,21 @@
 use crate::baseline::RoundRobin;
 use crate::script::{ClassPlan, Script};
 
-/// A gateway process, or the relay that is measured beside it.
+/// A gateway process, or the relay that it is compared with.
 pub struct GatewayProcess {
     child: Child,
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub address: SocketAddr,
-    /// The line that it printed when it was ready.
-    pub ready: String,
+    /// Line printed when the process was ready.
+    pub ready_line: String,
 }
 
 impl GatewayProcess {
-    /// Starts one with these settings and waits until it is ready. `baseline` puts round robin in place of the
-    /// decisions.
+    /// Starts a gateway with these settings and waits until it is ready. `baseline` uses round robin in place
+    /// of the router's decisions.
     pub fn start(folder: &Path, settings: &Settings, baseline: bool) -> io::Result<Self> {
         let file = folder.join(format!("gateway{}.yaml", settings.gateway.number));
-        // JSON is YAML.
+        // JSON is valid YAML.
         fs::write(&file, serde_json::to_string_pretty(settings).map_err(io::Error::other)?)?;
         let mut command = Command::new(std::env::current_exe()?);
         command.arg("gateway").arg("--config").arg(&file);
@@ -42,47 +42,49 @@
         Self::spawn(command)
     }
 
-    /// Starts the null relay in front of this far end.
-    pub fn relay(far: SocketAddr) -> io::Result<Self> {
+    /// Starts the null relay in front of the given far end.
+    pub fn start_relay(far: SocketAddr) -> io::Result<Self> {
         let mut command = Command::new(std::env::current_exe()?);
         command.arg("relay").arg("--far").arg(far.to_string());
         Self::spawn(command)
     }
 
-    /// Starts a process that prints a ready line, and waits for it.
+    /// Starts a process and waits for its ready line.
     fn spawn(mut command: Command) -> io::Result<Self> {
         let mut child = command.stdin(Stdio::null()).stdout(Stdio::piped()).spawn()?;
-        let mut ready = String::new();
+        let mut ready_line = String::new();
         if let Some(out) = child.stdout.take() {
-            BufReader::new(out).read_line(&mut ready)?;
+            BufReader::new(out).read_line(&mut ready_line)?;
         }
-        let ready = ready.trim().to_owned();
-        let address =
-            ready.strip_prefix("ready ws://").and_then(|r| r.split('/').next()).and_then(|a| a.parse().ok());
+        let ready_line = ready_line.trim().to_owned();
+        let address = ready_line
+            .strip_prefix("ready ws://")
+            .and_then(|r| r.split('/').next())
+            .and_then(|a| a.parse().ok());
         match address {
-            Some(address) => Ok(Self { child, address, ready }),
+            Some(address) => Ok(Self { child, address, ready_line }),
             None => {
                 let _ = child.kill();
                 let _ = child.wait();
-                Err(io::Error::other(format!("the process did not start: {ready:?}")))
+                Err(io::Error::other(format!("the process did not start: {ready_line:?}")))
             }
         }
     }
 
-    /// The id of the process.
-    pub fn id(&self) -> u32 {
+    /// The process id.
+    pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Asks it to drain.
+    /// Sends SIGTERM, which makes the gateway drain.
     pub fn terminate(&self) {
         if let Some(pid) = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw) {
             let _ = kill_process(pid, Signal::TERM);
         }
     }
 
-    /// Whether it has ended, and how.
-    pub fn ended(&mut self) -> Option<bool> {
+    /// `None` while the process runs, then whether it exited successfully.
+    pub fn exit_success(&mut self) -> Option<bool> {
         self.child.try_wait().ok().flatten().map(|status| status.success())
     }
 }
@@ -94,7 +96,7 @@
     }
 }
 
-/// The gateway process that days and the demonstration start.
+/// Entry point of the gateway process that scripted runs and the demonstration start.
 #[must_use]
 pub fn gateway_main(config: &Path, baseline: bool) -> ExitCode {
     let settings = match load(config) {
@@ -124,8 +126,8 @@
     }
 }
 
-/// The settings of one gateway of a script.
-pub fn settings(script: &Script, number: u32, seed: u64) -> Settings {
+/// Settings of one gateway of a script.
+pub fn gateway_settings(script: &Script, number: u32, seed: u64) -> Settings {
     let pools = 0..script.switches.len() as u32;
     let rule = |plan: &ClassPlan| {
         let name = plan.class.name.clone();
@@ -180,7 +182,7 @@
                 other_cost: zones.cost,
                 points_a_unit: 0.2,
                 budgets: zones.budgets.clone(),
-                account: account_of(number).into(),
+                account: account_file(number).into(),
             }
         }),
         trunk: Trunk::default(),
@@ -189,37 +191,37 @@
     }
 }
 
-/// The name of a gateway's account of zones.
+/// File name of a gateway's account of calls across zones.
 #[must_use]
-pub fn account_of(number: u32) -> String {
+pub fn account_file(number: u32) -> String {
     format!("account{number}")
 }
 
-/// The realm of the lab's known clients.
+/// Digest realm of the lab's known clients.
 pub const REALM: &str = "lab.invalid";
 
-/// A known client of the lab, with its password.
-pub fn client(number: u32) -> (String, String) {
+/// Name and password of a known client.
+pub fn client_credentials(number: u32) -> (String, String) {
     (format!("branch{number}"), format!("secret of {number}"))
 }
 
 /// Writes the file of known clients.
 pub fn write_clients(folder: &Path, count: u32) -> io::Result<()> {
-    let line = |n| {
-        let (name, password) = client(n);
+    let entry = |n| {
+        let (name, password) = client_credentials(n);
         let sha256 = ha1(Algorithm::Sha256, &name, REALM, &password).as_hex().to_owned();
         serde_json::json!({ "name": name, "sha256": sha256 })
     };
-    let lines: Vec<_> = (0..count).map(line).collect();
-    fs::write(folder.join("clients.yaml"), serde_json::json!({ "clients": lines }).to_string())
+    let entries: Vec<_> = (0..count).map(entry).collect();
+    fs::write(folder.join("clients.yaml"), serde_json::json!({ "clients": entries }).to_string())
 }
 
-/// Replaces the list as a whole.
+/// Replaces the list of switches atomically.
 pub fn write_list(folder: &Path, version: u64, list: &SwitchFile) -> io::Result<()> {
-    let fresh = folder.join(format!("switches.{version}"));
-    fs::write(&fresh, serde_json::to_string(list).map_err(io::Error::other)?)?;
-    fs::rename(fresh, folder.join("switches.yaml"))
+    let new_file = folder.join(format!("switches.{version}"));
+    fs::write(&new_file, serde_json::to_string(list).map_err(io::Error::other)?)?;
+    fs::rename(new_file, folder.join("switches.yaml"))
 }
 
-/// How long a list may take to reach a gateway: its look at the file, and the reading.
-pub const LIST_REACHES: Duration = Duration::from_millis(150);
+/// Time that a list may take to reach a gateway: the polling interval and the reading.
+pub const LIST_PROPAGATION_TIME: Duration = Duration::from_millis(150);
--- a/crates/fawnrouter-lab/src/flood.rs
+++ b/crates/fawnrouter-lab/src/flood.rs
@@ -1,5 +1,6 @@
-//! Floods of strangers, from a process of their own: connections from many loopback addresses that sit idle, draw
-//! their handshake out, do not read, or call. Bounded in count and time, and only ever towards a loopback address.
+//! Connection floods by unknown clients, from a separate process: connections from many loopback addresses
+//! that stay idle, send their handshake slowly, do not read, or call. Bounded in count and time, and only
+//! towards loopback addresses.
 
 use std::cell::RefCell;
 use std::fmt;
@@ -19,54 +20,54 @@
 use serde::{Deserialize, Serialize};
 use socket2::{Domain, Socket, Type};
 
-use crate::script::{FloodKind, Trouble};
+use crate::script::{Fault, FloodKind};
 
-/// A flood.
+/// Options of a flood.
 #[derive(Clone, Copy, Debug, clap::Args)]
 pub struct FloodOptions {
-    /// The gateway.
+    /// Address of the gateway.
     #[arg(long)]
     to: SocketAddr,
-    /// What strangers do.
+    /// What the clients of the flood do.
     #[arg(long)]
     way: FloodKind,
-    /// From how many addresses.
+    /// Number of loopback addresses that connections come from.
     #[arg(long, value_parser = clap::value_parser!(u32).range(1..=60_000))]
     addresses: u32,
-    /// Connections a second.
+    /// Connections per second.
     #[arg(long)]
     per_s: f64,
-    /// Set-ups a second over all connections.
+    /// Set-ups per second over all connections.
     #[arg(long, default_value_t = 0.0)]
     calls_per_s: f64,
-    /// For how long connections are opened, milliseconds.
+    /// Time during which connections are opened, in milliseconds.
     #[arg(long, value_parser = clap::value_parser!(u64).range(1..=600_000))]
     for_ms: u64,
-    /// How long each is kept, milliseconds.
+    /// Time that each connection is kept open, in milliseconds.
     #[arg(long, value_parser = clap::value_parser!(u64).range(0..=60_000))]
     hold_ms: u64,
 }
 
-/// What came of a flood, as the strangers saw it.
+/// Results of a flood, as its clients saw it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FloodFigures {
-    /// Connections tried.
+    /// Connections attempted.
     pub tried: u64,
-    /// That got in.
+    /// Connections that completed the WebSocket upgrade.
     pub inside: u64,
-    /// That were refused with an answer.
+    /// Connections refused with an HTTP response.
     pub refused: u64,
-    /// That were reset without one.
+    /// Connections reset without a response.
     pub reset: u64,
-    /// That ended, or were left waiting, without a word.
+    /// Connections that ended or timed out without a response.
     pub dropped: u64,
-    /// That were not tried as the flood itself had too many open.
+    /// Connections not attempted because the flood had reached its own limit of open connections.
     pub skipped: u64,
-    /// That were in and were told to go.
+    /// Upgraded connections that the gateway ended with a close frame.
     pub told_to_go: u64,
-    /// That were in and ended without a word.
+    /// Upgraded connections that ended without a close frame.
     pub cut: u64,
-    /// Set-ups sent, those that stood, and those refused.
+    /// Set-ups sent, established and refused.
     pub calls: (u64, u64, u64),
 }
 
@@ -77,9 +78,9 @@
             "{} tried: {} in, {} refused, {} reset, {} dropped; of those in {} told to go, {} cut",
             self.tried, self.inside, self.refused, self.reset, self.dropped, self.told_to_go, self.cut
         )?;
-        let (sent, stood, refused) = self.calls;
+        let (sent, established, refused) = self.calls;
         if sent > 0 {
-            write!(f, "; {sent} set-ups, {stood} stood, {refused} refused")?;
+            write!(f, "; {sent} set-ups, {established} stood, {refused} refused")?;
         }
         if self.skipped > 0 {
             write!(f, "; {} not tried", self.skipped)?;
@@ -88,14 +89,14 @@
     }
 }
 
-/// Connections that a flood has open at the most.
-const MOST_OPEN: usize = 8000;
-/// A connection that hears nothing for this long was dropped.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Limit of connections that a flood has open at once.
+const MAX_OPEN_CONNECTIONS: usize = 8000;
+/// A connection attempt without a response for this long counts as dropped.
+const OPEN_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Starts a flood on a gateway.
-pub fn start(gateway: SocketAddr, trouble: &Trouble) -> io::Result<Child> {
-    let Trouble::Flood { for_ms, way, addresses, per_s, hold_ms, calls_per_s, .. } = trouble else {
+/// Starts the process of a flood against a gateway.
+pub fn start_flood(gateway: SocketAddr, fault: &Fault) -> io::Result<Child> {
+    let Fault::Flood { for_ms, way, addresses, per_s, hold_ms, calls_per_s, .. } = fault else {
         return Err(ErrorKind::InvalidInput.into());
     };
     let mut command = Command::new(std::env::current_exe()?);
@@ -106,12 +107,12 @@
     command.stdin(Stdio::null()).stdout(Stdio::piped()).spawn()
 }
 
-/// Waits for a flood to end.
-pub fn figures(child: Child) -> io::Result<FloodFigures> {
+/// Waits for a flood to end and reads its results.
+pub fn wait_for_figures(child: Child) -> io::Result<FloodFigures> {
     serde_json::from_slice(&child.wait_with_output()?.stdout).map_err(io::Error::other)
 }
 
-/// The flood's process.
+/// Entry point of the flood process. Prints the results as JSON.
 #[must_use]
 pub fn flood_main(options: FloodOptions) -> ExitCode {
     if !options.to.ip().is_loopback() {
@@ -143,15 +144,16 @@
         if n % 256 == 0 {
             tasks.retain(|task: &async_executor::Task<()>| !task.is_finished());
         }
-        if tasks.len() >= MOST_OPEN {
+        if tasks.len() >= MAX_OPEN_CONNECTIONS {
             figures.borrow_mut().skipped += 1;
             continue;
         }
         figures.borrow_mut().tried += 1;
         let figures = figures.clone();
         tasks.push(executor.spawn(async move {
-            let mut one = Stranger { options, n, figures, decoder: FrameDecoder::new(Role::Client, 1 << 20) };
-            one.run().await;
+            let mut client =
+                FloodClient { options, n, figures, decoder: FrameDecoder::new(Role::Client, 1 << 20) };
+            client.run().await;
         }));
     }
     for task in tasks {
@@ -159,42 +161,42 @@
     }
 }
 
-/// What came of opening a connection.
-enum Opening {
-    In(Async<TcpStream>, Vec<u8>),
+/// Result of connecting and requesting an upgrade.
+enum UpgradeResult {
+    Accepted(Async<TcpStream>, Vec<u8>),
     Refused,
     Reset,
     Dropped,
 }
 
-struct Stranger {
+struct FloodClient {
     options: FloodOptions,
     n: u32,
     figures: Rc<RefCell<FloodFigures>>,
     decoder: FrameDecoder,
 }
 
-impl Stranger {
+impl FloodClient {
     async fn run(&mut self) {
-        let patience = async {
-            Timer::after(PATIENCE).await;
-            Ok(Opening::Dropped)
+        let timeout = async {
+            Timer::after(OPEN_TIMEOUT).await;
+            Ok(UpgradeResult::Dropped)
         };
-        let opening = future::or(self.open(), patience).await;
+        let opening = future::or(self.connect(), timeout).await;
         let (stream, rest) = match opening {
-            Ok(Opening::In(stream, rest)) => (stream, rest),
-            Ok(Opening::Refused) => return self.count(|f| f.refused += 1),
-            Ok(Opening::Dropped) => return self.count(|f| f.dropped += 1),
-            Ok(Opening::Reset) | Err(_) => return self.count(|f| f.reset += 1),
+            Ok(UpgradeResult::Accepted(stream, rest)) => (stream, rest),
+            Ok(UpgradeResult::Refused) => return self.count(|f| f.refused += 1),
+            Ok(UpgradeResult::Dropped) => return self.count(|f| f.dropped += 1),
+            Ok(UpgradeResult::Reset) | Err(_) => return self.count(|f| f.reset += 1),
         };
         self.count(|f| f.inside += 1);
-        let kept = Duration::from_millis(self.options.hold_ms);
-        let held = async move {
-            Timer::after(kept).await;
+        let hold_time = Duration::from_millis(self.options.hold_ms);
+        let timer = async move {
+            Timer::after(hold_time).await;
             Ok(None)
         };
         let figures = self.figures.clone();
-        match future::or(self.stay(&stream, rest), held).await {
+        match future::or(self.hold_open(&stream, rest), timer).await {
             Ok(None) => {}
             Ok(Some(())) => figures.borrow_mut().told_to_go += 1,
             Err(_) => figures.borrow_mut().cut += 1,
@@ -205,7 +207,7 @@
         change(&mut self.figures.borrow_mut());
     }
 
-    async fn open(&self) -> io::Result<Opening> {
+    async fn connect(&self) -> io::Result<UpgradeResult> {
         let n = self.n % self.options.addresses;
         let address = [127, 16 + (n / 62_500) as u8, (n / 250 % 250) as u8, (1 + n % 250) as u8];
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
@@ -222,8 +224,8 @@
         if let Some(error) = stream.get_ref().take_error()? {
             return Err(error);
         }
-        let shake = ClientHandshake::new([9; 16], "sip");
-        let request = shake.request("gateway.invalid", "/", None);
+        let handshake = ClientHandshake::new([9; 16], "sip");
+        let request = handshake.request("gateway.invalid", "/", None);
         let writing = async {
             let mut to = &stream;
             if self.options.way == FloodKind::Slow {
@@ -236,42 +238,43 @@
             } else {
                 let _ = to.write_all(&request).await;
             }
-            // What comes of it is for the reader to say.
-            future::pending::<io::Result<Result<Vec<u8>, Opening>>>().await
+            // The result comes from the reader.
+            future::pending::<io::Result<Result<Vec<u8>, UpgradeResult>>>().await
         };
-        let told = future::or(hear(&stream, &shake), writing).await?;
-        Ok(match told {
-            Ok(rest) => Opening::In(stream, rest),
+        let upgrade = future::or(read_upgrade_response(&stream, &handshake), writing).await?;
+        Ok(match upgrade {
+            Ok(rest) => UpgradeResult::Accepted(stream, rest),
             Err(other) => other,
         })
     }
 
-    /// Until the gateway ends it: `Some` if it said goodbye, an error if it did not.
-    async fn stay(&mut self, stream: &Async<TcpStream>, rest: Vec<u8>) -> io::Result<Option<()>> {
+    /// Keeps the connection until the gateway ends it: `Some` after a close frame, an error without one.
+    async fn hold_open(&mut self, stream: &Async<TcpStream>, rest: Vec<u8>) -> io::Result<Option<()>> {
         if self.options.way == FloodKind::Deaf {
-            let mut one = Vec::new();
-            encode_frame(Opcode::Text, &ask(self.n), Some([1, 2, 3, 4]), &mut one);
+            let mut message = Vec::new();
+            encode_frame(Opcode::Text, &options_request(self.n), Some([1, 2, 3, 4]), &mut message);
             loop {
-                // It never reads, so that a goodbye is not seen: the end of the connection shows in the writing.
+                // This client never reads and so cannot see a close frame: a failed write shows the end of
+                // the connection.
                 let mut to = stream;
-                if to.write_all(&one).await.is_err() {
+                if to.write_all(&message).await.is_err() {
                     return Ok(Some(()));
                 }
             }
         }
-        // Each connection makes its part of the calls while it is kept.
+        // Each connection makes its share of the calls while it is open.
         let kept_s = self.options.hold_ms as f64 / 1e3;
-        let share = self.options.calls_per_s / (self.options.per_s * kept_s).max(1.0);
+        let calls_per_s = self.options.calls_per_s / (self.options.per_s * kept_s).max(1.0);
         let (out, n, figures) = (RefCell::new(Vec::new()), self.n, self.figures.clone());
         let calling = async {
-            if share <= 0.0 {
+            if calls_per_s <= 0.0 {
                 return future::pending::<io::Result<Option<()>>>().await;
             }
             for call in 0u32.. {
-                Timer::after(Duration::from_secs_f64(1.0 / share)).await;
+                Timer::after(Duration::from_secs_f64(1.0 / calls_per_s)).await;
                 figures.borrow_mut().calls.0 += 1;
                 let mut bytes = Vec::new();
-                encode_frame(Opcode::Text, &invite(n, call), Some([1, 2, 3, 4]), &mut bytes);
+                encode_frame(Opcode::Text, &invite_request(n, call), Some([1, 2, 3, 4]), &mut bytes);
                 let mut to = stream;
                 to.write_all(&bytes).await?;
             }
@@ -280,10 +283,10 @@
         let decoder = &mut self.decoder;
         let reading = async {
             let mut buffer = vec![0; 16 * 1024];
-            let mut got = rest.len();
-            buffer[..got].copy_from_slice(&rest);
+            let mut length = rest.len();
+            buffer[..length].copy_from_slice(&rest);
             loop {
-                let mut input = &buffer[..got];
+                let mut input = &buffer[..length];
                 while let Some(event) = decoder.feed(&mut input).map_err(io::Error::other)? {
                     match event {
                         Event::Close(_) => return Ok(Some(())),
@@ -292,7 +295,7 @@
                         }
                         Event::Text(text) => {
                             if let Ok(message) = Message::parse(text.as_bytes(), &Limits::default()) {
-                                follow(&message, &mut out.borrow_mut(), &mut figures.borrow_mut());
+                                handle_response(&message, &mut out.borrow_mut(), &mut figures.borrow_mut());
                             }
                         }
                         _ => {}
@@ -301,8 +304,8 @@
                 let waiting = std::mem::take(&mut *out.borrow_mut());
                 let mut to = stream;
                 to.write_all(&waiting).await?;
-                got = stream.read_with(|mut s| s.read(&mut buffer)).await?;
-                if got == 0 {
+                length = stream.read_with(|mut s| s.read(&mut buffer)).await?;
+                if length == 0 {
                     return Err(ErrorKind::UnexpectedEof.into());
                 }
             }
@@ -311,28 +314,31 @@
     }
 }
 
-/// Reads the answer to a request for an upgrade: what came behind it, or what else became of it.
-async fn hear(stream: &Async<TcpStream>, shake: &ClientHandshake) -> io::Result<Result<Vec<u8>, Opening>> {
+/// Reads the response to an upgrade request. Returns the bytes after it, or how the upgrade failed.
+async fn read_upgrade_response(
+    stream: &Async<TcpStream>,
+    handshake: &ClientHandshake,
+) -> io::Result<Result<Vec<u8>, UpgradeResult>> {
     let (mut bytes, mut buffer) = (Vec::new(), [0; 2048]);
     loop {
         match stream.read_with(|mut s| s.read(&mut buffer)).await {
-            Ok(0) if bytes.is_empty() => return Ok(Err(Opening::Dropped)),
-            // The answer may have come before the end.
-            Ok(0) => return Ok(Err(Opening::Refused)),
+            Ok(0) if bytes.is_empty() => return Ok(Err(UpgradeResult::Dropped)),
+            // A response may have arrived before the end of the connection.
+            Ok(0) => return Ok(Err(UpgradeResult::Refused)),
             Ok(n) => bytes.extend_from_slice(&buffer[..n]),
-            Err(_) if bytes.is_empty() => return Ok(Err(Opening::Reset)),
-            Err(_) => return Ok(Err(Opening::Refused)),
+            Err(_) if bytes.is_empty() => return Ok(Err(UpgradeResult::Reset)),
+            Err(_) => return Ok(Err(UpgradeResult::Refused)),
         }
-        match shake.check(&bytes, &HttpLimits::default()) {
+        match handshake.check(&bytes, &HttpLimits::default()) {
             Ok(Some(len)) => return Ok(Ok(bytes.split_off(len))),
             Ok(None) => {}
-            Err(HandshakeError::Refused(_)) => return Ok(Err(Opening::Refused)),
+            Err(HandshakeError::Refused(_)) => return Ok(Err(UpgradeResult::Refused)),
             Err(error) => return Err(io::Error::other(error)),
         }
     }
 }
 
-fn request(method: Method, uri: &str, n: u32, call: u32) -> MessageBuilder {
+fn request_draft(method: Method, uri: &str, n: u32, call: u32) -> MessageBuilder {
     let mut draft = MessageBuilder::request(method, uri);
     draft
         .field(Name::Via, &format!("SIP/2.0/WS stranger{n}.invalid;branch=z9hG4bKf{n}.{call}"))
@@ -344,20 +350,20 @@
     draft
 }
 
-fn ask(n: u32) -> Vec<u8> {
-    request(Method::Options, "sip:gateway.invalid", n, 0).finish(b"")
+fn options_request(n: u32) -> Vec<u8> {
+    request_draft(Method::Options, "sip:gateway.invalid", n, 0).finish(b"")
 }
 
-fn invite(n: u32, call: u32) -> Vec<u8> {
+fn invite_request(n: u32, call: u32) -> Vec<u8> {
     let uri = format!("sip:+9147{:07}@gateway.invalid", (n * 31 + call) % 10_000_000);
-    request(Method::Invite, &uri, n, call)
+    request_draft(Method::Invite, &uri, n, call)
         .field(Name::Contact, "<sip:stranger@flood.invalid;transport=ws>")
         .field(Name::Expires, "3")
         .finish(b"")
 }
 
-/// A stranger acknowledges what it gets, and hangs up at once.
-fn follow(message: &Message, out: &mut Vec<u8>, figures: &mut FloodFigures) {
+/// Acknowledges final responses to INVITE and hangs up established calls at once.
+fn handle_response(message: &Message, out: &mut Vec<u8>, figures: &mut FloodFigures) {
     let is_invite = message.cseq().is_ok_and(|c| c.method == "INVITE");
     let Some(status) = message.status().filter(|s| *s >= 200 && is_invite) else { return };
     let mut send = |bytes: Vec<u8>| encode_frame(Opcode::Text, &bytes, Some([1, 2, 3, 4]), out);
--- a/crates/fawnrouter-lab/src/load.rs
+++ b/crates/fawnrouter-lab/src/load.rs
@@ -1,5 +1,6 @@
-//! Measures what a gateway costs beside a null relay: the same callers and the same far end, first through the relay,
-//! which copies bytes without looking at them, then through the gateway. Open loop at a fixed rate.
+//! Compares the cost of a gateway with that of a null relay: the same callers and the same far end, first
+//! through the relay, which copies bytes without parsing them, then through the gateway. Calls are generated
+//! in an open loop at a fixed rate.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -20,37 +21,38 @@
 use futures_lite::{AsyncWriteExt, future};
 use hdrhistogram::Histogram;
 
-use crate::fleet::{GatewayProcess, settings, write_list};
+use crate::fleet::{GatewayProcess, gateway_settings, write_list};
 use crate::script::Script;
 
-/// What is measured.
+/// Options of a load measurement.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadOptions {
-    /// Calls a second.
+    /// Calls per second.
     pub rate: u32,
-    /// For how long.
+    /// Duration in seconds.
     pub seconds: u64,
-    /// Connections of callers.
+    /// Number of callers' connections.
     pub connections: usize,
-    /// The far end answers after this time.
+    /// Time until the far end answers, in milliseconds.
     pub answer_ms: u64,
 }
 
-/// What came of one target.
+/// Results for the relay or the gateway.
 #[derive(Debug)]
-struct Figures {
+struct LoadFigures {
     calls: u64,
-    cpu_us_a_call: f64,
+    cpu_us_per_call: f64,
     p50_ms: f64,
     p99_ms: f64,
     resident_kib: u64,
 }
 
-const BACKLOG: usize = 64 * 1024 * 1024;
-/// Ticks a second of the processor times that the kernel tells (`USER_HZ`, the same on all Linux platforms).
+/// Limit of unsent bytes on one connection.
+const MAX_BACKLOG_BYTES: usize = 64 * 1024 * 1024;
+/// Ticks per second of the processor times in /proc (`USER_HZ`, the same on all Linux platforms).
 const USER_HZ: f64 = 100.0;
 
-/// The relay's process: accepts callers and copies bytes to the far end and back.
+/// Entry point of the relay process: accepts callers and copies bytes to the far end and back.
 #[must_use]
 pub fn relay_main(far: SocketAddr) -> ExitCode {
     let executor = Rc::new(LocalExecutor::new());
@@ -63,7 +65,7 @@
                 let far = Async::<TcpStream>::connect(far).await?;
                 near.get_ref().set_nodelay(true)?;
                 far.get_ref().set_nodelay(true)?;
-                future::or(copy(&near, &far), copy(&far, &near)).await
+                future::or(copy_bytes(&near, &far), copy_bytes(&far, &near)).await
             };
             executor
                 .spawn(async {
@@ -77,7 +79,7 @@
     ExitCode::FAILURE
 }
 
-async fn copy(from: &Async<TcpStream>, mut to: &Async<TcpStream>) -> io::Result<()> {
+async fn copy_bytes(from: &Async<TcpStream>, mut to: &Async<TcpStream>) -> io::Result<()> {
     let mut buffer = vec![0; 64 * 1024];
     loop {
         let n = from.read_with(|mut s| s.read(&mut buffer)).await?;
@@ -114,20 +116,20 @@
 
     async fn serve(self: Rc<Self>, stream: Async<TcpStream>) {
         let _ = stream.get_ref().set_nodelay(true);
-        let outbox = Rc::new(Outbox::new(BACKLOG));
+        let outbox = Rc::new(Outbox::new(MAX_BACKLOG_BYTES));
         let reading = async {
             let mut buffer = vec![0; 64 * 1024];
             let mut head = Vec::new();
             let terms = ServerOptions { protocols: vec!["sip".into()], ..ServerOptions::default() };
-            let mut shaken = !self.web_socket;
+            let mut upgraded = !self.web_socket;
             let mut frames = FrameDecoder::new(Role::Server, 1 << 20);
             let mut chunks = StreamDecoder::new(Limits::default());
             while let Ok(n @ 1..) = stream.read_with(|mut s| s.read(&mut buffer)).await {
-                if !shaken {
+                if !upgraded {
                     head.extend_from_slice(&buffer[..n]);
                     if let Ok(Some(accepted)) = accept(&head, &terms) {
                         outbox.push(|out| out.extend_from_slice(&accepted.response));
-                        shaken = true;
+                        upgraded = true;
                     }
                     continue;
                 }
@@ -181,20 +183,27 @@
     }
 }
 
-struct Load {
-    lines: Vec<Rc<Outbox>>,
+/// Generates calls over WebSocket connections and measures their set-up delay.
+struct LoadGenerator {
+    connections: Vec<Rc<Outbox>>,
+    /// Calls in set-up by Call-ID: when they were sent, the INVITE, and the connection.
     sent: RefCell<BTreeMap<String, (Instant, Message, usize)>>,
     delays: RefCell<Histogram<u64>>,
     released: Cell<u64>,
 }
 
-impl Load {
-    fn send(&self, line: usize, bytes: &[u8]) {
-        self.lines[line].push(|out| encode_frame(Opcode::Text, bytes, Some([3, 1, 4, 1]), out));
+impl LoadGenerator {
+    fn send(&self, connection: usize, bytes: &[u8]) {
+        self.connections[connection].push(|out| encode_frame(Opcode::Text, bytes, Some([3, 1, 4, 1]), out));
     }
 
-    /// Serves a connection to its end; `take` gets each message.
-    async fn serve(self: Rc<Self>, line: usize, stream: &Async<TcpStream>, take: impl Fn(&Message)) {
+    /// Serves a connection to its end and passes each message to `on_message`.
+    async fn serve(
+        self: Rc<Self>,
+        connection: usize,
+        stream: &Async<TcpStream>,
+        on_message: impl Fn(&Message),
+    ) {
         let reading = async {
             let mut frames = FrameDecoder::new(Role::Client, 1 << 20);
             let mut buffer = vec![0; 64 * 1024];
@@ -204,39 +213,41 @@
                     if let Event::Text(text) = event
                         && let Ok(message) = Message::parse(text.as_bytes(), &Limits::default())
                     {
-                        take(&message);
+                        on_message(&message);
                     }
                 }
             }
         };
         future::or(reading, async {
-            let _ = self.lines[line].write_to(stream).await;
+            let _ = self.connections[connection].write_to(stream).await;
         })
         .await;
     }
 
-    fn call(&self, n: u64) {
-        let line = n as usize % self.lines.len();
+    fn start_call(&self, n: u64) {
+        let connection = n as usize % self.connections.len();
         let mut draft = MessageBuilder::request(Method::Invite, &format!("sip:+9148{n:08}@gateway.invalid"));
         draft
-            .field(Name::Via, &format!("SIP/2.0/WS c{line}.invalid;branch=z9hG4bKload{n};rport"))
+            .field(Name::Via, &format!("SIP/2.0/WS c{connection}.invalid;branch=z9hG4bKload{n};rport"))
             .field(Name::MaxForwards, "70")
-            .field(Name::From, &format!("<sip:desk@c{line}.invalid>;tag=l{n}"))
+            .field(Name::From, &format!("<sip:desk@c{connection}.invalid>;tag=l{n}"))
             .field(Name::To, &format!("<sip:+9148{n:08}@gateway.invalid>"))
             .field(Name::CallId, &format!("load-{n}@c.invalid"))
             .field(Name::CSeq, "1 INVITE")
-            .field(Name::Contact, &format!("<sip:desk@c{line}.invalid;transport=ws>"))
+            .field(Name::Contact, &format!("<sip:desk@c{connection}.invalid;transport=ws>"))
             .field(Name::Expires, "9")
             .field(Name::SessionId, &format!("{:032x};remote={:032}", n + 1, 0))
             .field(Name::ContentType, "application/sdp");
         let bytes = draft.finish(b"v=0\r\no=- 1 1 IN IP4 127.0.0.1\r\ns=-\r\nc=IN IP4 127.0.0.1\r\nt=0 0\r\nm=audio 4000 RTP/AVP 0\r\n");
         if let Ok(invite) = Message::parse(&bytes, &Limits::default()) {
-            self.sent.borrow_mut().insert(format!("load-{n}@c.invalid"), (Instant::now(), invite, line));
+            self.sent
+                .borrow_mut()
+                .insert(format!("load-{n}@c.invalid"), (Instant::now(), invite, connection));
         }
-        self.send(line, &bytes);
+        self.send(connection, &bytes);
     }
 
-    fn take(&self, message: &Message) {
+    fn receive(&self, message: &Message) {
         if message.status().is_none_or(|s| s < 200) {
             return;
         }
@@ -244,16 +255,19 @@
             self.released.set(self.released.get() + 1);
             return;
         }
-        let known = self.sent.borrow_mut().remove(message.get(Name::CallId).unwrap_or(""));
-        let Some((at, _, line)) = known.filter(|_| message.status() == Some(200)) else { return };
+        let sent = self.sent.borrow_mut().remove(message.get(Name::CallId).unwrap_or(""));
+        let Some((at, _, connection)) = sent.filter(|_| message.status() == Some(200)) else { return };
         let delay = u64::try_from(at.elapsed().as_micros()).unwrap_or(u64::MAX);
         let _ = self.delays.borrow_mut().record(delay.max(1));
         if let Ok(mut dialog) = Dialog::caller(message, "sip:gateway.invalid", 1) {
             for method in [Method::Ack, Method::Bye] {
-                let via =
-                    format!("SIP/2.0/WS c{line}.invalid;branch=z9hG4bK{}{}", method.name(), dialog.call_id);
+                let via = format!(
+                    "SIP/2.0/WS c{connection}.invalid;branch=z9hG4bK{}{}",
+                    method.name(),
+                    dialog.call_id
+                );
                 let bytes = dialog.request(method, &via).finish(b"");
-                self.send(line, &bytes);
+                self.send(connection, &bytes);
             }
         }
     }
@@ -262,14 +276,14 @@
 async fn connect(address: SocketAddr, nonce: u8) -> io::Result<(Async<TcpStream>, Vec<u8>)> {
     let stream = Async::<TcpStream>::connect(address).await?;
     stream.get_ref().set_nodelay(true)?;
-    let shake = ClientHandshake::new([nonce; 16], "sip");
-    (&stream).write_all(&shake.request("gateway.invalid", "/", None)).await?;
+    let handshake = ClientHandshake::new([nonce; 16], "sip");
+    (&stream).write_all(&handshake.request("gateway.invalid", "/", None)).await?;
     let mut bytes = Vec::new();
     loop {
         let mut buffer = [0; 4096];
         let n = stream.read_with(|mut s| s.read(&mut buffer)).await?;
         bytes.extend_from_slice(&buffer[..n]);
-        if let Some(used) = shake.check(&bytes, &HttpLimits::default()).map_err(io::Error::other)? {
+        if let Some(used) = handshake.check(&bytes, &HttpLimits::default()).map_err(io::Error::other)? {
             return Ok((stream, bytes.split_off(used)));
         }
         if n == 0 {
@@ -278,86 +292,87 @@
     }
 }
 
-/// Processor time of a process so far, seconds (proc(5): fields 14 and 15 of `stat`).
-fn cpu_s(pid: u32) -> io::Result<f64> {
+/// Processor time of a process so far in seconds (proc(5): fields 14 and 15 of `stat`).
+fn cpu_seconds(pid: u32) -> io::Result<f64> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
     let after = stat.rsplit_once(')').map_or("", |(_, rest)| rest);
     let ticks = after.split_whitespace().skip(11).take(2).filter_map(|t| t.parse::<f64>().ok());
     Ok(ticks.sum::<f64>() / USER_HZ)
 }
 
-/// Resident memory of a process, KiB.
+/// Resident memory of a process in KiB.
 fn resident_kib(pid: u32) -> io::Result<u64> {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status"))?;
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).unwrap_or("0");
     Ok(line.split_whitespace().next().and_then(|n| n.parse().ok()).unwrap_or(0))
 }
 
-async fn drive(
+async fn measure(
     executor: &Rc<LocalExecutor<'static>>,
     address: SocketAddr,
     pid: u32,
     options: LoadOptions,
-) -> io::Result<Figures> {
+) -> io::Result<LoadFigures> {
     let mut streams = Vec::new();
     for n in 0..options.connections {
         streams.push(connect(address, n as u8).await?.0);
     }
-    let lines = (0..streams.len()).map(|_| Rc::new(Outbox::new(BACKLOG))).collect();
+    let connections = (0..streams.len()).map(|_| Rc::new(Outbox::new(MAX_BACKLOG_BYTES))).collect();
     let delays = RefCell::new(Histogram::new(3).map_err(io::Error::other)?);
-    let load = Rc::new(Load { lines, sent: RefCell::default(), delays, released: Cell::new(0) });
+    let load =
+        Rc::new(LoadGenerator { connections, sent: RefCell::default(), delays, released: Cell::new(0) });
     let mut tasks = Vec::new();
     for (n, stream) in streams.into_iter().enumerate() {
         let load = load.clone();
         tasks.push(executor.spawn(async move {
-            load.clone().serve(n, &stream, |message| load.take(message)).await;
+            load.clone().serve(n, &stream, |message| load.receive(message)).await;
         }));
     }
-    // A tenth of the time to warm up, which is not counted.
+    // Warms up for a tenth of the time; this is not counted.
     let mut calls = 0u64;
-    let phase = |calls: &mut u64, span: Duration| {
+    let run_phase = |calls: &mut u64, span: Duration| {
         let (begin, first, load) = (Instant::now(), *calls, load.clone());
-        let mut now_at = *calls;
+        let mut next_call = *calls;
         async move {
             while begin.elapsed() < span {
                 let due = first + (begin.elapsed().as_secs_f64() * f64::from(options.rate)) as u64;
-                while now_at < due {
-                    load.call(now_at);
-                    now_at += 1;
+                while next_call < due {
+                    load.start_call(next_call);
+                    next_call += 1;
                 }
                 Timer::after(Duration::from_micros(500)).await;
             }
             Timer::after(Duration::from_millis(options.answer_ms + 200)).await;
-            now_at
+            next_call
         }
     };
-    calls = phase(&mut calls, Duration::from_secs(options.seconds) / 10).await;
+    calls = run_phase(&mut calls, Duration::from_secs(options.seconds) / 10).await;
     load.delays.borrow_mut().reset();
     load.released.set(0);
-    let before = cpu_s(pid)?;
-    phase(&mut calls, Duration::from_secs(options.seconds)).await;
-    let cpu = cpu_s(pid)? - before;
+    let before = cpu_seconds(pid)?;
+    run_phase(&mut calls, Duration::from_secs(options.seconds)).await;
+    let cpu = cpu_seconds(pid)? - before;
     let delays = load.delays.borrow();
     let done = load.released.get();
-    Ok(Figures {
+    Ok(LoadFigures {
         calls: done,
-        cpu_us_a_call: cpu * 1e6 / (done.max(1)) as f64,
+        cpu_us_per_call: cpu * 1e6 / (done.max(1)) as f64,
         p50_ms: delays.value_at_quantile(0.5) as f64 / 1e3,
         p99_ms: delays.value_at_quantile(0.99) as f64 / 1e3,
         resident_kib: resident_kib(pid)?,
     })
 }
 
-fn bench_settings(connections: usize) -> io::Result<Settings> {
+fn load_settings(connections: usize) -> io::Result<Settings> {
     let script = Script::parse("demo-day.yaml", include_str!("../../../examples/demo-day.yaml"));
-    let mut settings = settings(&script.map_err(io::Error::other)?, 0, 1);
+    let mut settings = gateway_settings(&script.map_err(io::Error::other)?, 0, 1);
     settings.limits.connections = connections + 10;
     settings.calls.spread = vec![0, 1, 2];
     Ok(settings)
 }
 
-fn bench_list(far: &[SocketAddr]) -> SwitchFile {
-    let line = |(n, address): (usize, &SocketAddr)| SwitchEntry {
+fn load_switch_list(far: &[SocketAddr]) -> SwitchFile {
+    let entry = |(n, address): (usize, &SocketAddr)| SwitchEntry {
         id: 70 + n as u32,
         address: *address,
         zone: String::new(),
@@ -365,13 +380,13 @@
         state: SwitchState::Ready,
         up_since_ms: None,
     };
-    SwitchFile { switches: far.iter().enumerate().map(line).collect() }
+    SwitchFile { switches: far.iter().enumerate().map(entry).collect() }
 }
 
-/// Measures both in one run and prints a table.
+/// Measures the relay and the gateway in one run and prints a table.
 ///
 /// # Errors
-/// Where a process or a socket cannot be opened.
+/// If a process cannot be started or a socket cannot be opened.
 pub fn run_load(options: LoadOptions) -> io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
     let far = |web_socket| {
@@ -380,24 +395,24 @@
     };
     let run = async {
         let behind = far(true)?;
-        let relay = GatewayProcess::relay(behind)?;
-        let plain = drive(&executor, relay.address, relay.id(), options).await?;
+        let relay = GatewayProcess::start_relay(behind)?;
+        let relay_figures = measure(&executor, relay.address, relay.pid(), options).await?;
         drop(relay);
 
         let folder = tempfile::tempdir()?;
         let switches = [far(false)?, far(false)?, far(false)?];
-        write_list(folder.path(), 0, &bench_list(&switches))?;
-        let gateway = GatewayProcess::start(folder.path(), &bench_settings(options.connections)?, false)?;
+        write_list(folder.path(), 0, &load_switch_list(&switches))?;
+        let gateway = GatewayProcess::start(folder.path(), &load_settings(options.connections)?, false)?;
         Timer::after(Duration::from_millis(300)).await;
-        let routed = drive(&executor, gateway.address, gateway.id(), options).await?;
+        let gateway_figures = measure(&executor, gateway.address, gateway.pid(), options).await?;
         drop(gateway);
         println!("{} calls/s for {} s, {} connections", options.rate, options.seconds, options.connections);
-        for (name, f) in [("null relay", &plain), ("gateway", &routed)] {
+        for (name, f) in [("null relay", &relay_figures), ("gateway", &gateway_figures)] {
             println!(
                 "{name:<11} calls {:>7}  CPU {:>6.1} us a call ({:>6.0} calls/s a core)  set-up p50 {:>6.2} ms p99 {:>6.2} ms  resident {} KiB",
                 f.calls,
-                f.cpu_us_a_call,
-                1e6 / f.cpu_us_a_call.max(1e-9),
+                f.cpu_us_per_call,
+                1e6 / f.cpu_us_per_call.max(1e-9),
                 f.p50_ms,
                 f.p99_ms,
                 f.resident_kib
@@ -405,20 +420,20 @@
         }
         println!(
             "ratio       CPU {:.2}  added set-up delay p50 {:.2} ms p99 {:.2} ms",
-            routed.cpu_us_a_call / plain.cpu_us_a_call.max(1e-9),
-            routed.p50_ms - plain.p50_ms,
-            routed.p99_ms - plain.p99_ms
+            gateway_figures.cpu_us_per_call / relay_figures.cpu_us_per_call.max(1e-9),
+            gateway_figures.p50_ms - relay_figures.p50_ms,
+            gateway_figures.p99_ms - relay_figures.p99_ms
         );
         Ok(())
     };
     async_io::block_on(executor.run(run))
 }
 
-/// Resident memory of a gateway with idle connections and with standing calls.
+/// Measures the resident memory of a gateway with idle connections and with established calls.
 ///
 /// # Errors
-/// Where a process or a socket cannot be opened.
-pub fn run_memory(connections: usize, calls: u64) -> io::Result<()> {
+/// If a process cannot be started or a socket cannot be opened.
+pub fn run_memory(idle_connections: usize, calls: u64) -> io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
     let run = async {
         let folder = tempfile::tempdir()?;
@@ -427,26 +442,27 @@
                 .listen()
         };
         let switches = [listen()?, listen()?, listen()?];
-        write_list(folder.path(), 0, &bench_list(&switches))?;
-        let gateway = GatewayProcess::start(folder.path(), &bench_settings(connections + 1)?, false)?;
+        write_list(folder.path(), 0, &load_switch_list(&switches))?;
+        let gateway = GatewayProcess::start(folder.path(), &load_settings(idle_connections + 1)?, false)?;
         Timer::after(Duration::from_millis(300)).await;
-        let base = resident_kib(gateway.id())?;
+        let base = resident_kib(gateway.pid())?;
         let mut idle = Vec::new();
-        for n in 0..connections {
+        for n in 0..idle_connections {
             idle.push(connect(gateway.address, n as u8).await?);
         }
         Timer::after(Duration::from_millis(300)).await;
-        let with_idle = resident_kib(gateway.id())?;
+        let with_idle = resident_kib(gateway.pid())?;
         let (stream, _) = connect(gateway.address, 1).await?;
         let delays = RefCell::new(Histogram::new(3).map_err(io::Error::other)?);
-        let lines = vec![Rc::new(Outbox::new(BACKLOG))];
-        let load = Rc::new(Load { lines, sent: RefCell::default(), delays, released: Cell::new(0) });
+        let connections = vec![Rc::new(Outbox::new(MAX_BACKLOG_BYTES))];
+        let load =
+            Rc::new(LoadGenerator { connections, sent: RefCell::default(), delays, released: Cell::new(0) });
         let writer = load.clone();
-        let stood = Rc::new(Cell::new(0u64));
-        let counted = stood.clone();
+        let established = Rc::new(Cell::new(0u64));
+        let counted = established.clone();
         let task = executor.spawn(async move {
-            let stands = |message: &Message| {
-                // Acknowledged and left standing.
+            let acknowledge = |message: &Message| {
+                // Acknowledged and not released.
                 if message.status() == Some(200)
                     && let Ok(mut dialog) = Dialog::caller(message, "sip:gateway.invalid", 1)
                 {
@@ -456,26 +472,26 @@
                     counted.set(counted.get() + 1);
                 }
             };
-            writer.clone().serve(0, &stream, stands).await;
+            writer.clone().serve(0, &stream, acknowledge).await;
         });
         for n in 0..calls {
-            load.call(n);
+            load.start_call(n);
             if n % 5 == 0 {
                 Timer::after(Duration::from_millis(5)).await;
             }
         }
         Timer::after(Duration::from_secs(2)).await;
-        let with_calls = resident_kib(gateway.id())?;
-        let standing = stood.get();
+        let with_calls = resident_kib(gateway.pid())?;
+        let established_calls = established.get();
         println!("gateway alone {base} KiB");
         let each = |kib: u64, n: u64| kib as f64 / n.max(1) as f64;
         println!(
-            "{connections} idle connections: {with_idle} KiB, {:.2} KiB each",
-            each(with_idle.saturating_sub(base), connections as u64)
+            "{idle_connections} idle connections: {with_idle} KiB, {:.2} KiB each",
+            each(with_idle.saturating_sub(base), idle_connections as u64)
         );
         println!(
-            "{standing} standing calls: {with_calls} KiB, {:.2} KiB each",
-            each(with_calls.saturating_sub(with_idle), standing)
+            "{established_calls} standing calls: {with_calls} KiB, {:.2} KiB each",
+            each(with_calls.saturating_sub(with_idle), established_calls)
         );
         drop((task, idle, gateway));
         Ok(())
--- a/crates/fawnrouter-lab/src/plan.rs
+++ b/crates/fawnrouter-lab/src/plan.rs
@@ -1,98 +1,109 @@
-//! A script as a list of acts in order of time, without I/O.
+//! Turns the faults of a script into a time line of actions, without I/O.
 
-use crate::script::{FIRST_SWITCH, Script, Trouble};
+use crate::script::{FIRST_SWITCH, Fault, Script};
 
-/// One thing that the lab does.
+/// One change that the lab makes during a run. Switches are given by number.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
-    /// Callers call this many times as often as planned.
-    Load(f64),
-    /// A processor stands still for so many milliseconds.
-    Still(u32, u64),
-    /// A processor is this many times slower.
-    Slow(u32, f64),
-    /// A switch takes everything and says nothing; its line leaves the list.
-    Silent(u32),
-    /// A switch stops; its line leaves the list.
+pub enum FaultAction {
+    /// Multiplies the script's rate of calls.
+    SetLoad(f64),
+    /// Stops a switch's processing for this time in milliseconds.
+    Stall(u32, u64),
+    /// Makes a switch's work take this many times as long.
+    SetSlowdown(u32, f64),
+    /// Makes a switch accept everything and answer nothing, and removes it from the list.
+    Silence(u32),
+    /// Stops a switch and removes it from the list.
     Stop(u32),
-    /// A switch starts again, cold.
-    Start(u32),
-    /// A switch is listed as draining.
+    /// Restarts a switch cold.
+    StartCold(u32),
+    /// Lists a switch as draining.
     Drain(u32),
-    /// A cold machine starts with the first number in the place of the second.
+    /// Starts a cold switch with the first number in the pool of the second.
     Replace(u32, u32),
-    /// The list is this late from now on.
-    ListDelay(u64),
-    /// The list names nobody, or all again.
-    EmptyList(bool),
-    /// A switch's final answers are this many milliseconds late.
-    LateAnswers(u32, u64),
-    /// A switch answers 200 in spite of CANCEL, or no longer.
-    CrossCancel(u32, bool),
-    /// Strangers come: the trouble of this number.
-    Flood(usize),
+    /// Sets the delay of the list in milliseconds.
+    SetListDelay(u64),
+    /// Makes the list empty, or complete again.
+    SetListEmpty(bool),
+    /// Delays a switch's final responses by this time in milliseconds.
+    SetAnswerDelay(u32, u64),
+    /// Makes a switch ignore CANCEL, or obey it again.
+    SetIgnoreCancel(u32, bool),
+    /// Starts the flood with this index in the script's `troubles`.
+    StartFlood(usize),
 }
 
-/// All acts with their times in milliseconds. Acts of one time keep the script's order.
+/// All actions with their times in milliseconds. Actions of the same time keep the script's order.
 #[must_use]
-pub fn timeline(script: &Script) -> Vec<(u64, Act)> {
-    let mut acts = Vec::new();
-    let mut fresh = FIRST_SWITCH + script.switches.len() as u32;
-    for (number, trouble) in script.troubles.iter().enumerate() {
-        let (from, to) = trouble.span_ms();
-        let mut each = |switches: &[u32], begin: &dyn Fn(u32) -> Act, end: &dyn Fn(u32) -> Act| {
-            for id in switches {
-                acts.push((from, begin(*id)));
-                acts.push((to, end(*id)));
+pub fn timeline(script: &Script) -> Vec<(u64, FaultAction)> {
+    let mut actions = Vec::new();
+    let mut next_number = FIRST_SWITCH + script.switches.len() as u32;
+    for (number, fault) in script.troubles.iter().enumerate() {
+        let (from, to) = fault.span_ms();
+        let mut each =
+            |switches: &[u32], begin: &dyn Fn(u32) -> FaultAction, end: &dyn Fn(u32) -> FaultAction| {
+                for id in switches {
+                    actions.push((from, begin(*id)));
+                    actions.push((to, end(*id)));
+                }
+            };
+        match fault {
+            Fault::Jump { times, .. } => {
+                actions.extend([(from, FaultAction::SetLoad(*times)), (to, FaultAction::SetLoad(1.0))])
             }
-        };
-        match trouble {
-            Trouble::Jump { times, .. } => acts.extend([(from, Act::Load(*times)), (to, Act::Load(1.0))]),
-            Trouble::Stall { switches, still_ms, every_ms, .. } => {
+            Fault::Stall { switches, still_ms, every_ms, .. } => {
                 let mut at = from;
                 while at < to {
-                    acts.extend(switches.iter().map(|id| (at, Act::Still(*id, *still_ms))));
+                    actions.extend(switches.iter().map(|id| (at, FaultAction::Stall(*id, *still_ms))));
                     at += (*every_ms).max(1);
                 }
             }
-            Trouble::Slow { switches, times, .. } => {
-                each(switches, &|id| Act::Slow(id, *times), &|id| Act::Slow(id, 1.0));
+            Fault::Slow { switches, times, .. } => {
+                each(switches, &|id| FaultAction::SetSlowdown(id, *times), &|id| {
+                    FaultAction::SetSlowdown(id, 1.0)
+                });
             }
-            Trouble::Silent { switches, .. } => each(switches, &Act::Silent, &Act::Start),
-            Trouble::Restart { switches, .. } => each(switches, &Act::Stop, &Act::Start),
-            Trouble::RestartZone { zone, .. } => {
+            Fault::Silent { switches, .. } => each(switches, &FaultAction::Silence, &FaultAction::StartCold),
+            Fault::Restart { switches, .. } => each(switches, &FaultAction::Stop, &FaultAction::StartCold),
+            Fault::RestartZone { zone, .. } => {
                 let in_zone = |id: &u32| script.switches[(*id - FIRST_SWITCH) as usize].zone == *zone;
                 let all = FIRST_SWITCH..FIRST_SWITCH + script.switches.len() as u32;
                 let switches: Vec<u32> = all.filter(in_zone).collect();
-                each(&switches, &Act::Stop, &Act::Start);
+                each(&switches, &FaultAction::Stop, &FaultAction::StartCold);
             }
-            Trouble::Replace { switches, .. } => {
+            Fault::Replace { switches, .. } => {
                 for id in switches {
-                    acts.extend([
-                        (from, Act::Drain(*id)),
-                        (from, Act::Replace(fresh, *id)),
-                        (to, Act::Stop(*id)),
+                    actions.extend([
+                        (from, FaultAction::Drain(*id)),
+                        (from, FaultAction::Replace(next_number, *id)),
+                        (to, FaultAction::Stop(*id)),
                     ]);
-                    fresh += 1;
+                    next_number += 1;
                 }
             }
-            Trouble::LateList { delay_ms, .. } => {
-                acts.extend([(from, Act::ListDelay(*delay_ms)), (to, Act::ListDelay(script.list_delay_ms))]);
-            }
-            Trouble::EmptyList { .. } => {
-                acts.extend([(from, Act::EmptyList(true)), (to, Act::EmptyList(false))])
+            Fault::LateList { delay_ms, .. } => {
+                actions.extend([
+                    (from, FaultAction::SetListDelay(*delay_ms)),
+                    (to, FaultAction::SetListDelay(script.list_delay_ms)),
+                ]);
             }
-            Trouble::LateAnswers { switches, late_ms, .. } => {
-                each(switches, &|id| Act::LateAnswers(id, *late_ms), &|id| Act::LateAnswers(id, 0));
+            Fault::EmptyList { .. } => actions
+                .extend([(from, FaultAction::SetListEmpty(true)), (to, FaultAction::SetListEmpty(false))]),
+            Fault::LateAnswers { switches, late_ms, .. } => {
+                each(switches, &|id| FaultAction::SetAnswerDelay(id, *late_ms), &|id| {
+                    FaultAction::SetAnswerDelay(id, 0)
+                });
             }
-            Trouble::Flood { .. } => acts.push((from, Act::Flood(number))),
-            Trouble::CrossCancel { switches, .. } => {
-                each(switches, &|id| Act::CrossCancel(id, true), &|id| Act::CrossCancel(id, false));
+            Fault::Flood { .. } => actions.push((from, FaultAction::StartFlood(number))),
+            Fault::CrossCancel { switches, .. } => {
+                each(switches, &|id| FaultAction::SetIgnoreCancel(id, true), &|id| {
+                    FaultAction::SetIgnoreCancel(id, false)
+                });
             }
         }
     }
-    acts.sort_by_key(|(at, _)| *at);
-    acts
+    actions.sort_by_key(|(at, _)| *at);
+    actions
 }
 
 #[cfg(test)]
@@ -100,21 +111,21 @@
     use super::*;
 
     #[test]
-    fn every_kind_of_trouble_has_its_acts_in_order() {
+    fn every_kind_of_fault_has_its_actions_in_order_of_time() {
         let text = include_str!("../../../examples/bad-day.yaml");
         let script = Script::parse("bad-day.yaml", text).expect("the example is sound");
-        let acts = timeline(&script);
-        assert!(acts.windows(2).all(|w| w[0].0 <= w[1].0));
-        let mut kinds: Vec<&str> = script.troubles.iter().map(Trouble::name).collect();
+        let actions = timeline(&script);
+        assert!(actions.windows(2).all(|w| w[0].0 <= w[1].0));
+        let mut kinds: Vec<&str> = script.troubles.iter().map(Fault::name).collect();
         kinds.sort_unstable();
         kinds.dedup();
         assert_eq!(kinds.len(), 11, "the example shows every kind: {kinds:?}");
-        let replaced = acts.iter().find(|(_, a)| matches!(a, Act::Replace(..)));
-        assert!(matches!(replaced, Some((_, Act::Replace(new, old))) if new > old));
+        let replaced = actions.iter().find(|(_, a)| matches!(a, FaultAction::Replace(..)));
+        assert!(matches!(replaced, Some((_, FaultAction::Replace(new, old))) if new > old));
     }
 
     #[test]
-    fn a_script_that_names_what_is_not_there_is_told_with_its_line() {
+    fn script_with_unknown_switch_is_rejected() {
         let text =
             include_str!("../../../examples/bad-day.yaml").replacen("switches: [70]", "switches: [99]", 1);
         let error = Script::parse("d.yaml", &text).expect_err("no switch 99");
--- a/crates/fawnrouter-lab/src/tap.rs
+++ b/crates/fawnrouter-lab/src/tap.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins saw on their sockets, for the auditor.
+//! Records what the stand-ins and callers see on their sockets and passes it to the auditor.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -8,77 +8,91 @@
 
 use fawnrouter_audit::{AuditParameters, AuditReport, Auditor, Direction, Observation, Side};
 
-/// The tap of all connections of a run.
+/// The auditor, and the number of the last recorded connection.
+struct Recording {
+    auditor: Auditor,
+    last_connection: u64,
+}
+
+/// Recorder of all connections of a run.
 pub struct Tap {
     start: Instant,
-    state: RefCell<(Auditor, u64)>,
-    /// The last beat, and how late it was.
-    beat: Cell<(Duration, Duration)>,
+    state: RefCell<Recording>,
+    /// Time of the last heartbeat, and how late it was.
+    last_heartbeat: Cell<(Duration, Duration)>,
 }
 
-/// Pause between two beats of the lab.
-const BEAT: Duration = Duration::from_millis(2);
-/// What is read this soon after a late beat may have waited for as long as the beat was late.
-const AFTER: Duration = Duration::from_millis(20);
+/// Time between two heartbeats of the lab's executor.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(2);
+/// Bytes read within this time after a late heartbeat may have waited as long as the heartbeat was late.
+const DELAY_MEMORY: Duration = Duration::from_millis(20);
 
 impl Tap {
     pub fn new(figures: AuditParameters) -> Self {
-        Self { start: Instant::now(), state: RefCell::new((Auditor::new(figures), 0)), beat: Cell::default() }
+        Self {
+            start: Instant::now(),
+            state: RefCell::new(Recording { auditor: Auditor::new(figures), last_connection: 0 }),
+            last_heartbeat: Cell::default(),
+        }
     }
 
-    /// Time since the start.
+    /// Time since the start of the run.
     pub fn now(&self) -> Duration {
         self.start.elapsed()
     }
 
-    pub fn instant(&self, at: Duration) -> Instant {
+    /// The instant of a time since the start.
+    pub fn to_instant(&self, at: Duration) -> Instant {
         self.start + at
     }
 
-    pub fn fact(&self, seen: Observation) {
-        self.state.borrow_mut().0.observe(self.now(), seen);
+    /// Passes an event to the auditor.
+    pub fn record(&self, seen: Observation) {
+        self.state.borrow_mut().auditor.observe(self.now(), seen);
     }
 
-    /// Numbers a fresh connection.
-    pub fn opened(&self, side: Side) -> u64 {
+    /// Records a new connection and returns its number.
+    pub fn connection_opened(&self, side: Side) -> u64 {
         let conn = {
             let mut state = self.state.borrow_mut();
-            state.1 += 1;
-            state.1
+            state.last_connection += 1;
+            state.last_connection
         };
-        self.fact(Observation::Opened { conn, side });
+        self.record(Observation::Opened { conn, side });
         conn
     }
 
-    pub fn bytes(&self, conn: u64, way: Direction, bytes: &[u8]) {
-        let late = self.late();
-        self.fact(Observation::Bytes { conn, direction: way, bytes: bytes.to_vec(), tap_delay: late });
+    /// Records bytes that were read or written on a connection.
+    pub fn record_bytes(&self, conn: u64, direction: Direction, bytes: &[u8]) {
+        let tap_delay = self.possible_delay();
+        self.record(Observation::Bytes { conn, direction, bytes: bytes.to_vec(), tap_delay });
     }
 
-    /// Beats for ever, which shows when the lab itself is held up by the machine.
-    pub async fn beat(self: Rc<Self>) {
+    /// Runs the heartbeat in an endless loop. Late heartbeats show that the machine delays the lab itself.
+    pub async fn watch_delays(self: Rc<Self>) {
         loop {
-            let late = self.now().saturating_sub(self.beat.get().0 + BEAT * 2);
-            self.beat.set((self.now(), late));
-            Timer::after(BEAT).await;
+            let late = self.now().saturating_sub(self.last_heartbeat.get().0 + HEARTBEAT_INTERVAL * 2);
+            self.last_heartbeat.set((self.now(), late));
+            Timer::after(HEARTBEAT_INTERVAL).await;
         }
     }
 
-    /// How much earlier what is read now may have arrived.
-    fn late(&self) -> Duration {
-        let (last, late) = self.beat.get();
+    /// How long bytes read now may have waited before they were read.
+    fn possible_delay(&self) -> Duration {
+        let (last, late) = self.last_heartbeat.get();
         let since = self.now().saturating_sub(last);
-        let now = since.saturating_sub(BEAT * 2);
-        if since < AFTER { now.max(late) } else { now }
+        let now = since.saturating_sub(HEARTBEAT_INTERVAL * 2);
+        if since < DELAY_MEMORY { now.max(late) } else { now }
     }
 
-    pub fn closed(&self, conn: u64) {
-        self.fact(Observation::Closed { conn });
+    /// Records the end of a connection.
+    pub fn connection_closed(&self, conn: u64) {
+        self.record(Observation::Closed { conn });
     }
 
-    /// Ends the record.
+    /// Ends the recording and returns the auditor's verdict.
     pub fn finish(&self, figures: AuditParameters) -> AuditReport {
-        let auditor = std::mem::replace(&mut self.state.borrow_mut().0, Auditor::new(figures));
+        let auditor = std::mem::replace(&mut self.state.borrow_mut().auditor, Auditor::new(figures));
         auditor.finish()
     }
 }
