--- a/crates/fawnrouter-node/src/boot.rs
+++ b/crates/fawnrouter-node/src/boot.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration file.
+//! The platform's configuration file, as the platform's document DEPLOY describes it.
 
 use std::net::SocketAddr;
 
--- a/crates/fawnrouter-node/src/client_connections.rs
+++ b/crates/fawnrouter-node/src/client_connections.rs
@@ -14,8 +14,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClientId(pub u64);
 
-/// A connection is closed after this long without a whole message, or with an incomplete line. The platform
-/// requires misbehaving clients to be disconnected within 3 s.
+/// A connection that has sent no whole message, or has left an incomplete line, is closed after this long.
+/// The platform requires misbehaving clients to be disconnected within 3 s.
 pub(crate) const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// What a connection has been used for. Ordered, so that clients that only connect or only send tests,
--- a/crates/fawnrouter-node/src/liveness.rs
+++ b/crates/fawnrouter-node/src/liveness.rs
@@ -24,9 +24,9 @@
 //! was up is lost: a switch repeats a release that it wrote to a lost connection on the next new one, and
 //! only there.
 //!
-//! Callers must be told within 8 s of the end of a call that the switch does not release. The longest delays
-//! are 7.0 s without a proof (the last proof came before the end), 6.5 s of silence, and the list's delay of
-//! at most 4.5 s plus 2.5 s.
+//! The platform requires that callers are told within 8 s of the end of a call that the switch does not
+//! release. The longest delays are 7.0 s without a proof (the last proof came before the end), 6.5 s of
+//! silence, and the list's delay of at most 4.5 s plus 2.5 s.
 
 use std::time::Duration;
 
--- a/crates/fawnrouter-node/src/node/shutdown.rs
+++ b/crates/fawnrouter-node/src/node/shutdown.rs
@@ -12,7 +12,7 @@
 //!
 //! No connection is closed before that, because the releases of established calls are sent on them. Calls
 //! that are still established at the end are lost: waiting 1.5 s longer saved none in three days of rolling
-//! restarts.
+//! restarts (`docs/design/025-platform-gateway.md`).
 
 use std::time::Duration;
 
--- a/crates/fawnrouter-node/src/node/switch_links.rs
+++ b/crates/fawnrouter-node/src/node/switch_links.rs
@@ -53,7 +53,7 @@
             self.send_to_switch(link, &Message::new(Verb::Finish, tag).with_cause(rc));
         }
         for tag in self.links.take_queued_set_ups(server) {
-            // An attempt that has timed out by now is ended in this step, and not sent before.
+            // An attempt that has timed out by now is not sent; its timer ends it later in this step.
             let in_time =
                 self.calls.open.get(&tag).and_then(|c| c.attempt).is_some_and(|a| self.now < a.timeout_at);
             match self.links.choose_for_set_up(server, tag) {
--- a/crates/fawnrouter-node/src/request.rs
+++ b/crates/fawnrouter-node/src/request.rs
@@ -1,4 +1,5 @@
-//! Validates set-ups from callers and reads what they ask for.
+//! Validates set-ups from callers and reads what they ask for (the platform's document PROTOCOL, "Callers to
+//! gateways").
 
 use std::time::Duration;
 
--- a/crates/fawnrouter-node/src/switch_list.rs
+++ b/crates/fawnrouter-node/src/switch_list.rs
@@ -1,5 +1,5 @@
 //! The list of core switches, from the events in the configuration and from the name server's responses (RFC
-//! 1035, RFC 2782).
+//! 1035, RFC 2782; the platform's document PROTOCOL says what the records mean).
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
--- a/crates/fawnrouter/src/controller.rs
+++ b/crates/fawnrouter/src/controller.rs
@@ -36,7 +36,7 @@
 pub(crate) const F_MIN_HIGH: f64 = 0.05;
 /// With fewer own delay samples than this, the smallest delay of all servers stands in for the server's own.
 const MIN_DELAY_SAMPLES: u32 = 8;
-/// A server counts as pressed once f falls below this ...
+/// A server is reported to the operators as pressed (overloaded) once f falls below this ...
 const PRESSED_BELOW_F: f64 = 0.5;
 /// ... until f is back at this.
 const NOT_PRESSED_FROM_F: f64 = 0.9;
--- a/crates/fawnrouter/src/interface.rs
+++ b/crates/fawnrouter/src/interface.rs
@@ -126,7 +126,7 @@
 /// The parameters of the routing rules.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rules {
-    /// Set-ups to a draining or gone server must end within this time.
+    /// Set-ups must stop going to a draining or gone server within this time.
     pub drain_grace: Duration,
     /// A restarted server has at least this share of its capacity.
     pub cold_from: f64,
--- a/crates/fawnrouter/src/routing.rs
+++ b/crates/fawnrouter/src/routing.rs
@@ -15,9 +15,9 @@
 const MIN_REDRAW_WEIGHT: f64 = 0.05;
 
 impl Controller {
-    /// Routes one call, upon an arrival or when a server has room: the first held call that some server is
-    /// open to. A call that no server is open to does not block those behind it. Returns whether a call was
-    /// routed.
+    /// Tries to route one call, upon an arrival or when a server has room: the first held call that some
+    /// server is open to. A call that no server is open to is skipped and does not block those behind it.
+    /// Returns whether a throttle was asked; it may have turned the call down.
     pub(crate) fn route_held_call(&mut self, now: Time) -> bool {
         let ready =
             |id: &CallId| self.calls.get(id).is_some_and(|c| c.outstanding.is_none() && c.not_before < now);
--- a/crates/fawnrouter/src/server.rs
+++ b/crates/fawnrouter/src/server.rs
@@ -6,8 +6,8 @@
 use crate::interface::*;
 use crate::throttle::*;
 
-/// Usual set-ups of this gateway in whose time f grows by φmax while there is no reading. The last reading
-/// thus stays in effect for about as long as it takes to get another.
+/// While there is no reading, f grows by φmax in the time of this many usual set-ups of this gateway. The
+/// last reading thus stays in effect for about as long as it takes to get another.
 const SET_UPS_PER_PHI_MAX_STEP: f64 = 0.4;
 /// Smallest exponent of φmax in a tick without a reading, so that no server stays shut out.
 pub(crate) const MIN_GROWTH_EXPONENT: f64 = 0.25;
@@ -25,7 +25,8 @@
 pub(crate) const QUEUE_WAIT_AIM_SHARE: f64 = 0.2;
 /// A mean wait at the server of this share of the shortest aim reads as ρtarg.
 const RHO_TARGET_AIM_SHARE: f64 = 0.3;
-/// Share of a cold server's budget that is used; the rest is left for work other than set-ups and for chance.
+/// Share of a cold server's budget (rule 4) that is used; the rest is left for work other than set-ups and
+/// for chance.
 const COLD_BUDGET_SHARE: f64 = 0.7;
 /// Most that a cold server is sent, as a multiple of its estimated present capacity: more would only queue.
 const MAX_COLD_LOAD: f64 = 1.5;
@@ -267,9 +268,9 @@
 
     /// Set-ups a second that this gateway may send, where its share of something scarce limits them:
     ///
-    /// - Cold processor: all gateways together send at most what they usually send to the warm server, times
-    ///   the part of its capacity that it has now. Each gateway's share of the budget is its share of that
-    ///   usual rate.
+    /// - Cold processor (rule 4, the budget of [`Rules::fall_multiple`]): all gateways together send at most
+    ///   what they usually send to the warm server, times the part of its capacity that it has now. Each
+    ///   gateway's share of the budget is its share of that usual rate.
     /// - Few free circuits: all gateways are told the same number, and each takes its share of them.
     /// - Suspect server: trials.
     ///
@@ -294,7 +295,7 @@
     }
 
     /// Whether the pace allows a set-up now. Credit starts at a random phase: many gateways, each with less
-    /// than one set-up in the rule's time, would otherwise all send theirs at the same moment.
+    /// than one set-up in [`Rules::fall_time`], would otherwise all send theirs at the same moment.
     pub(crate) fn has_credit(&mut self, now: Time, settings: &Settings) -> bool {
         let (pace, credit) = self.pace_and_credit(now, settings);
         self.credit = Credit { set_ups: credit.min(1.0), updated_at: now };
--- a/crates/fawnrouter/src/throttle.rs
+++ b/crates/fawnrouter/src/throttle.rs
@@ -17,7 +17,7 @@
 /// ρtarg. Where occupancy is derived from delays, it stands for a mean set-up delay of 1 / (1 - ρtarg) times
 /// the smallest.
 pub(crate) const RHO_TARGET: f64 = 0.8;
-/// µmax is learned only at this occupancy or above.
+/// µmax is learned only at this occupancy or above (see `docs/design.md`).
 const MU_MAX_MIN_RHO: f64 = 0.3;
 /// φmax: the allowed fraction grows by at most this factor in a tick.
 pub(crate) const PHI_MAX: f64 = 1.25;
