--- a/crates/fawnrouter-admission/src/admission/connection.rs
+++ b/crates/fawnrouter-admission/src/admission/connection.rs
@@ -13,7 +13,7 @@
     Handshake,
     /// No slot is left for unknown clients; it has a limited time to authenticate as a known one.
     Probation,
-    /// In as an unknown client.
+    /// Accepted as an unknown client.
     Unknown,
     /// Authenticated as a known client.
     Known,
--- a/crates/fawnrouter-admission/src/set_ups/settings.rs
+++ b/crates/fawnrouter-admission/src/set_ups/settings.rs
@@ -24,7 +24,7 @@
     pub known: ClientLimits,
     /// The limits of each address of unknown clients. Its weight counts among unknown clients only.
     pub unknown: ClientLimits,
-    /// The weight of all unknown clients together, relative to known clients.
+    /// The weight of all unknown clients together, relative to the weight of one known client.
     pub unknown_weight: u32,
     /// The rate of set-ups of all unknown clients together; `None`: as many as routing has room for.
     pub unknown_rate: Option<Rate>,
--- a/crates/fawnrouter-digest/src/authenticator.rs
+++ b/crates/fawnrouter-digest/src/authenticator.rs
@@ -1,8 +1,8 @@
 //! Decides whether a request authenticates as a known client.
 //!
 //! A connection authenticates once and then belongs to that client. Each further authentication on it must
-//! use a higher nonce count (`nc`), so that recorded credentials cannot be replayed even on the same
-//! connection. The only state needed is one [`AuthState`] per connection.
+//! use a higher nonce count (`nc`) or a newer nonce, so that recorded credentials cannot be replayed even on
+//! the same connection. The only state needed is one [`AuthState`] per connection.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -58,7 +58,7 @@
 pub enum ChallengeReason {
     /// It sent no credentials, or requested a nonce.
     NoCredentials,
-    /// Its nonce has expired or was issued for another connection.
+    /// Its nonce has expired, or was not issued here for this connection.
     Stale,
     /// The nonce count did not increase: a replay.
     Replay,
--- a/crates/fawnrouter-engine/src/identity.rs
+++ b/crates/fawnrouter-engine/src/identity.rs
@@ -55,7 +55,7 @@
         Self { origin, client_name: None, must_authenticate, auth_state: AuthState::default() }
     }
 
-    /// The client as the admission of set-ups tells clients apart.
+    /// The identity by which the admission of set-ups distinguishes clients: the name, or else the address.
     pub(crate) fn who(&self) -> ClientIdentity {
         match &self.client_name {
             Some(name) => ClientIdentity::Known(name.clone()),
--- a/crates/fawnrouter-engine/src/status.rs
+++ b/crates/fawnrouter-engine/src/status.rs
@@ -8,12 +8,12 @@
 //! | 503 with Reason Q.850;cause=34 (no circuit) or 44 | `Full` | `NoCircuit` | may be retried elsewhere |
 //! | 503, 500 with Reason Q.850;cause=42 (congestion) | `Full` | `ProcessorFull`, with the Retry-After | may be retried elsewhere |
 //! | 486, 600, or any with Reason Q.850;cause=17 | `Error` | `NumberBusy` | the controller refuses it |
-//! | 408, 504 | `TimedOut` | | may be retried elsewhere after the guard |
-//! | 487 | `Cancelled` | | may be retried elsewhere after the guard |
+//! | 408, 504 | `TimedOut` | | may be retried elsewhere after `release_guard` |
+//! | 487 | `Cancelled` | | may be retried elsewhere after `release_guard` |
 //! | 404, 410, 413, 415, 416, 484, 485, 488, 603, 604, 606 | `Error` | | final: the number or the offer is at fault |
 //! | any other 3xx to 6xx | `Error` | | may be retried elsewhere |
 //! | none: no connection | `ConnectFailed` | | may be retried elsewhere |
-//! | none: connection lost | `Reset` | | may be retried elsewhere after the guard |
+//! | none: connection lost | `Reset` | | may be retried elsewhere after `release_guard` |
 //!
 //! To the caller:
 //!
--- a/crates/fawnrouter-engine/src/table.rs
+++ b/crates/fawnrouter-engine/src/table.rs
@@ -16,7 +16,8 @@
 /// The stage of a call.
 #[derive(Debug)]
 pub(crate) enum Stage {
-    /// The call is held by the controller or an attempt is out; the caller has no final answer yet.
+    /// The call waits for admission, is held by the controller, or has an attempt out; the caller has no
+    /// final answer yet.
     Routing,
     /// The caller got 200.
     Established {
--- a/crates/fawnrouter-engine/src/trunk.rs
+++ b/crates/fawnrouter-engine/src/trunk.rs
@@ -16,7 +16,7 @@
 use crate::timer::{LegId, TimerKey};
 
 /// Header fields of the caller's INVITE that are not forwarded, because the gateway sets them itself or they
-/// concern one hop only. All other unknown fields are forwarded.
+/// concern one hop only. All other fields that the parser knows only as [`Name::Other`] are forwarded.
 const NOT_FORWARDED: [&str; 15] = [
     "Date",
     "Timestamp",
@@ -243,7 +243,7 @@
         let known = id.and_then(|id| self.table.legs.get_mut(&id).filter(matches).map(|leg| (id, leg)));
         let Some((id, leg)) = known else {
             // A 2xx after its leg has been removed is released, or the switch would hold the call for ever.
-            // This can only affect a switch that answers a request that was never sent.
+            // The release could do harm only to a switch that answers a request that was never sent.
             if (200..300).contains(&status) {
                 self.release_unknown_dialog(server, response);
             }
--- a/crates/fawnrouter-lease/src/holder.rs
+++ b/crates/fawnrouter-lease/src/holder.rs
@@ -136,8 +136,8 @@
         self.member
     }
 
-    /// Requests the lease from now on until it is granted. `false` if the gateway wants as many leases as a
-    /// table holds already.
+    /// Wants the lease from now on: requests it until it is granted, and then keeps it renewed. `false` if
+    /// the gateway wants as many leases as a table holds already.
     pub fn acquire(&mut self, now: Time, lease: &LeaseName) -> bool {
         if !self.leases.contains_key(lease) && self.leases.len() >= crate::LeaseTable::MAX_LEASES {
             return false;
--- a/crates/fawnrouter-lease/src/table.rs
+++ b/crates/fawnrouter-lease/src/table.rs
@@ -102,7 +102,7 @@
         /// The new number.
         number: FencingNumber,
     },
-    /// The command was applied, and nobody waits for another result.
+    /// The command was applied. It was not a holder's request, so no holder waits for this result.
     Done,
     /// The command changed nothing.
     Refused(Refusal),
--- a/crates/fawnrouter-zones/src/health.rs
+++ b/crates/fawnrouter-zones/src/health.rs
@@ -49,7 +49,7 @@
     /// It takes the calls that it is offered.
     #[default]
     Calm,
-    /// It rejects a part of them.
+    /// The throttles of its switches hold a part of the calls back.
     Pressed,
     /// Most of its switches are silent, refusing, cold or gone.
     Down,
@@ -159,7 +159,8 @@
         self.state
     }
 
-    /// Share of the offered calls that the zone rejects, 0 to 1.
+    /// Share of the offered calls that the throttles of the zone's switches hold back, 0 to 1. A switch that
+    /// is not ready or not healthy counts as holding back all of its calls.
     #[must_use]
     pub const fn pressure(&self) -> f64 {
         self.pressure
--- a/crates/fawnrouter-zones/src/policy.rs
+++ b/crates/fawnrouter-zones/src/policy.rs
@@ -1,10 +1,10 @@
 //! The policy: whether a call may go to another zone now.
 //!
-//! Calls within the own zone are not affected. A call may go to another zone only while the own zone is
-//! pressed or down, only if the budgets can pay for it, and only if what the call would lose by waiting is at
-//! least its cost: worth times the share of it that would be lost, against cost times price. So while budget
-//! is short, calls of higher worth go first, and calls of lower worth wait until their aim is near, or are
-//! refused when their time is up.
+//! Calls within the own zone are not affected, nor are calls to a zone that costs nothing. A call may go to
+//! any other zone only while the own zone is pressed or down, only if the budgets can pay for it, and only if
+//! what the call would lose by waiting is at least its cost: worth times the share of it that would be lost,
+//! against cost times price. So while budget is short, calls of higher worth go first, and calls of lower
+//! worth wait until their aim is near, or are refused when their time is up.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -46,8 +46,8 @@
     pub phase: f64,
 }
 
-/// Most calls that each of the sets below holds. A spilled call beyond it is not tracked, and so not
-/// refunded.
+/// The most calls in each of the collections of calls that [`ZonePolicy`] keeps. A spilled call beyond it is
+/// not tracked, and so not refunded.
 const MAX_TRACKED_CALLS: usize = 100_000;
 
 /// A set-up in another zone, with what is needed to refund it.
@@ -69,7 +69,8 @@
     /// Calls that were recorded as held back because a budget was spent.
     recorded_as_held: BTreeSet<CallId>,
     now: Time,
-    /// Calls that could pay the price and were counted as demand, until they end.
+    /// Calls that were worth the price and were counted as demand, until their set-up is answered or ends, or
+    /// they are over.
     counted_as_demand: BTreeSet<CallId>,
 }
 
--- a/crates/fawnrouter-zones/src/record.rs
+++ b/crates/fawnrouter-zones/src/record.rs
@@ -61,7 +61,8 @@
 
 /// Minutes that are kept: a day and the current minute.
 const MAX_MINUTES: usize = 24 * 60 + 1;
-/// Keys within a minute; further calls are added to the last key of the same cause.
+/// Keys within a minute; calls of further keys are added to the last key of the same cause, or left out if
+/// there is none.
 const MAX_KEYS_PER_MINUTE: usize = 256;
 /// Keys in the totals since the start; calls of further keys are left out there.
 const MAX_TOTAL_KEYS: usize = MAX_KEYS_PER_MINUTE * 16;
