--- a/crates/fawnrouter-audit/src/auditor.rs
+++ b/crates/fawnrouter-audit/src/auditor.rs
@@ -44,7 +44,7 @@
 pub struct AuditParameters {
     /// Rule 3: set-ups may still go to a switch for this long after the list announced that it is closed.
     pub drain_grace: Duration,
-    /// Rule 5: time between the end of a guarded attempt and the next attempt of the same call.
+    /// Rule 5: least time between the end of a guarded attempt and the next attempt of the same call.
     pub guard: Duration,
     /// Rule 4: the budget of a window, as a multiple of what the switch can do in it while it warms up.
     pub fall_multiple: f64,
--- a/crates/fawnrouter-capacity/src/delay.rs
+++ b/crates/fawnrouter-capacity/src/delay.rs
@@ -149,11 +149,11 @@
 pub struct DelayPercentiles {
     /// Number of hops.
     pub hops: u32,
-    /// Delay of at most half of the calls.
+    /// The delay that half of the calls do not exceed.
     pub p50_nanoseconds: Option<u64>,
-    /// Delay of at most 99 of 100 calls.
+    /// The delay that 99 of 100 calls do not exceed.
     pub p99_nanoseconds: Option<u64>,
-    /// Delay of at most 999 of 1,000 calls.
+    /// The delay that 999 of 1,000 calls do not exceed.
     pub p999_nanoseconds: Option<u64>,
 }
 
--- a/crates/fawnrouter-capacity/src/fit/growth.rs
+++ b/crates/fawnrouter-capacity/src/fit/growth.rs
@@ -27,9 +27,9 @@
     Undetected(MeanFit),
     /// The line fits, or nothing contradicts it.
     Linear,
-    /// Slower than linear: the quadratic fit bends downwards by at least [`NONLINEAR_MIN_CURVATURE`], or
-    /// falls and flattening by as much, and fits better ([`NONLINEAR_MIN_R_SQUARED`],
-    /// [`NONLINEAR_MAX_RESIDUAL_RATIO`]).
+    /// Slower than linear: the series rises and its quadratic fit bends downwards by at least
+    /// [`NONLINEAR_MIN_CURVATURE`], or it falls and flattens by as much, and the quadratic fit fits better
+    /// ([`NONLINEAR_MIN_R_SQUARED`], [`NONLINEAR_MAX_RESIDUAL_RATIO`]).
     Sublinear,
     /// Faster than linear: the series rises and bends upwards by at least [`NONLINEAR_MIN_CURVATURE`], or
     /// bends upwards with an exponent of at least [`SUPERLINEAR_MIN_EXPONENT`], and a power above 1 fits
--- a/crates/fawnrouter-capacity/src/hollow/outcome.rs
+++ b/crates/fawnrouter-capacity/src/hollow/outcome.rs
@@ -65,7 +65,7 @@
 pub struct CallCounts {
     /// Calls whose planned time has come.
     pub attempted: u64,
-    /// Calls answered by a core switch.
+    /// Calls that a core switch accepted and whose caller received the answer.
     pub established: u64,
     /// Calls refused with a cause after which another attempt does no harm.
     pub refused: u64,
--- a/crates/fawnrouter-capacity/src/page/depth.rs
+++ b/crates/fawnrouter-capacity/src/page/depth.rs
@@ -8,7 +8,7 @@
 use crate::design;
 use crate::figures::{Report, Run};
 
-/// DelaysByDepth in the table, in hops.
+/// Depths in the table, in hops.
 const DEPTHS: [u32; 4] = [1, 4, 12, design::DEPTH];
 /// Prefix of the ids of runs without a gateway, whose delay is that of the stand-ins and loopback alone.
 const BASELINE_PREFIX: &str = "processes-hop-baseline";
--- a/crates/fawnrouter-config/src/settings/admission.rs
+++ b/crates/fawnrouter-config/src/settings/admission.rs
@@ -157,7 +157,7 @@
     /// Most connections at once.
     #[schemars(range(min = 1, max = 1_000_000))]
     pub connections: usize,
-    /// Set-ups per turn, when clients take turns.
+    /// Set-ups per turn, when clients take turns: its share relative to the other clients.
     #[schemars(range(min = 1, max = 1000))]
     pub weight: u32,
     /// Most set-ups per second.
@@ -199,13 +199,13 @@
 #[serde(default, deny_unknown_fields)]
 #[schemars(rename = "StrangerPlan")]
 pub struct UnknownClientLimits {
-    /// Set-ups per turn of all unknown clients together, when clients take turns.
+    /// Set-ups per turn of all unknown clients together, which take turns as if they were one known client.
     #[schemars(range(min = 1, max = 1000))]
     pub weight: u32,
     /// Most set-ups per second of all unknown clients; if left out, as many as there is room for.
     #[schemars(range(min = 0.001, max = 1e6))]
     pub all_per_s: Option<f64>,
-    /// Fraction of the set-ups held by the routing decisions that may belong to unknown clients.
+    /// Of the set-ups that the routing decisions may hold, the fraction that may belong to unknown clients.
     #[schemars(range(min = 0.0, max = 1.0))]
     pub held_share: f64,
     /// Most set-ups per second and address.
--- a/crates/fawnrouter-config/src/settings/clients.rs
+++ b/crates/fawnrouter-config/src/settings/clients.rs
@@ -101,7 +101,7 @@
     #[serde(default)]
     #[schemars(range(min = 1, max = 1_000_000))]
     pub connections: Option<usize>,
-    /// Set-ups per turn, when clients take turns.
+    /// Set-ups per turn, when clients take turns: its share relative to the other clients.
     #[serde(default)]
     #[schemars(range(min = 1, max = 1000))]
     pub weight: Option<u32>,
--- a/crates/fawnrouter-config/src/settings/zones.rs
+++ b/crates/fawnrouter-config/src/settings/zones.rs
@@ -41,8 +41,8 @@
     #[serde(default = "default_points_a_unit")]
     #[schemars(range(min = 0.0, max = 1e6))]
     pub points_a_unit: f64,
-    /// Budgets; a call counts against each that covers it. Without budgets, a call is only held back if its
-    /// cost exceeds its worth.
+    /// Budgets; a call counts against each that covers it. Without budgets, a call is held back only if its
+    /// cost exceeds the worth that it would lose by waiting for the own zone.
     #[serde(default)]
     #[schemars(length(max = 1000))]
     pub budgets: Vec<CrossZoneBudget>,
--- a/crates/fawnrouterd/src/accept.rs
+++ b/crates/fawnrouterd/src/accept.rs
@@ -20,7 +20,7 @@
     Available(File),
     /// It serves a refused connection, which is closed when the next one needs the descriptor.
     InUse(TcpStream),
-    /// No descriptor could be reserved.
+    /// No descriptor could be reserved, because others took the one that was freed.
     Missing,
 }
 
--- a/crates/fawnrouterd/src/connections.rs
+++ b/crates/fawnrouterd/src/connections.rs
@@ -41,8 +41,8 @@
         self.accepted.insert(conn, ClientConnection { outbox, client: None });
     }
 
-    /// Registers the client of a connection whose handshake is done. The connection may already be gone from
-    /// the list, if it was closed meanwhile to make room.
+    /// Registers the client of a connection whose handshake is done. A connection that was closed meanwhile
+    /// to make room is no longer in the list; the reason has already been set in its outbox.
     pub fn handshake_done(&mut self, conn: ConnectionId, outbox: Rc<Outbox>) -> ClientId {
         self.next_client += 1;
         let id = ClientId(self.next_client);
