--- a/crates/fawnrouter-admission/src/set_ups/call_counts.rs
+++ b/crates/fawnrouter-admission/src/set_ups/call_counts.rs
@@ -12,8 +12,8 @@
         usage.calls += 1;
         usage.pending += 1;
         let routing = usize::from(state == CallState::Routing);
-        self.routing += routing;
-        self.routing_unknown += if matches!(client, ClientIdentity::Unknown(_)) { routing } else { 0 };
+        self.in_routing += routing;
+        self.in_routing_unknown += if matches!(client, ClientIdentity::Unknown(_)) { routing } else { 0 };
         self.calls.insert(call, Call { client, state });
     }
 
@@ -21,8 +21,9 @@
     pub(super) fn remove(&mut self, call: u64) -> Option<Call> {
         let call = self.calls.remove(&call)?;
         let routing = usize::from(call.state == CallState::Routing);
-        self.routing -= routing;
-        self.routing_unknown -= if matches!(call.client, ClientIdentity::Unknown(_)) { routing } else { 0 };
+        self.in_routing -= routing;
+        self.in_routing_unknown -=
+            if matches!(call.client, ClientIdentity::Unknown(_)) { routing } else { 0 };
         if let Some(usage) = self.usage.get_mut(&call.client) {
             usage.calls -= 1;
             usage.pending -= usize::from(call.state != CallState::Established);
@@ -43,9 +44,9 @@
         }
         let before = usize::from(old_state == CallState::Routing);
         let after = usize::from(state == CallState::Routing);
-        self.routing = self.routing + after - before;
+        self.in_routing = self.in_routing + after - before;
         if matches!(call.client, ClientIdentity::Unknown(_)) {
-            self.routing_unknown = self.routing_unknown + after - before;
+            self.in_routing_unknown = self.in_routing_unknown + after - before;
         }
         if let Some(usage) = self.usage.get_mut(&call.client) {
             usage.pending -= usize::from(state == CallState::Established);
--- a/crates/fawnrouter-admission/src/set_ups/decision.rs
+++ b/crates/fawnrouter-admission/src/set_ups/decision.rs
@@ -10,11 +10,11 @@
     /// All unknown clients together exceed their rate.
     UnknownClientsRate,
     /// Its client has reached its limit of calls without a final response.
-    Pending,
+    PendingLimit,
     /// Its client has reached its limit of calls.
-    Calls,
+    CallLimit,
     /// The queue is full, and other clients hold less of it than this one.
-    Full,
+    QueueFull,
     /// It waited for the longest time allowed.
     WaitExpired,
 }
@@ -26,9 +26,9 @@
         match self {
             Self::Rate => "too many set-ups of this client",
             Self::UnknownClientsRate => "too many set-ups of unknown clients",
-            Self::Pending => "too many calls of this client in set-up",
-            Self::Calls => "too many calls of this client",
-            Self::Full => "too many set-ups wait, and this client holds most",
+            Self::PendingLimit => "too many calls of this client in set-up",
+            Self::CallLimit => "too many calls of this client",
+            Self::QueueFull => "too many set-ups wait, and this client holds most",
             Self::WaitExpired => "no turn came in time",
         }
     }
--- a/crates/fawnrouter-admission/src/set_ups/mod.rs
+++ b/crates/fawnrouter-admission/src/set_ups/mod.rs
@@ -52,9 +52,9 @@
     calls: BTreeMap<u64, Call>,
     usage: BTreeMap<ClientIdentity, ClientUsage>,
     /// Calls that the routing decisions hold.
-    routing: usize,
+    in_routing: usize,
     /// Of these, calls of unknown clients.
-    routing_unknown: usize,
+    in_routing_unknown: usize,
     send_rate: SendRate,
     spread: RetryAfterSpread,
     refused: BTreeMap<SetUpRefusal, u64>,
@@ -78,8 +78,8 @@
             limits: BTreeMap::new(),
             calls: BTreeMap::new(),
             usage: BTreeMap::new(),
-            routing: 0,
-            routing_unknown: 0,
+            in_routing: 0,
+            in_routing_unknown: 0,
             send_rate: SendRate::default(),
             refused: BTreeMap::new(),
             now: Duration::ZERO,
@@ -124,13 +124,13 @@
         match self.enqueue(&client, limits.weight, call) {
             Ok(displaced) => {
                 self.insert(call, client, CallState::Waiting);
-                let displaced = displaced.map(|other| {
+                let displaced_call = displaced.map(|other| {
                     self.remove(other);
-                    (other, self.refuse(SetUpRefusal::Full, Duration::ZERO))
+                    (other, self.refuse(SetUpRefusal::QueueFull, Duration::ZERO))
                 });
-                (SetUpDecision::Wait, displaced)
+                (SetUpDecision::Wait, displaced_call)
             }
-            Err(()) => (self.refuse(SetUpRefusal::Full, Duration::ZERO), None),
+            Err(()) => (self.refuse(SetUpRefusal::QueueFull, Duration::ZERO), None),
         }
     }
 
@@ -142,13 +142,13 @@
     ) -> Result<(), (SetUpRefusal, Duration)> {
         let usage = self.usage.get(client).copied().unwrap_or_default();
         if usage.calls >= limits.calls {
-            return Err((SetUpRefusal::Calls, Duration::ZERO));
+            return Err((SetUpRefusal::CallLimit, Duration::ZERO));
         }
         if usage.pending >= limits.pending {
-            return Err((SetUpRefusal::Pending, Duration::ZERO));
+            return Err((SetUpRefusal::PendingLimit, Duration::ZERO));
         }
         // The rate is checked last, because a set-up refused above must not use it up.
-        self.rates.arrive(self.now, client, &limits.rate)
+        self.rates.check_and_count(self.now, client, &limits.rate)
     }
 
     /// Whether a set-up may proceed without waiting: routing has room, and no other set-up waits before it.
@@ -168,17 +168,17 @@
     /// The most set-ups that the routing decisions may hold now.
     #[must_use]
     pub fn routing_limit(&self) -> usize {
-        let sent = self.send_rate.per_second() * self.settings.routing_span.as_secs_f64();
-        self.settings.min_routing.saturating_add(sent as usize)
+        let sent_in_span = self.send_rate.per_second() * self.settings.routing_span.as_secs_f64();
+        self.settings.min_routing.saturating_add(sent_in_span as usize)
     }
 
     fn has_routing_room(&self) -> bool {
-        self.routing < self.routing_limit()
+        self.in_routing < self.routing_limit()
     }
 
     fn has_routing_room_for_unknown(&self) -> bool {
         let limit = (self.routing_limit() as f64 * self.settings.unknown_share) as usize;
-        self.routing_unknown < limit.max(1)
+        self.in_routing_unknown < limit.max(1)
     }
 
     /// Refuses a call whose waiting time has run out. `None` if the call does not wait.
@@ -199,8 +199,8 @@
 
     /// Set-ups that the routing decisions hold.
     #[must_use]
-    pub const fn routing(&self) -> usize {
-        self.routing
+    pub const fn in_routing(&self) -> usize {
+        self.in_routing
     }
 
     /// Refusals by reason.
--- a/crates/fawnrouter-admission/src/set_ups/rates.rs
+++ b/crates/fawnrouter-admission/src/set_ups/rates.rs
@@ -37,7 +37,7 @@
     }
 
     /// Checks a set-up and counts it if it conforms. A refused set-up is not counted.
-    pub(super) fn arrive(
+    pub(super) fn check_and_count(
         &mut self,
         now: Duration,
         client: &ClientIdentity,
--- a/crates/fawnrouter-admission/src/set_ups/tests.rs
+++ b/crates/fawnrouter-admission/src/set_ups/tests.rs
@@ -55,7 +55,7 @@
     assert_eq!(decisions[..4], [SetUpDecision::Proceed; 4]);
     assert_eq!(decisions[4..], [SetUpDecision::Wait; 4]);
     assert_eq!(admission.offer(ms(0), known("b"), 100).0, SetUpDecision::Wait);
-    assert_eq!((admission.next_ready(ms(1)), admission.routing(), admission.waiting()), (None, 4, 5));
+    assert_eq!((admission.next_ready(ms(1)), admission.in_routing(), admission.waiting()), (None, 4, 5));
     // Each set-up that is sent makes room for another one. The call of "b" is second in turn.
     let mut order = Vec::new();
     for sent in 0..4 {
@@ -92,11 +92,11 @@
     for n in 0..4 {
         admission.set_state(ms(2), n, CallState::Routing);
     }
-    assert_eq!(admission.routing(), 4);
+    assert_eq!(admission.in_routing(), 4);
     admission.set_state(ms(3), 0, CallState::AttemptSent);
     admission.set_state(ms(4), 0, CallState::Established);
     admission.call_ended(ms(5), 1);
-    assert_eq!(admission.routing(), 2);
+    assert_eq!(admission.in_routing(), 2);
     assert_eq!(admission.largest(9), [(known("a"), 2, 3)]);
 }
 
@@ -109,12 +109,12 @@
         refusal(admission.offer(ms(now), known("small"), n).0)
     };
     assert_eq!((offer(&mut admission, 0, 1), offer(&mut admission, 0, 2)), (None, None));
-    assert_eq!(offer(&mut admission, 0, 3), Some(SetUpRefusal::Pending));
+    assert_eq!(offer(&mut admission, 0, 3), Some(SetUpRefusal::PendingLimit));
     admission.set_state(ms(0), 1, CallState::Established);
     admission.set_state(ms(0), 2, CallState::Established);
     assert_eq!(offer(&mut admission, 0, 3), None);
     admission.set_state(ms(0), 3, CallState::Established);
-    assert_eq!(offer(&mut admission, 0, 4), Some(SetUpRefusal::Calls));
+    assert_eq!(offer(&mut admission, 0, 4), Some(SetUpRefusal::CallLimit));
     (1..4).for_each(|n| admission.call_ended(ms(0), n));
     assert_eq!(offer(&mut admission, 0, 5), Some(SetUpRefusal::Rate));
     assert_eq!(offer(&mut admission, 1000, 5), None, "refusals did not use up its rate");
@@ -141,7 +141,7 @@
         order.push(next);
     }
     assert_eq!(order[..6], [100, 1000, 101, 1001, 102, 103]);
-    assert_eq!((order.len(), admission.waiting(), admission.routing()), (20, 0, 0));
+    assert_eq!((order.len(), admission.waiting(), admission.in_routing()), (20, 0, 0));
     assert!(admission.largest(9).is_empty());
 }
 
@@ -225,7 +225,7 @@
     (0..4).for_each(|n| admission.call_ended(ms(600), n));
     assert_eq!((admission.next_ready(ms(600)), admission.next_ready(ms(600))), (Some(12), None));
     admission.call_ended(ms(700), 12);
-    assert!(admission.largest(9).is_empty() && admission.waiting() == 0 && admission.routing() == 0);
+    assert!(admission.largest(9).is_empty() && admission.waiting() == 0 && admission.in_routing() == 0);
 }
 
 #[test]
@@ -277,18 +277,18 @@
         }
         let count = |state| live.values().filter(|s| **s == state).count();
         assert_eq!(
-            (admission.waiting(), admission.routing()),
+            (admission.waiting(), admission.in_routing()),
             (count(CallState::Waiting), count(CallState::Routing))
         );
         assert!(
             admission.waiting() <= 40
                 && (admission.waiting() == 0
-                    || admission.routing() >= admission.routing_limit()
+                    || admission.in_routing() >= admission.routing_limit()
                     || admission.unknown_queue.waiting() > 0)
         );
         let unknown_in_routing =
             |c: &&Call| c.state == CallState::Routing && matches!(c.client, ClientIdentity::Unknown(_));
-        assert_eq!(admission.routing_unknown, admission.calls.values().filter(unknown_in_routing).count());
+        assert_eq!(admission.in_routing_unknown, admission.calls.values().filter(unknown_in_routing).count());
         assert_eq!(
             admission.unknown_queue.waiting(),
             admission
@@ -306,6 +306,6 @@
         admission.usage.is_empty()
             && admission.calls.is_empty()
             && admission.waiting() == 0
-            && admission.routing() == 0
+            && admission.in_routing() == 0
     );
 }
--- a/crates/fawnrouter-engine/src/caller.rs
+++ b/crates/fawnrouter-engine/src/caller.rs
@@ -80,11 +80,11 @@
         let Some(known) = self.table.clients.get(&client) else { return };
         let tag = format!("{:08x}", self.rng.next_u32());
         let peer = Some((known.host.as_str(), known.peer.port()));
-        let mut draft = MessageBuilder::response_to(request, status, phrase, &tag, peer);
+        let mut builder = MessageBuilder::response_to(request, status, phrase, &tag, peer);
         for (name, value) in extra {
-            draft.field(*name, value);
+            builder.field(*name, value);
         }
-        let bytes = draft.finish(b"");
+        let bytes = builder.finish(b"");
         self.outputs.push(Output::ToClient { client, bytes });
     }
 
@@ -221,26 +221,26 @@
         }
         let tag = Self::caller_tag(call, id, attempt);
         let peer = Some((client.host.as_str(), client.peer.port()));
-        let mut draft = MessageBuilder::response_to(call.invite.as_deref()?, status, None, &tag, peer);
+        let mut builder = MessageBuilder::response_to(call.invite.as_deref()?, status, None, &tag, peer);
         if status > 100 {
-            draft.named_field("Session-ID", &format!("{};remote={:032}", call.session_id, 0));
-            draft.field(Name::Allow, ALLOW);
+            builder.named_field("Session-ID", &format!("{};remote={:032}", call.session_id, 0));
+            builder.field(Name::Allow, ALLOW);
         }
         if (101..300).contains(&status) {
-            draft.field(Name::Contact, &format!("<sip:gateway@{host};transport=ws>"));
+            builder.field(Name::Contact, &format!("<sip:gateway@{host};transport=ws>"));
             // The caller builds its route set from the Record-Route of its own request (§12.1.1).
-            draft.copy_fields(call.invite.as_deref()?, Name::RecordRoute);
+            builder.copy_fields(call.invite.as_deref()?, Name::RecordRoute);
         }
-        Some((call.client, draft))
+        Some((call.client, builder))
     }
 
     /// Sends a provisional response to the caller; `from` is the switch's response, with the number of the
     /// attempt.
     pub(crate) fn send_provisional(&mut self, id: CallId, status: u16, from: Option<(&Message, u32)>) {
-        if let Some((client, mut draft)) = self.begin_answer(id, status, from.map(|f| f.1)) {
+        if let Some((client, mut builder)) = self.begin_answer(id, status, from.map(|f| f.1)) {
             let bytes = match from {
-                Some((response, _)) => draft.finish_with_body_of(response),
-                None => draft.finish(b""),
+                Some((response, _)) => builder.finish_with_body_of(response),
+                None => builder.finish(b""),
             };
             self.outputs.push(Output::ToClient { client, bytes });
         }
@@ -252,12 +252,12 @@
             return;
         };
         let after = self.now.since(call.received_at);
-        if let Some((client, mut draft)) = self.begin_answer(id, answer.status, None) {
+        if let Some((client, mut builder)) = self.begin_answer(id, answer.status, None) {
             if let Some(seconds) = answer.retry_after_s {
-                draft.field(Name::RetryAfter, &seconds.to_string());
+                builder.field(Name::RetryAfter, &seconds.to_string());
             }
-            draft.field(Name::Reason, &format!("SIP;cause={};text=\"{}\"", answer.status, answer.text));
-            let bytes = draft.finish(b"");
+            builder.field(Name::Reason, &format!("SIP;cause={};text=\"{}\"", answer.status, answer.text));
+            let bytes = builder.finish(b"");
             self.outputs.push(Output::ToClient { client, bytes });
         }
         self.emit_call_event(id, || CallEvent::Answered { status: answer.status, after });
@@ -277,8 +277,8 @@
         let tag = Self::caller_tag(call, id, Some(attempt));
         let dialog = call.invite.as_deref().and_then(|invite| Dialog::callee(invite, &tag).ok());
         let Some(dialog) = dialog else { return false };
-        let Some((client, mut draft)) = self.begin_answer(id, 200, Some(attempt)) else { return false };
-        let bytes = draft.finish_with_body_of(response);
+        let Some((client, mut builder)) = self.begin_answer(id, 200, Some(attempt)) else { return false };
+        let bytes = builder.finish_with_body_of(response);
         self.outputs.push(Output::ToClient { client, bytes });
         let established_at = self.now;
         if let Some(call) = self.table.calls.get_mut(&id) {
@@ -286,7 +286,7 @@
             call.current_leg = None;
             call.invite = None;
         }
-        self.set_up_stage_changed(id, CallState::Established);
+        self.set_up_state_changed(id, CallState::Established);
         self.pending -= 1;
         self.counters.established += 1;
         self.table.timers.set(TimerKey::Call(id), self.now.plus(ACK_TIMEOUT));
--- a/crates/fawnrouter-engine/src/engine.rs
+++ b/crates/fawnrouter-engine/src/engine.rs
@@ -219,7 +219,7 @@
         while let Some(event) = self.events.pop_front() {
             // After an attempt without an established call the controller holds the call again.
             if let Event::Closed { call, done: false, .. } = &event {
-                self.set_up_stage_changed(*call, CallState::Routing);
+                self.set_up_state_changed(*call, CallState::Routing);
             }
             self.controller.handle(self.now, event, &mut actions);
             for action in actions.drain(..) {
--- a/crates/fawnrouter-engine/src/trunk.rs
+++ b/crates/fawnrouter-engine/src/trunk.rs
@@ -45,7 +45,7 @@
     }
 
     /// Sends a set-up to a switch, as the controller decided.
-    pub(crate) fn send_set_up(&mut self, id: CallId, server: ServerId, within: Duration) {
+    pub(crate) fn send_set_up(&mut self, id: CallId, server: ServerId, time_out: Duration) {
         let connected = self.table.is_connected(server);
         let Some(call) = self.table.calls.get_mut(&id).filter(|c| matches!(c.stage, Stage::Routing)) else {
             return;
@@ -83,7 +83,7 @@
         let via = format!(
             "SIP/2.0/TCP {host};branch=z9hG4bK{:x}.{random:08x};oc;oc-algo=\"loss,rate\";fr-within={}",
             leg_id.0,
-            within.as_millis()
+            time_out.as_millis()
         );
         let from = invite.get(Name::From).and_then(|f| Address::parse(f).ok()).map_or_else(
             || format!("<sip:gateway@{host}>"),
@@ -97,8 +97,8 @@
         };
         let call_id = format!("{:08x}{:08x}@{host}", random, self.rng.next_u32());
         let hops = invite.get(Name::MaxForwards).and_then(|m| m.trim().parse::<u8>().ok()).unwrap_or(70);
-        let mut draft = MessageBuilder::request(Method::Invite, &target);
-        draft
+        let mut builder = MessageBuilder::request(Method::Invite, &target);
+        builder
             .field(Name::Via, &via)
             .field(Name::MaxForwards, &hops.saturating_sub(1).to_string())
             .field(Name::From, &from)
@@ -106,7 +106,7 @@
             .field(Name::CallId, &call_id)
             .field(Name::CSeq, "1 INVITE")
             .field(Name::Contact, &format!("<sip:gateway@{host};transport=tcp>"))
-            .field(Name::Expires, &(within.as_secs_f64().ceil().max(1.0) as u64).to_string())
+            .field(Name::Expires, &(time_out.as_secs_f64().ceil().max(1.0) as u64).to_string())
             .field(Name::SessionId, &format!("{};remote={:032}", call.session_id, 0))
             .field(Name::Allow, ALLOW);
         for (name, raw, value) in invite.fields() {
@@ -118,12 +118,12 @@
                 _ => false,
             };
             if forwarded {
-                draft.named_field(raw, value);
+                builder.named_field(raw, value);
             }
         }
-        let bytes = draft.finish_with_body_of(invite);
+        let bytes = builder.finish_with_body_of(invite);
         call.current_leg = Some(leg_id);
-        self.set_up_stage_changed(id, CallState::AttemptSent);
+        self.set_up_state_changed(id, CallState::AttemptSent);
         let leg = Leg {
             call: id,
             attempt,
@@ -142,7 +142,7 @@
         if let Some(trunk) = self.table.trunks.get_mut(&server) {
             trunk.legs.insert(leg_id);
         }
-        self.table.timers.set(TimerKey::Leg(leg_id), self.now.plus(within));
+        self.table.timers.set(TimerKey::Leg(leg_id), self.now.plus(time_out));
         self.counters.attempts += 1;
         self.emit_call_event(id, || CallEvent::AttemptSent { attempt, server });
         self.send_to_trunk(server, bytes);
@@ -181,10 +181,10 @@
         else {
             return;
         };
-        let mut draft = dialog.request(Method::Ack, &via);
+        let mut builder = dialog.request(Method::Ack, &via);
         let bytes = match from_caller {
-            Some(ack) => draft.finish_with_body_of(ack),
-            None => draft.finish(b""),
+            Some(ack) => builder.finish_with_body_of(ack),
+            None => builder.finish(b""),
         };
         leg.ack = Some(bytes.clone());
         let server = leg.server;
@@ -263,9 +263,9 @@
             }
             ClientAction::CancelNow => self.send_cancel(id),
             ClientAction::Accepted => self.on_accepted(id, response),
-            ClientAction::AcceptedAfterCancel => self.on_unwanted(id, response),
+            ClientAction::AcceptedAfterCancel => self.release_late_2xx(id, response),
             ClientAction::Failed => self.on_failed(id, status, response, report),
-            ClientAction::AckAgain => self.repeat_ack(id, status, response),
+            ClientAction::AckAgain => self.on_repeated_final(id, status, response),
             ClientAction::Drop => {}
         }
     }
@@ -289,7 +289,7 @@
     }
 
     /// A 2xx that crossed the CANCEL or came after the time-out: acknowledged and released (§9.1).
-    fn on_unwanted(&mut self, id: LegId, response: &Message) {
+    fn release_late_2xx(&mut self, id: LegId, response: &Message) {
         let Some(leg) = self.table.legs.get_mut(&id) else { return };
         match Dialog::caller(response, &leg.uri, 1) {
             Ok(dialog) => {
@@ -352,7 +352,7 @@
 
     /// Handles a repeated final response. A second 2xx of another dialog, as a forking switch sends it, is
     /// released separately.
-    fn repeat_ack(&mut self, id: LegId, status: u16, response: &Message) {
+    fn on_repeated_final(&mut self, id: LegId, status: u16, response: &Message) {
         let Some(leg) = self.table.legs.get(&id) else { return };
         let server = leg.server;
         if status >= 300 {
@@ -396,11 +396,11 @@
         }
         let answer = |engine: &mut Self, status: u16| {
             let tag = format!("{:08x}", engine.rng.next_u32());
-            let mut draft = MessageBuilder::response_to(request, status, None, &tag, None);
+            let mut builder = MessageBuilder::response_to(request, status, None, &tag, None);
             if matches!(status, 200 | 405) {
-                draft.field(Name::Allow, ALLOW);
+                builder.field(Name::Allow, ALLOW);
             }
-            let bytes = draft.finish(b"");
+            let bytes = builder.finish(b"");
             engine.send_to_trunk(server, bytes);
         };
         if let Err(invalid) = request.validate() {
--- a/crates/fawnrouter-engine/tests/calls.rs
+++ b/crates/fawnrouter-engine/tests/calls.rs
@@ -45,11 +45,11 @@
     let mut rig = Rig::with_switches(1);
     let (_, _, server, out) = rig.establish_call();
     let bye = {
-        let mut draft = MessageBuilder::request(Method::Bye, "sip:gateway@gw.example;transport=tcp");
-        draft.field(Name::Via, "SIP/2.0/TCP sw;branch=z9hG4bKsw1").field(Name::MaxForwards, "70");
-        draft.field(Name::From, &format!("{};tag=sw", out.get(Name::To).unwrap()));
-        draft.field(Name::To, out.get(Name::From).unwrap()).copy_fields(&out, Name::CallId);
-        parse(&draft.field(Name::CSeq, "1 BYE").finish(b""))
+        let mut builder = MessageBuilder::request(Method::Bye, "sip:gateway@gw.example;transport=tcp");
+        builder.field(Name::Via, "SIP/2.0/TCP sw;branch=z9hG4bKsw1").field(Name::MaxForwards, "70");
+        builder.field(Name::From, &format!("{};tag=sw", out.get(Name::To).unwrap()));
+        builder.field(Name::To, out.get(Name::From).unwrap()).copy_fields(&out, Name::CallId);
+        parse(&builder.field(Name::CSeq, "1 BYE").finish(b""))
     };
     rig.take_sent();
     rig.send_from_switch(server, &bye);
--- a/crates/fawnrouter-engine/tests/common/mod.rs
+++ b/crates/fawnrouter-engine/tests/common/mod.rs
@@ -201,8 +201,8 @@
     pub fn invite(&mut self, expires: Option<u64>, extra: &[(&str, &str)]) -> Message {
         self.calls += 1;
         let n = self.calls;
-        let mut draft = MessageBuilder::request(Method::Invite, &format!("sip:+9148{n}@gw.example"));
-        draft
+        let mut builder = MessageBuilder::request(Method::Invite, &format!("sip:+9148{n}@gw.example"));
+        builder
             .field(Name::Via, &format!("SIP/2.0/WS c1.invalid;branch=z9hG4bKc{n}"))
             .field(Name::MaxForwards, "70")
             .field(Name::From, "<sip:desk@c1.invalid>;tag=f1")
@@ -212,12 +212,12 @@
             .field(Name::Contact, "<sip:desk@c1.invalid;transport=ws>")
             .field(Name::ContentType, "application/sdp");
         if let Some(seconds) = expires {
-            draft.field(Name::Expires, &seconds.to_string());
+            builder.field(Name::Expires, &seconds.to_string());
         }
         for (name, value) in extra {
-            draft.named_field(name, value);
+            builder.named_field(name, value);
         }
-        parse(&draft.finish(b"v=0 offer"))
+        parse(&builder.finish(b"v=0 offer"))
     }
 
     pub fn send_from_client(&mut self, message: &Message) {
@@ -319,49 +319,49 @@
 
 /// A switch's response to a request.
 pub fn response(request: &Message, status: u16, extra: &[(Name, &str)]) -> Message {
-    let mut draft = MessageBuilder::response_to(request, status, None, "sw", None);
+    let mut builder = MessageBuilder::response_to(request, status, None, "sw", None);
     if (200..300).contains(&status) {
-        draft.field(Name::Contact, "<sip:sw@127.0.0.1:5070;transport=tcp>");
-        draft.field(Name::ContentType, "application/sdp");
+        builder.field(Name::Contact, "<sip:sw@127.0.0.1:5070;transport=tcp>");
+        builder.field(Name::ContentType, "application/sdp");
     }
     for (name, value) in extra {
-        draft.field(*name, value);
+        builder.field(*name, value);
     }
     let body: &[u8] = if (200..300).contains(&status) { b"v=0 answer" } else { b"" };
-    parse(&draft.finish(body))
+    parse(&builder.finish(body))
 }
 
 /// The caller's request in the dialog that the 200 established.
 pub fn in_dialog(invite: &Message, ok: &Message, method: Method, cseq: u32) -> Message {
-    let mut draft = MessageBuilder::request(method, "sip:gateway@gw.example;transport=ws");
-    draft
+    let mut builder = MessageBuilder::request(method, "sip:gateway@gw.example;transport=ws");
+    builder
         .field(Name::Via, &format!("SIP/2.0/WS c1.invalid;branch=z9hG4bKd{cseq}{}", method.name()))
         .field(Name::MaxForwards, "70")
         .copy_fields(invite, Name::From)
         .copy_fields(ok, Name::To)
         .copy_fields(invite, Name::CallId)
         .field(Name::CSeq, &format!("{cseq} {}", method.name()));
-    parse(&draft.finish(b""))
+    parse(&builder.finish(b""))
 }
 
 /// The caller's CANCEL of its INVITE.
 pub fn cancel(invite: &Message) -> Message {
-    let mut draft = MessageBuilder::request(Method::Cancel, "sip:x@gw.example");
-    draft
+    let mut builder = MessageBuilder::request(Method::Cancel, "sip:x@gw.example");
+    builder
         .copy_fields(invite, Name::Via)
         .copy_fields(invite, Name::MaxForwards)
         .copy_fields(invite, Name::From);
-    draft.copy_fields(invite, Name::To).copy_fields(invite, Name::CallId).field(Name::CSeq, "1 CANCEL");
-    parse(&draft.finish(b""))
+    builder.copy_fields(invite, Name::To).copy_fields(invite, Name::CallId).field(Name::CSeq, "1 CANCEL");
+    parse(&builder.finish(b""))
 }
 
 /// The caller's ACK of a final response of 300 or more.
 pub fn ack_refusal(invite: &Message, refusal: &Message) -> Message {
-    let mut draft = MessageBuilder::request(Method::Ack, "sip:x@gw.example");
-    draft
+    let mut builder = MessageBuilder::request(Method::Ack, "sip:x@gw.example");
+    builder
         .copy_fields(invite, Name::Via)
         .copy_fields(invite, Name::MaxForwards)
         .copy_fields(invite, Name::From);
-    draft.copy_fields(refusal, Name::To).copy_fields(invite, Name::CallId).field(Name::CSeq, "1 ACK");
-    parse(&draft.finish(b""))
+    builder.copy_fields(refusal, Name::To).copy_fields(invite, Name::CallId).field(Name::CSeq, "1 ACK");
+    parse(&builder.finish(b""))
 }
--- a/crates/fawnrouter-engine/tests/gate.rs
+++ b/crates/fawnrouter-engine/tests/gate.rs
@@ -89,15 +89,17 @@
         nc: (nc_text.into(), nc),
     };
     let branch = request.via().ok().and_then(|v| v.branch()).unwrap_or("").to_owned();
-    let mut draft = MessageBuilder::request(Method::from_name(method), uri);
-    draft.field(Name::Via, &format!("SIP/2.0/WS c1.invalid;branch={branch}.{nc}"));
+    let mut builder = MessageBuilder::request(Method::from_name(method), uri);
+    builder.field(Name::Via, &format!("SIP/2.0/WS c1.invalid;branch={branch}.{nc}"));
     for (field, raw, value) in request.fields() {
         if !matches!(field, Name::Via | Name::CSeq | Name::ContentLength) {
-            draft.named_field(raw, value);
+            builder.named_field(raw, value);
         }
     }
-    draft.field(Name::CSeq, &format!("{} {method}", nc + 1)).field(Name::Authorization, &credentials.write());
-    parse(&draft.finish(request.body()))
+    builder
+        .field(Name::CSeq, &format!("{} {method}", nc + 1))
+        .field(Name::Authorization, &credentials.write());
+    parse(&builder.finish(request.body()))
 }
 
 #[test]
@@ -148,16 +150,16 @@
 
 /// A new nonce for a connection, requested with an empty one.
 fn nonce_on(rig: &mut Rig, client: ClientId, like: &Message) -> String {
-    let mut draft = MessageBuilder::request(Method::Options, "sip:gw.example");
-    draft.field(Name::Via, "SIP/2.0/WS c1.invalid;branch=z9hG4bKask").copy_fields(like, Name::MaxForwards);
-    draft
+    let mut builder = MessageBuilder::request(Method::Options, "sip:gw.example");
+    builder.field(Name::Via, "SIP/2.0/WS c1.invalid;branch=z9hG4bKask").copy_fields(like, Name::MaxForwards);
+    builder
         .copy_fields(like, Name::From)
         .copy_fields(like, Name::To)
         .field(Name::CallId, "ask")
         .field(Name::CSeq, "1 OPTIONS");
     let empty = format!("Digest username=\"x\", realm=\"{REALM}\", nonce=\"\", uri=\"\", response=\"\"");
-    draft.field(Name::Authorization, &empty);
-    rig.send_from(client, &parse(&draft.finish(b"")));
+    builder.field(Name::Authorization, &empty);
+    rig.send_from(client, &parse(&builder.finish(b"")));
     nonce(rig)
 }
 
@@ -167,14 +169,14 @@
     let invite = rig.call(9);
     assert_eq!(rig.statuses(&invite), [100]);
     let nonce = nonce_on(&mut rig, CLIENT, &invite);
-    let mut draft = MessageBuilder::request(Method::Options, "sip:gw.example");
-    draft.field(Name::Via, "SIP/2.0/WS c1.invalid;branch=z9hG4bKo").copy_fields(&invite, Name::MaxForwards);
-    draft
+    let mut builder = MessageBuilder::request(Method::Options, "sip:gw.example");
+    builder.field(Name::Via, "SIP/2.0/WS c1.invalid;branch=z9hG4bKo").copy_fields(&invite, Name::MaxForwards);
+    builder
         .copy_fields(&invite, Name::From)
         .copy_fields(&invite, Name::To)
         .field(Name::CallId, "o")
         .field(Name::CSeq, "1 OPTIONS");
-    let options = with_credentials(&parse(&draft.finish(b"")), "branch", "tellers", &nonce, 1);
+    let options = with_credentials(&parse(&builder.finish(b"")), "branch", "tellers", &nonce, 1);
     rig.send_from_client(&options);
     let response = rig.responses(&options).pop().expect("a response");
     assert_eq!(response.status(), Some(200));
@@ -263,7 +265,7 @@
     let single = rig.invite(Some(9), &[]);
     rig.send_from(other, &single);
     let set_ups = rig.engine.set_up_admission().expect("on");
-    assert_eq!((set_ups.routing(), set_ups.waiting()), (2, 19));
+    assert_eq!((set_ups.in_routing(), set_ups.waiting()), (2, 19));
     assert!(burst.iter().all(|i| rig.statuses(i) == [100]), "each waiting call has got its 100");
     // Three calls are sent first: the two that were held, and the first waiting one of the burst. Then it is
     // the other client's turn.
--- a/crates/fawnrouter-engine/tests/property.rs
+++ b/crates/fawnrouter-engine/tests/property.rs
@@ -227,7 +227,7 @@
     rig.advance(ms(70_000));
     assert_eq!((rig.engine.live_calls(), rig.engine.leg_count()), (0, 0));
     if let Some(set_ups) = rig.engine.set_up_admission() {
-        assert_eq!((set_ups.waiting(), set_ups.routing(), set_ups.largest(9).len()), (0, 0, 0));
+        assert_eq!((set_ups.waiting(), set_ups.in_routing(), set_ups.largest(9).len()), (0, 0, 0));
     }
     assert!(rig.engine.timer_count() <= 4, "{}", rig.engine.timer_count());
 }
--- a/crates/fawnrouter-node/src/liveness.rs
+++ b/crates/fawnrouter-node/src/liveness.rs
@@ -20,7 +20,7 @@
 //!   another switch by then, so nothing else that comes from there counts.
 //!
 //! So that a refusal is seen at all, a new connection is tried even if others are up when there has been no
-//! proof for a while ([`RECONNECT_AFTER_DRAINING`], [`RECONNECT_AFTER_READY`]), and when a connection that
+//! proof for a while ([`RECONNECT_AFTER_NOT_READY`], [`RECONNECT_AFTER_READY`]), and when a connection that
 //! was up is lost: a switch repeats a release that it wrote to a lost connection on the next new one, and
 //! only there.
 //!
@@ -49,7 +49,7 @@
 const UNLISTED_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Time without a proof after which a new connection to a draining switch is tried, as it may no longer send
 /// releases. As [`PROBE_AFTER`].
-const RECONNECT_AFTER_DRAINING: Duration = PROBE_AFTER;
+const RECONNECT_AFTER_NOT_READY: Duration = PROBE_AFTER;
 /// Time without a proof after which a new connection to any other switch is tried, as the list may be late.
 /// Half of the limit of 8 s: seldom, because each try costs a connection, and in time for
 /// [`NO_PROOF_TIMEOUT`].
@@ -61,11 +61,11 @@
 
 /// The result of a check of a core switch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Verdict {
+pub(crate) enum CheckResult {
     /// The established calls at the switch have ended.
-    Dead,
+    Failed,
     /// The switch may be alive; check it again.
-    Alive {
+    CheckAgain {
         /// Send a test now.
         probe: bool,
         /// Try a new connection now, even if others are up.
@@ -79,7 +79,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Evidence {
     /// Any message that proves no more than that something is running there.
-    AnyByte,
+    AnyMessage,
     /// The switch reported its load.
     StateReport,
     /// A new connection came up.
@@ -89,7 +89,7 @@
 }
 
 /// When a core switch counts as dead.
-struct DeathDeadline {
+struct FailureDeadline {
     at: Time,
     /// Only if the switch was probed before.
     requires_probe: bool,
@@ -98,32 +98,32 @@
 /// What is known about whether one core switch is alive.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Liveness {
-    last_byte: Time,
+    last_received: Time,
     last_proof: Time,
     probed_at: Option<Time>,
     connect_tried_at: Option<Time>,
     /// Since when connections are refused without a byte received in between.
-    refused_since: Option<Time>,
+    first_refusal: Option<Time>,
     /// A connection was refused since the last proof.
-    refused_since_proof: bool,
+    refusal_after_last_proof: bool,
     /// A connection that was up was lost and no new one came up since, so what was written to it may be lost
     /// too.
     connection_lost: bool,
-    draining: bool,
+    not_ready: bool,
     unlisted_since: Option<Time>,
 }
 
 impl Liveness {
     pub fn new(now: Time) -> Self {
         Self {
-            last_byte: now,
+            last_received: now,
             last_proof: now,
             probed_at: None,
             connect_tried_at: None,
-            refused_since: None,
-            refused_since_proof: false,
+            first_refusal: None,
+            refusal_after_last_proof: false,
             connection_lost: false,
-            draining: false,
+            not_ready: false,
             unlisted_since: None,
         }
     }
@@ -133,9 +133,9 @@
         if self.unlisted_since.is_some() && evidence != Evidence::CallRelease {
             return;
         }
-        (self.last_byte, self.probed_at, self.refused_since) = (now, None, None);
-        if evidence != Evidence::AnyByte {
-            (self.last_proof, self.refused_since_proof) = (now, false);
+        (self.last_received, self.probed_at, self.first_refusal) = (now, None, None);
+        if evidence != Evidence::AnyMessage {
+            (self.last_proof, self.refusal_after_last_proof) = (now, false);
         }
         if evidence == Evidence::Connected {
             self.connection_lost = false;
@@ -144,8 +144,8 @@
 
     /// Records that the switch refused a connection.
     pub fn connection_refused(&mut self, now: Time) {
-        self.refused_since = self.refused_since.or(Some(now));
-        self.refused_since_proof = true;
+        self.first_refusal = self.first_refusal.or(Some(now));
+        self.refusal_after_last_proof = true;
     }
 
     /// Records that a connection that was up is lost.
@@ -155,41 +155,42 @@
 
     /// Records the state in the list; `None`: the switch is not listed.
     pub fn set_listed_state(&mut self, now: Time, state: Option<ServerState>) {
-        self.draining = state != Some(ServerState::Ready);
+        self.not_ready = state != Some(ServerState::Ready);
         self.unlisted_since = if state.is_some() { None } else { self.unlisted_since.or(Some(now)) };
     }
 
     /// When the switch counts as dead if nothing changes.
-    fn death_deadline(&self) -> DeathDeadline {
-        let silent = match self.unlisted_since {
+    fn failure_deadline(&self) -> FailureDeadline {
+        let silence_deadline = match self.unlisted_since {
             Some(since) => since.max(self.last_proof).plus(UNLISTED_TIMEOUT),
-            None => self.last_byte.plus(SILENCE_TIMEOUT),
+            None => self.last_received.plus(SILENCE_TIMEOUT),
         };
-        let refused = self.refused_since.map(|since| since.plus(REFUSED_TIMEOUT));
-        let without_proof = self.refused_since_proof.then(|| self.last_proof.plus(NO_PROOF_TIMEOUT));
-        let unanswered = refused.map_or(silent, |refused| refused.min(silent));
-        match without_proof {
-            Some(at) if at <= unanswered => DeathDeadline { at, requires_probe: false },
-            _ => DeathDeadline { at: unanswered, requires_probe: true },
+        let refusal_deadline = self.first_refusal.map(|since| since.plus(REFUSED_TIMEOUT));
+        let no_proof_deadline = self.refusal_after_last_proof.then(|| self.last_proof.plus(NO_PROOF_TIMEOUT));
+        let probe_deadline =
+            refusal_deadline.map_or(silence_deadline, |deadline| deadline.min(silence_deadline));
+        match no_proof_deadline {
+            Some(at) if at <= probe_deadline => FailureDeadline { at, requires_probe: false },
+            _ => FailureDeadline { at: probe_deadline, requires_probe: true },
         }
     }
 
     /// Checks a switch at which calls are established.
-    pub fn check(&mut self, now: Time) -> Verdict {
-        let DeathDeadline { at: deadline, requires_probe } = self.death_deadline();
+    pub fn check(&mut self, now: Time) -> CheckResult {
+        let FailureDeadline { at: deadline, requires_probe } = self.failure_deadline();
         // If this process was suspended it received nothing meanwhile, so silence counts only after a probe.
         if now >= deadline && (!requires_probe || self.probed_at.is_some_and(|probed_at| probed_at < now)) {
-            return Verdict::Dead;
+            return CheckResult::Failed;
         }
         let probe_at = match (self.probed_at, self.unlisted_since) {
             (Some(probed_at), _) => probed_at.plus(PROBE_INTERVAL),
             (None, Some(_)) => now,
             // Answers on the connections that are up distinguish a draining switch from a dead process.
-            (None, None) if self.refused_since.is_some() => now,
-            (None, None) => self.last_byte.plus(PROBE_AFTER),
+            (None, None) if self.first_refusal.is_some() => now,
+            (None, None) => self.last_received.plus(PROBE_AFTER),
         };
-        let reconnect_at = self.last_proof.plus(if self.draining {
-            RECONNECT_AFTER_DRAINING
+        let reconnect_at = self.last_proof.plus(if self.not_ready {
+            RECONNECT_AFTER_NOT_READY
         } else {
             RECONNECT_AFTER_READY
         });
@@ -207,7 +208,7 @@
         let next_probe = if probe { now.plus(PROBE_INTERVAL) } else { probe_at };
         let next_connect = if connect { now.plus(RECONNECT_INTERVAL) } else { connect_at };
         let next_check = deadline.min(next_probe).min(next_connect).max(now.plus(MIN_CHECK_INTERVAL));
-        Verdict::Alive { probe, connect, next_check }
+        CheckResult::CheckAgain { probe, connect, next_check }
     }
 }
 
@@ -221,7 +222,7 @@
 
     /// Runs the checks when they are due, from `from` on, and returns the time at which the switch counts as
     /// dead. `on_connect` is called for each connection that is tried.
-    fn time_of_death_with(
+    fn time_of_failure_with(
         liveness: &mut Liveness,
         from: u64,
         until: u64,
@@ -230,8 +231,8 @@
         let mut now = at(from);
         while now < at(until) {
             match liveness.check(now) {
-                Verdict::Dead => return Some(now.0.as_millis() as u64),
-                Verdict::Alive { connect, next_check, .. } => {
+                CheckResult::Failed => return Some(now.0.as_millis() as u64),
+                CheckResult::CheckAgain { connect, next_check, .. } => {
                     assert!(next_check > now);
                     if connect {
                         on_connect(liveness, now);
@@ -243,12 +244,12 @@
         None
     }
 
-    fn time_of_death(liveness: &mut Liveness, from: u64, until: u64) -> Option<u64> {
-        time_of_death_with(liveness, from, until, |_, _| {})
+    fn time_of_failure(liveness: &mut Liveness, from: u64, until: u64) -> Option<u64> {
+        time_of_failure_with(liveness, from, until, |_, _| {})
     }
 
-    fn probes(verdict: Verdict) -> bool {
-        matches!(verdict, Verdict::Alive { probe: true, .. })
+    fn probes(result: CheckResult) -> bool {
+        matches!(result, CheckResult::CheckAgain { probe: true, .. })
     }
 
     #[test]
@@ -257,11 +258,11 @@
         liveness.connection_refused(at(100));
         assert!(probes(liveness.check(at(100))), "it is probed at once");
         liveness.connection_refused(at(900));
-        assert_eq!(time_of_death(&mut liveness, 900, 5000), Some(1600));
+        assert_eq!(time_of_failure(&mut liveness, 900, 5000), Some(1600));
         let mut liveness = Liveness::new(at(0));
         liveness.connection_refused(at(100));
         liveness.record(at(1500), Evidence::Connected);
-        assert_eq!(time_of_death(&mut liveness, 1500, 4000), None);
+        assert_eq!(time_of_failure(&mut liveness, 1500, 4000), None);
     }
 
     #[test]
@@ -269,13 +270,13 @@
         let mut liveness = Liveness::new(at(0));
         assert!(!probes(liveness.check(at(1999))));
         assert!(probes(liveness.check(at(2000))));
-        assert_eq!(time_of_death(&mut liveness, 2000, 9000), Some(6500));
+        assert_eq!(time_of_failure(&mut liveness, 2000, 9000), Some(6500));
         // This process was suspended: what it did not receive meanwhile does not count as the switch's
         // silence.
         let mut liveness = Liveness::new(at(0));
         assert!(probes(liveness.check(at(9000))));
-        liveness.record(at(9010), Evidence::AnyByte);
-        assert_eq!(time_of_death(&mut liveness, 9010, 11_000), None);
+        liveness.record(at(9010), Evidence::AnyMessage);
+        assert_eq!(time_of_failure(&mut liveness, 9010, 11_000), None);
     }
 
     #[test]
@@ -283,19 +284,20 @@
         let mut liveness = Liveness::new(at(0));
         liveness.set_listed_state(at(10), None);
         assert!(probes(liveness.check(at(10))));
-        assert_eq!(time_of_death(&mut liveness, 10, 9000), Some(2510));
+        assert_eq!(time_of_failure(&mut liveness, 10, 9000), Some(2510));
     }
 
     #[test]
     fn only_releases_keep_an_unlisted_switch_alive() {
-        use Evidence::{AnyByte, CallRelease, Connected, StateReport};
-        for (evidence, dead) in [(AnyByte, 2500), (StateReport, 2500), (Connected, 2500), (CallRelease, 4500)]
+        use Evidence::{AnyMessage, CallRelease, Connected, StateReport};
+        for (evidence, expected) in
+            [(AnyMessage, 2500), (StateReport, 2500), (Connected, 2500), (CallRelease, 4500)]
         {
             let mut liveness = Liveness::new(at(0));
             liveness.set_listed_state(at(0), None);
             liveness.check(at(0));
             liveness.record(at(2000), evidence);
-            assert_eq!(time_of_death(&mut liveness, 2000, 9000), Some(dead), "{evidence:?}");
+            assert_eq!(time_of_failure(&mut liveness, 2000, 9000), Some(expected), "{evidence:?}");
         }
     }
 
@@ -304,12 +306,12 @@
         for state in [ServerState::Draining, ServerState::Ready] {
             let mut liveness = Liveness::new(at(0));
             liveness.set_listed_state(at(0), Some(state));
-            let dies = time_of_death_with(&mut liveness, 0, 20_000, |liveness, now| {
+            let fails_at = time_of_failure_with(&mut liveness, 0, 20_000, |liveness, now| {
                 // Refused on the new connection, answered on an old one.
                 liveness.connection_refused(now);
-                liveness.record(now, Evidence::AnyByte);
+                liveness.record(now, Evidence::AnyMessage);
             });
-            assert_eq!(dies, Some(7000), "{state:?}");
+            assert_eq!(fails_at, Some(7000), "{state:?}");
         }
     }
 
@@ -319,17 +321,17 @@
             let tried = std::cell::Cell::new(0);
             let mut liveness = Liveness::new(at(0));
             liveness.set_listed_state(at(0), Some(state));
-            let dies = time_of_death_with(&mut liveness, 0, 40_000, |liveness, now| {
+            let fails_at = time_of_failure_with(&mut liveness, 0, 40_000, |liveness, now| {
                 tried.set(tried.get() + 1);
                 liveness.record(now, Evidence::Connected);
             });
-            assert_eq!((dies, tried.get()), (None, tries), "{state:?}");
+            assert_eq!((fails_at, tried.get()), (None, tries), "{state:?}");
         }
     }
 
     #[test]
     fn lost_connection_is_replaced_at_once_but_not_repeatedly() {
-        let connects = |v: Verdict| matches!(v, Verdict::Alive { connect: true, .. });
+        let connects = |result: CheckResult| matches!(result, CheckResult::CheckAgain { connect: true, .. });
         let mut liveness = Liveness::new(at(0));
         assert!(!connects(liveness.check(at(100))));
         liveness.connection_lost();
--- a/crates/fawnrouter-node/src/node/established.rs
+++ b/crates/fawnrouter-node/src/node/established.rs
@@ -6,7 +6,7 @@
 use super::attempts::encode_line;
 use super::{Node, Output, TimerKey};
 use crate::calls::{Attempt, EstablishedCall, MAX_ESTABLISHED_CALLS};
-use crate::liveness::Verdict;
+use crate::liveness::CheckResult;
 use crate::request::cause;
 
 impl Node {
@@ -18,7 +18,7 @@
             return self.forget_if_unused(server);
         }
         match s.liveness.check(self.now) {
-            Verdict::Alive { probe, connect, next_check } => {
+            CheckResult::CheckAgain { probe, connect, next_check } => {
                 if probe {
                     self.probe(server, false);
                     self.open_missing_links(server);
@@ -28,7 +28,7 @@
                 }
                 self.timers.set(TimerKey::LivenessCheck(server), next_check);
             }
-            Verdict::Dead => {
+            CheckResult::Failed => {
                 self.timers.clear(TimerKey::LivenessCheck(server));
                 self.lose_established_calls(server, None, "has died or gone silent");
                 self.forget_if_unused(server);
--- a/crates/fawnrouter-node/src/node/switch_links.rs
+++ b/crates/fawnrouter-node/src/node/switch_links.rs
@@ -128,7 +128,7 @@
         let evidence = match message.verb {
             Verb::Load => Evidence::StateReport,
             Verb::Finish if was_established => Evidence::CallRelease,
-            _ => Evidence::AnyByte,
+            _ => Evidence::AnyMessage,
         };
         self.record_evidence(server, evidence);
         // Figures such as free circuits arrive in a message of their own or with an answer.
--- a/crates/fawnrouter/src/call.rs
+++ b/crates/fawnrouter/src/call.rs
@@ -30,7 +30,7 @@
     pub(crate) answer_margin: Duration,
     pub(crate) aim: Duration,
     /// When its aim is over, counted from the first call to the same number.
-    pub(crate) aim_due: Time,
+    pub(crate) aim_ends_at: Time,
     pub(crate) worth: f64,
     /// Share of the worth that is left after the aim; 1 once it has been applied.
     pub(crate) late_share: f64,
@@ -55,7 +55,7 @@
             class: self.request.class,
             worth: self.worth,
             aim: self.aim,
-            aim_left: self.aim_due.since(now),
+            aim_left: self.aim_ends_at.since(now),
             time_left: self.answer_by.since(now),
         }
     }
@@ -74,15 +74,15 @@
     }
 
     /// Past its aim a call is worth its late share; this is applied once.
-    pub(crate) fn discount_if_late(&mut self, now: Time) {
-        if now > self.aim_due {
+    pub(crate) fn reduce_worth_if_late(&mut self, now: Time) {
+        if now > self.aim_ends_at {
             (self.worth, self.late_share) = (self.worth * self.late_share, 1.0);
         }
     }
 
     /// The call's place in the order of held calls: highest worth first, then earliest aim.
     pub(crate) fn held_key(&self) -> HeldKey {
-        (!self.worth.max(0.0).to_bits(), self.aim_due, self.request.id)
+        (!self.worth.max(0.0).to_bits(), self.aim_ends_at, self.request.id)
     }
 }
 
@@ -147,7 +147,7 @@
             answer_by: now.plus(request.time_left.saturating_sub(margin)),
             answer_margin: margin,
             aim: class.aim,
-            aim_due: first_call.plus(class.aim),
+            aim_ends_at: first_call.plus(class.aim),
             worth,
             late_share: class.late_share,
             effect: class.effect,
@@ -155,7 +155,7 @@
             request,
             ..Call::default()
         };
-        call.discount_if_late(now);
+        call.reduce_worth_if_late(now);
         self.held.insert(call.held_key());
         self.calls.insert(id, call);
         // Calls may arrive with next to no time left, for example after this process stalled.
@@ -247,7 +247,7 @@
             s.established_this_tick += 1;
         }
         s.last_answer = now;
-        if set_up_time.is_some() && std::mem::take(&mut s.suspect) {
+        if set_up_time.is_some() && std::mem::take(&mut s.trials_only) {
             self.actions.push(Action::Log(format!("server {} takes set-ups again", id.0)));
         }
     }
@@ -324,18 +324,18 @@
         let sent = s.unanswered.iter().find(|(_, c)| *c == call).map(|(t, _)| *t);
         s.unanswered.retain(|(_, c)| *c != call);
         let silent_since_sent = sent.is_some_and(|t| s.last_answer < t);
-        if outcome == Outcome::Moot || !(silent_since_sent || s.suspect) {
+        if outcome == Outcome::Moot || !(silent_since_sent || s.trials_only) {
             return;
         }
-        let misses = if outcome == Outcome::ConnectFailed { SUSPECT_AFTER_MISSES } else { 1 };
+        let misses = if outcome == Outcome::ConnectFailed { TRIALS_ONLY_AFTER_MISSES } else { 1 };
         s.record_misses(now, misses, &mut self.actions);
     }
 
     /// Cancels attempts whose answers are lost, so that their calls can be sent again while there is time;
     /// waiting for a lost answer would cost the whole try. Drawback at servers that don't answer in order.
-    pub(crate) fn cancel_overtaken(&mut self, now: Time) {
+    pub(crate) fn cancel_attempts_with_lost_answer(&mut self, now: Time) {
         let next_attempt = now.plus(self.settings.rules.release_guard + SCAN_INTERVAL);
-        for id in self.servers.values().flat_map(Server::overtaken) {
+        for id in self.servers.values().flat_map(Server::set_ups_with_lost_answer) {
             let Some(c) = self.calls.get_mut(&id).filter(|c| self.settings.limits.cancel && !c.cancel_sent)
             else {
                 continue;
--- a/crates/fawnrouter/src/controller.rs
+++ b/crates/fawnrouter/src/controller.rs
@@ -37,9 +37,9 @@
 /// With fewer own delay samples than this, the smallest delay of all servers stands in for the server's own.
 const MIN_DELAY_SAMPLES: u32 = 8;
 /// A server counts as pressed once f falls below this ...
-const PRESSED_BELOW_F: f64 = 0.5;
+const THROTTLED_BELOW_F: f64 = 0.5;
 /// ... until f is back at this.
-const NOT_PRESSED_FROM_F: f64 = 0.9;
+const NOT_THROTTLED_FROM_F: f64 = 0.9;
 /// Held calls are routed at each tick: one, and as many more as a server usually gets set-ups in this many
 /// seconds.
 const HELD_CALLS_PER_TICK_S: f64 = 4.0;
@@ -160,15 +160,15 @@
         }
         // Past its aim a call is worth less and moves back among the held ones.
         let newly_late =
-            self.calls.values_mut().filter(|c| now > c.aim_due && c.late_share != 1.0 && !c.established);
+            self.calls.values_mut().filter(|c| now > c.aim_ends_at && c.late_share != 1.0 && !c.established);
         for c in newly_late {
             let held = self.held.remove(&c.held_key());
-            c.discount_if_late(now);
+            c.reduce_worth_if_late(now);
             if held {
                 self.held.insert(c.held_key());
             }
         }
-        self.cancel_overtaken(now);
+        self.cancel_attempts_with_lost_answer(now);
         let max_attempts = self.settings.limits.max_attempts;
         let over = |c: &Call| c.answer_by <= now || c.has_no_attempt_left(now, max_attempts);
         let due = self.calls.iter().filter(|(_, c)| !c.established && over(c));
@@ -207,10 +207,10 @@
             let min_delay = if s.delay_samples < MIN_DELAY_SAMPLES { min_delay_of_all } else { s.min_delay };
             s.end_tick(now, min_delay, aim, f_min);
             s.cold = s.cold.filter(|cold| now < cold.until);
-            let pressed = s.throttle.f < if s.pressed { NOT_PRESSED_FROM_F } else { PRESSED_BELOW_F };
-            if pressed != s.pressed {
-                s.pressed = pressed;
-                let state = if pressed { "pressed" } else { "no longer pressed" };
+            let throttled = s.throttle.f < if s.throttled { NOT_THROTTLED_FROM_F } else { THROTTLED_BELOW_F };
+            if throttled != s.throttled {
+                s.throttled = throttled;
+                let state = if throttled { "pressed" } else { "no longer pressed" };
                 self.actions.push(Action::Log(format!("server {} {state}, f {:.2}", id.0, s.throttle.f)));
             }
         }
@@ -218,7 +218,7 @@
             let mut servers = self.servers.values().map(|s| ServerView {
                 entry: &s.entry,
                 ready: s.entry.state == ServerState::Ready,
-                healthy: s.cold.is_none() && !s.suspect,
+                healthy: s.cold.is_none() && !s.trials_only,
                 allowed_fraction: s.throttle.f,
             });
             policy.observe(now, &mut servers);
--- a/crates/fawnrouter/src/routing.rs
+++ b/crates/fawnrouter/src/routing.rs
@@ -115,7 +115,7 @@
                 s.entry.cell != home && (!c.request.transit || s.entry.cell == c.request.destination)
             }
         };
-        let trial_allowed = now >= s.not_before && (!s.suspect || s.unanswered.is_empty());
+        let trial_allowed = now >= s.not_before && (!s.trials_only || s.unanswered.is_empty());
         let call_ready = c.outstanding.is_none() && !c.established && c.not_before < now && now < c.answer_by;
         call_ready
             && c.attempts < self.settings.limits.max_attempts
@@ -137,7 +137,7 @@
         let mut within = c.answer_by.since(now);
         let oldest = s.in_queue().next();
         let max_wait = c.aim.mul_f64(QUEUE_WAIT_AIM_SHARE);
-        if s.suspect || oldest.is_some_and(|(sent, _)| now.since(*sent) >= max_wait) {
+        if s.trials_only || oldest.is_some_and(|(sent, _)| now.since(*sent) >= max_wait) {
             within = within.min(c.aim.mul_f64(TRIAL_TIMEOUT_AIM_SHARE));
         }
         if let Some(policy) = &mut self.routing_policy {
--- a/crates/fawnrouter/src/server.rs
+++ b/crates/fawnrouter/src/server.rs
@@ -34,7 +34,7 @@
 /// Ticks in the running mean of the usual rate at a server (20 s), long enough to hold some set-ups.
 pub(crate) const USUAL_RATE_TICKS: u32 = 100;
 /// This many set-ups in a row that got no answer, or found the processor full, make a server suspect.
-pub(crate) const SUSPECT_AFTER_MISSES: u32 = 2;
+pub(crate) const TRIALS_ONLY_AFTER_MISSES: u32 = 2;
 /// A server whose circuits were all taken is tried again after this time without a report of a free one.
 pub(crate) const FREE_CIRCUITS_EXPIRY: Duration = Duration::from_secs(2);
 /// Circuits that all gateways together may take in a second, as a multiple of the free ones reported.
@@ -121,7 +121,7 @@
     /// Nothing is sent there before this time: after a refusal for a full processor, and between trials.
     pub(crate) not_before: Time,
     /// Only single trials are sent to it.
-    pub(crate) suspect: bool,
+    pub(crate) trials_only: bool,
     pub(crate) cold: Option<ColdPeriod>,
     pub(crate) credit: Credit,
     /// Own set-ups a second that are established there, as a running mean.
@@ -132,7 +132,7 @@
     pub(crate) reported_utilisation: Option<f64>,
     pub(crate) free: Option<FreeCircuits>,
     /// The operators were told that it is pressed.
-    pub(crate) pressed: bool,
+    pub(crate) throttled: bool,
     /// A set-up is overtaken by one that was sent this much later.
     pub(crate) overtake_after: Duration,
     /// Since when it is gone.
@@ -159,7 +159,7 @@
     }
 
     /// Own set-ups whose answers are lost.
-    pub(crate) fn overtaken(&self) -> impl Iterator<Item = CallId> {
+    pub(crate) fn set_ups_with_lost_answer(&self) -> impl Iterator<Item = CallId> {
         let lost = self
             .unanswered
             .iter()
@@ -223,7 +223,7 @@
         self.answer_times.retain(|t| now.since(*t) <= ANSWER_RATE_WINDOW);
         // The mean is long, and its noise cancels out in the sum over all gateways. Ticks in which the server
         // is cold, suspect or not ready don't count: they don't show what is usual.
-        if self.cold.is_none() && !self.suspect && self.entry.state == ServerState::Ready {
+        if self.cold.is_none() && !self.trials_only && self.entry.state == ServerState::Ready {
             let rate = f64::from(self.established_this_tick) / ASSESSMENT_INTERVAL.as_secs_f64();
             self.usual_rate_ticks = (self.usual_rate_ticks + 1).min(USUAL_RATE_TICKS);
             self.usual_rate += (rate - self.usual_rate) / f64::from(self.usual_rate_ticks);
@@ -255,13 +255,13 @@
     /// too.
     pub(crate) fn record_misses(&mut self, now: Time, count: u32, actions: &mut Vec<Action>) {
         self.misses += count;
-        if self.misses < SUSPECT_AFTER_MISSES {
+        if self.misses < TRIALS_ONLY_AFTER_MISSES {
             return;
         }
-        if !self.suspect {
+        if !self.trials_only {
             actions.push(Action::Log(format!("server {} sets nothing up, trials only", self.entry.id.0)));
         }
-        self.suspect = true;
+        self.trials_only = true;
         self.not_before = now.plus(MIN_TRIAL_PAUSE);
     }
 
@@ -289,7 +289,7 @@
             let assumed = if now.since(free.reported_at) > FREE_CIRCUITS_EXPIRY { 1.0 } else { 0.0 };
             FREE_CIRCUITS_USES_PER_S * free.count.max(assumed) / gateways
         });
-        let trials = self.suspect.then(|| (TRIAL_RATE_SHARE * self.usual_rate).max(min_pace));
+        let trials = self.trials_only.then(|| (TRIAL_RATE_SHARE * self.usual_rate).max(min_pace));
         cold.into_iter().chain(circuits).chain(trials).reduce(f64::min)
     }
 
--- a/crates/fawnrouterd/src/connection_admission.rs
+++ b/crates/fawnrouterd/src/connection_admission.rs
@@ -109,22 +109,26 @@
         outbox: impl FnOnce() -> Outbox,
     ) -> AdmissionOutcome {
         let outbox = Rc::new(outbox());
-        let place = self.descriptors.arrive(connections.open_count(), self.being_refused.len());
-        let verdict = if place != AcceptDecision::Serve {
+        let descriptor_decision = self.descriptors.arrive(connections.open_count(), self.being_refused.len());
+        let result = if descriptor_decision != AcceptDecision::Serve {
             Err(self.refuse(now, RefusalReason::Descriptors))
         } else {
             let conn = connections.allocate_conn();
-            let verdict = self.admission.as_mut().map(|a| a.arrive(now.0, Arrival { conn, address }));
-            match verdict {
+            let decision = self.admission.as_mut().map(|a| a.arrive(now.0, Arrival { conn, address }));
+            match decision {
                 Some(ConnectionDecision::Refuse { reason, retry_after }) => Err((reason, retry_after)),
-                Some(ConnectionDecision::Replace(victim)) => {
-                    connections.close(victim, CloseCode::TRY_AGAIN_LATER, EvictionReason::PlaceNeeded.text());
+                Some(ConnectionDecision::Replace(replaced)) => {
+                    connections.close(
+                        replaced,
+                        CloseCode::TRY_AGAIN_LATER,
+                        EvictionReason::PlaceNeeded.text(),
+                    );
                     Ok(conn)
                 }
                 _ => Ok(conn),
             }
         };
-        match verdict {
+        match result {
             Ok(conn) => {
                 connections.insert(conn, outbox.clone());
                 AdmissionOutcome::Accepted(conn, outbox)
@@ -178,8 +182,8 @@
         match self.admission.as_mut().map(|a| a.handshake_done(now.0, conn)) {
             Some(ConnectionDecision::Refuse { reason, retry_after }) => Err((reason, retry_after)),
             Some(ConnectionDecision::Probation) => Ok(true),
-            Some(ConnectionDecision::Replace(victim)) => {
-                connections.close(victim, CloseCode::TRY_AGAIN_LATER, EvictionReason::PlaceNeeded.text());
+            Some(ConnectionDecision::Replace(replaced)) => {
+                connections.close(replaced, CloseCode::TRY_AGAIN_LATER, EvictionReason::PlaceNeeded.text());
                 Ok(false)
             }
             Some(ConnectionDecision::Accept) => Ok(false),
@@ -199,8 +203,8 @@
     ) -> Result<(), RefusalReason> {
         match self.admission.as_mut().map(|a| a.authenticated(now.0, conn, client)) {
             Some(ConnectionDecision::Refuse { reason, .. }) => Err(reason),
-            Some(ConnectionDecision::Replace(victim)) => {
-                connections.close(victim, CloseCode::TRY_AGAIN_LATER, EvictionReason::PlaceNeeded.text());
+            Some(ConnectionDecision::Replace(replaced)) => {
+                connections.close(replaced, CloseCode::TRY_AGAIN_LATER, EvictionReason::PlaceNeeded.text());
                 Ok(())
             }
             _ => Ok(()),
--- a/crates/fawnrouterd/src/control.rs
+++ b/crates/fawnrouterd/src/control.rs
@@ -287,7 +287,7 @@
         let c = engine.counters();
         status.proofs = (c.authenticated, c.challenged, c.auth_failures);
         let Some(set_ups) = engine.set_up_admission() else { return };
-        status.set_ups = (set_ups.waiting(), set_ups.routing());
+        status.set_ups = (set_ups.waiting(), set_ups.in_routing());
         status.set_up_room = set_ups.routing_limit();
         status.set_ups_refused = set_ups.refused().iter().map(|(r, n)| (r.text().to_owned(), *n)).collect();
         let name = |who: ClientIdentity| match who {
