--- a/crates/fawnrouter-admission/src/lib.rs
+++ b/crates/fawnrouter-admission/src/lib.rs
@@ -6,7 +6,7 @@
 //! | module | what it decides |
 //! | --- | --- |
 //! | `admission` | accepts or refuses connections, with a reason and a retry time; closes some to make room |
-//! | `set_ups` | which set-up goes on to the routing decisions, and when |
+//! | `set_ups` | which set-ups are passed to routing, and when |
 //! | `descriptors` | how the file descriptors of the process are divided, and what to do when they run out |
 //! | `dynamic_threshold` | how many bytes may be buffered for one connection |
 //! | `alarms` | when a lasting condition is logged |
--- a/crates/fawnrouter-admission/src/set_ups/call.rs
+++ b/crates/fawnrouter-admission/src/set_ups/call.rs
@@ -17,7 +17,7 @@
 pub enum CallState {
     /// It waits in the queue of set-ups.
     Waiting,
-    /// The routing decisions hold it; no attempt is out.
+    /// Routing holds it; no attempt is out.
     Routing,
     /// An attempt has been sent.
     AttemptSent,
--- a/crates/fawnrouter-admission/src/set_ups/decision.rs
+++ b/crates/fawnrouter-admission/src/set_ups/decision.rs
@@ -37,7 +37,7 @@
 /// The decision on a set-up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SetUpDecision {
-    /// It goes on to the routing decisions.
+    /// It is passed to routing.
     Proceed,
     /// It waits in the queue until [`SetUpAdmission::next_ready`](super::SetUpAdmission::next_ready) returns
     /// it, for [`SetUpSettings::max_wait`](super::SetUpSettings::max_wait) at most.
--- a/crates/fawnrouter-admission/src/set_ups/mod.rs
+++ b/crates/fawnrouter-admission/src/set_ups/mod.rs
@@ -1,7 +1,10 @@
-//! Decides which set-up goes on to the routing decisions, and when. Each client has a rate and a limit of
-//! calls. When routing holds more set-ups than are soon sent, further ones wait in a queue that is fair among
-//! clients (see [`FairQueue`]). A set-up that is refused here gets its final response at once, so that a
-//! client's burst costs that client and nobody else.
+//! Decides which set-ups are passed to routing, and when. Routing is the controller, which chooses the switch
+//! for a set-up. Each client has a rate and a limit of calls. When routing holds
+//! [`routing_limit`](SetUpAdmission::routing_limit) set-ups, about as many as are soon sent, further ones
+//! wait in a queue that is fair among clients (see [`FairQueue`]). A set-up that is refused here gets its
+//! final response at once, so that a client's burst costs only that client.
+//!
+//! A known client has authenticated and has a name; an unknown one is told apart by its address only.
 //!
 //! | module | what it does |
 //! | --- | --- |
@@ -39,19 +42,21 @@
 pub use decision::{SetUpDecision, SetUpRefusal};
 pub use settings::{ClientLimits, SetUpSettings};
 
-/// Set-up admission of one gateway. Calls are identified by the embedder's numbers (`u64`).
+/// Set-up admission of one gateway. Calls are identified by numbers (`u64`) that the user of this type
+/// chooses.
 #[derive(Debug)]
 pub struct SetUpAdmission {
     settings: SetUpSettings,
     limits: BTreeMap<Arc<str>, ClientLimits>,
     rates: Rates,
-    /// All waiting set-ups: the call of a known client, or `None` for the next call in `unknown_queue`.
+    /// All waiting set-ups. An entry is the call of a known client, or `None`: a place for the call that is
+    /// next in `unknown_queue` when its turn comes.
     queue: FairQueue<QueueOwner, Option<u64>>,
     /// The waiting set-ups of unknown clients, by address.
     unknown_queue: FairQueue<IpAddr, u64>,
     calls: BTreeMap<u64, Call>,
     usage: BTreeMap<ClientIdentity, ClientUsage>,
-    /// Calls that the routing decisions hold.
+    /// Calls that routing holds.
     in_routing: usize,
     /// Of these, calls of unknown clients.
     in_routing_unknown: usize,
@@ -86,7 +91,8 @@
         }
     }
 
-    /// Replaces the known clients and their limits. Their calls go on.
+    /// Replaces the known clients and their limits. Present calls go on, also those of clients that are no
+    /// longer known.
     pub fn set_clients(&mut self, limits: impl IntoIterator<Item = (Arc<str>, ClientLimits)>) {
         self.limits = limits.into_iter().collect();
         self.rates.retain_clients(|name| self.limits.contains_key(name));
@@ -105,7 +111,8 @@
         SetUpDecision::Refuse { reason, retry_after }
     }
 
-    /// Decides on a new set-up. The second part is a waiting call that is refused to make room for it.
+    /// Decides on a new set-up. Also returns the waiting call that was refused to make room for it, if any,
+    /// with its refusal.
     pub fn offer(
         &mut self,
         now: Duration,
@@ -147,12 +154,14 @@
         if usage.pending >= limits.pending {
             return Err((SetUpRefusal::PendingLimit, Duration::ZERO));
         }
-        // The rate is checked last, because a set-up refused above must not use it up.
+        // The rate comes last, because this also counts the set-up: one refused above must not use up the
+        // rate.
         self.rates.check_and_count(self.now, client, &limits.rate)
     }
 
     /// Whether a set-up may proceed without waiting: routing has room, and no other set-up waits before it.
-    /// For a known client only waiting set-ups of known clients count, for an unknown client all of them.
+    /// For a known client only waiting set-ups of known clients count, because those of unknown clients may
+    /// wait only for their share of routing. For an unknown client all of them count.
     fn may_proceed_at_once(&self, client: &ClientIdentity) -> bool {
         let (waiting_before, has_room) = match client {
             ClientIdentity::Known(_) => {
@@ -165,7 +174,8 @@
         waiting_before == 0 && has_room
     }
 
-    /// The most set-ups that the routing decisions may hold now.
+    /// The most set-ups that routing may hold now: a fixed number, and as many as are sent in
+    /// [`SetUpSettings::routing_span`] at the recent rate.
     #[must_use]
     pub fn routing_limit(&self) -> usize {
         let sent_in_span = self.send_rate.per_second() * self.settings.routing_span.as_secs_f64();
@@ -197,7 +207,7 @@
         self.queue.waiting()
     }
 
-    /// Set-ups that the routing decisions hold.
+    /// Set-ups that routing holds.
     #[must_use]
     pub const fn in_routing(&self) -> usize {
         self.in_routing
--- a/crates/fawnrouter-admission/src/set_ups/queue.rs
+++ b/crates/fawnrouter-admission/src/set_ups/queue.rs
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The next waiting call that goes on to the routing decisions, if these have room.
+    /// The next waiting call that is passed to routing, if routing has room.
     pub fn next_ready(&mut self, now: Duration) -> Option<u64> {
         self.now = self.now.max(now);
         while self.has_routing_room() {
--- a/crates/fawnrouter-admission/src/set_ups/rates.rs
+++ b/crates/fawnrouter-admission/src/set_ups/rates.rs
@@ -36,7 +36,7 @@
         self.known.retain(|name, _| is_known(name));
     }
 
-    /// Checks a set-up and counts it if it conforms. A refused set-up is not counted.
+    /// Checks a set-up, and counts it if it conforms. A refused set-up is not counted.
     pub(super) fn check_and_count(
         &mut self,
         now: Duration,
--- a/crates/fawnrouter-admission/src/set_ups/settings.rs
+++ b/crates/fawnrouter-admission/src/set_ups/settings.rs
@@ -30,10 +30,9 @@
     pub unknown_rate: Option<Rate>,
     /// The share of `routing_limit` that unknown clients may use. A set-up held in routing delays all others.
     pub unknown_share: f64,
-    /// Set-ups that the routing decisions may hold, however few are sent.
+    /// Set-ups that routing may hold, however few are sent.
     pub min_routing: usize,
-    /// In addition, the routing decisions may hold as many set-ups as are sent in this time at the recent
-    /// rate.
+    /// In addition, routing may hold as many set-ups as are sent in this time at the recent rate.
     pub routing_span: Duration,
     /// The most set-ups that wait in the queue.
     pub max_waiting: usize,
--- a/crates/fawnrouter-engine/src/set_up_admission.rs
+++ b/crates/fawnrouter-engine/src/set_up_admission.rs
@@ -65,7 +65,8 @@
         }
     }
 
-    /// Reports to the admission of set-ups that a call is at another stage.
+    /// Reports to the admission of set-ups that a call has changed its state there. [`CallState`] is the
+    /// admission's view of a call, [`Stage`](crate::table::Stage) the engine's.
     pub(crate) fn set_up_state_changed(&mut self, id: CallId, state: CallState) {
         let now = self.now.0;
         if let Some(set_ups) = &mut self.gate.set_ups {
--- a/crates/fawnrouter-engine/src/trunk.rs
+++ b/crates/fawnrouter-engine/src/trunk.rs
@@ -1,4 +1,5 @@
-//! The attempt legs: set-ups sent to switches, and the messages received from switches.
+//! The attempt legs: set-ups sent to switches, and the messages received from switches. A trunk
+//! ([`Trunk`](crate::table::Trunk)) is a core switch with its connection.
 
 use std::time::Duration;
 
@@ -15,8 +16,9 @@
 use crate::table::{Leg, LegState, Stage};
 use crate::timer::{LegId, TimerKey};
 
-/// Header fields of the caller's INVITE that are not forwarded, because the gateway sets them itself or they
-/// concern one hop only. All other unknown fields are forwarded.
+/// Header fields of the caller's INVITE that are not forwarded although they are [`Name::Other`]. Some the
+/// gateway sets itself (fields that describe the body come with the body); some concern one hop only. All
+/// other fields that are [`Name::Other`] are forwarded.
 const NOT_FORWARDED: [&str; 15] = [
     "Date",
     "Timestamp",
@@ -36,8 +38,9 @@
 ];
 
 impl Engine {
-    /// Sends a message if the connection is open. Without one, only an ACK or a CANCEL to an unreachable
-    /// switch is lost.
+    /// Sends a message if the connection is open; otherwise the message is dropped. Before an INVITE or the
+    /// BYE of a leg the connection is checked, and a reply goes out while it is open, so only an ACK or a
+    /// CANCEL to an unreachable switch is lost.
     fn send_to_trunk(&mut self, server: ServerId, bytes: Vec<u8>) {
         if self.table.is_connected(server) {
             self.outputs.push(Output::ToTrunk { server, bytes });
@@ -242,8 +245,9 @@
         };
         let known = id.and_then(|id| self.table.legs.get_mut(&id).filter(matches).map(|leg| (id, leg)));
         let Some((id, leg)) = known else {
-            // A 2xx after its leg has been removed is released, or the switch would hold the call for ever.
-            // This can only affect a switch that answers a request that was never sent.
+            // The leg of this 2xx has been removed. The call is released, or the switch would hold it for
+            // ever. Apart from that, only a switch that answers a request that was never sent gets such a
+            // release.
             if (200..300).contains(&status) {
                 self.release_unknown_dialog(server, response);
             }
@@ -254,6 +258,7 @@
                 let (call, attempt) = (leg.call, leg.attempt);
                 let pending = matches!(leg.state, LegState::Pending);
                 if let Some(report) = report {
+                    // No probe was sent: the event only carries the load report.
                     let (took, ok) = (Duration::ZERO, true);
                     self.events.push_back(Event::Probed { server, ok, took, report });
                 }
@@ -288,7 +293,8 @@
         }
     }
 
-    /// A 2xx that crossed the CANCEL or came after the time-out: acknowledged and released (§9.1).
+    /// Acknowledges and releases a 2xx that crossed the CANCEL, came after the time-out, or came after
+    /// another final response (§9.1, §13.2.2.4).
     fn release_late_2xx(&mut self, id: LegId, response: &Message) {
         let Some(leg) = self.table.legs.get_mut(&id) else { return };
         match Dialog::caller(response, &leg.uri, 1) {
@@ -327,6 +333,8 @@
         if pending {
             let status::ResponseMeaning { outcome, detail, retryability } =
                 status::response_meaning(status, ResponseDetails::from_response(response));
+            // If so, the switch's response goes to the caller (below), and the controller owes no final
+            // answer.
             let done = retryability == Retryability::Final;
             if let Some(call) = self.table.calls.get_mut(&call) {
                 call.last_response = Some((status, detail));
@@ -350,8 +358,8 @@
         self.close_unused_trunk(server);
     }
 
-    /// Handles a repeated final response. A second 2xx of another dialog, as a forking switch sends it, is
-    /// released separately.
+    /// Handles a repeated final response: sends its ACK again. A second 2xx of another dialog, as a forking
+    /// switch sends it, is released separately.
     fn on_repeated_final(&mut self, id: LegId, status: u16, response: &Message) {
         let Some(leg) = self.table.legs.get(&id) else { return };
         let server = leg.server;
@@ -367,7 +375,7 @@
         if to_tag(response).unwrap_or("") != dialog.remote_tag {
             return self.release_unknown_dialog(server, response);
         }
-        // Before the caller's ACK there is none to repeat: it will be sent when the caller's arrives.
+        // No ACK is stored until the caller's has arrived; the switch is sent its ACK then.
         if let Some(ack) = leg.ack.clone() {
             self.send_to_trunk(server, ack);
         }
@@ -430,8 +438,9 @@
             }
             (Method::Bye, None) => answer(self, 481),
             (Method::Options, _) => answer(self, 200),
-            // A change of the session, or a call to one of the callers: neither is supported.
+            // A change of the session of an established call is not supported.
             (Method::Invite, Some(_)) => answer(self, 488),
+            // A call to one of the callers is not supported.
             (Method::Invite, None) => answer(self, 403),
             (Method::Cancel, _) => answer(self, 481),
             _ => answer(self, 405),
--- a/crates/fawnrouter-node/src/liveness.rs
+++ b/crates/fawnrouter-node/src/liveness.rs
@@ -2,57 +2,62 @@
 //! its process died, its machine stopped answering, or it can no longer send releases. A lost connection
 //! alone proves nothing, because connections are also reset for other reasons.
 //!
-//! Two kinds of evidence are kept apart. A **byte** shows that something is running there. A **proof** shows
-//! that the switch's releases reach this gateway: a connection that it accepts, a state report, the release
-//! of a call. A switch at the end of its drain still passes tests, answers late set-ups and refuses others on
-//! its old connections, but accepts no new connection and sends no releases; its established calls are cut
-//! some seconds later, when it stops. So its calls are kept for as long as the platform's 8 s limit (below)
-//! allows and no longer.
+//! Two kinds of evidence are kept apart. **Any message**, or a new connection, shows that something is
+//! running there. A **proof** is a sign that the switch's releases reach this gateway: a connection that it
+//! accepts, a state report, the release of a call. A switch at the end of its drain still answers probes and
+//! late set-ups and refuses others on its old connections, but accepts no new connection and sends no
+//! releases; its established calls are cut some seconds later, when it stops. So its calls are kept for as
+//! long as the platform's limit of 8 s (below) allows and no longer.
 //!
-//! A switch counts as dead when
-//! * every connection was refused for [`REFUSED_TIMEOUT`] and not a byte arrived meanwhile, although it was
+//! A switch counts as failed when
+//! * every connection was refused for [`REFUSED_TIMEOUT`] and nothing was received meanwhile, although it was
 //!   probed: the process is dead;
 //! * there was no proof for [`NO_PROOF_TIMEOUT`] and a connection was refused in that time: releases may have
 //!   been lost;
-//! * no byte and no new connection arrived for [`SILENCE_TIMEOUT`], although it was probed ([`PROBE_AFTER`]):
-//!   the machine does not answer;
-//! * the list no longer names it, and it released no call for [`UNLISTED_TIMEOUT`]: its address may belong to
-//!   another switch by then, so nothing else that comes from there counts.
+//! * nothing was received and no new connection came up for [`SILENCE_TIMEOUT`], although it was probed
+//!   ([`PROBE_AFTER`]): the machine does not answer;
+//! * the list no longer names it, it has released no call for [`UNLISTED_TIMEOUT`] since, and it was probed:
+//!   its address may belong to another switch by then, so nothing else that comes from there counts.
 //!
 //! So that a refusal is seen at all, a new connection is tried even if others are up when there has been no
 //! proof for a while ([`RECONNECT_AFTER_NOT_READY`], [`RECONNECT_AFTER_READY`]), and when a connection that
 //! was up is lost: a switch repeats a release that it wrote to a lost connection on the next new one, and
 //! only there.
 //!
-//! Callers must be told within 8 s of the end of a call that the switch does not release. The longest delays
-//! are 7.0 s without a proof (the last proof came before the end), 6.5 s of silence, and the list's delay of
-//! at most 4.5 s plus 2.5 s.
+//! # The platform's limit of 8 s
+//!
+//! If the switch sends no release, the callers must be told within 8 s after the call ended. The longest
+//! times until this module notices, counted from the end of the call, are 7.0 s without a proof (the last
+//! proof came before the end), 6.5 s of silence, and the list's delay of at most 4.5 s plus 2.5 s
+//! ([`UNLISTED_TIMEOUT`]).
 
 use std::time::Duration;
 
 use fawnrouter::{ServerState, Time};
 
-/// How long every connection must be refused before the process counts as dead, as nothing listens any more.
-/// Longer than a listener needs to restart, and short enough to tell callers within 8 s.
+/// How long every connection must be refused before the process counts as dead, because nothing listens any
+/// more. Longer than a listener needs to restart, and short enough to tell callers within 8 s.
 const REFUSED_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Time without a proof, with a refused connection in it, after which calls count as ended: the limit of 8 s
 /// less 1 s to tell the callers.
 const NO_PROOF_TIMEOUT: Duration = Duration::from_millis(7000);
-/// Time without a byte after which the switch is probed, as an idle switch may have nothing to send.
+/// Time without a message after which the switch is probed, because an idle switch may have nothing to send.
 const PROBE_AFTER: Duration = Duration::from_millis(2000);
 /// Time between two probes.
 const PROBE_INTERVAL: Duration = Duration::from_millis(1000);
-/// Time without a byte, in spite of probes, after which the machine counts as dead: the limit of 8 s less the
-/// time to tell the callers. An overloaded processor still answers something in that time.
+/// Time without a message, in spite of probes, after which the machine counts as dead: the limit of 8 s less
+/// 1.5 s to tell the callers. It is longer than an overloaded processor stays silent: that still answers
+/// something in this time.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(6500);
-/// The same for a switch that the list no longer names.
+/// Time without the release of a call after which a switch that the list no longer names counts as failed,
+/// once it was probed. It begins when the list drops the switch, and again with each release after that.
 const UNLISTED_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Time without a proof after which a new connection to a draining switch is tried, as it may no longer send
-/// releases. As [`PROBE_AFTER`].
+/// Time without a proof after which a new connection is tried to a switch that the list does not show as
+/// ready (it drains, or is gone), because it may no longer send releases. As [`PROBE_AFTER`].
 const RECONNECT_AFTER_NOT_READY: Duration = PROBE_AFTER;
-/// Time without a proof after which a new connection to any other switch is tried, as the list may be late.
-/// Half of the limit of 8 s: seldom, because each try costs a connection, and in time for
-/// [`NO_PROOF_TIMEOUT`].
+/// Time without a proof after which a new connection is tried to any other switch, because the list may still
+/// show a draining switch as ready. Half of the limit of 8 s: seldom, because each try costs a connection,
+/// and in time for [`NO_PROOF_TIMEOUT`].
 const RECONNECT_AFTER_READY: Duration = Duration::from_millis(4000);
 /// Time between two connections that are opened to get a proof.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(1000);
@@ -62,11 +67,11 @@
 /// The result of a check of a core switch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CheckResult {
-    /// The established calls at the switch have ended.
+    /// The switch counts as failed, and its established calls as ended.
     Failed,
     /// The switch may be alive; check it again.
     CheckAgain {
-        /// Send a test now.
+        /// Send a probe now.
         probe: bool,
         /// Try a new connection now, even if others are up.
         connect: bool,
@@ -88,7 +93,7 @@
     CallRelease,
 }
 
-/// When a core switch counts as dead.
+/// When a core switch counts as failed.
 struct FailureDeadline {
     at: Time,
     /// Only if the switch was probed before.
@@ -102,13 +107,14 @@
     last_proof: Time,
     probed_at: Option<Time>,
     connect_tried_at: Option<Time>,
-    /// Since when connections are refused without a byte received in between.
+    /// When the first connection was refused since something was last received.
     first_refusal: Option<Time>,
     /// A connection was refused since the last proof.
     refusal_after_last_proof: bool,
     /// A connection that was up was lost and no new one came up since, so what was written to it may be lost
     /// too.
     connection_lost: bool,
+    /// The list does not show the switch as ready: it drains, or is gone.
     not_ready: bool,
     unlisted_since: Option<Time>,
 }
@@ -159,7 +165,7 @@
         self.unlisted_since = if state.is_some() { None } else { self.unlisted_since.or(Some(now)) };
     }
 
-    /// When the switch counts as dead if nothing changes.
+    /// When the switch counts as failed if nothing changes.
     fn failure_deadline(&self) -> FailureDeadline {
         let silence_deadline = match self.unlisted_since {
             Some(since) => since.max(self.last_proof).plus(UNLISTED_TIMEOUT),
@@ -221,7 +227,7 @@
     }
 
     /// Runs the checks when they are due, from `from` on, and returns the time at which the switch counts as
-    /// dead. `on_connect` is called for each connection that is tried.
+    /// failed. `on_connect` is called for each connection that is tried.
     fn time_of_failure_with(
         liveness: &mut Liveness,
         from: u64,
--- a/crates/fawnrouter-node/src/node.rs
+++ b/crates/fawnrouter-node/src/node.rs
@@ -42,7 +42,7 @@
 /// Longest time between two checks as a fraction of the platform's idle timeout. With less frequent checks a
 /// connection could be found idle only when its core switch closes it.
 const HOUSEKEEPING_IDLE_FRACTION: f64 = 0.1;
-/// A test without an answer is forgotten after this time.
+/// A probe without an answer is forgotten after this time.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long releases wait for a caller's connection: the platform's limit of 8 s and a margin.
 const PENDING_NOTICE_LIFETIME: Duration = Duration::from_secs(10);
@@ -70,7 +70,7 @@
     line: Vec<u8>,
 }
 
-/// A test sent to a core switch and not answered yet.
+/// A probe (an ECHO) sent to a core switch and not answered yet.
 #[derive(Debug)]
 struct Probe {
     server: ServerId,
--- a/crates/fawnrouter-node/src/node/switch_links.rs
+++ b/crates/fawnrouter-node/src/node/switch_links.rs
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Sends a test; `false` if there is no connection for it.
+    /// Sends a probe; `false` if there is no connection for it.
     pub(super) fn probe(&mut self, server: ServerId, by_controller: bool) -> bool {
         let Some(link) = self.links.choose_for_release(server) else { return false };
         let now = self.now;
--- a/crates/fawnrouter/src/call.rs
+++ b/crates/fawnrouter/src/call.rs
@@ -29,7 +29,7 @@
     /// Time between `answer_by` and the caller's own deadline.
     pub(crate) answer_margin: Duration,
     pub(crate) aim: Duration,
-    /// When its aim is over, counted from the first call to the same number.
+    /// When its aim ends, counted from the first call to the same number.
     pub(crate) aim_ends_at: Time,
     pub(crate) worth: f64,
     /// Share of the worth that is left after the aim; 1 once it has been applied.
@@ -73,7 +73,7 @@
             && (must_not_run_again || self.attempts >= max_attempts)
     }
 
-    /// Past its aim a call is worth its late share; this is applied once.
+    /// After its aim a call keeps only the late share of its worth; this is applied once.
     pub(crate) fn reduce_worth_if_late(&mut self, now: Time) {
         if now > self.aim_ends_at {
             (self.worth, self.late_share) = (self.worth * self.late_share, 1.0);
--- a/crates/fawnrouter/src/controller.rs
+++ b/crates/fawnrouter/src/controller.rs
@@ -1,11 +1,11 @@
-//! The decisions of one gateway: which call set-ups go to which server, and which are held or refused. This
-//! file has the controller's state, its entry point [`Controller::handle`] and what is due by time; the rest
-//! is in:
+//! The decisions of one gateway: which call set-ups go to which server (core switch), and which are held or
+//! refused. This file has the controller's state, its entry point [`Controller::handle`] and what is due by
+//! time; the rest is in:
 //!
 //! | file | decisions |
 //! | --- | --- |
 //! | `throttle.rs` | fraction of set-ups allowed to a server (ARO and Determ. of the paper) |
-//! | `server.rs` | a server's state: occupancy, queue, pace, cold start, suspicion |
+//! | `server.rs` | a server's state: occupancy, queue, pace, cold start, trials after failures |
 //! | `call.rs` | a call's state: arrival, quota, ends of attempts, final answer |
 //! | `routing.rs` | order of held calls, choice of server, the check that every attempt passes |
 //! | `delay_reports.rs` | delays reported to and by other gateways |
@@ -25,27 +25,31 @@
 use crate::server::*;
 use crate::throttle::*;
 
-/// Interval between two scans of the calls held; deadlines are kept to within two of them.
+/// Interval between two scans of the calls held. A deadline is acted on at most two intervals late.
 pub(crate) const SCAN_INTERVAL: Duration = Duration::from_millis(20);
 pub(crate) const SCAN_TIMER: TimerId = TimerId(0);
-/// fmin keeps samples coming, so that no server stays shut out. Over all gateways fmin adds up to this.
+/// fmin is the lower limit of f: a few set-ups always go to a server, which keeps samples coming, so that no
+/// server stays shut out. This is the sum of fmin over all gateways.
 const F_MIN_SUM: f64 = 0.5;
-/// Lower bound of a gateway's fmin, so that f still recovers from it where there are many gateways.
+/// Lower limit of a gateway's fmin, for many gateways: f must still be able to recover from it.
 pub(crate) const F_MIN_LOW: f64 = 0.005;
-/// Upper bound of a gateway's fmin, so that it lets little through where there is only one gateway.
+/// Upper limit of a gateway's fmin, for a single gateway: fmin must let little through.
 pub(crate) const F_MIN_HIGH: f64 = 0.05;
-/// With fewer own delay samples than this, the smallest delay of all servers stands in for the server's own.
+/// A server with fewer own delay samples than this is assessed with the smallest delay of all servers instead
+/// of its own smallest.
 const MIN_DELAY_SAMPLES: u32 = 8;
-/// A server counts as pressed once f falls below this ...
+/// Once f falls below this, a server is logged as pressed: this gateway holds back a large part of the
+/// set-ups for it.
 const THROTTLED_BELOW_F: f64 = 0.5;
-/// ... until f is back at this.
+/// Once f is back at this, a server is logged as no longer pressed.
 const NOT_THROTTLED_FROM_F: f64 = 0.9;
 /// Held calls are routed at each tick: one, and as many more as a server usually gets set-ups in this many
 /// seconds.
 const HELD_CALLS_PER_TICK_S: f64 = 4.0;
 /// How long the history of a number is kept after its last call.
 const NUMBER_HISTORY_EXPIRY: Duration = Duration::from_secs(10);
-/// After a failure the list is requested again after the longest allowed time divided by this.
+/// While there is no subscription, the list is requested again after [`Rules::subscribe_within`] divided by
+/// this.
 const SUBSCRIBE_RETRY_DIVISOR: u32 = 8;
 
 /// The decisions of one gateway.
@@ -61,6 +65,7 @@
     pub(crate) numbers: BTreeMap<Arc<str>, NumberHistory>,
     /// Use of the quotas, by [`TenantId`].
     pub(crate) quota_levels: Vec<QuotaLevel>,
+    /// When the present tick ends and the next one begins. A tick is one [`ASSESSMENT_INTERVAL`].
     next_tick: Time,
     /// Ticks since the last report to other gateways.
     pub(crate) ticks_since_report: u32,
@@ -78,7 +83,7 @@
 }
 
 impl Controller {
-    /// A controller that knows its settings and nothing else.
+    /// A controller with these settings, without servers or calls.
     ///
     /// # Errors
     /// If the settings fail [`Settings::validate`].
@@ -116,6 +121,7 @@
     /// Processes one event at the clock's reading `now`, and appends what the embedder must do to `actions`.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         if self.next_scan == Time::default() {
+            // Gateways that start together must not all tick together.
             let phase = ASSESSMENT_INTERVAL.mul_f64(self.random_unit());
             self.next_tick = now.plus(phase);
             self.next_scan = now;
@@ -158,7 +164,7 @@
             self.next_tick = now.plus(ASSESSMENT_INTERVAL);
             self.end_tick(now);
         }
-        // Past its aim a call is worth less and moves back among the held ones.
+        // After its aim a call has a lower worth, so a held call gets a later place in the order.
         let newly_late =
             self.calls.values_mut().filter(|c| now > c.aim_ends_at && c.late_share != 1.0 && !c.established);
         for c in newly_late {
@@ -172,8 +178,8 @@
         let max_attempts = self.settings.limits.max_attempts;
         let over = |c: &Call| c.answer_by <= now || c.has_no_attempt_left(now, max_attempts);
         let due = self.calls.iter().filter(|(_, c)| !c.established && over(c));
-        // The time-out of an outstanding attempt ends a little before; its outcome gets a few scans to
-        // arrive.
+        // An outstanding attempt times out at `answer_by` at the latest. Its outcome may still be under way,
+        // so half of the margin is left for it to arrive.
         let due =
             due.filter(|(_, c)| c.outstanding.is_none() || c.answer_by.plus(c.answer_margin / 2) <= now);
         for id in due.map(|(id, _)| *id).collect::<Vec<_>>() {
@@ -238,10 +244,10 @@
         rates.mean().unwrap_or(0.0)
     }
 
-    /// Own set-ups a second that would be established at each server if all ready ones had equally many. It
-    /// is the usual rate for gateways that have just started and know none; otherwise hundreds of them would
-    /// leave cold servers to the few others. Drawback: where load is spread very unevenly, a small server is
-    /// sent too much.
+    /// Own set-ups a second that would be established at each server if all ready ones had equally many. Used
+    /// as the usual rate at a cold server for which this gateway has none yet, for example just after the
+    /// gateway has started. Otherwise, when hundreds of gateways restart together, cold servers would be left
+    /// to the few others. Drawback: where load is spread very unevenly, a small server is sent too much.
     fn update_even_rate(&mut self) -> f64 {
         let established: u32 = self.servers.values().map(|s| s.established_this_tick).sum();
         self.established_rate_ticks = (self.established_rate_ticks + 1).min(USUAL_RATE_TICKS);
--- a/crates/fawnrouter/src/lib.rs
+++ b/crates/fawnrouter/src/lib.rs
@@ -1,6 +1,7 @@
 #![forbid(unsafe_code)]
 //! Overload-aware routing decisions for gateways in front of a few shared core servers: which server each
-//! call set-up is sent to, and which calls are held or refused.
+//! call set-up is sent to, and which calls are held or refused. A server is what the packages around this one
+//! call a core switch.
 //!
 //! The library does no input or output. The embedder passes events and the clock's reading to a
 //! [`Controller`], and carries out the actions that it returns, in order:
--- a/crates/fawnrouter/src/routing.rs
+++ b/crates/fawnrouter/src/routing.rs
@@ -130,8 +130,8 @@
             && s.has_credit(now, &self.settings)
     }
 
-    /// Sends a set-up. It is a trial with a short time-out if the server is suspect, or if the oldest set-up
-    /// in its queue has waited too long.
+    /// Sends a set-up. It is a trial with a short time-out if the server gets only trials, or if the oldest
+    /// set-up in its queue has waited too long.
     fn issue(&mut self, now: Time, id: CallId, server: ServerId) {
         let (Some(c), Some(s)) = (self.calls.get_mut(&id), self.servers.get_mut(&server)) else { return };
         let mut within = c.answer_by.since(now);
--- a/crates/fawnrouter/src/server.rs
+++ b/crates/fawnrouter/src/server.rs
@@ -33,13 +33,14 @@
 const COLD_RAMP_SHARE: f64 = 0.8;
 /// Ticks in the running mean of the usual rate at a server (20 s), long enough to hold some set-ups.
 pub(crate) const USUAL_RATE_TICKS: u32 = 100;
-/// This many set-ups in a row that got no answer, or found the processor full, make a server suspect.
+/// After this many set-ups in a row that got no answer, or found the processor full, a server gets only
+/// single trials.
 pub(crate) const TRIALS_ONLY_AFTER_MISSES: u32 = 2;
 /// A server whose circuits were all taken is tried again after this time without a report of a free one.
 pub(crate) const FREE_CIRCUITS_EXPIRY: Duration = Duration::from_secs(2);
 /// Circuits that all gateways together may take in a second, as a multiple of the free ones reported.
 const FREE_CIRCUITS_USES_PER_S: f64 = 4.0;
-/// Shortest pause between two trials of a suspect server.
+/// Shortest pause between two trials of a server that gets only trials.
 pub(crate) const MIN_TRIAL_PAUSE: Duration = Duration::from_millis(300);
 /// Rate of trials as a share of the usual rate of set-ups: all gateways together send too few of them to keep
 /// a server congested.
@@ -131,7 +132,7 @@
     pub(crate) established_this_tick: u32,
     pub(crate) reported_utilisation: Option<f64>,
     pub(crate) free: Option<FreeCircuits>,
-    /// The operators were told that it is pressed.
+    /// It is logged as pressed, because f fell.
     pub(crate) throttled: bool,
     /// A set-up is overtaken by one that was sent this much later.
     pub(crate) overtake_after: Duration,
@@ -222,7 +223,7 @@
             self.min_delay.map(|x| x * (1.0 + MIN_DELAY_GROWTH_PER_S * ASSESSMENT_INTERVAL.as_secs_f64()));
         self.answer_times.retain(|t| now.since(*t) <= ANSWER_RATE_WINDOW);
         // The mean is long, and its noise cancels out in the sum over all gateways. Ticks in which the server
-        // is cold, suspect or not ready don't count: they don't show what is usual.
+        // is cold, gets only trials or is not ready don't count: they don't show what is usual.
         if self.cold.is_none() && !self.trials_only && self.entry.state == ServerState::Ready {
             let rate = f64::from(self.established_this_tick) / ASSESSMENT_INTERVAL.as_secs_f64();
             self.usual_rate_ticks = (self.usual_rate_ticks + 1).min(USUAL_RATE_TICKS);
@@ -271,7 +272,7 @@
     ///   the part of its capacity that it has now. Each gateway's share of the budget is its share of that
     ///   usual rate.
     /// - Few free circuits: all gateways are told the same number, and each takes its share of them.
-    /// - Suspect server: trials.
+    /// - Server that gets only trials: their rate.
     ///
     /// Drawback: where this gateway's calls grow fast, the server is used too little.
     fn pace(&self, now: Time, settings: &Settings) -> Option<f64> {
--- a/crates/fawnrouter/tests/symptoms.rs
+++ b/crates/fawnrouter/tests/symptoms.rs
@@ -169,7 +169,7 @@
     let mut s = settings();
     (s.gateways, s.limits.max_attempts) = (12, 9);
     let mut g = Gateway::with_servers(s, 1);
-    // Two refusals in a row for a full processor, of the same call, make the server suspect.
+    // Two refusals in a row for a full processor, of the same call: the server gets only trials.
     g.handle(Event::Call(call(0, 0, 0)));
     g.close_with(0, 0, 70, Outcome::Full, OutcomeDetail::ProcessorFull(None));
     assert!(!issued(g.advance(ms(2000)).iter().map(|(_, a)| a)).is_empty());
--- a/crates/fawnrouterd/src/connection_admission.rs
+++ b/crates/fawnrouterd/src/connection_admission.rs
@@ -43,10 +43,10 @@
 
 /// Whether a new connection is served or refused.
 pub enum AdmissionOutcome {
-    /// It is served under this number.
+    /// It is served: its number, and its queue of outgoing bytes.
     Accepted(ConnectionId, Rc<Outbox>),
-    /// It is refused with a reason and a Retry-After. Aborting the outbox ends it early, if another
-    /// connection needs its descriptor.
+    /// It is refused, with a reason and a Retry-After. Aborting the outbox ends the sending of the refusal
+    /// early, if another connection needs its descriptor.
     Refused(RefusalReason, Duration, Rc<Outbox>),
 }
 
@@ -55,12 +55,15 @@
 
 /// Admission of client connections, and the state that it depends on.
 pub struct ConnectionAdmission {
+    /// `None` if the settings have no section `admission`. Only `connection_limit` and the descriptors limit
+    /// the connections then.
     pub admission: Option<Admission>,
     pub descriptors: Descriptors,
     /// Connections being refused, the oldest first.
     being_refused: VecDeque<Rc<Outbox>>,
-    /// Limit on all connections and their Retry-After, used without admission.
+    /// Limit on connections whose handshake is done. Used without admission.
     connection_limit: usize,
+    /// The shortest Retry-After of a refusal. Used without admission.
     retry_after: Duration,
     spread: RetryAfterSpread,
     refused: BTreeMap<RefusalReason, u64>,
@@ -68,6 +71,11 @@
     logged: BTreeMap<AlarmCause, u64>,
 }
 
+/// Connections in their handshake that are to have descriptors beside `connection_limit` others.
+const fn wanted_handshakes(connection_limit: usize) -> usize {
+    connection_limit / 4 + 16
+}
+
 impl ConnectionAdmission {
     pub fn new(
         admission: Option<Admission>,
@@ -75,12 +83,14 @@
         connection_limit: usize,
         retry_after: Duration,
     ) -> Self {
+        let (connection_limit, _) = descriptors.divide(connection_limit, wanted_handshakes(connection_limit));
         Self {
             admission,
-            connection_limit: descriptors.divide(connection_limit, connection_limit / 4 + 16).0,
+            connection_limit,
             descriptors,
             being_refused: VecDeque::new(),
             retry_after,
+            // The seed would shift the sequence of retry times; 0 leaves it as it is.
             spread: RetryAfterSpread::new(0),
             refused: BTreeMap::new(),
             alarms: Alarms::new(ALARM_CLEAR_TIME, ALARM_REPEAT_INTERVAL),
@@ -150,13 +160,15 @@
         self.being_refused.retain(|other| !Rc::ptr_eq(other, outbox));
     }
 
-    /// Whether this peer is a trusted proxy, whose statement of a connection's origin is accepted.
+    /// Whether this peer is a trusted proxy, which states in the Forwarded field (RFC 7239) where a
+    /// connection comes from.
     pub fn is_forwarder(&self, peer: IpAddr) -> bool {
         self.admission.as_ref().is_some_and(|a| a.is_forwarder(peer))
     }
 
-    /// Applies the hops that a trusted proxy reported. Returns the client's address, or a refusal if that
-    /// address may not connect.
+    /// Applies the hops in the Forwarded field of a trusted proxy (see [`Self::is_forwarder`]). Returns the
+    /// client's address, `None` if it is not known (the hop is hidden, or there is no admission), or a
+    /// refusal if that address may not connect.
     pub fn apply_forwarded(
         &mut self,
         now: Time,
@@ -171,7 +183,8 @@
         }
     }
 
-    /// Decides on a connection whose handshake is done. `true` if it has to authenticate.
+    /// Decides on a connection whose handshake is done. `Ok(true)`: it may stay only if it authenticates in
+    /// time; `Ok(false)`: it is accepted.
     pub fn handshake_done(
         &mut self,
         now: Time,
@@ -218,7 +231,7 @@
         }
     }
 
-    /// How long a connection is not to be read, after it has sent this many messages.
+    /// How long to pause reading from a connection, after it has sent this many messages.
     pub fn read_pause(&mut self, now: Time, conn: ConnectionId, messages: u32) -> Duration {
         self.admission.as_mut().map_or(Duration::ZERO, |a| a.charge_messages(now.0, conn, messages))
     }
