--- a/crates/fawnrouter-engine/src/set_up_admission.rs
+++ b/crates/fawnrouter-engine/src/set_up_admission.rs
@@ -65,11 +65,12 @@
         }
     }
 
-    /// Reports to the admission of set-ups that a call is at another stage.
-    pub(crate) fn set_up_stage_changed(&mut self, id: CallId, stay: CallState) {
+    /// Reports to the admission of set-ups that a call has changed its state there. [`CallState`] is the
+    /// admission's view of a call, [`Stage`](crate::table::Stage) the engine's.
+    pub(crate) fn set_up_state_changed(&mut self, id: CallId, state: CallState) {
         let now = self.now.0;
         if let Some(set_ups) = &mut self.gate.set_ups {
-            set_ups.set_state(now, id.0, stay);
+            set_ups.set_state(now, id.0, state);
         }
     }
 
--- a/crates/fawnrouter-engine/src/trunk.rs
+++ b/crates/fawnrouter-engine/src/trunk.rs
@@ -1,4 +1,5 @@
-//! The attempt legs: set-ups sent to switches, and the messages received from switches.
+//! The attempt legs: set-ups sent to switches, and the messages received from switches. A trunk
+//! ([`Trunk`](crate::table::Trunk)) is a core switch with its connection.
 
 use std::time::Duration;
 
@@ -15,8 +16,9 @@
 use crate::table::{Leg, LegState, Stage};
 use crate::timer::{LegId, TimerKey};
 
-/// Header fields of the caller's INVITE that are not forwarded, because the gateway sets them itself or they
-/// concern one hop only. All other fields that the parser knows only as [`Name::Other`] are forwarded.
+/// Header fields of the caller's INVITE that are not forwarded although they are [`Name::Other`]. Some the
+/// gateway sets itself (fields that describe the body come with the body); some concern one hop only. All
+/// other fields that are [`Name::Other`] are forwarded.
 const NOT_FORWARDED: [&str; 15] = [
     "Date",
     "Timestamp",
@@ -36,8 +38,9 @@
 ];
 
 impl Engine {
-    /// Sends a message if the connection is open. Without one, only an ACK or a CANCEL to an unreachable
-    /// switch is lost.
+    /// Sends a message if the connection is open; otherwise the message is dropped. Before an INVITE or the
+    /// BYE of a leg the connection is checked, and a reply goes out while it is open, so only an ACK or a
+    /// CANCEL to an unreachable switch is lost.
     fn send_to_trunk(&mut self, server: ServerId, bytes: Vec<u8>) {
         if self.table.is_connected(server) {
             self.outputs.push(Output::ToTrunk { server, bytes });
@@ -45,7 +48,7 @@
     }
 
     /// Sends a set-up to a switch, as the controller decided.
-    pub(crate) fn send_set_up(&mut self, id: CallId, server: ServerId, within: Duration) {
+    pub(crate) fn send_set_up(&mut self, id: CallId, server: ServerId, time_out: Duration) {
         let connected = self.table.is_connected(server);
         let Some(call) = self.table.calls.get_mut(&id).filter(|c| matches!(c.stage, Stage::Routing)) else {
             return;
@@ -83,7 +86,7 @@
         let via = format!(
             "SIP/2.0/TCP {host};branch=z9hG4bK{:x}.{random:08x};oc;oc-algo=\"loss,rate\";fr-within={}",
             leg_id.0,
-            within.as_millis()
+            time_out.as_millis()
         );
         let from = invite.get(Name::From).and_then(|f| Address::parse(f).ok()).map_or_else(
             || format!("<sip:gateway@{host}>"),
@@ -97,8 +100,8 @@
         };
         let call_id = format!("{:08x}{:08x}@{host}", random, self.rng.next_u32());
         let hops = invite.get(Name::MaxForwards).and_then(|m| m.trim().parse::<u8>().ok()).unwrap_or(70);
-        let mut draft = MessageBuilder::request(Method::Invite, &target);
-        draft
+        let mut builder = MessageBuilder::request(Method::Invite, &target);
+        builder
             .field(Name::Via, &via)
             .field(Name::MaxForwards, &hops.saturating_sub(1).to_string())
             .field(Name::From, &from)
@@ -106,7 +109,7 @@
             .field(Name::CallId, &call_id)
             .field(Name::CSeq, "1 INVITE")
             .field(Name::Contact, &format!("<sip:gateway@{host};transport=tcp>"))
-            .field(Name::Expires, &(within.as_secs_f64().ceil().max(1.0) as u64).to_string())
+            .field(Name::Expires, &(time_out.as_secs_f64().ceil().max(1.0) as u64).to_string())
             .field(Name::SessionId, &format!("{};remote={:032}", call.session_id, 0))
             .field(Name::Allow, ALLOW);
         for (name, raw, value) in invite.fields() {
@@ -118,12 +121,12 @@
                 _ => false,
             };
             if forwarded {
-                draft.named_field(raw, value);
+                builder.named_field(raw, value);
             }
         }
-        let bytes = draft.finish_with_body_of(invite);
+        let bytes = builder.finish_with_body_of(invite);
         call.current_leg = Some(leg_id);
-        self.set_up_stage_changed(id, CallState::AttemptSent);
+        self.set_up_state_changed(id, CallState::AttemptSent);
         let leg = Leg {
             call: id,
             attempt,
@@ -142,7 +145,7 @@
         if let Some(trunk) = self.table.trunks.get_mut(&server) {
             trunk.legs.insert(leg_id);
         }
-        self.table.timers.set(TimerKey::Leg(leg_id), self.now.plus(within));
+        self.table.timers.set(TimerKey::Leg(leg_id), self.now.plus(time_out));
         self.counters.attempts += 1;
         self.emit_call_event(id, || CallEvent::AttemptSent { attempt, server });
         self.send_to_trunk(server, bytes);
@@ -181,10 +184,10 @@
         else {
             return;
         };
-        let mut draft = dialog.request(Method::Ack, &via);
+        let mut builder = dialog.request(Method::Ack, &via);
         let bytes = match from_caller {
-            Some(ack) => draft.finish_with_body_of(ack),
-            None => draft.finish(b""),
+            Some(ack) => builder.finish_with_body_of(ack),
+            None => builder.finish(b""),
         };
         leg.ack = Some(bytes.clone());
         let server = leg.server;
@@ -242,8 +245,9 @@
         };
         let known = id.and_then(|id| self.table.legs.get_mut(&id).filter(matches).map(|leg| (id, leg)));
         let Some((id, leg)) = known else {
-            // A 2xx after its leg has been removed is released, or the switch would hold the call for ever.
-            // The release could do harm only to a switch that answers a request that was never sent.
+            // The leg of this 2xx has been removed. The call is released, or the switch would hold it for
+            // ever. Apart from that, only a switch that answers a request that was never sent gets such a
+            // release.
             if (200..300).contains(&status) {
                 self.release_unknown_dialog(server, response);
             }
@@ -254,6 +258,7 @@
                 let (call, attempt) = (leg.call, leg.attempt);
                 let pending = matches!(leg.state, LegState::Pending);
                 if let Some(report) = report {
+                    // No probe was sent: the event only carries the load report.
                     let (took, ok) = (Duration::ZERO, true);
                     self.events.push_back(Event::Probed { server, ok, took, report });
                 }
@@ -263,9 +268,9 @@
             }
             ClientAction::CancelNow => self.send_cancel(id),
             ClientAction::Accepted => self.on_accepted(id, response),
-            ClientAction::AcceptedAfterCancel => self.on_unwanted(id, response),
+            ClientAction::AcceptedAfterCancel => self.release_late_2xx(id, response),
             ClientAction::Failed => self.on_failed(id, status, response, report),
-            ClientAction::AckAgain => self.repeat_ack(id, status, response),
+            ClientAction::AckAgain => self.on_repeated_final(id, status, response),
             ClientAction::Drop => {}
         }
     }
@@ -288,8 +293,9 @@
         }
     }
 
-    /// A 2xx that crossed the CANCEL or came after the time-out: acknowledged and released (§9.1).
-    fn on_unwanted(&mut self, id: LegId, response: &Message) {
+    /// Acknowledges and releases a 2xx that crossed the CANCEL, came after the time-out, or came after
+    /// another final response (§9.1, §13.2.2.4).
+    fn release_late_2xx(&mut self, id: LegId, response: &Message) {
         let Some(leg) = self.table.legs.get_mut(&id) else { return };
         match Dialog::caller(response, &leg.uri, 1) {
             Ok(dialog) => {
@@ -327,6 +333,8 @@
         if pending {
             let status::ResponseMeaning { outcome, detail, retryability } =
                 status::response_meaning(status, ResponseDetails::from_response(response));
+            // If so, the switch's response goes to the caller (below), and the controller owes no final
+            // answer.
             let done = retryability == Retryability::Final;
             if let Some(call) = self.table.calls.get_mut(&call) {
                 call.last_response = Some((status, detail));
@@ -350,9 +358,9 @@
         self.close_unused_trunk(server);
     }
 
-    /// Handles a repeated final response. A second 2xx of another dialog, as a forking switch sends it, is
-    /// released separately.
-    fn repeat_ack(&mut self, id: LegId, status: u16, response: &Message) {
+    /// Handles a repeated final response: sends its ACK again. A second 2xx of another dialog, as a forking
+    /// switch sends it, is released separately.
+    fn on_repeated_final(&mut self, id: LegId, status: u16, response: &Message) {
         let Some(leg) = self.table.legs.get(&id) else { return };
         let server = leg.server;
         if status >= 300 {
@@ -367,7 +375,7 @@
         if to_tag(response).unwrap_or("") != dialog.remote_tag {
             return self.release_unknown_dialog(server, response);
         }
-        // Before the caller's ACK there is none to repeat: it will be sent when the caller's arrives.
+        // No ACK is stored until the caller's has arrived; the switch is sent its ACK then.
         if let Some(ack) = leg.ack.clone() {
             self.send_to_trunk(server, ack);
         }
@@ -396,11 +404,11 @@
         }
         let answer = |engine: &mut Self, status: u16| {
             let tag = format!("{:08x}", engine.rng.next_u32());
-            let mut draft = MessageBuilder::response_to(request, status, None, &tag, None);
+            let mut builder = MessageBuilder::response_to(request, status, None, &tag, None);
             if matches!(status, 200 | 405) {
-                draft.field(Name::Allow, ALLOW);
+                builder.field(Name::Allow, ALLOW);
             }
-            let bytes = draft.finish(b"");
+            let bytes = builder.finish(b"");
             engine.send_to_trunk(server, bytes);
         };
         if let Err(invalid) = request.validate() {
@@ -430,8 +438,9 @@
             }
             (Method::Bye, None) => answer(self, 481),
             (Method::Options, _) => answer(self, 200),
-            // A change of the session, or a call to one of the callers: neither is supported.
+            // A change of the session of an established call is not supported.
             (Method::Invite, Some(_)) => answer(self, 488),
+            // A call to one of the callers is not supported.
             (Method::Invite, None) => answer(self, 403),
             (Method::Cancel, _) => answer(self, 481),
             _ => answer(self, 405),
--- a/crates/fawnrouter-node/src/node/switch_links.rs
+++ b/crates/fawnrouter-node/src/node/switch_links.rs
@@ -128,7 +128,7 @@
         let evidence = match message.verb {
             Verb::Load => Evidence::StateReport,
             Verb::Finish if was_established => Evidence::CallRelease,
-            _ => Evidence::AnyByte,
+            _ => Evidence::AnyMessage,
         };
         self.record_evidence(server, evidence);
         // Figures such as free circuits arrive in a message of their own or with an answer.
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Sends a test; `false` if there is no connection for it.
+    /// Sends a probe; `false` if there is no connection for it.
     pub(super) fn probe(&mut self, server: ServerId, by_controller: bool) -> bool {
         let Some(link) = self.links.choose_for_release(server) else { return false };
         let now = self.now;
--- a/crates/fawnrouter/src/routing.rs
+++ b/crates/fawnrouter/src/routing.rs
@@ -115,7 +115,7 @@
                 s.entry.cell != home && (!c.request.transit || s.entry.cell == c.request.destination)
             }
         };
-        let trial_allowed = now >= s.not_before && (!s.suspect || s.unanswered.is_empty());
+        let trial_allowed = now >= s.not_before && (!s.trials_only || s.unanswered.is_empty());
         let call_ready = c.outstanding.is_none() && !c.established && c.not_before < now && now < c.answer_by;
         call_ready
             && c.attempts < self.settings.limits.max_attempts
@@ -130,14 +130,14 @@
             && s.has_credit(now, &self.settings)
     }
 
-    /// Sends a set-up. It is a trial with a short time-out if the server is suspect, or if the oldest set-up
-    /// in its queue has waited too long.
+    /// Sends a set-up. It is a trial with a short time-out if the server gets only trials, or if the oldest
+    /// set-up in its queue has waited too long.
     fn issue(&mut self, now: Time, id: CallId, server: ServerId) {
         let (Some(c), Some(s)) = (self.calls.get_mut(&id), self.servers.get_mut(&server)) else { return };
         let mut within = c.answer_by.since(now);
         let oldest = s.in_queue().next();
         let max_wait = c.aim.mul_f64(QUEUE_WAIT_AIM_SHARE);
-        if s.suspect || oldest.is_some_and(|(sent, _)| now.since(*sent) >= max_wait) {
+        if s.trials_only || oldest.is_some_and(|(sent, _)| now.since(*sent) >= max_wait) {
             within = within.min(c.aim.mul_f64(TRIAL_TIMEOUT_AIM_SHARE));
         }
         if let Some(policy) = &mut self.routing_policy {
