--- a/crates/fawnrouter-engine/src/trunk.rs
+++ b/crates/fawnrouter-engine/src/trunk.rs
@@ -245,9 +245,8 @@
         };
         let known = id.and_then(|id| self.table.legs.get_mut(&id).filter(matches).map(|leg| (id, leg)));
         let Some((id, leg)) = known else {
-            // The leg of this 2xx has been removed. The call is released, or the switch would hold it for
-            // ever. Apart from that, only a switch that answers a request that was never sent gets such a
-            // release.
+            // A 2xx after its leg has been removed is released, or the switch would hold the call for ever.
+            // The release could do harm only to a switch that answers a request that was never sent.
             if (200..300).contains(&status) {
                 self.release_unknown_dialog(server, response);
             }
