--- a/benches/agreement/src/main.rs
+++ b/benches/agreement/src/main.rs
@@ -1,10 +1,11 @@
 //! Compares omnipaxos and raft while links fail, in a simulation of five voters with steps of 10 ms.
 //!
-//! A message takes one step. From 10 s to 40 s some links are cut, each direction separately. A client proposes one entry
-//! every 50 ms to the voters that claim to lead, in turn. Reported for each case: the longest time in the cut without a
-//! decided entry, how many entries were decided during the cut (600 are proposed in it), how often the set of claimed
-//! leaders changed, the share of the time in which more than one voter claimed to lead, and how long after the links were
-//! restored an entry was decided.
+//! A message takes one step. From 10 s to 40 s some links are cut, each direction separately. A client
+//! proposes one entry every 50 ms to the voters that claim to lead, in turn, and none while no voter does.
+//! Reported for each case: the longest time in the cut without a decided entry, how many entries were decided
+//! during the cut (at most 600 are proposed in it), how often the set of claimed leaders changed, the share
+//! of the time in which more than one voter claimed to lead, and how long after the links were restored an
+//! entry was decided.
 
 mod omni;
 mod raftd;
--- a/crates/fawnrouter-lab/src/callers.rs
+++ b/crates/fawnrouter-lab/src/callers.rs
@@ -564,7 +564,8 @@
         let callers = self.clone();
         let again = async move {
             Timer::after(Duration::from_millis(200)).await;
-            // Retries while the gateway is running: it may refuse connections for a while.
+            // Retries every 100 ms, at most 100 times: the gateway may refuse connections for a while, or may
+            // have ended.
             for _ in 0..100 {
                 if callers.pool.borrow().stopped || callers.open(connection).await.is_ok() {
                     return;
--- a/crates/fawnrouter-lab/src/flood.rs
+++ b/crates/fawnrouter-lab/src/flood.rs
@@ -63,7 +63,8 @@
     pub dropped: u64,
     /// Connections not attempted because the flood had reached its own limit of open connections.
     pub skipped: u64,
-    /// Upgraded connections that the gateway ended with a close frame.
+    /// Upgraded connections that the gateway ended with a close frame. Clients that never read cannot see one
+    /// and count a failed write here.
     pub told_to_go: u64,
     /// Upgraded connections that ended without a close frame.
     pub cut: u64,
--- a/crates/fawnrouter-lab/src/report.rs
+++ b/crates/fawnrouter-lab/src/report.rs
@@ -29,7 +29,7 @@
 pub struct Worth {
     /// Of all calls offered.
     pub offered: f64,
-    /// Of the calls established, less for late ones.
+    /// Of the calls that were established and not cut; late ones count with the late share of their class.
     pub earned: f64,
 }
 
@@ -58,9 +58,9 @@
     pub name: String,
     /// Calls, without those abandoned by their caller.
     pub offered: u64,
-    /// Calls established within the aim.
+    /// Calls established within the aim and not cut.
     pub in_aim: u64,
-    /// Calls established later.
+    /// Calls established later and not cut.
     pub late: u64,
     /// Established calls that were released from the other side.
     pub cut: u64,
@@ -217,7 +217,7 @@
         self.set_up.value_at_quantile(quantile) as f64 / 1e3
     }
 
-    /// Whether no rule was broken and no stand-in collapsed.
+    /// Whether the auditor saw calls and no broken rule, and no stand-in collapsed.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         self.audit.is_clean() && self.collapsed.is_empty()
--- a/crates/fawnrouter-lab/src/stand_in.rs
+++ b/crates/fawnrouter-lab/src/stand_in.rs
@@ -208,7 +208,8 @@
         let mut decoder = StreamDecoder::new(Limits::default());
         let mut buffer = vec![0; 64 * 1024];
         while let Ok(n @ 1..) = stream.read_with(|mut s| s.read(&mut buffer)).await {
-            // Bytes that arrive after a stop are dropped.
+            // Bytes that arrive after a stop have reached no switch, so they are neither recorded for the
+            // auditor nor processed.
             if !stand_in.connections.borrow().contains_key(&conn) {
                 return;
             }
--- a/crates/fawnrouter-lab/tests/admission.rs
+++ b/crates/fawnrouter-lab/tests/admission.rs
@@ -530,7 +530,8 @@
 #[test]
 fn gateway_killed_within_a_budget_window_keeps_its_spent_budget() {
     // The gateway's zone has no switch, so every call crosses zones; the budget is three calls per day.
-    // Points are set to 0: otherwise the price early in the day would save the third call for later.
+    // The points per unit of cost are 0, so that worth does not matter: otherwise the price early in the day
+    // would save the third call for later.
     let zones = "zones: { own: kochi, account: account, points_a_unit: 0, budgets: [{ window: day, calls: 3 }] }\n\
                  control: { socket: control }";
     let (address, _requests) = start_switch(accept_all);
--- a/crates/fawnrouter-lab/tests/common/mod.rs
+++ b/crates/fawnrouter-lab/tests/common/mod.rs
@@ -16,7 +16,7 @@
 use socket2::{Domain, Socket, Type};
 
 pub const LAB: &str = env!("CARGO_BIN_EXE_fawnrouter-lab");
-/// Time-out of all reads; reached only when a test fails.
+/// Time-out of reads, writes and waiting loops; reached only when a test fails.
 pub const TIMEOUT: Duration = Duration::from_secs(20);
 pub const MASK: Option<[u8; 4]> = Some([1, 2, 3, 4]);
 
