--- a/crates/fawnrouter-lease/tests/table.rs
+++ b/crates/fawnrouter-lease/tests/table.rs
@@ -163,6 +163,7 @@
     assert_eq!(timer.due(at_s(40.0), &table).len(), 1);
 }
 
+/// The quiet period stands for the longest term that the lost voters can have granted.
 #[test]
 fn in_a_new_epoch_nothing_is_granted_until_the_quiet_period_has_passed() {
     let (mut table, mut timer) = (LeaseTable::default(), ExpiryTimer::default());
@@ -183,6 +184,8 @@
     );
 }
 
+/// In the lost table, which may be newer, another gateway may hold the lease by now. A renewal here would
+/// make two holders.
 #[test]
 fn in_a_new_epoch_holders_of_an_older_table_are_not_renewed() {
     let mut table = LeaseTable::default();
--- a/crates/fawnrouter-node/tests/calls.rs
+++ b/crates/fawnrouter-node/tests/calls.rs
@@ -134,6 +134,7 @@
     assert!(harness.messages_about(99).is_empty() && harness.messages_about(98).is_empty());
 }
 
+/// A refused connection proves that the set-up never ran, so the call can go on without the guard time.
 #[test]
 fn refused_connection_does_not_end_the_call() {
     let mut harness = Harness::with_switches(&[("s-1", 7001, "Ready", 0)]);
--- a/crates/fawnrouter-zones/examples/fleet.rs
+++ b/crates/fawnrouter-zones/examples/fleet.rs
@@ -1,5 +1,5 @@
-//! Prints spill against budget in simulated fleets of 4, 60 and 250 controllers: `cargo run --release
-//! --example fleet`.
+//! Prints spill against budget in simulated fleets of 4, 60 and 250 controllers:
+//! `cargo run --release --example fleet`.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
--- a/crates/fawnrouter/tests/routing_policy.rs
+++ b/crates/fawnrouter/tests/routing_policy.rs
@@ -85,8 +85,8 @@
 
 #[test]
 fn policy_with_equal_weights_gives_the_same_actions_as_no_policy() {
-    // The hash and the number of actions of this run before the hook existed. Since then only the retry time
-    // in refusals has been added: without it the hash is still the original 3_478_788_312_957_435_057.
+    // The hash of this run was first taken before the hook existed, and once more when refusals got a retry
+    // time. With that time left out, the hash is still the first one, 3_478_788_312_957_435_057.
     let expected = (14_649_429_114_914_377_733, 5217);
     assert_eq!(run_day(None), expected);
     assert_eq!(run_day(Some(Box::new(EqualWeights))), expected);
--- a/crates/fawnrouterd/tests/concurrent_events.rs
+++ b/crates/fawnrouterd/tests/concurrent_events.rs
@@ -1013,7 +1013,7 @@
         send_line(&connection, &finish_message(&tag, 16));
         switch.receive_until("FINISHED", &tag);
         let (caller, other) = (received_so_far(&mut caller), received_so_far(&mut other));
-        // The release may be sent on any caller's connection.
+        // All callers count as one party, so the release may be sent on the connection of any of them.
         let released = [verbs_of_call(&caller, &tag), verbs_of_call(&other, &tag)].concat();
         assert_eq!(released, ["FINISH"]);
     });
--- a/crates/fawnrouterd/tests/shutdown.rs
+++ b/crates/fawnrouterd/tests/shutdown.rs
@@ -512,7 +512,7 @@
     fixture.begin_shutdown();
     let line = caller.receive().expect("an answer");
     assert_eq!((&line["verb"], &line["tag"]), (&json!("FINISH"), &json!(call_id(1))));
-    // The time of the call and half a second, after which an answer is of no use.
+    // The time of the call, and the half second after it in which an answer is still allowed but of no use.
     assert!(set_up_sent.elapsed() < Duration::from_millis(2000));
     assert!(caller.reads_only_eof());
     fixture.assert_exits_within(TIMEOUT);
