--- a/crates/fawnrouter-admission/src/admission/accounting.rs
+++ b/crates/fawnrouter-admission/src/admission/accounting.rs
@@ -42,14 +42,14 @@
     /// Counts a connection in its handshake against its address and network.
     pub(super) fn count_address(&mut self, address: IpAddr) {
         self.by_address.add(address);
-        self.by_prefix.add(self.settings.network(address));
+        self.by_network.add(self.settings.network(address));
         self.pending_by_address.add(address);
     }
 
     /// A connection no longer counts against its address and network.
     pub(super) fn uncount_address(&mut self, address: IpAddr) {
         self.by_address.remove(&address);
-        self.by_prefix.remove(&self.settings.network(address));
+        self.by_network.remove(&self.settings.network(address));
     }
 
     /// Handshake or probation of a connection is over.
--- a/crates/fawnrouter-admission/src/admission/arrival.rs
+++ b/crates/fawnrouter-admission/src/admission/arrival.rs
@@ -42,9 +42,9 @@
         if self.by_address.get(&address) >= exception.unwrap_or(settings.per_address) {
             return Err((RefusalReason::Address, Duration::ZERO));
         }
-        let of_prefix = self.by_prefix.get(&settings.network(address));
-        if of_prefix >= exception.unwrap_or(0).max(settings.per_prefix) {
-            return Err((RefusalReason::Prefix, Duration::ZERO));
+        let of_network = self.by_network.get(&settings.network(address));
+        if of_network >= exception.unwrap_or(0).max(settings.per_network) {
+            return Err((RefusalReason::Network, Duration::ZERO));
         }
         if self.pending_by_address.get(&address) >= settings.handshakes_per_address {
             return Err((RefusalReason::Handshakes, Duration::ZERO));
@@ -72,7 +72,7 @@
             return self.refuse(RefusalReason::Rate, wait);
         }
         if let Some((_, victim)) = victim {
-            self.evict(victim, EvictionReason::PlaceNeeded);
+            self.evict(victim, EvictionReason::SlotNeeded);
         }
         self.insert(conn, address, !forwarder);
         victim.map_or(ConnectionDecision::Accept, |(_, victim)| ConnectionDecision::Replace(victim))
--- a/crates/fawnrouter-admission/src/admission/authentication.rs
+++ b/crates/fawnrouter-admission/src/admission/authentication.rs
@@ -39,7 +39,7 @@
                 self.remove(conn);
                 return self.refuse(RefusalReason::Full, Duration::ZERO);
             };
-            self.evict(victim, EvictionReason::PlaceNeeded);
+            self.evict(victim, EvictionReason::SlotNeeded);
         }
         if stage.is_pending() {
             self.remove_pending(since, conn, address, counted);
--- a/crates/fawnrouter-admission/src/admission/decision.rs
+++ b/crates/fawnrouter-admission/src/admission/decision.rs
@@ -26,7 +26,7 @@
     /// Its address has reached its connection limit.
     Address,
     /// Its network has reached its connection limit.
-    Prefix,
+    Network,
     /// Too many handshakes are under way, in total or from its address.
     Handshakes,
     /// All slots for unknown clients are taken; the rest is reserved for known clients.
@@ -47,7 +47,7 @@
             Self::Blocked => "the address is blocked",
             Self::Rate => "too many new connections of this address",
             Self::Address => "too many connections of this address",
-            Self::Prefix => "too many connections of this network",
+            Self::Network => "too many connections of this network",
             Self::Handshakes => "too many handshakes under way",
             Self::Reserved => "the places for unknown clients are taken",
             Self::Full => "all places are taken",
@@ -61,7 +61,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EvictionReason {
     /// Its slot was needed for another connection: it was idle, or its handshake was slow.
-    PlaceNeeded,
+    SlotNeeded,
     /// It was idle for too long.
     Idle,
     /// The peer did not read.
@@ -75,7 +75,7 @@
     #[must_use]
     pub const fn text(self) -> &'static str {
         match self {
-            Self::PlaceNeeded => "idle, and others want in",
+            Self::SlotNeeded => "idle, and others want in",
             Self::Idle => "idle for too long",
             Self::SlowReader => "does not read",
             Self::ProbationExpired => "places for unknown clients are taken",
--- a/crates/fawnrouter-admission/src/admission/handshake.rs
+++ b/crates/fawnrouter-admission/src/admission/handshake.rs
@@ -31,7 +31,7 @@
                 let reason = if full { RefusalReason::Full } else { RefusalReason::Reserved };
                 return self.refuse(reason, Duration::ZERO);
             };
-            self.evict(victim, EvictionReason::PlaceNeeded);
+            self.evict(victim, EvictionReason::SlotNeeded);
         }
         self.remove_pending(since, conn, address, counted);
         if let Some(connection) = self.connections.get_mut(&conn) {
--- a/crates/fawnrouter-admission/src/admission/mod.rs
+++ b/crates/fawnrouter-admission/src/admission/mod.rs
@@ -56,7 +56,7 @@
     /// Connections by address, of those that count against it.
     by_address: Counter<IpAddr>,
     /// Connections by network, of those that count against it.
-    by_prefix: Counter<Network>,
+    by_network: Counter<Network>,
     /// Handshakes and connections on probation by address.
     pending_by_address: Counter<IpAddr>,
     /// Connections by known client.
@@ -91,7 +91,7 @@
             settings,
             connections: BTreeMap::new(),
             by_address: Counter::default(),
-            by_prefix: Counter::default(),
+            by_network: Counter::default(),
             pending_by_address: Counter::default(),
             by_client: Counter::default(),
             client_limits: BTreeMap::new(),
--- a/crates/fawnrouter-admission/src/admission/settings.rs
+++ b/crates/fawnrouter-admission/src/admission/settings.rs
@@ -25,7 +25,7 @@
     /// The most unknown clients' connections from one address.
     pub per_address: usize,
     /// The most unknown clients' connections from one network.
-    pub per_prefix: usize,
+    pub per_network: usize,
     /// The prefix lengths of networks.
     pub prefixes: PrefixLengths,
     /// Networks (address, prefix length) with a connection limit of their own, as a branch office behind one
@@ -89,7 +89,7 @@
         let limits = [
             (self.total, "total"),
             (self.per_address, "per_address"),
-            (self.per_prefix, "per_prefix"),
+            (self.per_network, "per_prefix"),
             (self.handshakes, "handshakes"),
             (self.handshakes_per_address, "handshakes_per_address"),
             (self.per_client, "per_client"),
--- a/crates/fawnrouter-admission/src/dynamic_threshold.rs
+++ b/crates/fawnrouter-admission/src/dynamic_threshold.rs
@@ -29,14 +29,14 @@
 pub struct DynamicThreshold {
     limits: BufferLimits,
     used: usize,
-    refused: u64,
+    exceeded: u64,
 }
 
 impl DynamicThreshold {
     /// An unused budget.
     #[must_use]
     pub const fn new(limits: BufferLimits) -> Self {
-        Self { limits, used: 0, refused: 0 }
+        Self { limits, used: 0, exceeded: 0 }
     }
 
     /// Records that a connection's buffered bytes changed; `false` if it now holds more than its threshold
@@ -48,7 +48,7 @@
             return true;
         }
         let fits = after <= self.threshold(owner);
-        self.refused += u64::from(!fits);
+        self.exceeded += u64::from(!fits);
         fits
     }
 
@@ -72,8 +72,8 @@
 
     /// How often a connection exceeded its threshold.
     #[must_use]
-    pub const fn refused(&self) -> u64 {
-        self.refused
+    pub const fn exceeded(&self) -> u64 {
+        self.exceeded
     }
 }
 
@@ -93,7 +93,7 @@
         assert!(budget.resize(BufferOwner::Client, 300, 0));
         assert!(budget.resize(BufferOwner::Trunk, 0, 300), "a trunk may hold more than a client");
         assert_eq!((budget.threshold(BufferOwner::Client), budget.threshold(BufferOwner::Trunk)), (250, 400));
-        assert_eq!((budget.used(), budget.refused()), (1100, 1));
+        assert_eq!((budget.used(), budget.exceeded()), (1100, 1));
     }
 
     #[test]
@@ -114,6 +114,6 @@
             assert_eq!(budget.used(), held.iter().sum::<usize>());
             assert!(budget.used() <= limits.total + held.len() * limits.min_per_connection);
         }
-        assert!(budget.refused() > 0);
+        assert!(budget.exceeded() > 0);
     }
 }
--- a/crates/fawnrouter-admission/tests/admission.rs
+++ b/crates/fawnrouter-admission/tests/admission.rs
@@ -16,7 +16,7 @@
     AdmissionSettings {
         total: 100,
         per_address: 10,
-        per_prefix: 40,
+        per_network: 40,
         prefixes: PrefixLengths { v4: 24, v6: 64 },
         exceptions: vec![(IpAddr::V4(Ipv4Addr::new(10, 9, 0, 0)), 16, 60)],
         rate: Rate::per_second(20.0, 10),
@@ -231,7 +231,7 @@
     fixture.admission.record_activity(fixture.now, conn, 1);
     assert_eq!(fixture.connect_known(ip(0x0d01_0000), "later"), Err(RefusalReason::Full));
     let snapshot = fixture.admission.snapshot(9);
-    assert_eq!((snapshot.known, snapshot.open, snapshot.evicted[&EvictionReason::PlaceNeeded]), (61, 61, 1));
+    assert_eq!((snapshot.known, snapshot.open, snapshot.evicted[&EvictionReason::SlotNeeded]), (61, 61, 1));
 }
 
 #[test]
@@ -428,7 +428,7 @@
 #[test]
 fn settings_that_refuse_every_connection_are_invalid() {
     assert!(matches!(
-        Admission::new(AdmissionSettings { per_prefix: 0, ..settings() }),
+        Admission::new(AdmissionSettings { per_network: 0, ..settings() }),
         Err(SettingsError::Zero("per_prefix"))
     ));
     let all = ReserveSettings { min: 100, ..settings().reserve };
--- a/crates/fawnrouter-benchlink/src/translate.rs
+++ b/crates/fawnrouter-benchlink/src/translate.rs
@@ -51,7 +51,7 @@
     }
 
     /// A number of 32 bits, converted by `wrap`.
-    fn id<T>(&self, index: usize, name: &str, wrap: impl Fn(u32) -> T) -> Result<T> {
+    fn u32_value<T>(&self, index: usize, name: &str, wrap: impl Fn(u32) -> T) -> Result<T> {
         self.required(index, name, |v| whole_number(v).and_then(|n| u32::try_from(n).ok())).map(wrap)
     }
 
@@ -101,18 +101,18 @@
         "req" => Event::Call(new_call(&f, started()?)?),
         "headers" => Event::Established {
             call: f.call_id(0)?,
-            attempt: f.id(1, "shot", AttemptNo)?,
-            server: f.id(2, "switch", ServerId)?,
+            attempt: f.u32_value(1, "shot", AttemptNo)?,
+            server: f.u32_value(2, "switch", ServerId)?,
             took: f.duration(3, "tookNs")?,
         },
         "closedAttempt" => Event::Closed {
             call: f.call_id(0)?,
-            server: f.id(1, "switch", ServerId)?,
+            server: f.u32_value(1, "switch", ServerId)?,
             done: f.required(2, "doneFlag", Value::as_bool)?,
             took: f.duration(3, "tookNs")?,
             outcome: outcome(f.number(4, "stateCode")?)?,
             detail: outcome_detail(whole_number(f.get(5)).unwrap_or(0)),
-            attempt: f.id(6, "shot", AttemptNo)?,
+            attempt: f.u32_value(6, "shot", AttemptNo)?,
             report: started()?.report_from_json(f.get(7)),
         },
         "lapsed" => Event::Abandoned(f.call_id(0)?),
@@ -123,13 +123,14 @@
         }
         "probed" => Event::Probed {
             ok: f.number(0, "stateCode")? == 0,
-            server: f.id(1, "switch", ServerId)?,
+            server: f.u32_value(1, "switch", ServerId)?,
             took: Duration::from_nanos(whole_number(f.get(2)).unwrap_or(0)),
             report: started()?.report_from_json(f.get(3)),
         },
-        "mail" => {
-            Event::PeerMessage { from: f.id(0, "neighbour", PeerId)?, text: f.text(1, "raw")?.to_owned() }
-        }
+        "mail" => Event::PeerMessage {
+            from: f.u32_value(0, "neighbour", PeerId)?,
+            text: f.text(1, "raw")?.to_owned(),
+        },
         other => return Err(format!("unknown event {other}")),
     };
     Ok(Incoming::Event(event))
@@ -152,7 +153,7 @@
         tenant: f.get(6).as_str().and_then(|t| names.tenant_id(t)),
         redialled: flags & REDIALLED_FLAG != 0,
         transit: flags & TRANSIT_FLAG != 0,
-        destination: f.id(8, "terminatesAt", Cell)?,
+        destination: f.u32_value(8, "terminatesAt", Cell)?,
     })
 }
 
@@ -166,9 +167,9 @@
         _ => return Ok(None),
     };
     Ok(Some(ServerEntry {
-        id: f.id(0, "switch", ServerId)?,
+        id: f.u32_value(0, "switch", ServerId)?,
         zone: f.text(1, "locality")?.into(),
-        cell: f.id(3, "cell", Cell)?,
+        cell: f.u32_value(3, "cell", Cell)?,
         state,
         up_since: whole_number(f.get(6)).filter(|t| *t > 0).map(Time::from_nanos),
     }))
--- a/crates/fawnrouter-capacity/src/hollow/recording.rs
+++ b/crates/fawnrouter-capacity/src/hollow/recording.rs
@@ -113,7 +113,7 @@
 fn bytes_written(outputs: &[Output]) -> u64 {
     let length = |output: &Output| match output {
         Output::ToClient { line, .. }
-        | Output::NotifyCaller { line, .. }
+        | Output::ToCaller { line, .. }
         | Output::ToLink { line, .. }
         | Output::SetUp { line, .. }
         | Output::CancelSetUp { line, .. } => line.len() as u64,
--- a/crates/fawnrouter-capacity/src/hollow/simulation/gateways.rs
+++ b/crates/fawnrouter-capacity/src/hollow/simulation/gateways.rs
@@ -188,7 +188,7 @@
             Output::ToClient { client, line } => {
                 self.write_to_client(gateway, client, &line);
             }
-            Output::NotifyCaller { client, tag, line } => {
+            Output::ToCaller { client, tag, line } => {
                 if !self.write_to_client(gateway, client, &line) {
                     inputs.push_back((Cause::Calls, Input::NotDelivered { tag }));
                 }
--- a/crates/fawnrouter-capacity/src/page.rs
+++ b/crates/fawnrouter-capacity/src/page.rs
@@ -73,7 +73,7 @@
     check_run_ids(report)?;
     let rows = rows::rows_of_report(report);
     let shown = selection::rows_of_page(&rows);
-    let assessed = selection::rows_with_verdict(&rows);
+    let assessed = selection::rows_compared_with_budget(&rows);
     let depths = depth::depths_of_report(report);
     let sections = [
         summary(report, rows.len(), shown.len()),
--- a/crates/fawnrouter-capacity/src/page/selection.rs
+++ b/crates/fawnrouter-capacity/src/page/selection.rs
@@ -16,12 +16,12 @@
 /// The rows that are compared with their budgets. The run of hollow gateways at the sizes of the processes is
 /// not: it exists for the comparison with the processes only, and its many gateways in one process contend
 /// for caches, which the gateways of a fleet do not.
-pub(super) fn rows_with_verdict<'a>(rows: &[Row<'a>]) -> Vec<Row<'a>> {
+pub(super) fn rows_compared_with_budget<'a>(rows: &[Row<'a>]) -> Vec<Row<'a>> {
     rows.iter().filter(|row| row.run.id != HOLLOW_RUN).cloned().collect()
 }
 
 fn is_on_page(row: &Row<'_>, rows: &[Row<'_>]) -> bool {
-    is_from_main_hollow_run(row)
+    is_hollow_outside_comparison(row)
         && is_without_failure(row)
         && !is_in_full_tables_only(row)
         && !is_part_of_a_sum(row, rows)
@@ -29,7 +29,7 @@
 }
 
 /// Whether a row is of hollow gateways and not of the comparison with processes, which has its own table.
-fn is_from_main_hollow_run(row: &Row<'_>) -> bool {
+fn is_hollow_outside_comparison(row: &Row<'_>) -> bool {
     row.run.method == Method::Hollow && row.run.id != HOLLOW_RUN
 }
 
@@ -76,7 +76,7 @@
 }
 
 fn can_be_on_page(row: &Row<'_>) -> bool {
-    is_from_main_hollow_run(row) && !is_in_full_tables_only(row)
+    is_hollow_outside_comparison(row) && !is_in_full_tables_only(row)
 }
 
 /// Whether two rows measure the same figure, possibly for different causes.
--- a/crates/fawnrouter-config/src/settings/admission.rs
+++ b/crates/fawnrouter-config/src/settings/admission.rs
@@ -319,7 +319,7 @@
         Some(AdmissionSettings {
             total: self.limits.connections,
             per_address: admission.per_address,
-            per_prefix: admission.per_network,
+            per_network: admission.per_network,
             prefixes: PrefixLengths { v4: admission.network_bits_v4, v6: admission.network_bits_v6 },
             exceptions: admission.exceptions.iter().map(|e| (e.address, e.bits, e.connections)).collect(),
             rate: Rate::per_second(admission.rate_per_s, admission.burst),
--- a/crates/fawnrouter-config/src/settings/clients.rs
+++ b/crates/fawnrouter-config/src/settings/clients.rs
@@ -172,7 +172,7 @@
     #[must_use]
     pub fn auth_settings(&self, key: [u8; 32]) -> Option<AuthSettings> {
         let clients = self.clients.as_ref()?;
-        let guard = AuthenticatorSettings {
+        let authenticator = AuthenticatorSettings {
             realm: clients.realm.clone(),
             md5: clients.md5,
             nonce_lifetime: milliseconds(clients.nonce_life_ms),
@@ -182,7 +182,7 @@
             UnknownClientPolicy::Call => UnknownClients::Allowed,
             UnknownClientPolicy::Nothing => UnknownClients::Challenged,
         };
-        Some(AuthSettings { guard, key, unknown_clients })
+        Some(AuthSettings { authenticator, key, unknown_clients })
     }
 
     /// Converts the known clients of a file for the engine.
--- a/crates/fawnrouter-config/src/settings/mod.rs
+++ b/crates/fawnrouter-config/src/settings/mod.rs
@@ -570,16 +570,16 @@
         let tenant = (self.calls.tenant.iter())
             .filter_map(|r| tenant_id(&r.tenant).map(|value| CallRule { when: r.when.to_match(), value }))
             .collect();
-        let mut destination: Vec<CallRule<PoolChoice>> = (self.calls.pool.iter())
+        let mut first_pool: Vec<CallRule<PoolChoice>> = (self.calls.pool.iter())
             .map(|r| CallRule { when: r.when.to_match(), value: PoolChoice::Pool(Cell(r.pool)) })
             .collect();
         let spread = PoolChoice::Spread(self.calls.spread.iter().copied().map(Cell).collect());
-        destination.push(CallRule { when: CallMatch::default(), value: spread });
+        first_pool.push(CallRule { when: CallMatch::default(), value: spread });
         EngineSettings {
             controller: self.decision_settings(),
             seed: self.gateway.seed.unwrap_or(seed),
             host: self.gateway.host.clone(),
-            rules: CallRules { class, tenant, destination },
+            rules: CallRules { class, tenant, first_pool },
             intake: IntakeLimits {
                 calls: self.limits.calls,
                 pending: self.limits.pending_calls,
--- a/crates/fawnrouter-engine/src/caller.rs
+++ b/crates/fawnrouter-engine/src/caller.rs
@@ -176,7 +176,7 @@
             tenant: classified.tenant,
             redialled: false,
             transit: false,
-            destination: classified.destination,
+            destination: classified.first_pool,
         };
         if decision == SetUpDecision::Wait {
             let wait = self.set_up_admission().map_or(left, SetUpAdmission::max_wait).min(left);
@@ -286,7 +286,7 @@
             call.current_leg = None;
             call.invite = None;
         }
-        self.set_up_stage_changed(id, CallState::Established);
+        self.set_up_state_changed(id, CallState::Established);
         self.pending -= 1;
         self.counters.established += 1;
         self.table.timers.set(TimerKey::Call(id), self.now.plus(ACK_TIMEOUT));
--- a/crates/fawnrouter-engine/src/classify.rs
+++ b/crates/fawnrouter-engine/src/classify.rs
@@ -70,7 +70,7 @@
     /// Rules for the tenant.
     pub tenant: Vec<CallRule<TenantId>>,
     /// Rules for the pool of first choice.
-    pub destination: Vec<CallRule<PoolChoice>>,
+    pub first_pool: Vec<CallRule<PoolChoice>>,
 }
 
 /// The result of the rules for a call.
@@ -81,7 +81,7 @@
     /// The tenant.
     pub tenant: Option<TenantId>,
     /// The pool of first choice.
-    pub destination: Cell,
+    pub first_pool: Cell,
     /// The number called.
     pub number: String,
 }
@@ -104,7 +104,7 @@
         // A URI without a user part calls its host.
         let number = if number.is_empty() { uri.host.to_owned() } else { number.into_owned() };
         let fields = CallFields { invite, uri, from_host, number: &number };
-        let destination = match first_match(&self.destination, &fields) {
+        let first_pool = match first_match(&self.first_pool, &fields) {
             Some(PoolChoice::Pool(cell)) => *cell,
             Some(PoolChoice::Spread(cells)) if !cells.is_empty() => {
                 let mut hash = SipHasher13::new();
@@ -115,7 +115,7 @@
         };
         let class = first_match(&self.class, &fields).copied();
         let tenant = first_match(&self.tenant, &fields).copied();
-        Classification { class, tenant, destination, number }
+        Classification { class, tenant, first_pool, number }
     }
 }
 
@@ -160,7 +160,7 @@
                 when: when(|m| m.from_host = Some("BANK.example".into())),
                 value: TenantId(4),
             }],
-            destination: vec![
+            first_pool: vec![
                 CallRule {
                     when: when(|m| m.trunk_group = Some("tg-7".into())),
                     value: PoolChoice::Pool(Cell(7)),
@@ -176,7 +176,7 @@
         };
         let bank = classify("sip:+91-484-1;tgrp=TG-7;trunk-context=x@gw.example", "X-Kind: check\r\n");
         assert_eq!(
-            (bank.class, bank.tenant, bank.destination),
+            (bank.class, bank.tenant, bank.first_pool),
             (Some(ClassId(1)), Some(TenantId(4)), Cell(7))
         );
         assert_eq!(bank.number, "+914841");
@@ -184,9 +184,9 @@
         assert_eq!(classify("sip:5551@gw.example;kind=push", "").class, Some(ClassId(2)));
         let other = classify("sip:5551@gw.example", "");
         assert_eq!(other.class, None);
-        assert_eq!(other.destination, classify("sip:555-1@elsewhere.example", "").destination);
+        assert_eq!(other.first_pool, classify("sip:555-1@elsewhere.example", "").first_pool);
         let pools: std::collections::BTreeSet<Cell> =
-            (0..40).map(|n| classify(&format!("sip:{n}@h"), "").destination).collect();
+            (0..40).map(|n| classify(&format!("sip:{n}@h"), "").first_pool).collect();
         assert_eq!(pools.len(), 3);
     }
 }
--- a/crates/fawnrouter-engine/src/engine.rs
+++ b/crates/fawnrouter-engine/src/engine.rs
@@ -219,7 +219,7 @@
         while let Some(event) = self.events.pop_front() {
             // After an attempt without an established call the controller holds the call again.
             if let Event::Closed { call, done: false, .. } = &event {
-                self.set_up_stage_changed(*call, CallState::Routing);
+                self.set_up_state_changed(*call, CallState::Routing);
             }
             self.controller.handle(self.now, event, &mut actions);
             for action in actions.drain(..) {
@@ -289,7 +289,7 @@
         let call = leg.call;
         match leg.client_transaction.cancel() {
             CancelAction::Send => self.send_cancel(id),
-            CancelAction::Wait | CancelAction::AlreadyFinal => {}
+            CancelAction::Wait | CancelAction::Nothing => {}
         }
         if let Some(call) = self.table.calls.get_mut(&call).filter(|c| c.current_leg == Some(id)) {
             call.current_leg = None;
--- a/crates/fawnrouter-engine/src/gate.rs
+++ b/crates/fawnrouter-engine/src/gate.rs
@@ -18,7 +18,7 @@
 
 impl Gate {
     pub fn new(auth: Option<AuthSettings>, set_ups: Option<SetUpSettings>) -> Self {
-        let authenticator = auth.map(|a| (Authenticator::new(a.guard, a.key), a.unknown_clients));
+        let authenticator = auth.map(|a| (Authenticator::new(a.authenticator, a.key), a.unknown_clients));
         Self { authenticator, set_ups: set_ups.map(SetUpAdmission::new) }
     }
 }
--- a/crates/fawnrouter-engine/src/identity.rs
+++ b/crates/fawnrouter-engine/src/identity.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AuthSettings {
     /// Realm, algorithms, nonces.
-    pub guard: AuthenticatorSettings,
+    pub authenticator: AuthenticatorSettings,
     /// Secret key of the nonces, new at each start.
     pub key: [u8; 32],
     /// Whether clients may call without authentication.
@@ -56,7 +56,7 @@
     }
 
     /// The identity by which the admission of set-ups distinguishes clients: the name, or else the address.
-    pub(crate) fn who(&self) -> ClientIdentity {
+    pub(crate) fn client_identity(&self) -> ClientIdentity {
         match &self.client_name {
             Some(name) => ClientIdentity::Known(name.clone()),
             None => ClientIdentity::Unknown(self.origin),
--- a/crates/fawnrouter-engine/src/set_up_admission.rs
+++ b/crates/fawnrouter-engine/src/set_up_admission.rs
@@ -15,7 +15,7 @@
         let (Some(set_ups), Some(known)) = (&mut self.gate.set_ups, self.table.clients.get(&client)) else {
             return SetUpDecision::Proceed;
         };
-        let (decision, displaced) = set_ups.offer(self.now.0, known.identity.who(), id.0);
+        let (decision, displaced) = set_ups.offer(self.now.0, known.identity.client_identity(), id.0);
         if let Some((other, decision)) = displaced {
             self.refuse_set_up(CallId(other), decision);
         }
@@ -66,10 +66,10 @@
     }
 
     /// Reports to the admission of set-ups that a call is at another stage.
-    pub(crate) fn set_up_stage_changed(&mut self, id: CallId, stay: CallState) {
+    pub(crate) fn set_up_state_changed(&mut self, id: CallId, state: CallState) {
         let now = self.now.0;
         if let Some(set_ups) = &mut self.gate.set_ups {
-            set_ups.set_state(now, id.0, stay);
+            set_ups.set_state(now, id.0, state);
         }
     }
 
--- a/crates/fawnrouter-engine/src/trunk.rs
+++ b/crates/fawnrouter-engine/src/trunk.rs
@@ -123,7 +123,7 @@
         }
         let bytes = draft.finish_with_body_of(invite);
         call.current_leg = Some(leg_id);
-        self.set_up_stage_changed(id, CallState::AttemptSent);
+        self.set_up_state_changed(id, CallState::AttemptSent);
         let leg = Leg {
             call: id,
             attempt,
@@ -263,7 +263,7 @@
             }
             ClientAction::CancelNow => self.send_cancel(id),
             ClientAction::Accepted => self.on_accepted(id, response),
-            ClientAction::AcceptedAfterCancel => self.on_unwanted(id, response),
+            ClientAction::UnwantedAccepted => self.on_unwanted(id, response),
             ClientAction::Failed => self.on_failed(id, status, response, report),
             ClientAction::AckAgain => self.repeat_ack(id, status, response),
             ClientAction::Drop => {}
--- a/crates/fawnrouter-engine/tests/common/mod.rs
+++ b/crates/fawnrouter-engine/tests/common/mod.rs
@@ -65,7 +65,7 @@
                 CallRule { when: CallMatch::default(), value: ClassId(0) },
             ],
             tenant: vec![],
-            destination: vec![CallRule { when: CallMatch::default(), value: PoolChoice::Pool(Cell(0)) }],
+            first_pool: vec![CallRule { when: CallMatch::default(), value: PoolChoice::Pool(Cell(0)) }],
         },
         intake: IntakeLimits { calls: 50_000, pending: 20_000, per_client: 20_000, retry_after: ms(2000) },
         backoff: BackoffSettings { initial: ms(100), max: ms(2000) },
--- a/crates/fawnrouter-engine/tests/gate.rs
+++ b/crates/fawnrouter-engine/tests/gate.rs
@@ -28,13 +28,13 @@
 
 /// Settings with authentication.
 fn authenticating(unknown_clients: UnknownClients) -> EngineSettings {
-    let guard = AuthenticatorSettings {
+    let authenticator = AuthenticatorSettings {
         realm: REALM.into(),
         md5: false,
         nonce_lifetime: ms(60_000),
         max_failures: 3,
     };
-    EngineSettings { auth: Some(AuthSettings { guard, key: [3; 32], unknown_clients }), ..settings() }
+    EngineSettings { auth: Some(AuthSettings { authenticator, key: [3; 32], unknown_clients }), ..settings() }
 }
 
 /// Admission of set-ups with room for `held` of them at the controller.
--- a/crates/fawnrouter-lease/src/table.rs
+++ b/crates/fawnrouter-lease/src/table.rs
@@ -134,8 +134,9 @@
     #[error("the table is full: {} leases at most", LeaseTable::MAX_LEASES)]
     Full,
     /// The stamp is not the current one, for example because the lease has been renewed since.
+    #[serde(rename = "Renewed")]
     #[error("the lease has been renewed since")]
-    Renewed,
+    StaleStamp,
     /// The voters were set up anew, and grants of the lost ones may not have run out yet.
     #[serde(rename = "Quiet")]
     #[error("the voters were set up anew, and nothing is granted until earlier grants have run out")]
@@ -235,7 +236,7 @@
             Command::Expire { lease, stamp } => {
                 let entry = self.leases.get(lease).ok_or(Refusal::NotHeld)?;
                 if entry.stamp != *stamp {
-                    return Err(Refusal::Renewed);
+                    return Err(Refusal::StaleStamp);
                 }
                 self.leases.remove(lease);
                 Ok(Reply::Done)
@@ -258,7 +259,7 @@
                 Ok(Reply::Done)
             }
             Command::EndQuietPeriod { stamp } => {
-                self.quiet.filter(|(since, _)| since == stamp).ok_or(Refusal::Renewed)?;
+                self.quiet.filter(|(since, _)| since == stamp).ok_or(Refusal::StaleStamp)?;
                 self.quiet = None;
                 Ok(Reply::Done)
             }
--- a/crates/fawnrouter-lease/tests/table.rs
+++ b/crates/fawnrouter-lease/tests/table.rs
@@ -92,7 +92,7 @@
     table.apply(&Command::Renew { lease: lease("report"), by: gateway(1), number: held });
     assert_eq!(
         table.apply(&Command::Expire { lease: lease("report"), stamp }),
-        Reply::Refused(Refusal::Renewed)
+        Reply::Refused(Refusal::StaleStamp)
     );
     assert!(table.get(&lease("report")).is_some());
 }
--- a/crates/fawnrouter-node/src/links.rs
+++ b/crates/fawnrouter-node/src/links.rs
@@ -96,7 +96,7 @@
     }
 
     /// Whether a late answer to an ended attempt must be released. True once per attempt.
-    pub fn mark_late_release(&mut self, tag: Tag) -> bool {
+    pub fn take_late_release(&mut self, tag: Tag) -> bool {
         let unreleased = self.ended_attempts.iter_mut().find(|s| s.tag == tag && !s.released);
         unreleased.is_some_and(|s| !std::mem::replace(&mut s.released, true))
     }
--- a/crates/fawnrouter-node/src/node/callers.rs
+++ b/crates/fawnrouter-node/src/node/callers.rs
@@ -52,11 +52,11 @@
         match self.client_connections.admit(self.now, client) {
             Admission::Admitted => {}
             Admission::AdmittedInPlaceOf(evicted) => {
-                self.counters.evicted_clients += 1;
+                self.counters.rejected_or_evicted_clients += 1;
                 self.close_client(evicted, "idle, and its place is needed");
             }
             Admission::Full => {
-                self.counters.evicted_clients += 1;
+                self.counters.rejected_or_evicted_clients += 1;
                 self.close_with_error_if_unused(client, cause::CONGESTION, "no room for another connection");
                 return;
             }
@@ -70,7 +70,7 @@
         self.client_connections.count_established(client, true);
         if self.client_connections.contains(client) {
             for PendingNotice { tag, line, .. } in std::mem::take(&mut self.pending_notices) {
-                self.outputs.push(Output::NotifyCaller { client, tag, line });
+                self.outputs.push(Output::ToCaller { client, tag, line });
             }
         }
     }
@@ -332,7 +332,7 @@
                     .add_established(tag, EstablishedCall { client, server, attempt: None, since: self.now });
                 self.call_established_for(client);
                 self.open_missing_links(server);
-                self.schedule_liveness_check(server);
+                self.start_liveness_checks(server);
             }
             // The call has ended already, or its core switch is gone.
             (_, released) => {
@@ -382,7 +382,7 @@
             .filter(|client| self.client_connections.contains(*client))
             .or_else(|| self.client_connections.most_recent_caller())
         {
-            Some(client) => self.outputs.push(Output::NotifyCaller { client, tag, line }),
+            Some(client) => self.outputs.push(Output::ToCaller { client, tag, line }),
             None => {
                 self.pending_notices.push_back(PendingNotice { since: self.now, tag, line });
                 if self.pending_notices.len() > MAX_PENDING_NOTICES {
--- a/crates/fawnrouter-node/src/node/established.rs
+++ b/crates/fawnrouter-node/src/node/established.rs
@@ -47,7 +47,7 @@
         }
         self.log(format!("core switch {} {why}: {} standing calls are cut", server.0, tags.len()));
         for tag in tags {
-            self.release_established(tag, cause::TEMPORARY_FAILURE);
+            self.end_established_call(tag, cause::TEMPORARY_FAILURE);
             // If the switch is alive after all, it must not keep a call whose caller was told that it has
             // ended.
             self.links.add_pending_release(server, tag, cause::TEMPORARY_FAILURE);
@@ -88,21 +88,21 @@
         let (client, line) =
             (open.client, encode_line(&Message::new(Verb::Started, tag).with_description(blob)));
         if self.client_connections.contains(client) {
-            self.outputs.push(Output::NotifyCaller { client, tag, line });
+            self.outputs.push(Output::ToCaller { client, tag, line });
         }
         self.call_established_for(open.client);
-        self.schedule_liveness_check(attempt.server);
+        self.start_liveness_checks(attempt.server);
     }
 
     /// Starts the periodic liveness checks of a switch that now has an established call.
-    pub(super) fn schedule_liveness_check(&mut self, server: ServerId) {
+    pub(super) fn start_liveness_checks(&mut self, server: ServerId) {
         if !self.timers.is_set(TimerKey::LivenessCheck(server)) {
             self.check_liveness(server);
         }
     }
 
     /// Ends an established call that its core switch released or lost, and notifies its caller.
-    pub(super) fn release_established(&mut self, tag: Tag, rc: i64) {
+    pub(super) fn end_established_call(&mut self, tag: Tag, rc: i64) {
         let Some(call) = self.calls.remove_established(tag, Some(rc)) else { return };
         let outcome = if rc == cause::CLEARING { Outcome::Ended } else { Outcome::Reset };
         self.counters.calls_lost += u64::from(outcome == Outcome::Reset);
--- a/crates/fawnrouter-node/src/node/interface.rs
+++ b/crates/fawnrouter-node/src/node/interface.rs
@@ -86,7 +86,7 @@
         /// The client.
         client: ClientId,
     },
-    /// A connection ended before a byte of this message was written ([`Output::NotifyCaller`]).
+    /// A connection ended before a byte of this message was written ([`Output::ToCaller`]).
     NotDelivered {
         /// The call that the message was about.
         tag: Tag,
@@ -170,7 +170,7 @@
     },
     /// Write a message about a call that is or was established to a client; report [`Input::NotDelivered`] if
     /// its connection ends before a byte of the message is written.
-    NotifyCaller {
+    ToCaller {
         /// The receiver.
         client: ClientId,
         /// The call that the message is about.
@@ -261,5 +261,5 @@
     /// Messages from core switches that could not be read or used.
     pub invalid_responses: u64,
     /// Client connections that were not admitted or were closed to make room.
-    pub evicted_clients: u64,
+    pub rejected_or_evicted_clients: u64,
 }
--- a/crates/fawnrouter-node/src/node/switch_links.rs
+++ b/crates/fawnrouter-node/src/node/switch_links.rs
@@ -169,7 +169,7 @@
                 }
                 if was_established {
                     self.send_to_switch(link, &Message::new(Verb::Finished, tag));
-                    self.release_established(tag, rc);
+                    self.end_established_call(tag, rc);
                 } else if !self.calls.open.contains_key(&tag) && !self.calls.recently_ended.contains(tag) {
                     self.send_to_switch(link, &Message::new(Verb::Finished, tag));
                     self.calls.unknown_releases.insert(tag, rc);
@@ -198,7 +198,7 @@
     /// a duplicate.
     fn late_answer(&mut self, link: LinkId, server: ServerId, tag: Tag) {
         let is_established = self.calls.established.get(&tag).is_some_and(|s| s.server == server);
-        if !is_established && self.links.links.get_mut(&link).is_some_and(|l| l.mark_late_release(tag)) {
+        if !is_established && self.links.links.get_mut(&link).is_some_and(|l| l.take_late_release(tag)) {
             self.send_to_switch(link, &Message::new(Verb::Finish, tag).with_cause(cause::CLEARING));
         }
     }
--- a/crates/fawnrouter-node/src/switch_list.rs
+++ b/crates/fawnrouter-node/src/switch_list.rs
@@ -77,7 +77,7 @@
     ///
     /// # Errors
     /// Names the first malformed field.
-    pub fn from_configuration(from_configuration: &Value) -> Result<Self, PoolError> {
+    pub fn from_configuration(known: &Value) -> Result<Self, PoolError> {
         fn field<T>(
             at: &Value,
             field: &'static str,
@@ -90,9 +90,8 @@
         let number = |v: &Value| v.as_u64().and_then(|n| u32::try_from(n).ok());
         let text = |v: &Value| v.as_str().filter(|t| !t.is_empty()).map(str::to_owned);
         let list = |v: &Value| v.as_array().cloned();
-        let mut pool =
-            Self { serial: field(from_configuration, "seq", "a number", number)?, ..Self::default() };
-        for event in field(from_configuration, "results", "a list of events", list)? {
+        let mut pool = Self { serial: field(known, "seq", "a number", number)?, ..Self::default() };
+        for event in field(known, "results", "a list of events", list)? {
             let fleet =
                 field(&event, "fleet", "an object", |v| v.as_object().map(|o| Value::Object(o.clone())))?;
             if fleet.get("reset").and_then(Value::as_bool) == Some(true) {
--- a/crates/fawnrouter-node/tests/common/mod.rs
+++ b/crates/fawnrouter-node/tests/common/mod.rs
@@ -241,7 +241,7 @@
     /// Messages with a tag sent to clients: time, client, message.
     pub fn sent_to_clients(&self) -> Vec<(u64, ClientId, Message)> {
         let written = self.outputs.iter().filter_map(|(at, o)| match o {
-            Output::ToClient { client, line } | Output::NotifyCaller { client, line, .. } => {
+            Output::ToClient { client, line } | Output::ToCaller { client, line, .. } => {
                 parse(line).ok().map(|m| (*at, *client, m))
             }
             _ => None,
--- a/crates/fawnrouter-node/tests/recorded.rs
+++ b/crates/fawnrouter-node/tests/recorded.rs
@@ -95,7 +95,7 @@
 
 fn text(output: &Output) -> String {
     match output {
-        Output::ToClient { client, line } | Output::NotifyCaller { client, line, .. } => {
+        Output::ToClient { client, line } | Output::ToCaller { client, line, .. } => {
             format!("{client:?} {}", String::from_utf8_lossy(line))
         }
         Output::ToLink { link, line }
--- a/crates/fawnrouter-node/tests/rules.rs
+++ b/crates/fawnrouter-node/tests/rules.rs
@@ -102,7 +102,7 @@
                         self.guarded_until.insert(tag, at + 200);
                     }
                 }
-                Output::ToClient { client, line } | Output::NotifyCaller { client, line, .. } => {
+                Output::ToClient { client, line } | Output::ToCaller { client, line, .. } => {
                     let Ok(message) = parse(line) else { continue };
                     let Some(call) = self.calls.get_mut(&message.tag.0) else { continue };
                     match message.verb {
@@ -150,7 +150,7 @@
         | Output::SetUp { line, .. }
         | Output::CancelSetUp { line, .. }
         | Output::ToClient { line, .. }
-        | Output::NotifyCaller { line, .. } => of_call(line),
+        | Output::ToCaller { line, .. } => of_call(line),
         _ => false,
     });
     messages
@@ -160,7 +160,7 @@
             | Output::CancelSetUp { link, line, .. } => {
                 format!("{at} to {link:?}: {}", String::from_utf8_lossy(line))
             }
-            Output::ToClient { client, line } | Output::NotifyCaller { client, line, .. } => {
+            Output::ToClient { client, line } | Output::ToCaller { client, line, .. } => {
                 format!("{at} to {client:?}: {}", String::from_utf8_lossy(line))
             }
             _ => String::new(),
--- a/crates/fawnrouter-sip/src/transaction.rs
+++ b/crates/fawnrouter-sip/src/transaction.rs
@@ -96,7 +96,7 @@
     Accepted,
     /// A 2xx that arrived after the cancel, or after another final response: ACK it and release the call with
     /// BYE (§9.1, §13.2.2.4).
-    AcceptedAfterCancel,
+    UnwantedAccepted,
     /// The first final response, of 300 or more: ACK it and pass it on.
     Failed,
     /// A repeated final response: ACK it again (§13.2.2.4, §17.1.1.2) and do nothing else.
@@ -113,29 +113,29 @@
     /// Wait: no CANCEL may go out before a provisional response (§9.1).
     Wait,
     /// Nothing: a CANCEL has been sent already, or a final response has been received.
-    AlreadyFinal,
+    Nothing,
 }
 
 impl InviteClientTransaction {
     /// Handles a response.
     pub fn on_response(&mut self, status: u16) -> ClientAction {
-        let (next, step) = match (*self, status) {
+        let (next, action) = match (*self, status) {
             (_, ..100 | 700..) => return ClientAction::Drop,
             (Self::Calling | Self::Proceeding, 100..200) => (Self::Proceeding, ClientAction::Provisional),
             (Self::CancelPending, 100..200) => (Self::Cancelling, ClientAction::CancelNow),
             (Self::Cancelling | Self::Accepted | Self::Completed, 100..200) => return ClientAction::Drop,
             (Self::Calling | Self::Proceeding, 200..300) => (Self::Accepted, ClientAction::Accepted),
             (Self::CancelPending | Self::Cancelling, 200..300) => {
-                (Self::Accepted, ClientAction::AcceptedAfterCancel)
+                (Self::Accepted, ClientAction::UnwantedAccepted)
             }
             (Self::Accepted, 200..300) => (Self::Accepted, ClientAction::AckAgain),
-            (Self::Completed, 200..300) => (Self::Accepted, ClientAction::AcceptedAfterCancel),
+            (Self::Completed, 200..300) => (Self::Accepted, ClientAction::UnwantedAccepted),
             (Self::Accepted, _) => return ClientAction::Drop,
             (Self::Completed, _) => (Self::Completed, ClientAction::AckAgain),
             (_, _) => (Self::Completed, ClientAction::Failed),
         };
         *self = next;
-        step
+        action
     }
 
     /// Cancels the INVITE.
@@ -150,7 +150,7 @@
                 CancelAction::Send
             }
             Self::CancelPending => CancelAction::Wait,
-            Self::Cancelling | Self::Accepted | Self::Completed => CancelAction::AlreadyFinal,
+            Self::Cancelling | Self::Accepted | Self::Completed => CancelAction::Nothing,
         }
     }
 
@@ -170,7 +170,7 @@
         let mut transaction = InviteClientTransaction::default();
         assert_eq!(transaction.on_response(100), ClientAction::Provisional);
         assert_eq!(transaction.cancel(), CancelAction::Send);
-        assert_eq!(transaction.on_response(200), ClientAction::AcceptedAfterCancel);
+        assert_eq!(transaction.on_response(200), ClientAction::UnwantedAccepted);
         assert_eq!(transaction.on_response(200), ClientAction::AckAgain);
         assert_eq!(transaction.on_response(487), ClientAction::Drop);
     }
@@ -181,7 +181,7 @@
         assert_eq!(transaction.cancel(), CancelAction::Wait);
         assert_eq!(transaction.cancel(), CancelAction::Wait);
         assert_eq!(transaction.on_response(180), ClientAction::CancelNow);
-        assert_eq!(transaction.cancel(), CancelAction::AlreadyFinal);
+        assert_eq!(transaction.cancel(), CancelAction::Nothing);
         assert_eq!(transaction.on_response(487), ClientAction::Failed);
         assert_eq!(transaction.on_response(487), ClientAction::AckAgain);
     }
--- a/crates/fawnrouter-zones/src/record.rs
+++ b/crates/fawnrouter-zones/src/record.rs
@@ -129,7 +129,7 @@
 
     /// Totals since the start, by key.
     #[must_use]
-    pub const fn total(&self) -> &BTreeMap<SpillKey, SpillTotal> {
+    pub const fn totals(&self) -> &BTreeMap<SpillKey, SpillTotal> {
         &self.totals
     }
 
@@ -159,10 +159,10 @@
         }
         assert_eq!(record.minutes().count(), MAX_MINUTES);
         assert_eq!(
-            record.total()[&key(0, &zones[0], SpillCause::Pressed)],
+            record.totals()[&key(0, &zones[0], SpillCause::Pressed)],
             SpillTotal { calls: 3000, money: Money(15_000) }
         );
-        assert_eq!(record.total()[&key(1, &zones[0], SpillCause::Down)], SpillTotal::default());
+        assert_eq!(record.totals()[&key(1, &zones[0], SpillCause::Down)], SpillTotal::default());
         let now = Duration::from_secs(4000 * 60);
         zones.iter().for_each(|z| record.add_call(now, &key(0, z, SpillCause::Free), Money(0)));
         let last = record.minutes().last().expect("a minute");
--- a/crates/fawnrouter-zones/tests/policy.rs
+++ b/crates/fawnrouter-zones/tests/policy.rs
@@ -128,7 +128,7 @@
     alone.observe(t(4500), &mut std::iter::empty());
     assert!(may_go(&mut alone, 5000, request(1, 1.0, 2000), "north"));
     alone.attempt_sent(t(5000), &request(1, 1.0, 2000), &server(9, "north"));
-    assert_eq!(alone.record().total().keys().next().map(|k| k.cause), Some(SpillCause::NoSwitch));
+    assert_eq!(alone.record().totals().keys().next().map(|k| k.cause), Some(SpillCause::NoSwitch));
 }
 
 #[test]
@@ -169,7 +169,7 @@
         z.attempt_resolved(call.call, false);
     }
     assert_eq!(spent(&z), 1);
-    let total: u64 = z.record().total().values().map(|c| c.calls).sum();
+    let total: u64 = z.record().totals().values().map(|c| c.calls).sum();
     assert_eq!(total, 1);
 }
 
--- a/crates/fawnrouter/src/interface.rs
+++ b/crates/fawnrouter/src/interface.rs
@@ -362,10 +362,10 @@
 
     /// The weight of this server for this call: 1 as without a policy, less to be drawn less often, 0 to
     /// exclude it for now.
-    fn server_weight(&mut self, now: Time, wanted: &RoutingRequest, server: &ServerEntry) -> f64;
+    fn server_weight(&mut self, now: Time, request: &RoutingRequest, server: &ServerEntry) -> f64;
 
     /// A set-up of the call is sent to this server.
-    fn attempt_sent(&mut self, now: Time, wanted: &RoutingRequest, server: &ServerEntry);
+    fn attempt_sent(&mut self, now: Time, request: &RoutingRequest, server: &ServerEntry);
 
     /// The call's last set-up was answered or has ended, or the call is over; may be called more than once
     /// for a call.
--- a/crates/fawnrouterd/src/accept.rs
+++ b/crates/fawnrouterd/src/accept.rs
@@ -39,7 +39,7 @@
 
 /// Accepts connections until the task is dropped.
 pub async fn accept(core: Rc<Core>, listener: Async<TcpListener>) {
-    let terms = Rc::new(client::handshake_terms(&core));
+    let options = Rc::new(client::server_options(&core));
     let mut spare = SpareDescriptor::reserve();
     loop {
         match listener.accept().await {
@@ -49,13 +49,13 @@
                     drop(spare);
                     spare = SpareDescriptor::reserve();
                 }
-                let entry = {
+                let outcome = {
                     let mut connection_admission = core.connection_admission.borrow_mut();
                     connection_admission.descriptor_available(now);
                     let outbox = || core.new_outbox(fawnrouter_admission::BufferOwner::Client);
                     connection_admission.admit(now, &mut core.connections.borrow_mut(), peer.ip(), outbox)
                 };
-                match entry {
+                match outcome {
                     AdmissionOutcome::Accepted(conn, outbox) => {
                         let served = (conn, outbox);
                         core.spawn(client::serve_connection(
@@ -63,7 +63,7 @@
                             served,
                             stream,
                             peer,
-                            terms.clone(),
+                            options.clone(),
                         ));
                     }
                     AdmissionOutcome::Refused(reason, wait, outbox) => {
--- a/crates/fawnrouterd/src/client.rs
+++ b/crates/fawnrouterd/src/client.rs
@@ -50,7 +50,7 @@
 }
 
 /// Terms on which handshakes are accepted.
-pub fn handshake_terms(core: &Core) -> ServerOptions {
+pub fn server_options(core: &Core) -> ServerOptions {
     let listen = &core.settings.listen;
     ServerOptions {
         limits: HttpLimits {
@@ -73,9 +73,9 @@
     (conn, outbox): (ConnectionId, Rc<Outbox>),
     stream: Async<TcpStream>,
     peer: SocketAddr,
-    terms: Rc<ServerOptions>,
+    options: Rc<ServerOptions>,
 ) {
-    serve(&core, conn, &outbox, stream, peer, &terms).await;
+    serve(&core, conn, &outbox, stream, peer, &options).await;
     core.connections.borrow_mut().remove(conn);
     core.connection_admission.borrow_mut().connection_closed(core.clock().now(), conn);
 }
@@ -117,7 +117,7 @@
     outbox: &Rc<Outbox>,
     stream: Async<TcpStream>,
     peer: SocketAddr,
-    terms: &ServerOptions,
+    options: &ServerOptions,
 ) {
     let _ = stream.get_ref().set_nodelay(true);
     let limit = Duration::from_millis(core.settings.listen.handshake_ms);
@@ -135,7 +135,7 @@
         ))
     };
     let handshake_result =
-        future::or(handshake(core, conn, &stream, peer, terms), future::or(evicted, timed_out)).await;
+        future::or(handshake(core, conn, &stream, peer, options), future::or(evicted, timed_out)).await;
     let completed = match handshake_result {
         Ok(Some(completed)) => completed,
         Ok(None) => return,
@@ -227,7 +227,7 @@
     conn: ConnectionId,
     stream: &Async<TcpStream>,
     peer: SocketAddr,
-    terms: &ServerOptions,
+    options: &ServerOptions,
 ) -> Result<Option<CompletedHandshake>, Vec<u8>> {
     let mut bytes = Vec::new();
     let held = BufferShare::of_budget(&core.buffer_budget, BufferOwner::Client);
@@ -239,7 +239,7 @@
         if !held.resize(bytes.len()) {
             return Err(refusal_response(503, "no memory is left for the request", Some(1)));
         }
-        match accept(&bytes, terms) {
+        match accept(&bytes, options) {
             Ok(None) => {}
             Ok(Some(accepted)) => break accepted,
             Err(error) => return Err(refusal_response(error.status(), &error.to_string(), None)),
--- a/crates/fawnrouterd/src/connection_admission.rs
+++ b/crates/fawnrouterd/src/connection_admission.rs
@@ -118,7 +118,7 @@
             match verdict {
                 Some(ConnectionDecision::Refuse { reason, retry_after }) => Err((reason, retry_after)),
                 Some(ConnectionDecision::Replace(victim)) => {
-                    connections.close(victim, CloseCode::TRY_AGAIN_LATER, EvictionReason::PlaceNeeded.text());
+                    connections.close(victim, CloseCode::TRY_AGAIN_LATER, EvictionReason::SlotNeeded.text());
                     Ok(conn)
                 }
                 _ => Ok(conn),
@@ -179,7 +179,7 @@
             Some(ConnectionDecision::Refuse { reason, retry_after }) => Err((reason, retry_after)),
             Some(ConnectionDecision::Probation) => Ok(true),
             Some(ConnectionDecision::Replace(victim)) => {
-                connections.close(victim, CloseCode::TRY_AGAIN_LATER, EvictionReason::PlaceNeeded.text());
+                connections.close(victim, CloseCode::TRY_AGAIN_LATER, EvictionReason::SlotNeeded.text());
                 Ok(false)
             }
             Some(ConnectionDecision::Accept) => Ok(false),
@@ -200,7 +200,7 @@
         match self.admission.as_mut().map(|a| a.authenticated(now.0, conn, client)) {
             Some(ConnectionDecision::Refuse { reason, .. }) => Err(reason),
             Some(ConnectionDecision::Replace(victim)) => {
-                connections.close(victim, CloseCode::TRY_AGAIN_LATER, EvictionReason::PlaceNeeded.text());
+                connections.close(victim, CloseCode::TRY_AGAIN_LATER, EvictionReason::SlotNeeded.text());
                 Ok(())
             }
             _ => Ok(()),
@@ -367,7 +367,7 @@
             panic!("room")
         };
         assert_eq!(connection_admission.handshake_done(now, &mut connections, second).ok(), Some(false));
-        assert_eq!(future::block_on(outbox.finished()), Some(EvictionReason::PlaceNeeded.text()));
+        assert_eq!(future::block_on(outbox.finished()), Some(EvictionReason::SlotNeeded.text()));
         assert!(other.is_open() && connections.open_count() == 1);
     }
 
--- a/crates/fawnrouterd/src/control.rs
+++ b/crates/fawnrouterd/src/control.rs
@@ -243,7 +243,7 @@
                 cost: (state.spent.1.to_units(), money.map(|m| m.to_units())),
             });
         let mut went: BTreeMap<(String, String), (u64, f64)> = BTreeMap::new();
-        for (kind, cell) in z.record().total() {
+        for (kind, cell) in z.record().totals() {
             let key = (kind.to.to_string(), crate::report::cause_text(kind.cause).to_owned());
             let sum = went.entry(key).or_default();
             *sum = (sum.0 + cell.calls, sum.1 + cell.money.to_units());
@@ -275,7 +275,7 @@
         room: connection_admission.descriptors.clients(),
         famine: connection_admission.descriptors.is_exhausted(),
         buffered_bytes: buffer_budget.used(),
-        over_budget: buffer_budget.refused(),
+        over_budget: buffer_budget.exceeded(),
         refused: refused.into_iter().map(|(r, n)| (r.text().to_owned(), n)).collect(),
         closed: evicted.into_iter().map(|(e, n)| (e.text().to_owned(), n)).collect(),
         addresses: addresses.into_iter().map(holder).collect(),
--- a/crates/fawnrouterd/src/node/gateway.rs
+++ b/crates/fawnrouterd/src/node/gateway.rs
@@ -194,7 +194,7 @@
                     connection.outbox.push(|out| out.extend_from_slice(&line));
                 }
             }
-            Output::NotifyCaller { client, tag, line } => match self.clients.borrow().get(&client) {
+            Output::ToCaller { client, tag, line } => match self.clients.borrow().get(&client) {
                 Some(connection) => {
                     connection.outbox.push_marked(tag.0, &line);
                     next.push_back(Step::CheckClient(client));
@@ -319,7 +319,7 @@
             attempts = c.attempts,
             cut = c.calls_lost,
             spoilt = c.invalid_responses,
-            unseated = c.evicted_clients,
+            unseated = c.rejected_or_evicted_clients,
             open,
             standing,
             clients,
