--- a/crates/fawnrouter-admission/src/admission/settings.rs
+++ b/crates/fawnrouter-admission/src/admission/settings.rs
@@ -89,6 +89,7 @@
         let limits = [
             (self.total, "total"),
             (self.per_address, "per_address"),
+            // The error text has another name for this field.
             (self.per_network, "per_prefix"),
             (self.handshakes, "handshakes"),
             (self.handshakes_per_address, "handshakes_per_address"),
--- a/crates/fawnrouter-benchlink/src/translate.rs
+++ b/crates/fawnrouter-benchlink/src/translate.rs
@@ -50,7 +50,7 @@
         Ok(Duration::from_nanos(self.number(index, name)?))
     }
 
-    /// A number of 32 bits, converted by `wrap`.
+    /// A number of 32 bits, such as an id, an attempt's number or a cell, converted by `wrap`.
     fn u32_value<T>(&self, index: usize, name: &str, wrap: impl Fn(u32) -> T) -> Result<T> {
         self.required(index, name, |v| whole_number(v).and_then(|n| u32::try_from(n).ok())).map(wrap)
     }
--- a/crates/fawnrouter-bootinfo/src/lib.rs
+++ b/crates/fawnrouter-bootinfo/src/lib.rs
@@ -2,8 +2,8 @@
 //! Translates the settings object into [`fawnrouter::Settings`]. The simulator passes this object to an
 //! instance, and the platform writes it into its configuration; both use this translation. No decisions.
 //!
-//! Fields that the platform always writes are required; any other may be absent or null. Each field that is
-//! there must be of the right type and within its range; unknown fields are ignored.
+//! Fields that the simulator and the platform always supply are required; any other may be absent or null.
+//! Each field that is there must be of the right type and within its range; unknown fields are ignored.
 
 mod error;
 mod field;
--- a/crates/fawnrouter-engine/src/set_up_admission.rs
+++ b/crates/fawnrouter-engine/src/set_up_admission.rs
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Reports to the admission of set-ups that a call is at another stage.
+    /// Reports to the admission of set-ups that the state of a call has changed.
     pub(crate) fn set_up_state_changed(&mut self, id: CallId, state: CallState) {
         let now = self.now.0;
         if let Some(set_ups) = &mut self.gate.set_ups {
--- a/crates/fawnrouter-jsonl/src/lib.rs
+++ b/crates/fawnrouter-jsonl/src/lib.rs
@@ -1,6 +1,7 @@
 #![forbid(unsafe_code)]
 //! Messages of the platform: one JSON object per line, ended by a line feed, at most 16 KiB (the platform's
-//! document PROTOCOL). Bytes in, typed messages out; no socket and no decision.
+//! protocol; see `docs/design/025-platform-gateway.md`). Bytes in, typed messages out; no socket and no
+//! decision.
 //!
 //! A line that is not a message ends the stream: nothing after it on the connection can be trusted. A message
 //! with invalid values is still a message, and its tag tells which call the error belongs to.
--- a/crates/fawnrouter-node/src/boot.rs
+++ b/crates/fawnrouter-node/src/boot.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration file, as the platform's document DEPLOY describes it.
+//! The platform's configuration file; see `docs/design/025-platform-gateway.md`.
 
 use std::net::SocketAddr;
 
--- a/crates/fawnrouter-node/src/node/established.rs
+++ b/crates/fawnrouter-node/src/node/established.rs
@@ -94,7 +94,8 @@
         self.start_liveness_checks(attempt.server);
     }
 
-    /// Starts the periodic liveness checks of a switch that now has an established call.
+    /// Starts the periodic liveness checks of a switch that now has an established call, the first of them at
+    /// once, unless they run already.
     pub(super) fn start_liveness_checks(&mut self, server: ServerId) {
         if !self.timers.is_set(TimerKey::LivenessCheck(server)) {
             self.check_liveness(server);
--- a/crates/fawnrouter-node/src/request.rs
+++ b/crates/fawnrouter-node/src/request.rs
@@ -1,5 +1,5 @@
-//! Validates set-ups from callers and reads what they ask for (the platform's document PROTOCOL, "Callers to
-//! gateways").
+//! Validates set-ups from callers to gateways and reads what they ask for (the platform's protocol; see
+//! `docs/design/025-platform-gateway.md`).
 
 use std::time::Duration;
 
--- a/crates/fawnrouter-node/src/switch_list.rs
+++ b/crates/fawnrouter-node/src/switch_list.rs
@@ -1,5 +1,6 @@
 //! The list of core switches, from the events in the configuration and from the name server's responses (RFC
-//! 1035, RFC 2782; the platform's document PROTOCOL says what the records mean).
+//! 1035, RFC 2782). The platform's protocol says what the records mean; see
+//! `docs/design/025-platform-gateway.md`.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
--- a/crates/fawnrouterd/src/client.rs
+++ b/crates/fawnrouterd/src/client.rs
@@ -49,7 +49,7 @@
     Ok((n > 0).then(|| take(&core.scratch.borrow()[..n])))
 }
 
-/// Terms on which handshakes are accepted.
+/// The options with which handshakes are accepted.
 pub fn server_options(core: &Core) -> ServerOptions {
     let listen = &core.settings.listen;
     ServerOptions {
