--- a/crates/fawnrouter-lab/src/day.rs
+++ b/crates/fawnrouter-lab/src/day.rs
@@ -86,7 +86,7 @@
 }
 
 /// The auditor's limits and tolerances for a script.
-pub fn audit_figures(script: &Script) -> AuditParameters {
+pub fn audit_parameters(script: &Script) -> AuditParameters {
     let rules = &script.rules;
     AuditParameters {
         // The list is recorded when the file is written; the gateway's polling delay comes on top of the
@@ -108,7 +108,7 @@
         seed: u64,
         executor: &Rc<LocalExecutor<'static>>,
     ) -> io::Result<Rc<Self>> {
-        let tap = Rc::new(Tap::new(audit_figures(&script)));
+        let tap = Rc::new(Tap::new(audit_parameters(&script)));
         let classes = script.classes.iter();
         let report = Report::new(
             classes
@@ -279,7 +279,7 @@
     async fn apply(self: &Rc<Self>, action: FaultAction) -> io::Result<()> {
         let stand_in = |id: u32| self.stand_ins.borrow().get(&id).cloned();
         match action {
-            FaultAction::SetLoad(times) => self.call_rate_multiple.set(times),
+            FaultAction::SetCallRate(times) => self.call_rate_multiple.set(times),
             FaultAction::Stall(id, span) => {
                 if let Some(stand_in) = stand_in(id) {
                     stand_in.stall(ms(span));
@@ -477,7 +477,7 @@
         }
         let stand_ins = self.stand_ins.borrow();
         report.collapsed = stand_ins.values().filter(|s| s.collapsed()).map(|s| s.id).collect();
-        report.audit = self.tap.finish(audit_figures(&self.script));
+        report.audit = self.tap.finish(audit_parameters(&self.script));
         report.spill = self.count_spill(&report.audit)?;
         Ok(report)
     }
--- a/crates/fawnrouter-lab/src/load.rs
+++ b/crates/fawnrouter-lab/src/load.rs
@@ -363,7 +363,7 @@
     })
 }
 
-fn load_settings(connections: usize) -> io::Result<Settings> {
+fn settings_for_load(connections: usize) -> io::Result<Settings> {
     let script = Script::parse("demo-day.yaml", include_str!("../../../examples/demo-day.yaml"));
     let mut settings = gateway_settings(&script.map_err(io::Error::other)?, 0, 1);
     settings.limits.connections = connections + 10;
@@ -371,7 +371,7 @@
     Ok(settings)
 }
 
-fn load_switch_list(far: &[SocketAddr]) -> SwitchFile {
+fn switch_list_for_load(far: &[SocketAddr]) -> SwitchFile {
     let entry = |(n, address): (usize, &SocketAddr)| SwitchEntry {
         id: 70 + n as u32,
         address: *address,
@@ -401,8 +401,8 @@
 
         let folder = tempfile::tempdir()?;
         let switches = [far(false)?, far(false)?, far(false)?];
-        write_list(folder.path(), 0, &load_switch_list(&switches))?;
-        let gateway = GatewayProcess::start(folder.path(), &load_settings(options.connections)?, false)?;
+        write_list(folder.path(), 0, &switch_list_for_load(&switches))?;
+        let gateway = GatewayProcess::start(folder.path(), &settings_for_load(options.connections)?, false)?;
         Timer::after(Duration::from_millis(300)).await;
         let gateway_figures = measure(&executor, gateway.address, gateway.pid(), options).await?;
         drop(gateway);
@@ -442,8 +442,8 @@
                 .listen()
         };
         let switches = [listen()?, listen()?, listen()?];
-        write_list(folder.path(), 0, &load_switch_list(&switches))?;
-        let gateway = GatewayProcess::start(folder.path(), &load_settings(idle_connections + 1)?, false)?;
+        write_list(folder.path(), 0, &switch_list_for_load(&switches))?;
+        let gateway = GatewayProcess::start(folder.path(), &settings_for_load(idle_connections + 1)?, false)?;
         Timer::after(Duration::from_millis(300)).await;
         let base = resident_kib(gateway.pid())?;
         let mut idle = Vec::new();
--- a/crates/fawnrouter-lab/src/plan.rs
+++ b/crates/fawnrouter-lab/src/plan.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultAction {
     /// Multiplies the script's rate of calls.
-    SetLoad(f64),
+    SetCallRate(f64),
     /// Stops a switch's processing for this time in milliseconds.
     Stall(u32, u64),
     /// Makes a switch's work take this many times as long.
@@ -48,9 +48,8 @@
                 }
             };
         match fault {
-            Fault::Jump { times, .. } => {
-                actions.extend([(from, FaultAction::SetLoad(*times)), (to, FaultAction::SetLoad(1.0))])
-            }
+            Fault::Jump { times, .. } => actions
+                .extend([(from, FaultAction::SetCallRate(*times)), (to, FaultAction::SetCallRate(1.0))]),
             Fault::Stall { switches, still_ms, every_ms, .. } => {
                 let mut at = from;
                 while at < to {
--- a/crates/fawnrouter-lab/src/tap.rs
+++ b/crates/fawnrouter-lab/src/tap.rs
@@ -28,10 +28,10 @@
 const DELAY_MEMORY: Duration = Duration::from_millis(20);
 
 impl Tap {
-    pub fn new(figures: AuditParameters) -> Self {
+    pub fn new(parameters: AuditParameters) -> Self {
         Self {
             start: Instant::now(),
-            state: RefCell::new(Recording { auditor: Auditor::new(figures), last_connection: 0 }),
+            state: RefCell::new(Recording { auditor: Auditor::new(parameters), last_connection: 0 }),
             last_heartbeat: Cell::default(),
         }
     }
@@ -91,8 +91,8 @@
     }
 
     /// Ends the recording and returns the auditor's verdict.
-    pub fn finish(&self, figures: AuditParameters) -> AuditReport {
-        let auditor = std::mem::replace(&mut self.state.borrow_mut().auditor, Auditor::new(figures));
+    pub fn finish(&self, parameters: AuditParameters) -> AuditReport {
+        let auditor = std::mem::replace(&mut self.state.borrow_mut().auditor, Auditor::new(parameters));
         auditor.finish()
     }
 }
--- a/crates/fawnrouter-lab/tests/admission.rs
+++ b/crates/fawnrouter-lab/tests/admission.rs
@@ -339,8 +339,8 @@
     caller.send(&request(Method::Invite, 1));
     assert_eq!(caller.final_status(), 200);
     send_many_requests(&mut caller);
-    let mut unread = Client::connect(&gateway);
-    send_many_requests(&mut unread);
+    let mut non_reader = Client::connect(&gateway);
+    send_many_requests(&mut non_reader);
     let begin = Instant::now();
     while admission_status(&gateway).closed.get("does not read") != Some(&1) {
         assert!(begin.elapsed() < TIMEOUT);
@@ -364,8 +364,8 @@
     let mut message = Vec::new();
     encode_frame(Opcode::Text, &request(Method::Options, 9), MASK, &mut message);
     let batch = message.repeat(2000);
-    let mut unread: Vec<Client> = (0..8).map(|_| Client::connect(&gateway)).collect();
-    for client in &mut unread {
+    let mut non_readers: Vec<Client> = (0..8).map(|_| Client::connect(&gateway)).collect();
+    for client in &mut non_readers {
         client.stream.set_write_timeout(Some(Duration::from_millis(500))).expect("a time-out");
         // Writes until the gateway closes the connection or the socket buffers are full.
         while client.stream.write_all(&batch).is_ok() {}
--- a/crates/fawnrouter-lab/tests/common/mod.rs
+++ b/crates/fawnrouter-lab/tests/common/mod.rs
@@ -114,7 +114,7 @@
     pub stream: TcpStream,
     decoder: FrameDecoder,
     /// Bytes that were read and not decoded yet.
-    unread: Vec<u8>,
+    undecoded: Vec<u8>,
 }
 
 #[derive(Debug, PartialEq)]
@@ -148,7 +148,7 @@
                 return Ok(Self {
                     stream,
                     decoder: FrameDecoder::new(Role::Client, 1 << 20),
-                    unread: Vec::new(),
+                    undecoded: Vec::new(),
                 });
             }
         }
@@ -162,24 +162,24 @@
 
     pub fn next_event(&mut self) -> Received {
         loop {
-            let mut input = &self.unread[..];
+            let mut input = &self.undecoded[..];
             let got = match self.decoder.feed(&mut input).expect("sound frames") {
                 Some(Event::Text(text)) => Some(Received::Sip(parse(text.as_bytes()))),
                 Some(Event::Pong(p)) => Some(Received::Pong(p.to_vec())),
                 Some(Event::Close(code)) => Some(Received::Close(code)),
                 _ => None,
             };
-            self.unread = input.to_vec();
+            self.undecoded = input.to_vec();
             if let Some(got) = got {
                 return got;
             }
-            if !self.unread.is_empty() {
+            if !self.undecoded.is_empty() {
                 continue;
             }
             let mut buffer = [0; 65536];
             match self.stream.read(&mut buffer) {
                 Ok(0) => return Received::End,
-                Ok(n) => self.unread.extend_from_slice(&buffer[..n]),
+                Ok(n) => self.undecoded.extend_from_slice(&buffer[..n]),
                 Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => return Received::End,
                 Err(e) => panic!("no data in time: {e}"),
             }
--- a/crates/fawnrouter-lab/tests/sockets.rs
+++ b/crates/fawnrouter-lab/tests/sockets.rs
@@ -33,13 +33,13 @@
 #[test]
 fn client_that_never_reads_is_closed_and_others_are_served() {
     let gateway = Gateway::start(&[], "limits: { write_backlog_bytes: 65536 }");
-    let mut unread = Client::connect(&gateway);
+    let mut non_reader = Client::connect(&gateway);
     let mut message = Vec::new();
     encode_frame(Opcode::Text, &request(Method::Options, 1), MASK, &mut message);
     let batch = message.repeat(200);
-    unread.stream.set_write_timeout(Some(TIMEOUT)).expect("a time-out");
+    non_reader.stream.set_write_timeout(Some(TIMEOUT)).expect("a time-out");
     let mut sent = 0;
-    while unread.stream.write_all(&batch).is_ok() {
+    while non_reader.stream.write_all(&batch).is_ok() {
         sent += batch.len();
         assert!(sent < 1 << 30, "the gateway reads and answers without limit");
     }
@@ -117,9 +117,9 @@
 #[test]
 fn switch_that_never_reads_does_not_block_another() {
     // The listener never accepts: connections stay in its backlog, and what is written is never read.
-    let unread = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let non_reader = TcpListener::bind("127.0.0.1:0").expect("a port");
     let (good, _requests) = start_switch(accept_all);
-    let gateway = Gateway::start(&[unread.local_addr().expect("an address"), good], "");
+    let gateway = Gateway::start(&[non_reader.local_addr().expect("an address"), good], "");
     let mut client = Client::connect(&gateway);
     let mut established = 0;
     for n in 0..20 {
--- a/crates/fawnrouter-lease/tests/model.rs
+++ b/crates/fawnrouter-lease/tests/model.rs
@@ -292,10 +292,10 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::<Self>::always(TWO_MAY_ACT, |_, state| {
+            Property::<Self>::always(NO_TWO_MAY_ACT, |_, state| {
                 state.gateways.iter().filter_map(LeaseModel::may_act).count() < 2
             }),
-            Property::<Self>::always(ACTS_GO_BACKWARDS, |_, state| !state.acts_went_backwards),
+            Property::<Self>::always(NUMBERS_NEVER_DECREASE, |_, state| !state.acts_went_backwards),
             Property::<Self>::always("a fencing number belongs to one holder", |_, state| {
                 let held: Vec<_> =
                     state.gateways.iter().filter_map(|g| g.held.map(|(number, _)| number)).collect();
@@ -319,7 +319,7 @@
         .spawn_bfs()
         .join();
     if fault == InjectedFault::None
-        && let Some(path) = checker.discovery(TWO_MAY_ACT)
+        && let Some(path) = checker.discovery(NO_TWO_MAY_ACT)
     {
         println!("{path}");
     }
@@ -329,8 +329,8 @@
     discoveries
 }
 
-const TWO_MAY_ACT: &str = "no two gateways may act at once, even without fencing";
-const ACTS_GO_BACKWARDS: &str = "numbers of admitted acts never decrease";
+const NO_TWO_MAY_ACT: &str = "no two gateways may act at once, even without fencing";
+const NUMBERS_NEVER_DECREASE: &str = "numbers of admitted acts never decrease";
 const SUCCESSOR_ACTS: &str = "the other gateway acts after the holder has crashed";
 
 #[test]
@@ -353,7 +353,7 @@
         DriftIgnored, LeaderKeepsOldReadings, NoFencing, TermCountedFromReply, VoterLosesState,
     };
     for fault in [TermCountedFromReply, LeaderKeepsOldReadings, DriftIgnored, VoterLosesState] {
-        assert!(discoveries(fault, false, 3).contains(&TWO_MAY_ACT), "{fault:?}");
+        assert!(discoveries(fault, false, 3).contains(&NO_TWO_MAY_ACT), "{fault:?}");
     }
-    assert!(discoveries(NoFencing, true, 4).contains(&ACTS_GO_BACKWARDS));
+    assert!(discoveries(NoFencing, true, 4).contains(&NUMBERS_NEVER_DECREASE));
 }
--- a/crates/fawnrouter-node/src/node/callers.rs
+++ b/crates/fawnrouter-node/src/node/callers.rs
@@ -86,29 +86,29 @@
     }
 
     /// Sends an error, for the call if there is one, and closes the connection.
-    pub(super) fn close_with_error(&mut self, client: ClientId, tag: Option<Tag>, rc: i64, why: &str) {
+    pub(super) fn close_with_error(&mut self, client: ClientId, tag: Option<Tag>, rc: i64, reason: &str) {
         let line = match tag {
             Some(tag) => {
-                encode_line(&Message::new(Verb::Finish, tag).with_cause(rc).with_option("error", why))
+                encode_line(&Message::new(Verb::Finish, tag).with_cause(rc).with_option("error", reason))
             }
-            None => error_without_tag(rc, why),
+            None => error_without_tag(rc, reason),
         };
         self.outputs.push(Output::ToClient { client, line });
-        self.close_client(client, why);
+        self.close_client(client, reason);
     }
 
     /// Closes the connection with an error that is sent only if no whole message turns out to have arrived; a
     /// set-up that was not read yet is answered instead. Without this, a connection could be taken for
     /// silent, or turned away for lack of room, although it sent a set-up that this process had not read.
-    pub(super) fn close_with_error_if_unused(&mut self, client: ClientId, rc: i64, why: &str) {
-        self.close_client(client, why);
-        self.closing_clients.insert(client, Some(error_without_tag(rc, why)));
+    pub(super) fn close_with_error_if_unused(&mut self, client: ClientId, rc: i64, reason: &str) {
+        self.close_client(client, reason);
+        self.closing_clients.insert(client, Some(error_without_tag(rc, reason)));
     }
 
     /// Closes the connection and logs why.
-    pub(super) fn close_client(&mut self, client: ClientId, why: &str) {
+    pub(super) fn close_client(&mut self, client: ClientId, reason: &str) {
         if self.client_connections.contains(client) {
-            self.log(format!("client's connection {} closed: {why}", client.0));
+            self.log(format!("client's connection {} closed: {reason}", client.0));
         }
         self.start_closing(client);
     }
@@ -394,7 +394,7 @@
 }
 
 /// An error message without a tag.
-fn error_without_tag(rc: i64, why: &str) -> Vec<u8> {
-    let line = serde_json::json!({"verb": "FINISH", "opts": {"error": why}, "rc": rc});
+fn error_without_tag(rc: i64, reason: &str) -> Vec<u8> {
+    let line = serde_json::json!({"verb": "FINISH", "opts": {"error": reason}, "rc": rc});
     format!("{line}\n").into_bytes()
 }
--- a/crates/fawnrouter-node/src/node/established.rs
+++ b/crates/fawnrouter-node/src/node/established.rs
@@ -37,7 +37,7 @@
     }
 
     /// Ends the calls established at a core switch: all of them, or those established before its restart.
-    pub(super) fn lose_established_calls(&mut self, server: ServerId, before: Option<Time>, why: &str) {
+    pub(super) fn lose_established_calls(&mut self, server: ServerId, before: Option<Time>, reason: &str) {
         let tags = self.calls.established_by_server.get(&server).cloned().unwrap_or_default();
         let old =
             |tag: &Tag| self.calls.established.get(tag).is_some_and(|s| before.is_none_or(|t| s.since < t));
@@ -45,7 +45,7 @@
         if tags.is_empty() {
             return;
         }
-        self.log(format!("core switch {} {why}: {} standing calls are cut", server.0, tags.len()));
+        self.log(format!("core switch {} {reason}: {} standing calls are cut", server.0, tags.len()));
         for tag in tags {
             self.end_established_call(tag, cause::TEMPORARY_FAILURE);
             // If the switch is alive after all, it must not keep a call whose caller was told that it has
--- a/crates/fawnrouter-node/src/node/switch_links.rs
+++ b/crates/fawnrouter-node/src/node/switch_links.rs
@@ -71,11 +71,11 @@
     }
 
     /// Closes a connection after an unusable message. The set-ups on it cannot be answered any more.
-    pub(super) fn close_faulty_link(&mut self, link: LinkId, why: &str) {
+    pub(super) fn close_faulty_link(&mut self, link: LinkId, reason: &str) {
         self.counters.invalid_responses += 1;
         if let Some(l) = self.links.links.get(&link) {
             let server = l.server;
-            self.log(format!("connection to core switch {} closed: {why}", server.0));
+            self.log(format!("connection to core switch {} closed: {reason}", server.0));
             self.outputs.push(Output::CloseLink { link });
             self.remove_link(link, true);
         }
--- a/crates/fawnrouter-node/src/switch_list.rs
+++ b/crates/fawnrouter-node/src/switch_list.rs
@@ -155,7 +155,7 @@
         }
         for record in &answer.answers {
             let RecordData::Srv { priority, port, target, .. } = &record.data else { continue };
-            let wrong = |why| PoolError::InvalidRecord(target.to_string(), why);
+            let wrong = |reason| PoolError::InvalidRecord(target.to_string(), reason);
             let [id, zone, ..] = target.labels() else { return Err(wrong("the target names no zone")) };
             let host = hosts.get(target).ok_or_else(|| wrong("no A record"))?;
             let text = texts.get(target).ok_or_else(|| wrong("no TXT record"))?;
--- a/crates/fawnrouter-node/tests/edges.rs
+++ b/crates/fawnrouter-node/tests/edges.rs
@@ -12,7 +12,7 @@
 use fawnrouter_node::{Ask, ClientId, Input, LinkEnd, LinkId, Output};
 
 /// The platform counts an event as known to the gateway at the latest 1.5 s after it happened.
-const MAX_NEWS_DELAY_MS: u64 = 1500;
+const MAX_CHANGE_REPORT_DELAY_MS: u64 = 1500;
 /// Time in the settings (`drainGraceNs`) after which no set-up may be sent to a draining switch.
 const DRAIN_GRACE_MS: u64 = 1000;
 
@@ -33,8 +33,8 @@
     for (k, query) in times.iter().enumerate().take(20) {
         // The change happens right after the response to query k; all later responses but the last are lost.
         let until = |limit: u64| times[k + 1..].iter().filter(|t| **t <= query + limit).count();
-        assert_eq!(until(MAX_NEWS_DELAY_MS), 6);
-        assert_eq!(until(MAX_NEWS_DELAY_MS + DRAIN_GRACE_MS), 10);
+        assert_eq!(until(MAX_CHANGE_REPORT_DELAY_MS), 6);
+        assert_eq!(until(MAX_CHANGE_REPORT_DELAY_MS + DRAIN_GRACE_MS), 10);
     }
 }
 
--- a/crates/fawnrouter-zones/tests/policy.rs
+++ b/crates/fawnrouter-zones/tests/policy.rs
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn free_zone_is_always_allowed_forbidden_zone_never_and_a_server_without_zone_is_everybodys() {
+fn free_zone_is_always_allowed_forbidden_zone_never_and_a_server_without_zone_is_allowed_to_all() {
     for (healthy, fraction) in [(4, 1.0), (4, 0.3), (0, 0.0)] {
         let mut z = policy(settings("kochi", 100), healthy, fraction);
         assert!(
--- a/crates/fawnrouter/src/call.rs
+++ b/crates/fawnrouter/src/call.rs
@@ -14,7 +14,7 @@
 /// in 150 is as long (e^-5).
 const LULL_GAP_FACTOR: f64 = 5.0;
 /// Longest wait that is observed where a server with a full processor asks for one.
-const MAX_TOLD_WAIT: Duration = Duration::from_secs(2);
+const MAX_REQUESTED_WAIT: Duration = Duration::from_secs(2);
 /// No set-ups go to a number for this long after all its lines were busy.
 const BUSY_NUMBER_PAUSE: Duration = Duration::from_secs(2);
 /// Seconds of its quota that a tenant may use at once.
@@ -287,7 +287,7 @@
                     (Some(s), OutcomeDetail::ProcessorFull(wait)) => {
                         s.full_this_tick = true;
                         s.record_misses(now, 1, &mut self.actions);
-                        let wait = wait.unwrap_or_default().clamp(MIN_TRIAL_PAUSE, MAX_TOLD_WAIT);
+                        let wait = wait.unwrap_or_default().clamp(MIN_TRIAL_PAUSE, MAX_REQUESTED_WAIT);
                         s.not_before = now.plus(wait);
                     }
                     (Some(s), OutcomeDetail::NoCircuit) => {
--- a/crates/fawnrouter/src/controller.rs
+++ b/crates/fawnrouter/src/controller.rs
@@ -45,7 +45,7 @@
 const NOT_THROTTLED_FROM_F: f64 = 0.9;
 /// Held calls are routed at each tick: one, and as many more as a server usually gets set-ups in this many
 /// seconds.
-const HELD_CALLS_PER_TICK_S: f64 = 4.0;
+const HELD_CALLS_SPAN_S: f64 = 4.0;
 /// How long the history of a number is kept after its last call.
 const NUMBER_HISTORY_EXPIRY: Duration = Duration::from_secs(10);
 /// While there is no subscription, the list is requested again after [`Rules::subscribe_within`] divided by
@@ -232,7 +232,7 @@
         self.numbers.retain(|_, number| now.since(number.last_call) < NUMBER_HISTORY_EXPIRY);
         self.forget_gone_servers(now);
         self.report_delays_to_peers();
-        for _ in 0..1 + (self.mean_usual_rate() * HELD_CALLS_PER_TICK_S) as u32 {
+        for _ in 0..1 + (self.mean_usual_rate() * HELD_CALLS_SPAN_S) as u32 {
             self.route_held_call(now);
         }
     }
--- a/crates/fawnrouterd/src/cli.rs
+++ b/crates/fawnrouterd/src/cli.rs
@@ -254,8 +254,8 @@
             );
             ExitCode::FAILURE
         }
-        Ok(Reply::Failed(why)) => {
-            eprintln!("{why}");
+        Ok(Reply::Failed(reason)) => {
+            eprintln!("{reason}");
             ExitCode::FAILURE
         }
         Ok(Reply::Admission(shown)) if json => print_json(&shown),
--- a/crates/fawnrouterd/src/client.rs
+++ b/crates/fawnrouterd/src/client.rs
@@ -127,10 +127,10 @@
     };
     // The connection may be closed during the handshake to make room for another.
     let evicted = async {
-        let why = outbox.finished().await.unwrap_or("the gateway ends");
+        let reason = outbox.finished().await.unwrap_or("the gateway ends");
         Err(refusal_response(
             503,
-            why,
+            reason,
             Some(retry_after_seconds(Duration::from_millis(core.settings.limits.retry_after_ms))),
         ))
     };
--- a/crates/fawnrouterd/src/connection_admission.rs
+++ b/crates/fawnrouterd/src/connection_admission.rs
@@ -30,8 +30,8 @@
     const fn text(self) -> (&'static str, &'static str) {
         match self {
             Self::Refused(reason) => ("connections refused", reason.text()),
-            Self::Evicted(why) => ("connections closed", why.text()),
-            Self::SetUp(why) => ("set-ups refused", why.text()),
+            Self::Evicted(reason) => ("connections closed", reason.text()),
+            Self::SetUp(reason) => ("set-ups refused", reason.text()),
         }
     }
 }
@@ -285,14 +285,14 @@
                 );
             }
         }
-        for (conn, why) in admission.evict_overdue(now.0) {
+        for (conn, reason) in admission.evict_overdue(now.0) {
             // A client that does not read would not receive a close frame either.
-            if why == EvictionReason::SlowReader
+            if reason == EvictionReason::SlowReader
                 && let Some((_, connection)) = connections.iter().find(|(c, _)| *c == conn)
             {
                 connection.outbox.abort();
             }
-            connections.close(conn, CloseCode::TRY_AGAIN_LATER, why.text());
+            connections.close(conn, CloseCode::TRY_AGAIN_LATER, reason.text());
         }
     }
 
--- a/crates/fawnrouterd/tests/capacity.rs
+++ b/crates/fawnrouterd/tests/capacity.rs
@@ -30,7 +30,7 @@
     assert_eq!(waitpid(None, WaitOptions::NOHANG).err(), Some(Errno::CHILD), "a gateway was left running");
 }
 
-fn rig(stop: &AtomicBool) -> Testbed<'_> {
+fn testbed(stop: &AtomicBool) -> Testbed<'_> {
     Testbed { program: Path::new(env!("CARGO_BIN_EXE_fawnrouter")), seed: SEED, stop }
 }
 
@@ -67,7 +67,7 @@
     let stop = AtomicBool::new(false);
     // It returns once every planned call has ended, so that totals of the plan are compared and not rates per
     // second.
-    let measured = process::run_scenario(&scenario, Duration::from_millis(500), rig(&stop)).unwrap();
+    let measured = process::run_scenario(&scenario, Duration::from_millis(500), testbed(&stop)).unwrap();
     assert_no_child_left();
     let hollow = hollow::simulate(&scenario).unwrap();
     let planned = scenario.traffic.calls().len() as u64;
@@ -105,8 +105,8 @@
     let stop = AtomicBool::new(false);
     let plan = hop_plan(SEED, 50.0, 1);
     let planned = plan.calls().len() as u64;
-    let without = process::measure_baseline(&plan, rig(&stop)).unwrap();
-    let through = process::measure_hop(plan, SWITCHES, rig(&stop)).unwrap();
+    let without = process::measure_baseline(&plan, testbed(&stop)).unwrap();
+    let through = process::measure_hop(plan, SWITCHES, testbed(&stop)).unwrap();
     assert_no_child_left();
     let all_answered = CallOutcomes { released: planned, unanswered: 0 };
     for (direction, measured) in [("without a gateway", without), ("through a gateway", through)] {
@@ -122,7 +122,7 @@
     let _exclusive = exclusive();
     let stop = AtomicBool::new(true);
     let error =
-        process::run_scenario(&scenario(), Duration::ZERO, rig(&stop)).expect_err("it was told to end");
+        process::run_scenario(&scenario(), Duration::ZERO, testbed(&stop)).expect_err("it was told to end");
     assert!(matches!(error, ProcessError::Interrupted), "{error}");
     assert_no_child_left();
 }
--- a/crates/fawnrouterd/tests/common/mod.rs
+++ b/crates/fawnrouterd/tests/common/mod.rs
@@ -227,7 +227,7 @@
 }
 
 /// A configuration of one gateway in front of these core switches, each given by id and address.
-pub fn node_config(listen: SocketAddr, names: SocketAddr, switches: &[(&str, SocketAddr)]) -> Value {
+pub fn node_config(listen: SocketAddr, name_server: SocketAddr, switches: &[(&str, SocketAddr)]) -> Value {
     let instances: Vec<Value> = switches
         .iter()
         .map(|(id, address)| {
@@ -236,7 +236,7 @@
         })
         .collect();
     json!({"name": "n0", "listen": listen.to_string(), "seed": "8c1f30d27a5be964",
-        "limits": {"cores": 1.0, "memory_mb": 32, "sockets": 256}, "nameserver": names.to_string(),
+        "limits": {"cores": 1.0, "memory_mb": 32, "sockets": 256}, "nameserver": name_server.to_string(),
         "known": {"seq": 1, "results": [{"seq": 1, "fleet": {"generation": 1, "reset": true, "instances": instances}}]},
         "settings": {"balancers": 1, "me": 0, "tickNs": 5_000_000,
             "classes": [{"name": "voice", "onTimeNs": 2_000_000_000u64, "hardLimitNs": 9_000_000_000u64,
--- a/crates/fawnrouterd/tests/shutdown.rs
+++ b/crates/fawnrouterd/tests/shutdown.rs
@@ -95,7 +95,7 @@
     }
 
     /// Removes all received messages that wait and returns the set-ups of this call among them.
-    fn pending_set_ups(&self, tag: &str) -> Vec<Received> {
+    fn take_received_set_ups(&self, tag: &str) -> Vec<Received> {
         self.received.try_iter().filter(|t| t.line["verb"] == "START" && t.line["tag"] == tag).collect()
     }
 }
@@ -497,7 +497,7 @@
     });
     let answers = expect_one_answer_each([&caller], [&call_id(1)]);
     assert_eq!(answers[&call_id(1)][0]["verb"], "STARTED", "there was time for another attempt");
-    let again = fixture.switch.pending_set_ups(&call_id(1));
+    let again = fixture.switch.take_received_set_ups(&call_id(1));
     assert!(again.len() == 1 && again[0].at >= broke + GUARD);
     fixture.assert_exits_within(TIMEOUT);
 }
@@ -1058,7 +1058,7 @@
     let mut caller = fixture.connect_caller();
     caller.send_set_up(&call_id(1), 5000);
     assert_eq!(caller.receive().unwrap()["verb"], "STARTED");
-    let attempts: Vec<_> = fixture.switch.pending_set_ups(&call_id(1)).iter().map(|t| t.at).collect();
+    let attempts: Vec<_> = fixture.switch.take_received_set_ups(&call_id(1)).iter().map(|t| t.at).collect();
     assert_guard_between_attempts(&attempts, &closes.lock().unwrap());
     fixture.begin_shutdown();
     assert_eq!(caller.receive(), None, "one answer");
@@ -1124,7 +1124,7 @@
     });
     let line = caller.receive().unwrap();
     assert_eq!((&line["verb"], &line["tag"]), (&json!("STARTED"), &json!(call_id(2))));
-    assert_eq!(fixture.switch.pending_set_ups(&call_id(2)).len(), 1);
+    assert_eq!(fixture.switch.take_received_set_ups(&call_id(2)).len(), 1);
     fixture.begin_shutdown();
     assert_eq!(caller.receive(), None, "one answer");
     drop(caller);
