--- a/benches/agreement/src/omni.rs
+++ b/benches/agreement/src/omni.rs
@@ -108,7 +108,8 @@
 
 pub struct OmniPaxosVoter(OmniPaxos<LogEntry, MemoryStorage>);
 
-/// Creates a voter with the time-outs of the raft voter: heartbeats every 50 ms, an election round within 250 ms.
+/// Creates a voter with the time-outs of the raft voter: heartbeats every 50 ms, an election round within
+/// 250 ms.
 pub fn voter(id: u64) -> OmniPaxosVoter {
     let nodes = (1..=super::VOTERS).collect();
     let server = ServerConfig {
--- a/benches/agreement/src/raftd.rs
+++ b/benches/agreement/src/raftd.rs
@@ -9,8 +9,8 @@
     decided: u64,
 }
 
-/// Creates a voter with heartbeats every 50 ms and elections after 250 to 500 ms. Pre-vote and the quorum check are on, as
-/// its authors advise for links that fail.
+/// Creates a voter with heartbeats every 50 ms and elections after 250 to 500 ms. Pre-vote and the quorum
+/// check are on, as its authors advise for links that fail.
 pub fn voter(id: u64) -> RaftVoter {
     let storage = MemStorage::new_with_conf_state(((1..=super::VOTERS).collect::<Vec<_>>(), vec![]));
     let config = Config {
--- a/benches/codecs/src/main.rs
+++ b/benches/codecs/src/main.rs
@@ -1,5 +1,5 @@
-//! Codec throughput compared with well-known crates: the same inputs, alternating, in one run. Each figure is the median
-//! of many rounds; the last column is the time of a crate relative to the first one.
+//! Codec throughput compared with well-known crates: the same inputs, alternating, in one run. Each figure is
+//! the median of many rounds; the last column is the time of a crate relative to the first one.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -10,8 +10,8 @@
 
 const ROUNDS: usize = 61;
 
-/// Prints the median nanoseconds per call of each entry. Entries alternate, so that changes of the machine's speed affect
-/// all of them alike.
+/// Prints the median nanoseconds per call of each entry. Entries alternate, so that changes of the machine's
+/// speed affect all of them alike.
 fn compare(calls_per_round: usize, entries: &mut [(&str, Box<dyn FnMut() + '_>)]) {
     let mut times = vec![Vec::new(); entries.len()];
     for _ in 0..ROUNDS {
--- a/crates/fawnrouter-engine/src/trunk.rs
+++ b/crates/fawnrouter-engine/src/trunk.rs
@@ -332,7 +332,7 @@
         if pending {
             let status::ResponseMeaning { outcome, detail, retryability } =
                 status::response_meaning(status, ResponseDetails::from_response(response));
-            // If so, the switch's response goes to the caller (below), and the controller owes no final
+            // If so, the switch's response goes to the caller (below), and the controller gives no final
             // answer.
             let done = retryability == Retryability::Final;
             if let Some(call) = self.table.calls.get_mut(&call) {
--- a/crates/fawnrouter-node/src/links.rs
+++ b/crates/fawnrouter-node/src/links.rs
@@ -95,8 +95,8 @@
         self.open_set_ups.contains(&tag) || self.ended_attempts.iter().any(|s| s.tag == tag)
     }
 
-    /// Whether a late answer to an ended attempt must be released. True once per attempt, which is then marked
-    /// as released.
+    /// Whether a late answer to an ended attempt must be released. True once per attempt, which is then
+    /// marked as released.
     pub fn take_late_release(&mut self, tag: Tag) -> bool {
         let unreleased = self.ended_attempts.iter_mut().find(|s| s.tag == tag && !s.released);
         unreleased.is_some_and(|s| !std::mem::replace(&mut s.released, true))
--- a/crates/fawnrouter-sip/src/message.rs
+++ b/crates/fawnrouter-sip/src/message.rs
@@ -396,8 +396,8 @@
         CSeq::parse(self.get(Name::CSeq).unwrap_or(""))
     }
 
-    /// Checks whether a request can be processed: it has the six fields of §8.1.1, each once and readable, the
-    /// version SIP/2.0, and a body of the announced length.
+    /// Checks whether a request can be processed: it has the six fields of §8.1.1, each once and readable,
+    /// the version SIP/2.0, and a body of the announced length.
     ///
     /// # Errors
     /// The status to answer with, and the part that is wrong.
